--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -1,6 +1,6 @@
 /*
- * Admission by customer: token bucket and places in flight, both sized by
- * this daemon's share.
+ * Admission per customer: a token bucket and slots for requests in flight,
+ * both sized by this daemon's share of the customer's limits.
  */
 #include "policy/admit.h"
 
@@ -12,22 +12,25 @@
 #include "policy/admit_internal.h"
 
 #define SILENT_INTERVALS 4
-#define HOLD_INTERVALS 3 /* a share is raised only after so many */
-#define DEMAND_FADE 4e6  /* time constant of the demand, usec */
-#define DEMAND_LEAST 0.01
+/* A raised share takes effect after this many publication intervals. */
+#define RAISE_WINDOW_INTERVALS 3
+/* Time constant of the exponential decay of demands. */
+#define DEMAND_DECAY_USEC 4e6
+#define DEMAND_MIN 0.01 /* requests a second, or in flight */
 #define BURST_SEC 1.0
 
 static int
-at_most(int value, int limit)
+min_int(int value, int limit)
 {
     return value < limit ? value : limit;
 }
 
 static double
-fade(double value, int64_t since, int64_t now)
+decay(double value, int64_t since, int64_t now)
 {
-    return now > since ? value * exp(-(double)(now - since) / DEMAND_FADE)
-                       : value;
+    return now > since
+               ? value * exp(-(double)(now - since) / DEMAND_DECAY_USEC)
+               : value;
 }
 
 static const struct am_demand *
@@ -43,84 +46,88 @@
 }
 
 static size_t
-list_parts(struct am_limits *limits, const struct am_customer *customer,
-           bool of_rate, int64_t now)
+list_claimants(struct am_limits *limits, const struct am_customer *customer,
+               bool by_rate, int64_t now)
 {
     int64_t oldest = now - SILENT_INTERVALS * Am_Interval(limits);
     const struct am_demand *own = &customer->published;
     size_t count = 0;
-    limits->parts[count++] = (struct am_part){
+    limits->claimants[count++] = (struct am_claimant){
         .rank = limits->rank,
-        .demand = of_rate ? own->per_sec : own->in_flight,
+        .demand = by_rate ? own->per_sec : own->in_flight,
         .self = true,
     };
     struct am_peer *peer;
     TAILQ_FOREACH (peer, &limits->peers, entry) {
-        struct am_part *part = &limits->parts[count++];
+        struct am_claimant *claimant = &limits->claimants[count++];
         const struct am_demand *demand = demand_of(peer, customer->name);
-        *part = (struct am_part){.rank = peer->rank, .places = -1};
-        part->silent = !peer->heard || peer->heard_at < oldest;
+        *claimant = (struct am_claimant){.rank = peer->rank, .slots = -1};
+        claimant->silent = !peer->has_demands || peer->received_at < oldest;
         if (demand != NULL) {
-            part->demand = of_rate ? demand->per_sec : demand->in_flight;
-            part->places = demand->places;
+            claimant->demand = by_rate ? demand->per_sec : demand->in_flight;
+            claimant->slots = demand->places;
         }
     }
     return count;
 }
 
 static void
-hold(struct am_held *held, double value, bool next_window, bool first)
+update_window_min(struct am_window_min *min, double value, bool new_window,
+                  bool first)
 {
     if (first) {
-        held->last = value;
-        held->current = value;
+        min->previous = value;
+        min->current = value;
     }
-    else if (next_window) {
-        held->last = held->current;
-        held->current = value;
+    else if (new_window) {
+        min->previous = min->current;
+        min->current = value;
     }
-    held->current = fmin(held->current, value);
+    min->current = fmin(min->current, value);
 }
 
 static double
-held_value(const struct am_held *held)
+window_min(const struct am_window_min *min)
 {
-    return fmin(held->last, held->current);
+    return fmin(min->previous, min->current);
 }
 
 /*
- * Computes the shares anew.  A smaller one counts at once, a larger one only
- * when it has held for HOLD_INTERVALS: by then the daemon that gives way has
- * heard the same demands and has lowered its own.
+ * Recomputes the shares. A smaller share takes effect at once, a larger one
+ * only after it has lasted RAISE_WINDOW_INTERVALS: by then the daemons whose
+ * shares shrink have received the same demands and lowered theirs.
  */
 static void
 renew_shares(struct am_limits *limits, struct am_customer *customer,
              int64_t now)
 {
     int64_t interval = Am_Interval(limits);
-    if (customer->shared_at > 0 && now - customer->shared_at < interval / 4) {
+    if (customer->shares_computed_at > 0 &&
+        now - customer->shares_computed_at < interval / 4) {
         return;
     }
-    bool first = customer->window_at == 0;
-    bool next = now - customer->window_at >= HOLD_INTERVALS * interval;
+    bool first = customer->window_started_at == 0;
+    bool next =
+        now - customer->window_started_at >= RAISE_WINDOW_INTERVALS * interval;
     if (first || next) {
-        customer->window_at = now;
+        customer->window_started_at = now;
     }
-    size_t count = list_parts(limits, customer, true, now);
-    hold(&customer->rate_share,
-         am_divide(customer->per_sec, limits->parts, count), next, first);
-    count = list_parts(limits, customer, false, now);
-    hold(&customer->flight_share,
-         am_divide_whole(customer->max_in_flight, limits->parts, count), next,
-         first);
-    customer->shared_at = now;
+    size_t count = list_claimants(limits, customer, true, now);
+    update_window_min(&customer->rate_share,
+                      am_divide(customer->per_sec, limits->claimants, count),
+                      next, first);
+    count = list_claimants(limits, customer, false, now);
+    update_window_min(
+        &customer->flight_share,
+        am_divide_whole(customer->max_in_flight, limits->claimants, count),
+        next, first);
+    customer->shares_computed_at = now;
 }
 
-/* Whether another daemon says that it wants, or uses, what the customer has.
- */
+/* Whether a peer has published demand for the customer or uses its slots. */
 static bool
-is_contended(const struct am_limits *limits,
-             const struct am_customer *customer)
+is_demanded_by_peer(const struct am_limits *limits,
+                    const struct am_customer *customer)
 {
     const struct am_peer *peer;
     TAILQ_FOREACH (peer, &limits->peers, entry) {
@@ -132,52 +139,56 @@
 }
 
 /*
- * Fixes the places that may be used until the next word.  A share larger than
- * before counts only as far as the others have said that they use less: what
- * they are taken to do by now they may not have heard of, on a busy host for
- * seconds, and a customer would have more running than it is allowed.
+ * Sets the slots that may be used until the next publication. A larger share
+ * counts only up to the slots that the peers have published as free: a peer
+ * that should use fewer by now may not have received the newer demands, for
+ * seconds on a busy host, and the customer would have more requests running
+ * than its limit.
  */
 static int
-grant_places(struct am_limits *limits, struct am_customer *customer, bool told,
-             int64_t now)
+grant_slots(struct am_limits *limits, struct am_customer *customer,
+            bool listed, int64_t now)
 {
     if (customer->max_in_flight <= 0) {
         customer->granted = -1;
         return -1;
     }
     renew_shares(limits, customer, now);
-    size_t count = list_parts(limits, customer, false, now);
-    struct am_left left =
-        am_leave(customer->max_in_flight, limits->parts, count);
-    int most = told ? left.free : at_most(left.free, left.even);
+    size_t count = list_claimants(limits, customer, false, now);
+    struct am_free_slots slots =
+        am_count_free_slots(customer->max_in_flight, limits->claimants, count);
+    int max_slots = listed ? slots.free : min_int(slots.free, slots.even);
     if (Am_IsJoining(limits, now)) {
-        most = 0;
+        max_slots = 0;
     }
     customer->granted =
-        at_most((int)held_value(&customer->flight_share), most);
+        min_int((int)window_min(&customer->flight_share), max_slots);
     return customer->granted > customer->in_flight ? customer->granted
                                                    : customer->in_flight;
 }
 
-/* Fills what is asked of a customer here; false when it is nothing of note. */
+/*
+ * Fills in the demand of this daemon's callers for a customer; false when the
+ * demand is negligible.
+ */
 static bool
 fill_demand(const struct am_customer *customer, int64_t now,
             struct am_demand *demand)
 {
     *demand = (struct am_demand){.places = -1};
     strlcpy(demand->customer, customer->name, sizeof(demand->customer));
-    demand->per_sec = fade(customer->rate, customer->rate_at, now);
-    demand->in_flight = fmax(fade(customer->wanted, customer->wanted_at, now),
-                             customer->in_flight);
-    return demand->per_sec >= DEMAND_LEAST ||
-           demand->in_flight >= DEMAND_LEAST;
+    demand->per_sec = decay(customer->rate, customer->rate_updated_at, now);
+    demand->in_flight =
+        fmax(decay(customer->peak_in_flight, customer->peak_updated_at, now),
+             customer->in_flight);
+    return demand->per_sec >= DEMAND_MIN || demand->in_flight >= DEMAND_MIN;
 }
 
 /*
- * Writes this daemon's demands for the others, those of note and those for
- * which others have asked, and computes with them from now on: a daemon that
- * counted its newer demand while the others count the older one would take a
- * part they do not leave.
+ * Writes this daemon's demands for its peers: the significant ones, and those
+ * for customers that peers have published demand for. From now on this daemon
+ * computes its shares with these demands: if it used a newer demand while its
+ * peers use the older one, it would take a share that they do not leave free.
  */
 size_t
 Am_Publish(struct am_limits *limits, int64_t now, struct am_demand *out,
@@ -187,18 +198,18 @@
     struct am_customer *customer;
     TAILQ_FOREACH (customer, &limits->customers, entry) {
         struct am_demand demand;
-        bool of_note = fill_demand(customer, now, &demand);
-        bool contended =
-            customer->max_in_flight > 0 && is_contended(limits, customer);
-        bool told = (of_note || contended) && count < size;
-        if (!of_note || !told) {
+        bool significant = fill_demand(customer, now, &demand);
+        bool contended = customer->max_in_flight > 0 &&
+                         is_demanded_by_peer(limits, customer);
+        bool listed = (significant || contended) && count < size;
+        if (!significant || !listed) {
             demand.per_sec = 0;
             demand.in_flight = 0;
         }
         customer->published = demand;
-        customer->shared_at = 0;
-        demand.places = grant_places(limits, customer, told, now);
-        if (told) {
+        customer->shares_computed_at = 0;
+        demand.places = grant_slots(limits, customer, listed, now);
+        if (listed) {
             out[count++] = demand;
         }
     }
@@ -214,11 +225,13 @@
                    name);
 }
 
-/* Before the first word nobody can have been told of more than the even part.
+/*
+ * Before the first publication, peers assume that this daemon uses no more
+ * than its even share.
  */
 static int
-granted_places(struct am_limits *limits, const struct am_customer *customer,
-               int64_t now)
+granted_slots(struct am_limits *limits, const struct am_customer *customer,
+              int64_t now)
 {
     if (Am_IsJoining(limits, now)) {
         return 0;
@@ -226,25 +239,27 @@
     if (customer->granted >= 0) {
         return customer->granted;
     }
-    size_t count = list_parts(limits, customer, false, now);
-    return am_leave(customer->max_in_flight, limits->parts, count).even;
+    size_t count = list_claimants(limits, customer, false, now);
+    return am_count_free_slots(customer->max_in_flight, limits->claimants,
+                               count)
+        .even;
 }
 
 static void
-tell_share(struct am_limits *limits, struct am_customer *customer, int64_t now,
-           struct am_share *out)
+get_share(struct am_limits *limits, struct am_customer *customer, int64_t now,
+          struct am_share *out)
 {
     renew_shares(limits, customer, now);
     out->per_sec =
-        customer->per_sec > 0 ? held_value(&customer->rate_share) : -1;
+        customer->per_sec > 0 ? window_min(&customer->rate_share) : -1;
     out->in_flight = -1;
     if (customer->max_in_flight > 0) {
-        out->in_flight = at_most((int)held_value(&customer->flight_share),
-                                 granted_places(limits, customer, now));
+        out->in_flight = min_int((int)window_min(&customer->flight_share),
+                                 granted_slots(limits, customer, now));
     }
 }
 
-/* Tells this daemon's present part of a customer's limits. */
+/* Returns in *out this daemon's current share of a customer's limits. */
 enum st_status
 Am_Share(struct am_limits *limits, const char *name, int64_t now,
          struct am_share *out)
@@ -253,11 +268,14 @@
     if (customer == NULL) {
         return unknown_customer(name);
     }
-    tell_share(limits, customer, now, out);
+    get_share(limits, customer, now, out);
     return ST_OK;
 }
 
-/* Requests of a customer admitted here and not done; 0 when unknown. */
+/*
+ * Requests of a customer admitted here and not yet finished; 0 when the
+ * customer is unknown.
+ */
 int
 Am_InFlight(const struct am_limits *limits, const char *name)
 {
@@ -266,32 +284,33 @@
 }
 
 static void
-note_demand(struct am_customer *customer, int64_t now)
+record_demand(struct am_customer *customer, int64_t now)
 {
-    customer->rate =
-        fade(customer->rate, customer->rate_at, now) + 1e6 / DEMAND_FADE;
-    customer->rate_at = now;
-    double wanted = fade(customer->wanted, customer->wanted_at, now);
-    customer->wanted = fmax(wanted, customer->in_flight + 1);
-    customer->wanted_at = now;
+    customer->rate = decay(customer->rate, customer->rate_updated_at, now) +
+                     1e6 / DEMAND_DECAY_USEC;
+    customer->rate_updated_at = now;
+    double peak_in_flight =
+        decay(customer->peak_in_flight, customer->peak_updated_at, now);
+    customer->peak_in_flight = fmax(peak_in_flight, customer->in_flight + 1);
+    customer->peak_updated_at = now;
 }
 
 static void
 fill_bucket(struct am_customer *customer, double per_sec, int64_t now)
 {
     double burst = fmax(1, per_sec * BURST_SEC);
-    if (now > customer->filled_at && customer->filled_at > 0) {
-        double sec = (double)(now - customer->filled_at) / 1e6;
+    if (now > customer->bucket_filled_at && customer->bucket_filled_at > 0) {
+        double sec = (double)(now - customer->bucket_filled_at) / 1e6;
         customer->tokens += per_sec * sec;
     }
-    customer->filled_at = now;
+    customer->bucket_filled_at = now;
     customer->tokens = fmin(customer->tokens, burst);
 }
 
 /*
  * Admits a request or refuses it; an admitted one counts as in flight until
- * Am_Done().  On ST_OVERLOAD the request was not run, and retry_after is the
- * time after which one more could be admitted.
+ * Am_Done(). On ST_OVERLOAD the request was not run, and *retry_after is the
+ * time after which another request could be admitted.
  */
 enum st_status
 Am_Admit(struct am_limits *limits, const char *name, int64_t now,
@@ -303,8 +322,8 @@
     if (customer == NULL) {
         return unknown_customer(name);
     }
-    note_demand(customer, now);
-    tell_share(limits, customer, now, &share);
+    record_demand(customer, now);
+    get_share(limits, customer, now, &share);
     if (share.in_flight >= 0 && customer->in_flight >= share.in_flight) {
         *retry_after = Ck_USEC_PER_SEC;
         return St_Fail(ST_OVERLOAD,
@@ -315,9 +334,9 @@
     if (share.per_sec >= 0) {
         fill_bucket(customer, share.per_sec, now);
         if (customer->tokens < 1) {
-            double lacking = 1 - customer->tokens;
+            double missing = 1 - customer->tokens;
             double rate = fmax(share.per_sec, 0.01);
-            *retry_after = (int64_t)(lacking / rate * 1e6);
+            *retry_after = (int64_t)(missing / rate * 1e6);
             return St_Fail(ST_OVERLOAD,
                            "customer %s is over its limit of %g requests a "
                            "second; send fewer or ask for a higher limit",
@@ -329,7 +348,7 @@
     return ST_OK;
 }
 
-/* Ends a request that was admitted. */
+/* Releases the slot of an admitted request that has ended. */
 void
 Am_Done(struct am_limits *limits, const char *name, int64_t now)
 {
--- a/packages/policy/admit.h
+++ b/packages/policy/admit.h
@@ -1,9 +1,9 @@
 /*
- * Limits per customer, shared over all daemons by demand.  Each daemon
- * publishes what its callers ask for (Am_Publish) and hears the same of the
- * others (Am_Hear); all compute the same shares from the same demands.  What
- * is guaranteed when they hear different things, or nothing, is told in
- * docs/design/limits.md.  Times are microseconds.
+ * Limits per customer, divided among all daemons by demand. Each daemon
+ * publishes the demand of its callers (Am_Publish) and takes in the demands
+ * that its peers publish (Am_Hear); all daemons compute the same shares from
+ * the same demands. docs/design/limits.md states what is guaranteed while
+ * daemons have received different demands or none. Times are microseconds.
  */
 #ifndef POLICY_ADMIT_H
 #define POLICY_ADMIT_H
@@ -20,15 +20,19 @@
 
 #define Am_NAME_MAX 64
 
-/* What one daemon's callers of one customer ask for. */
+/* Demand of one daemon's callers for one customer. */
 struct am_demand {
     char customer[Am_NAME_MAX];
-    double per_sec;   /* requests, the refused ones included */
-    double in_flight; /* that would run if nothing were refused */
-    int places; /* that it may use until its next word; -1: its even part */
+    double per_sec;   /* requests, refused ones included */
+    double in_flight; /* requests that would run if none were refused */
+    /*
+     * Slots (requests in flight) that the daemon may use until its next
+     * publication; -1: its even share.
+     */
+    int places;
 };
 
-/* This daemon's part of a customer's limits; negative: no limit. */
+/* This daemon's share of a customer's limits; negative: no limit. */
 struct am_share {
     double per_sec;
     int in_flight;
--- a/packages/policy/admit_divide.c
+++ b/packages/policy/admit_divide.c
@@ -1,56 +1,58 @@
 /*
- * Division of a limit between daemons: a pure function of what was heard, so
- * that daemons that heard the same get parts that sum to the limit.
+ * Division of a limit among daemons. It is a pure function of the received
+ * demands, so daemons that received the same demands compute shares that sum
+ * to the limit.
  */
 #include <math.h>
 #include <stdlib.h>
 
 #include "policy/admit_internal.h"
 
-#define FLOOR_SHARE 0.25 /* of the even part, kept for any daemon */
+/* Least share of any daemon, as a fraction of the even share. */
+#define MIN_SHARE_FACTOR 0.25
 
 static double
-asked(const struct am_part *part, double even)
+effective_demand(const struct am_claimant *claimant, double even)
 {
-    return fmax(part->demand, even * FLOOR_SHARE);
+    return fmax(claimant->demand, even * MIN_SHARE_FACTOR);
 }
 
 /*
- * Level up to which demands are met so that together they take "room"; where
- * there is more room than demand the level says how much each gets beyond
- * its demand, as "spare".
+ * Max-min fair level: each demand is met up to this level, so that together
+ * they use "available". When "available" exceeds the sum of the demands,
+ * *spare is what each daemon that is not silent gets beyond its demand.
  */
 static double
-fill_level(double room, double even, const struct am_part *parts, size_t count,
-           double *spare)
+fill_level(double available, double even, const struct am_claimant *claimants,
+           size_t count, double *spare)
 {
     double sum = 0;
-    double most = 0;
-    size_t heard = 0;
+    double highest = 0;
+    size_t active = 0;
     *spare = 0;
     for (size_t i = 0; i < count; i++) {
-        if (!parts[i].silent) {
-            double want = asked(&parts[i], even);
-            sum += want;
-            most = fmax(most, want);
-            heard++;
+        if (!claimants[i].silent) {
+            double demand = effective_demand(&claimants[i], even);
+            sum += demand;
+            highest = fmax(highest, demand);
+            active++;
         }
     }
-    if (sum <= room) {
-        *spare = heard > 0 ? (room - sum) / (double)heard : 0;
-        return most;
+    if (sum <= available) {
+        *spare = active > 0 ? (available - sum) / (double)active : 0;
+        return highest;
     }
     double low = 0;
-    double high = most;
+    double high = highest;
     for (int step = 0; step < 60; step++) {
         double level = (low + high) / 2;
         double taken = 0;
         for (size_t i = 0; i < count; i++) {
-            if (!parts[i].silent) {
-                taken += fmin(asked(&parts[i], even), level);
+            if (!claimants[i].silent) {
+                taken += fmin(effective_demand(&claimants[i], even), level);
             }
         }
-        if (taken > room) {
+        if (taken > available) {
             high = level;
         }
         else {
@@ -61,24 +63,24 @@
 }
 
 /*
- * This daemon's part of a limit on a rate: small demands are met in full,
- * large ones up to a common level.  A silent daemon's even part stays set
- * aside: it may be serving on the other side of a cut, where it takes the
- * same even part for itself.
+ * This daemon's share of a limit on a rate: small demands are met in full,
+ * large ones up to a common level. The even share of a silent daemon stays
+ * reserved: that daemon may be serving on the other side of a network
+ * partition, where it takes the same even share for itself.
  */
 double
-am_divide(double limit, const struct am_part *parts, size_t count)
+am_divide(double limit, const struct am_claimant *claimants, size_t count)
 {
     double even = limit / (double)count;
-    double room = limit;
+    double available = limit;
     double spare;
     for (size_t i = 0; i < count; i++) {
-        room -= parts[i].silent ? even : 0;
+        available -= claimants[i].silent ? even : 0;
     }
-    double level = fill_level(room, even, parts, count, &spare);
+    double level = fill_level(available, even, claimants, count, &spare);
     for (size_t i = 0; i < count; i++) {
-        if (parts[i].self) {
-            return fmin(asked(&parts[i], even), level) + spare;
+        if (claimants[i].self) {
+            return fmin(effective_demand(&claimants[i], even), level) + spare;
         }
     }
     return 0;
@@ -87,94 +89,97 @@
 static int
 by_rank(const void *a, const void *b)
 {
-    const struct am_part *x = a;
-    const struct am_part *y = b;
+    const struct am_claimant *x = a;
+    const struct am_claimant *y = b;
     return (x->rank > y->rank) - (x->rank < y->rank);
 }
 
 struct remainder {
-    size_t at;
-    double rest;
+    size_t index;
+    double fraction;
 };
 
 static int
-by_rest(const void *a, const void *b)
+by_fraction(const void *a, const void *b)
 {
     const struct remainder *x = a;
     const struct remainder *y = b;
-    if (x->rest != y->rest) {
-        return x->rest < y->rest ? 1 : -1;
+    if (x->fraction != y->fraction) {
+        return x->fraction < y->fraction ? 1 : -1;
     }
-    return (x->at > y->at) - (x->at < y->at);
+    return (x->index > y->index) - (x->index < y->index);
 }
 
 /*
- * What the others may be using is what they said last; who said nothing, or
- * was not heard of late, may be using its even part.  Sorts the parts by
- * rank, on which the odd places depend.
+ * Each peer is taken to use the slots that it last published, or its even
+ * share if it published none or has been silent lately. Sorts the claimants by
+ * rank, which decides who gets the slots left over by an even division.
  */
-struct am_left
-am_leave(int limit, struct am_part *parts, size_t count)
+struct am_free_slots
+am_count_free_slots(int limit, struct am_claimant *claimants, size_t count)
 {
-    struct am_left left = {.free = limit};
-    qsort(parts, count, sizeof(*parts), by_rank);
+    struct am_free_slots slots = {.free = limit};
+    qsort(claimants, count, sizeof(*claimants), by_rank);
     for (size_t i = 0; i < count; i++) {
         int even = limit / (int)count + ((int)i < limit % (int)count);
-        if (parts[i].self) {
-            left.even = even;
+        if (claimants[i].self) {
+            slots.even = even;
         }
-        else if (parts[i].silent || parts[i].places < 0) {
-            left.free -= even;
+        else if (claimants[i].silent || claimants[i].slots < 0) {
+            slots.free -= even;
         }
         else {
-            left.free -= parts[i].places;
+            slots.free -= claimants[i].slots;
         }
     }
-    left.free = left.free > 0 ? left.free : 0;
-    return left;
+    slots.free = slots.free > 0 ? slots.free : 0;
+    return slots;
 }
 
 /*
- * The same for a limit in whole places; sorts the parts by rank.  What is
- * set aside for silent daemons is whole as well and depends on the ranks
- * alone, so that two sides of a cut set aside exactly what the other takes.
- * 0 when there is no memory: refusing is the safe side.
+ * Like am_divide(), for a limit in whole slots; sorts the claimants by rank.
+ * The slots reserved for silent daemons are whole too and depend on the ranks
+ * alone, so that each side of a network partition reserves exactly the slots
+ * that the other side takes. Returns 0 when there is no memory, because
+ * refusing requests keeps the limit.
  */
 int
-am_divide_whole(int limit, struct am_part *parts, size_t count)
+am_divide_whole(int limit, struct am_claimant *claimants, size_t count)
 {
-    qsort(parts, count, sizeof(*parts), by_rank);
+    qsort(claimants, count, sizeof(*claimants), by_rank);
     int even = limit / (int)count;
-    int odd = limit % (int)count;
-    int room = limit;
+    int extra = limit % (int)count;
+    int available = limit;
     for (size_t i = 0; i < count; i++) {
-        room -= parts[i].silent ? even + ((int)i < odd) : 0;
+        available -= claimants[i].silent ? even + ((int)i < extra) : 0;
     }
-    struct remainder *rests = calloc(count, sizeof(*rests));
-    if (rests == NULL) {
+    struct remainder *remainders = calloc(count, sizeof(*remainders));
+    if (remainders == NULL) {
         return 0;
     }
     double spare;
-    double part = (double)limit / (double)count;
-    double level = fill_level(room, part, parts, count, &spare);
-    int left = room;
+    double even_share = (double)limit / (double)count;
+    double level = fill_level(available, even_share, claimants, count, &spare);
+    int left = available;
     int own = 0;
     for (size_t i = 0; i < count; i++) {
-        rests[i].at = i;
-        rests[i].rest = -1;
-        if (parts[i].silent) {
+        remainders[i].index = i;
+        remainders[i].fraction = -1;
+        if (claimants[i].silent) {
             continue;
         }
-        double exact = fmin(asked(&parts[i], part), level) + spare;
+        double exact =
+            fmin(effective_demand(&claimants[i], even_share), level) + spare;
         int whole = (int)(exact + 1e-9);
-        rests[i].rest = exact - whole;
+        remainders[i].fraction = exact - whole;
         left -= whole;
-        own += parts[i].self ? whole : 0;
+        own += claimants[i].self ? whole : 0;
     }
-    qsort(rests, count, sizeof(*rests), by_rest);
+    qsort(remainders, count, sizeof(*remainders), by_fraction);
     for (size_t i = 0; i < count && (int)i < left; i++) {
-        own += rests[i].rest >= 0 && parts[rests[i].at].self;
+        own +=
+            remainders[i].fraction >= 0 && claimants[remainders[i].index].self;
     }
-    free(rests);
+    free(remainders);
     return own;
 }
--- a/packages/policy/admit_internal.h
+++ b/packages/policy/admit_internal.h
@@ -1,6 +1,6 @@
 /*
- * Customers, peers and the division of a limit, as the files of admit*.c
- * share them.
+ * Customers, peers and the division of a limit: declarations shared by
+ * admit*.c.
  */
 #ifndef POLICY_ADMIT_INTERNAL_H
 #define POLICY_ADMIT_INTERNAL_H
@@ -21,15 +21,19 @@
     TAILQ_ENTRY(am_peer) entry;
     char id[Am_NAME_MAX];
     uint64_t rank;
-    bool heard;
-    int64_t heard_at;
-    size_t counts; /* daemons that it divides by; 0: not told */
+    bool has_demands;
+    int64_t received_at;
+    /* Daemons that the peer divides limits among; 0: unknown. */
+    size_t daemon_count;
     TAILQ_HEAD(am_demand_list, am_peer_demand) demands;
 };
 
-/* The least value computed of late; a raise counts only when it has held. */
-struct am_held {
-    double last;
+/*
+ * Minimum of a share over the current and the previous window, so that a
+ * raised share takes effect only after it has lasted for a window.
+ */
+struct am_window_min {
+    double previous;
     double current;
 };
 
@@ -40,17 +44,17 @@
     int max_in_flight;
     int in_flight;
     double tokens;
-    int64_t filled_at;
-    double rate; /* demand, fading */
-    int64_t rate_at;
-    double wanted; /* in flight, fading peak */
-    int64_t wanted_at;
+    int64_t bucket_filled_at;
+    double rate; /* requests per second, decaying average */
+    int64_t rate_updated_at;
+    double peak_in_flight; /* requests in flight, decaying peak */
+    int64_t peak_updated_at;
     struct am_demand published;
-    struct am_held rate_share;
-    struct am_held flight_share;
-    int granted;       /* places until the next word; -1: the even part */
-    int64_t shared_at; /* 0: never computed */
-    int64_t window_at;
+    struct am_window_min rate_share;
+    struct am_window_min flight_share;
+    int granted; /* slots until the next publication; -1: the even share */
+    int64_t shares_computed_at; /* 0: never computed */
+    int64_t window_started_at;
 };
 
 struct am_limits {
@@ -58,32 +62,37 @@
     uint64_t rank;
     TAILQ_HEAD(am_peer_list, am_peer) peers;
     size_t peer_count;
-    int64_t join_until;  /* 0: this daemon has joined the others */
-    size_t joined_count; /* peers known when that was last looked at */
-    int64_t joined_at;   /* when that number last changed */
+    int64_t join_until;            /* 0: this daemon is not joining */
+    size_t last_peer_count;        /* peer_count at the last check */
+    int64_t peer_count_changed_at; /* when last_peer_count last changed */
     TAILQ_HEAD(am_customer_list, am_customer) customers;
-    struct am_part *parts; /* scratch, peer_count + 1 long */
-    size_t parts_size;
+    struct am_claimant
+        /* Scratch space, at least peer_count + 1 entries. */
+        *claimants;
+    size_t claimants_size;
 };
 
-/* One known daemon in the division of one limit. */
-struct am_part {
-    uint64_t rank; /* hash of the daemon's id: the order all agree on */
+/* One daemon that takes part in the division of a limit. */
+struct am_claimant {
+    /* Hash of the daemon's id: the sort order that all daemons agree on. */
+    uint64_t rank;
     double demand;
-    int places;  /* as it last said; -1: its even part */
-    bool silent; /* not heard of late: its even part is set aside */
+    int slots;   /* slots it last published; -1: its even share */
+    bool silent; /* nothing received lately: its even share is reserved */
     bool self;
 };
 
 struct am_customer *am_find_customer(const struct am_limits *limits,
                                      const char *name);
-double am_divide(double limit, const struct am_part *parts, size_t count);
-int am_divide_whole(int limit, struct am_part *parts, size_t count);
-/* Places that the others leave, and this daemon's even part of all. */
-struct am_left {
+double am_divide(double limit, const struct am_claimant *claimants,
+                 size_t count);
+int am_divide_whole(int limit, struct am_claimant *claimants, size_t count);
+/* Slots that the other daemons leave free, and this daemon's even share. */
+struct am_free_slots {
     int free;
     int even;
 };
-struct am_left am_leave(int limit, struct am_part *parts, size_t count);
+struct am_free_slots
+am_count_free_slots(int limit, struct am_claimant *claimants, size_t count);
 
 #endif
--- a/packages/policy/admit_table.c
+++ b/packages/policy/admit_table.c
@@ -1,6 +1,6 @@
 /*
- * Commands on what the limits are made of: customers, peers, and the demands
- * heard from them.
+ * Changes to the customers, to the peers and to the demands received from the
+ * peers.
  */
 #include <bsd/string.h>
 #include <stdlib.h>
@@ -11,12 +11,15 @@
 #include "policy/admit.h"
 #include "policy/admit_internal.h"
 
-#define INTERVAL_MIN (500 * Ck_USEC_PER_MSEC)
-/* Every daemon hears every other: 40 demands a second, however many. */
-#define INTERVAL_PER_PEER (25 * Ck_USEC_PER_MSEC)
-#define JOIN_MAX (2 * Ck_USEC_PER_SEC)
+#define INTERVAL_MIN_USEC (500 * Ck_USEC_PER_MSEC)
+/*
+ * Each daemon receives the publications of every other: at this interval 40
+ * publications a second, however many daemons there are.
+ */
+#define INTERVAL_PER_PEER_USEC (25 * Ck_USEC_PER_MSEC)
+#define JOIN_MAX_USEC (2 * Ck_USEC_PER_SEC)
 
-/* Makes the limits of the daemon named; NULL when there is no memory. */
+/* Creates the limits of the daemon "self"; NULL when there is no memory. */
 struct am_limits *
 Am_Create(const char *self)
 {
@@ -28,9 +31,9 @@
     TAILQ_INIT(&limits->peers);
     TAILQ_INIT(&limits->customers);
     limits->rank = Hash_String(self, 0);
-    limits->parts = calloc(1, sizeof(*limits->parts));
-    limits->parts_size = 1;
-    if (limits->parts == NULL) {
+    limits->claimants = calloc(1, sizeof(*limits->claimants));
+    limits->claimants_size = 1;
+    if (limits->claimants == NULL) {
         free(limits);
         return NULL;
     }
@@ -38,7 +41,7 @@
 }
 
 static void
-forget_demands(struct am_peer *peer)
+free_demands(struct am_peer *peer)
 {
     struct am_peer_demand *demand;
     while ((demand = TAILQ_FIRST(&peer->demands)) != NULL) {
@@ -52,7 +55,7 @@
 {
     limits->peer_count--;
     TAILQ_REMOVE(&limits->peers, peer, entry);
-    forget_demands(peer);
+    free_demands(peer);
     free(peer);
 }
 
@@ -66,7 +69,7 @@
     struct am_peer *peer;
     struct am_peer *next;
     TAILQ_FOREACH_SAFE (peer, &limits->peers, entry, next) {
-        forget_demands(peer);
+        free_demands(peer);
         free(peer);
     }
     struct am_customer *customer;
@@ -74,11 +77,11 @@
         TAILQ_REMOVE(&limits->customers, customer, entry);
         free(customer);
     }
-    free(limits->parts);
+    free(limits->claimants);
     free(limits);
 }
 
-/* The entry of a customer, or NULL. */
+/* Finds a customer by name; NULL when it is unknown. */
 struct am_customer *
 am_find_customer(const struct am_limits *limits, const char *name)
 {
@@ -104,8 +107,8 @@
 }
 
 /*
- * Sets the limits of a customer over all daemons together; 0: no limit.
- * What is in flight stays counted.
+ * Sets a customer's limits over all daemons together; 0: no limit. Requests
+ * already in flight stay counted.
  */
 enum st_status
 Am_SetCustomer(struct am_limits *limits, const char *name, double per_sec,
@@ -127,12 +130,12 @@
         customer->max_in_flight != max_in_flight) {
         customer->per_sec = per_sec;
         customer->max_in_flight = max_in_flight;
-        customer->shared_at = 0;
+        customer->shares_computed_at = 0;
     }
     return ST_OK;
 }
 
-/* Forgets a customer that is no longer configured. */
+/* Removes a customer that is no longer configured. */
 void
 Am_DropCustomer(struct am_limits *limits, const char *name)
 {
@@ -144,8 +147,9 @@
 }
 
 /*
- * Adds a daemon that is known, heard or not.  A daemon out of reach must stay
- * added for as long as it may be serving: its part is set aside by that.
+ * Adds a known daemon, whether or not demands have been received from it. An
+ * unreachable daemon must stay added for as long as it may be serving, because
+ * that keeps its even share reserved.
  */
 enum st_status
 Am_AddPeer(struct am_limits *limits, const char *id)
@@ -154,13 +158,14 @@
         return ST_OK;
     }
     size_t size = limits->peer_count + 2;
-    struct am_part *parts = reallocarray(limits->parts, size, sizeof(*parts));
-    if (parts == NULL) {
+    struct am_claimant *claimants =
+        reallocarray(limits->claimants, size, sizeof(*claimants));
+    if (claimants == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a peer; restart the "
                                      "daemon on a larger host");
     }
-    limits->parts = parts;
-    limits->parts_size = size;
+    limits->claimants = claimants;
+    limits->claimants_size = size;
     struct am_peer *peer = calloc(1, sizeof(*peer));
     if (peer == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a peer; restart the "
@@ -174,7 +179,10 @@
     return ST_OK;
 }
 
-/* Removes a daemon that has stopped serving; its part is shared out. */
+/*
+ * Removes a daemon that has stopped serving; its share is divided among the
+ * others.
+ */
 void
 Am_DropPeer(struct am_limits *limits, const char *id)
 {
@@ -184,34 +192,34 @@
     }
 }
 
-/* Takes in by how many daemons a peer divides the limits. */
+/* Stores among how many daemons a peer divides the limits. */
 void
 Am_HearCount(struct am_limits *limits, const char *id, size_t daemons)
 {
     struct am_peer *peer = find_peer(limits, id);
     if (peer != NULL) {
-        peer->counts = daemons;
+        peer->daemon_count = daemons;
     }
 }
 
 /*
- * This daemon starts among others that divide the limits without it.  Until
- * they count it, and for JOIN_MAX at most, it takes no places.
+ * Called when this daemon starts while its peers divide the limits without it.
+ * It takes no slots until the peers count it, but for JOIN_MAX_USEC at most.
  */
 void
 Am_Join(struct am_limits *limits, int64_t now)
 {
-    limits->join_until = now + JOIN_MAX;
-    limits->joined_count = limits->peer_count;
-    limits->joined_at = now;
+    limits->join_until = now + JOIN_MAX_USEC;
+    limits->last_peer_count = limits->peer_count;
+    limits->peer_count_changed_at = now;
 }
 
 static bool
-is_counted(const struct am_limits *limits)
+is_counted_by_all_peers(const struct am_limits *limits)
 {
     const struct am_peer *peer;
     TAILQ_FOREACH (peer, &limits->peers, entry) {
-        if (peer->counts < Am_Daemons(limits)) {
+        if (peer->daemon_count < Am_Daemons(limits)) {
             return false;
         }
     }
@@ -219,8 +227,9 @@
 }
 
 /*
- * Whether others may still be dividing without this daemon.  That all have
- * told as many as are known here is no proof while more become known.
+ * Whether peers may still divide the limits without this daemon. That all
+ * peers divide by as many daemons as are known here proves this only once the
+ * number of known peers has been stable for an interval.
  */
 bool
 Am_IsJoining(struct am_limits *limits, int64_t now)
@@ -228,36 +237,36 @@
     if (limits->join_until == 0) {
         return false;
     }
-    if (limits->joined_count != limits->peer_count) {
-        limits->joined_count = limits->peer_count;
-        limits->joined_at = now;
+    if (limits->last_peer_count != limits->peer_count) {
+        limits->last_peer_count = limits->peer_count;
+        limits->peer_count_changed_at = now;
     }
-    bool settled = limits->peer_count > 0 && is_counted(limits) &&
-                   now - limits->joined_at >= Am_Interval(limits);
+    bool settled = limits->peer_count > 0 && is_counted_by_all_peers(limits) &&
+                   now - limits->peer_count_changed_at >= Am_Interval(limits);
     if (settled || now >= limits->join_until) {
         limits->join_until = 0;
     }
     return limits->join_until != 0;
 }
 
-/* Daemons that a limit is divided by, this one included. */
+/* Number of daemons that a limit is divided among, this one included. */
 size_t
 Am_Daemons(const struct am_limits *limits)
 {
     return limits->peer_count + 1;
 }
 
-/* How often to publish: the more daemons, the less often. */
+/* Interval between publications; it grows with the number of daemons. */
 int64_t
 Am_Interval(const struct am_limits *limits)
 {
-    int64_t interval = INTERVAL_PER_PEER * (int64_t)limits->peer_count;
-    return interval > INTERVAL_MIN ? interval : INTERVAL_MIN;
+    int64_t interval = INTERVAL_PER_PEER_USEC * (int64_t)limits->peer_count;
+    return interval > INTERVAL_MIN_USEC ? interval : INTERVAL_MIN_USEC;
 }
 
 /*
- * Takes in all demands of a daemon, in place of those heard before; a
- * customer not named has none.  Adds the daemon if it is not known.
+ * Replaces the demands received from a daemon; customers not listed have no
+ * demand there. Adds the daemon if it is unknown.
  */
 enum st_status
 Am_Hear(struct am_limits *limits, const char *id,
@@ -268,13 +277,13 @@
     if (status != ST_OK || peer == NULL) {
         return status;
     }
-    forget_demands(peer);
-    peer->heard = true;
-    peer->heard_at = now;
+    free_demands(peer);
+    peer->has_demands = true;
+    peer->received_at = now;
     for (size_t i = 0; i < count; i++) {
         struct am_peer_demand *demand = calloc(1, sizeof(*demand));
         if (demand == NULL) {
-            peer->heard = false;
+            peer->has_demands = false;
             return St_Fail(ST_NO_MEMORY, "no memory for a demand; restart "
                                          "the daemon on a larger host");
         }
--- a/packages/policy/test/admit_test.cc
+++ b/packages/policy/test/admit_test.cc
@@ -12,24 +12,27 @@
 
 const int64_t kSec = 1000000;
 
-/* Daemons that hear each other with a delay, unless cut off. */
-struct Fleet {
+/*
+ * Daemons whose publications reach each other after a delay, unless a network
+ * partition separates them.
+ */
+struct Cluster {
     struct Message {
         int64_t at;
         size_t from;
         std::vector<struct am_demand> demands;
     };
     std::vector<struct am_limits *> daemons;
-    std::vector<int> side; /* of a cut */
-    std::vector<Message> mail;
+    std::vector<int> partition; /* partition that each daemon is in */
+    std::vector<Message> in_transit;
     int64_t now = 1000 * kSec;
     int64_t delay = 700000;
 
-    Fleet(size_t count, double per_sec, int max_in_flight)
+    Cluster(size_t count, double per_sec, int max_in_flight)
     {
         for (size_t i = 0; i < count; i++) {
             daemons.push_back(Am_Create(name(i).c_str()));
-            side.push_back(0);
+            partition.push_back(0);
             Am_SetCustomer(daemons[i], "c", per_sec, max_in_flight);
             for (size_t k = 0; k < count; k++) {
                 Am_AddPeer(daemons[i], name(k).c_str());
@@ -37,7 +40,7 @@
         }
     }
 
-    ~Fleet()
+    ~Cluster()
     {
         for (auto *daemon : daemons) {
             Am_Destroy(daemon);
@@ -55,12 +58,12 @@
     {
         struct am_demand out[4];
         size_t n = Am_Publish(daemons[i], now, out, 4);
-        mail.push_back({now + delay, i, {out, out + n}});
+        in_transit.push_back({now + delay, i, {out, out + n}});
     }
 
-    /* Half a second with the given arrivals per daemon. */
+    /* Runs half a second with the given number of arrivals per daemon. */
     int
-    step(const std::vector<int> &arrivals, bool hold_places = false)
+    step(const std::vector<int> &arrivals, bool hold_slots = false)
     {
         int admitted = 0;
         for (size_t i = 0; i < daemons.size(); i++) {
@@ -68,25 +71,26 @@
         }
         for (int tick = 0; tick < 50; tick++) {
             now += 10000;
-            for (auto &m : mail) {
+            for (auto &m : in_transit) {
                 for (size_t i = 0; m.at <= now && i < daemons.size(); i++) {
-                    if (i != m.from && side[i] == side[m.from]) {
+                    if (i != m.from && partition[i] == partition[m.from]) {
                         Am_Hear(daemons[i], name(m.from).c_str(),
                                 m.demands.data(), m.demands.size(), now);
                     }
                 }
             }
-            mail.erase(std::remove_if(mail.begin(), mail.end(),
-                                      [&](Message &m) { return m.at <= now; }),
-                       mail.end());
+            in_transit.erase(
+                std::remove_if(in_transit.begin(), in_transit.end(),
+                               [&](Message &m) { return m.at <= now; }),
+                in_transit.end());
             for (size_t i = 0; i < daemons.size(); i++) {
-                int now_due =
+                int due =
                     arrivals[i] * (tick + 1) / 50 - arrivals[i] * tick / 50;
-                for (int k = 0; k < now_due; k++) {
+                for (int k = 0; k < due; k++) {
                     int64_t retry;
                     bool ok = Am_Admit(daemons[i], "c", now, &retry) == ST_OK;
                     admitted += ok;
-                    if (ok && !hold_places) {
+                    if (ok && !hold_slots) {
                         Am_Done(daemons[i], "c", now);
                     }
                 }
@@ -108,7 +112,7 @@
     }
 
     int
-    sum_places()
+    sum_slots()
     {
         int sum = 0;
         struct am_share share;
@@ -122,7 +126,7 @@
 
 TEST(Admit, SharesFollowDemandAndSumToTheLimit)
 {
-    Fleet f(7, 100, 20);
+    Cluster f(7, 100, 20);
     std::vector<int> arrivals = {60, 0, 0, 0, 0, 0, 2};
     for (int i = 0; i < 20; i++) {
         f.step(arrivals);
@@ -131,7 +135,7 @@
     for (int i = 0; i < 20; i++) {
         admitted += f.step(arrivals);
         EXPECT_LE(f.sum_rate(), 100.001);
-        EXPECT_LE(f.sum_places(), 20);
+        EXPECT_LE(f.sum_slots(), 20);
     }
     struct am_share busy;
     Am_Share(f.daemons[0], "c", f.now, &busy);
@@ -141,54 +145,56 @@
 }
 
 /*
- * A customer gets twice its limit. The daemons were cut into two sides, and
- * each side shared the whole limit among those it still heard.
+ * Guards against a customer that gets twice its limit: in a network partition
+ * each side divided the whole limit among the daemons it still received
+ * demands from.
  */
-TEST(Admit, CutSidesTogetherStayAtTheLimit)
+TEST(Admit, PartitionsTogetherStayAtTheLimit)
 {
     for (int alone = 1; alone <= 7; alone++) {
-        Fleet f(7, 70, 20);
+        Cluster f(7, 70, 20);
         std::vector<int> arrivals(7, 40);
         f.step(arrivals);
         for (int i = 0; i < 7; i++) {
-            f.side[(size_t)i] = i < alone ? 0 : 1;
+            f.partition[(size_t)i] = i < alone ? 0 : 1;
         }
         int admitted = 0;
         for (int i = 0; i < 30; i++) {
-            int now_admitted = f.step(arrivals);
+            int admitted_now = f.step(arrivals);
             EXPECT_LE(f.sum_rate(), 70.001);
-            EXPECT_LE(f.sum_places(), 20);
-            admitted += i >= 10 ? now_admitted : 0;
+            EXPECT_LE(f.sum_slots(), 20);
+            admitted += i >= 10 ? admitted_now : 0;
         }
         EXPECT_LE(admitted, 700 + 7);
         EXPECT_GE(admitted, 600);
     }
 }
 
-/* As above, each daemon out of reach of all others. */
-TEST(Admit, DaemonsThatHearNobodyStayAtTheLimit)
+/* As above, with each daemon isolated from all others. */
+TEST(Admit, IsolatedDaemonsStayAtTheLimit)
 {
-    Fleet f(7, 70, 5);
+    Cluster f(7, 70, 5);
     for (int i = 0; i < 7; i++) {
-        f.side[(size_t)i] = i;
+        f.partition[(size_t)i] = i;
     }
     std::vector<int> arrivals(7, 40);
     int held = 0;
     for (int i = 0; i < 20; i++) {
         held += f.step(arrivals, true);
         EXPECT_LE(f.sum_rate(), 70.001);
-        EXPECT_EQ(5, f.sum_places());
+        EXPECT_EQ(5, f.sum_slots());
     }
     EXPECT_EQ(5, held);
 }
 
 /*
- * A customer's burst moves from one daemon to another and is admitted twice:
- * the second daemon raised its part before the first one heard of it.
+ * Guards against a burst that moves from one daemon to another and is admitted
+ * twice, because the second daemon raised its share before the first one
+ * received the new demand.
  */
-TEST(Admit, ADaemonRaisesOnlyAfterTheOthersGaveWay)
+TEST(Admit, ShareIsRaisedOnlyAfterPeersLoweredTheirs)
 {
-    Fleet f(5, 100, 0);
+    Cluster f(5, 100, 0);
     std::vector<int> first = {60, 0, 0, 0, 0};
     std::vector<int> second = {0, 0, 0, 60, 0};
     for (int round = 0; round < 6; round++) {
@@ -200,13 +206,14 @@
 }
 
 /*
- * A customer has seven requests running where six are allowed. On a busy host
- * one daemon's words come seconds late: it has heard that nobody else wants
- * the places, and takes those of the others, which have not heard of it.
+ * Guards against a customer that has seven requests running where six are
+ * allowed. On a busy host one daemon's publications arrive seconds late: it
+ * has learnt that no peer needs the slots and takes them, while its peers
+ * have not received its own demand.
  */
-TEST(Admit, PlacesAreTakenOnlyWhenTheOthersSayTheyGaveThem)
+TEST(Admit, SlotsAreTakenOnlyWhenPeersPublishedThemAsFree)
 {
-    Fleet f(3, 0, 6);
+    Cluster f(3, 0, 6);
     std::vector<int> none = {0, 0, 0};
     for (int i = 0; i < 8; i++) {
         f.step(none);
@@ -225,19 +232,19 @@
             size_t n = Am_Publish(f.daemons[from], f.now, out, 4);
             for (size_t to = 0; to < 3; to++) {
                 if (to != from) {
-                    Am_Hear(f.daemons[to], Fleet::name(from).c_str(), out, n,
+                    Am_Hear(f.daemons[to], Cluster::name(from).c_str(), out, n,
                             f.now);
                 }
             }
         }
-        EXPECT_LE(f.sum_places(), 6) << i;
+        EXPECT_LE(f.sum_slots(), 6) << i;
         f.now += 500000;
     }
 }
 
-// Guards against two daemons that take the same free places at once: a
-// customer has seven requests running where six are allowed.
-TEST(Admit, PlacesThatAreFreeAreTakenOnce)
+// Guards against two daemons that take the same free slots at once: a customer
+// has seven requests running where six are allowed.
+TEST(Admit, FreeSlotsAreTakenOnce)
 {
     const int kLimit = 6;
     const int kSteps = 200;
@@ -246,7 +253,7 @@
     for (uint64_t seed = 1; seed <= kSeeds; seed++) {
         struct rn_random random;
         Rn_Seed(&random, seed);
-        Fleet f(3, 0, kLimit);
+        Cluster f(3, 0, kLimit);
         std::vector<int> arrivals(3, 0);
         int most = 0;
         for (int i = 0; i < kSteps; i++) {
@@ -257,19 +264,19 @@
             }
             f.delay = delays[Rn_Below(&random, 3)];
             f.step(arrivals);
-            most = std::max(most, f.sum_places());
+            most = std::max(most, f.sum_slots());
         }
         EXPECT_LE(most, kLimit) << "seed " << seed;
     }
 }
 
-// Daemons that start one after the other, each known to the others only some
-// time after it knows of them.
-struct Starting {
+// Daemons that start one after the other; each one learns of the others at a
+// time of its own, after both have started.
+struct StartingCluster {
     static constexpr size_t kDaemons = 3;
     static constexpr int64_t kTick = 10000;
     static constexpr int64_t kInterval = 500000;
-    struct Word {
+    struct Message {
         int64_t at;
         size_t to;
         size_t from;
@@ -277,29 +284,30 @@
         std::vector<struct am_demand> demands;
     };
     struct am_limits *daemons[kDaemons];
-    int64_t starts[kDaemons];
-    int64_t knows[kDaemons][kDaemons];
-    int64_t publishes[kDaemons];
-    std::vector<Word> words;
+    int64_t started_at[kDaemons];
+    int64_t learns_at[kDaemons][kDaemons];
+    int64_t publishes_at[kDaemons];
+    std::vector<Message> messages;
     struct rn_random random;
     int64_t now = 1000 * kSec;
 
-    explicit Starting(uint64_t seed)
+    explicit StartingCluster(uint64_t seed)
     {
         Rn_Seed(&random, seed);
         for (size_t i = 0; i < kDaemons; i++) {
-            daemons[i] = Am_Create(Fleet::name(i).c_str());
-            starts[i] = now + (i > 0 ? Draw(1500000) : 0);
-            publishes[i] = starts[i] + Draw(kInterval);
+            daemons[i] = Am_Create(Cluster::name(i).c_str());
+            started_at[i] = now + (i > 0 ? Draw(1500000) : 0);
+            publishes_at[i] = started_at[i] + Draw(kInterval);
         }
         for (size_t i = 0; i < kDaemons; i++) {
             for (size_t k = 0; k < kDaemons; k++) {
-                knows[i][k] = std::max(starts[i], starts[k]) + Draw(400000);
+                learns_at[i][k] =
+                    std::max(started_at[i], started_at[k]) + Draw(400000);
             }
         }
     }
 
-    ~Starting()
+    ~StartingCluster()
     {
         for (auto *daemon : daemons) {
             Am_Destroy(daemon);
@@ -318,7 +326,7 @@
         Am_SetCustomer(daemons[i], "c", 0, 6);
         bool others = false;
         for (size_t k = 0; k < kDaemons; k++) {
-            others |= k != i && starts[k] < starts[i];
+            others |= k != i && started_at[k] < started_at[i];
         }
         if (others) {
             Am_Join(daemons[i], now);
@@ -329,15 +337,15 @@
     Publish(size_t i)
     {
         struct am_demand out[4];
-        publishes[i] += kInterval;
+        publishes_at[i] += kInterval;
         size_t n = Am_Publish(daemons[i], now, out, 4);
         for (size_t to = 0; to < kDaemons; to++) {
-            if (to != i && now >= knows[i][to]) {
-                words.push_back({now + Draw(100000),
-                                 to,
-                                 i,
-                                 Am_Daemons(daemons[i]),
-                                 {out, out + n}});
+            if (to != i && now >= learns_at[i][to]) {
+                messages.push_back({now + Draw(100000),
+                                    to,
+                                    i,
+                                    Am_Daemons(daemons[i]),
+                                    {out, out + n}});
             }
         }
     }
@@ -345,40 +353,41 @@
     void
     Deliver()
     {
-        for (const Word &word : words) {
-            if (word.at > now || now < starts[word.to]) {
+        for (const Message &message : messages) {
+            if (message.at > now || now < started_at[message.to]) {
                 continue;
             }
-            std::string from = Fleet::name(word.from);
-            Am_Hear(daemons[word.to], from.c_str(), word.demands.data(),
-                    word.demands.size(), now);
-            Am_HearCount(daemons[word.to], from.c_str(), word.daemons);
+            std::string from = Cluster::name(message.from);
+            Am_Hear(daemons[message.to], from.c_str(), message.demands.data(),
+                    message.demands.size(), now);
+            Am_HearCount(daemons[message.to], from.c_str(), message.daemons);
         }
-        words.erase(
-            std::remove_if(words.begin(), words.end(),
-                           [&](const Word &word) { return word.at <= now; }),
-            words.end());
+        messages.erase(std::remove_if(messages.begin(), messages.end(),
+                                      [&](const Message &message) {
+                                          return message.at <= now;
+                                      }),
+                       messages.end());
     }
 
-    // Every daemon is asked for more than it may give, and nothing ends.
+    // Every daemon gets more requests than it may admit, and no request ends.
     void
     Tick()
     {
         now += kTick;
         Deliver();
         for (size_t i = 0; i < kDaemons; i++) {
-            if (now < starts[i]) {
+            if (now < started_at[i]) {
                 continue;
             }
-            if (now - kTick < starts[i]) {
+            if (now - kTick < started_at[i]) {
                 Begin(i);
             }
             for (size_t k = 0; k < kDaemons; k++) {
-                if (k != i && now >= knows[i][k]) {
-                    Am_AddPeer(daemons[i], Fleet::name(k).c_str());
+                if (k != i && now >= learns_at[i][k]) {
+                    Am_AddPeer(daemons[i], Cluster::name(k).c_str());
                 }
             }
-            if (now >= publishes[i]) {
+            if (now >= publishes_at[i]) {
                 Publish(i);
             }
             int64_t retry;
@@ -397,61 +406,68 @@
     }
 };
 
-// Guards against a daemon that divides a limit before it knows of one that
-// has started: together they run more than the customer is allowed.
-TEST(Admit, ADaemonThatJoinsTakesOnlyWhatTheOthersLeave)
+// Guards against a daemon that divides a limit before it knows of another one
+// that has started: together they run more requests than the customer is
+// allowed.
+TEST(Admit, JoiningDaemonTakesOnlyFreeSlots)
 {
     for (uint64_t seed = 1; seed <= 200; seed++) {
-        Starting start(seed);
-        // The first is alone and may hold the whole limit already.
-        for (int64_t at = 0; at < 6 * kSec; at += Starting::kTick) {
-            start.Tick();
+        StartingCluster cluster(seed);
+        // The first daemon may hold the whole limit before the others start.
+        for (int64_t at = 0; at < 6 * kSec; at += StartingCluster::kTick) {
+            cluster.Tick();
         }
-        EXPECT_LE(start.InFlight(), 6) << "seed " << seed;
+        EXPECT_LE(cluster.InFlight(), 6) << "seed " << seed;
     }
 }
 
-// Guards against daemons that start together and wait for each other's word
-// for good.
+// Guards against daemons that start together and wait forever for each other's
+// publications.
 TEST(Admit, DaemonsThatStartTogetherServeWithinSeconds)
 {
-    Starting start(1);
-    for (size_t i = 0; i < Starting::kDaemons; i++) {
-        start.starts[i] = start.now;
-        for (size_t k = 0; k < Starting::kDaemons; k++) {
-            Am_AddPeer(start.daemons[i], Fleet::name(k).c_str());
+    StartingCluster cluster(1);
+    for (size_t i = 0; i < StartingCluster::kDaemons; i++) {
+        cluster.started_at[i] = cluster.now;
+        for (size_t k = 0; k < StartingCluster::kDaemons; k++) {
+            Am_AddPeer(cluster.daemons[i], Cluster::name(k).c_str());
         }
-        Am_SetCustomer(start.daemons[i], "c", 0, 6);
-        Am_Join(start.daemons[i], start.now);
+        Am_SetCustomer(cluster.daemons[i], "c", 0, 6);
+        Am_Join(cluster.daemons[i], cluster.now);
     }
-    for (int64_t at = 0; at < 4 * kSec; at += Starting::kTick) {
-        start.Tick();
+    for (int64_t at = 0; at < 4 * kSec; at += StartingCluster::kTick) {
+        cluster.Tick();
     }
-    EXPECT_EQ(6, start.InFlight());
+    EXPECT_EQ(6, cluster.InFlight());
 }
 
-/* The same once they have heard of it: it gets what they can spare. */
-TEST(Admit, PlacesMoveToWhereTheyAreWanted)
+/*
+ * Once its peers have received its demand, a daemon gets the slots that they
+ * can spare.
+ */
+TEST(Admit, SlotsFollowDemand)
 {
-    Fleet f(3, 0, 6);
+    Cluster f(3, 0, 6);
     std::vector<int> arrivals = {10, 0, 0};
     for (int i = 0; i < 20; i++) {
         f.step(arrivals, true);
-        EXPECT_LE(f.sum_places(), 6) << i;
+        EXPECT_LE(f.sum_slots(), 6) << i;
     }
     struct am_share share;
     Am_Share(f.daemons[0], "c", f.now, &share);
     EXPECT_GE(share.in_flight, 4);
 }
 
-/* Demands that change everywhere all the time: what the docs state. */
-TEST(Admit, OvershootUnderRestlessDemandIsBounded)
+/*
+ * Demands change at all daemons all the time. docs/design/limits.md states the
+ * bound.
+ */
+TEST(Admit, OvershootUnderChangingDemandIsBounded)
 {
     double worst = 0;
     for (uint64_t seed = 1; seed <= 5; seed++) {
         struct rn_random random;
         Rn_Seed(&random, seed);
-        Fleet f(7, 100, 0);
+        Cluster f(7, 100, 0);
         std::vector<int> arrivals(7, 0);
         for (int i = 0; i < 400; i++) {
             for (auto &n : arrivals) {
@@ -467,12 +483,12 @@
     EXPECT_LE(worst, 101);
 }
 
-TEST(Admit, ADaemonThatLeftGivesItsPartBack)
+TEST(Admit, ShareOfARemovedDaemonIsDivided)
 {
-    Fleet f(2, 10, 4);
+    Cluster f(2, 10, 4);
     Am_DropPeer(f.daemons[0], "daemon1");
     std::vector<int> arrivals = {0, 0};
-    f.side[1] = 1;
+    f.partition[1] = 1;
     for (int i = 0; i < 12; i++) {
         f.step(arrivals);
     }
@@ -482,7 +498,7 @@
     EXPECT_EQ(4, share.in_flight);
 }
 
-TEST(Admit, RefusalSaysWhenToComeAgain)
+TEST(Admit, RefusalGivesRetryAfter)
 {
     struct am_limits *limits = Am_Create("a");
     int64_t retry;
