--- a/packages/policy/admit_internal.h
+++ b/packages/policy/admit_internal.h
@@ -66,9 +66,7 @@
     size_t last_peer_count;        /* peer_count at the last check */
     int64_t peer_count_changed_at; /* when last_peer_count last changed */
     TAILQ_HEAD(am_customer_list, am_customer) customers;
-    struct am_claimant
-        /* Scratch space, at least peer_count + 1 entries. */
-        *claimants;
+    struct am_claimant *claimants; /* scratch, peer_count + 1 at least */
     size_t claimants_size;
 };
 
--- a/packages/policy/crowd.c
+++ b/packages/policy/crowd.c
@@ -2,23 +2,30 @@
 
 #include "base/clock.h"
 
-/* A loop that shares its processor with others is not called late for it. */
-#define Cr_LATE_USEC (40 * Ck_USEC_PER_MSEC)
-#define Cr_IN_TIME_USEC (20 * Ck_USEC_PER_MSEC)
-/* One long turn, as after a freeze, is no crowd. */
-#define Cr_LASTS_USEC (100 * Ck_USEC_PER_MSEC)
+/*
+ * A turn this long is slow; one below Cr_FAST_TURN_USEC ends a run of slow
+ * turns. The limit leaves room for a host that shares its processor with other
+ * processes.
+ */
+#define Cr_SLOW_TURN_USEC (40 * Ck_USEC_PER_MSEC)
+#define Cr_FAST_TURN_USEC (20 * Ck_USEC_PER_MSEC)
+/*
+ * A single long turn, as after the process was frozen, is not overload: turns
+ * must have been slow for this long.
+ */
+#define Cr_OVERLOAD_AFTER_USEC (100 * Ck_USEC_PER_MSEC)
 
 void
 Cr_Turn(struct cr_host *host, int64_t usec, int64_t now)
 {
-    if (usec < Cr_IN_TIME_USEC) {
-        host->late_since = 0;
+    if (usec < Cr_FAST_TURN_USEC) {
+        host->slow_since = 0;
     }
-    else if (usec >= Cr_LATE_USEC && host->late_since == 0) {
-        host->late_since = now;
+    else if (usec >= Cr_SLOW_TURN_USEC && host->slow_since == 0) {
+        host->slow_since = now;
     }
-    host->full =
-        host->late_since != 0 && now - host->late_since >= Cr_LASTS_USEC;
+    host->full = host->slow_since != 0 &&
+                 now - host->slow_since >= Cr_OVERLOAD_AFTER_USEC;
 }
 
 bool
--- a/packages/policy/crowd.h
+++ b/packages/policy/crowd.h
@@ -1,11 +1,11 @@
 /*
- * Whether a host takes another connection from callers.  Pure; fed with how
- * long each turn of the host's loop took, which is what a request waits to be
- * read.
+ * Decides whether a host accepts another connection from callers. Pure: the
+ * caller reports how long each iteration ("turn") of the host's event loop
+ * took, which is how long a request waits to be read.
  *
- * The load it answers: whoever spreads connections sends most of them to one
- * host for some seconds.  What that host cannot read in time it closes unread,
- * and the caller goes to another at once; what it reads it serves.
+ * A load balancer may send most new connections to one host for some seconds.
+ * Connections that this host cannot read in time are closed unread, and the
+ * caller connects to another host at once; requests that were read are served.
  */
 #ifndef POLICY_CROWD_H
 #define POLICY_CROWD_H
@@ -19,13 +19,16 @@
 #endif
 
 struct cr_host {
-    int64_t late_since; /* turns have taken too long; 0: they do not */
-    bool full;
+    int64_t slow_since; /* start of the current run of slow turns; 0: none */
+    bool full;          /* overloaded: close new connections unread */
 };
 
-/* A turn that took "usec" has ended. */
+/* Records that a turn which took "usec" has ended. */
 void Cr_Turn(struct cr_host *host, int64_t usec, int64_t now);
-/* "most": connections that descriptors are there for. */
+/*
+ * Whether to accept one more beside "connections" open ones; "most" is the
+ * number for which descriptors are available.
+ */
 bool Cr_MayTake(const struct cr_host *host, size_t connections, size_t most);
 
 #ifdef __cplusplus
--- a/packages/policy/fleet.h
+++ b/packages/policy/fleet.h
@@ -1,8 +1,9 @@
 /*
- * Hosts of one service: the load to plan for, which hosts to buy, drain and
- * release, and the intents through which they are bought.  Pure; the caller
- * lists hosts and offers, records intents and calls the cloud.  Times are
- * microseconds, prices per hour, loads and capacities requests a second.
+ * Hosts of one service: the load to plan for; which hosts to buy, drain and
+ * release; and the intents through which hosts are bought. Pure: the caller
+ * lists hosts and offers, writes the intents to the log and calls the cloud
+ * API. Times are microseconds, prices per hour, loads and capacities requests
+ * a second.
  */
 #ifndef POLICY_FLEET_H
 #define POLICY_FLEET_H
@@ -19,16 +20,17 @@
 #endif
 
 #define Ft_NAME_MAX 64
-#define Ft_SLOTS_OF_DAY 96
+#define Ft_SLOTS_PER_DAY 96
 
 /* ---- the load to plan for ---- */
 
 struct ft_forecast {
     double level;
     double trend; /* change of the level a second */
-    int64_t seen_at;
-    double day[Ft_SLOTS_OF_DAY]; /* of earlier days, by quarter of an hour */
-    bool known[Ft_SLOTS_OF_DAY];
+    int64_t updated_at;
+    double day[Ft_SLOTS_PER_DAY]; /* load at this time of earlier days, by
+                                     quarter of an hour */
+    bool has_data[Ft_SLOTS_PER_DAY];
 };
 
 void Ft_Observe(struct ft_forecast *forecast, double per_sec, int64_t wall,
@@ -43,33 +45,35 @@
     char host_class[Ft_NAME_MAX];
     double price;
     bool reclaimable;
-    double capacity; /* at which a host still meets the latency target */
+    double capacity; /* load at which a host still meets the latency target */
 };
 
 enum ft_host_state {
-    FT_STARTING, /* also an open intent */
+    FT_STARTING, /* also one whose intent has no result yet */
     FT_RUNNING,
-    FT_DRAINING, /* gets no new work, to be released */
-    FT_LEAVING,  /* reclaimed */
+    FT_DRAINING,  /* gets no new requests; to be released */
+    FT_RECLAIMED, /* reclaimed by the cloud, still serving for a short time */
 };
 
 struct ft_host {
     char id[Ft_NAME_MAX];
     struct ft_offer offer;
     enum ft_host_state state;
-    int in_flight; /* of all routers */
+    int in_flight; /* requests from all routers */
 };
 
 struct ft_need {
-    double per_sec;  /* predicted */
-    double headroom; /* share of capacity kept free */
+    double per_sec;  /* predicted load */
+    double headroom; /* fraction of the capacity kept free */
     int hosts_min;
     int hosts_max;
-    bool survive_dc_loss;
-    double reclaimable_max; /* share of capacity */
+    bool survive_dc_loss;   /* even if a data centre loses all its
+                               reclaimable hosts */
+    double reclaimable_max; /* largest fraction of the capacity that is
+                               reclaimable */
 };
 
-/* Offers that refused of late. */
+/* Offers that recently refused a start. */
 struct ft_refusals;
 
 enum ft_step_kind {
@@ -80,7 +84,7 @@
 
 struct ft_step {
     enum ft_step_kind kind;
-    size_t index; /* of the offer to buy, of the host otherwise */
+    size_t index; /* of the offer to buy, otherwise of the host */
 };
 
 struct ft_inputs {
@@ -118,29 +122,29 @@
 /* ---- buying ---- */
 
 enum ft_intent_state {
-    FT_INTENDED, /* not yet in the log */
-    FT_RECORDED, /* in the log; the call may be made */
-    FT_CALLED,   /* called, no answer yet */
-    FT_UNKNOWN,  /* the answer is lost, or the caller was another process */
+    FT_UNRECORDED, /* not yet in the log */
+    FT_RECORDED,   /* in the log; the cloud may be called */
+    FT_CALLED,     /* the cloud was called and has not answered yet */
+    FT_UNKNOWN,    /* the answer was lost, or another process made the call */
     FT_BOUGHT,
     FT_REFUSED,
-    FT_NOTHING, /* settled: there is no such host */
+    FT_NOT_CREATED, /* settled: the call created no host */
 };
 
 struct ft_intent {
     char token[Ft_NAME_MAX];
     struct ft_offer offer;
     enum ft_intent_state state;
-    int64_t since; /* when the state began */
+    int64_t state_since; /* when the state was entered */
     char host[Ft_NAME_MAX];
 };
 
 enum ft_action {
     FT_WAIT,
     FT_RECORD, /* append the intent to the log */
-    FT_CALL,   /* call the cloud, once */
-    FT_LIST,   /* list the hosts to settle it */
-    FT_CLOSE,  /* append the result; it is over */
+    FT_CALL,   /* call the cloud; done once for an intent */
+    FT_LIST,   /* list the hosts to learn the outcome */
+    FT_CLOSE,  /* append the result to the log; the intent is settled */
 };
 
 void Ft_IntentInit(struct ft_intent *intent, const char *token,
@@ -151,10 +155,10 @@
 void Ft_IntentAnswered(struct ft_intent *intent, int code, const char *host,
                        int64_t now);
 void Ft_IntentListed(struct ft_intent *intent, const char *host,
-                     int64_t asked_at, int64_t now);
+                     int64_t requested_at, int64_t now);
 enum ft_action Ft_IntentNext(const struct ft_intent *intent, int64_t now);
-bool Ft_IsSurplus(const char *host, const char *token,
-                  const struct ft_intent *intents, size_t count);
+bool Ft_IsOrphan(const char *host, const char *token,
+                 const struct ft_intent *intents, size_t count);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/fleet_intent.c
+++ b/packages/policy/fleet_intent.c
@@ -1,8 +1,8 @@
 /*
- * Buying one host.  The intent, with a token of ours, is in the log before
- * the cloud is called; the call is made once.  A lost answer is settled by
- * listing hosts by token: calling again would buy, and pay for, a second
- * host.
+ * Buys one host. The intent, with an idempotency token of its own, is in the
+ * log before the cloud is called, and the call is made once. If the answer is
+ * lost, the outcome is found by listing the hosts by token: a second call
+ * would buy, and pay for, a second host.
  */
 #include <bsd/string.h>
 #include <string.h>
@@ -10,24 +10,24 @@
 #include "base/clock.h"
 #include "policy/fleet.h"
 
-#define ANSWER_MAX (10 * Ck_USEC_PER_SEC)
-#define LIST_EVERY (5 * Ck_USEC_PER_SEC)
+#define ANSWER_TIMEOUT_USEC (10 * Ck_USEC_PER_SEC)
+#define LIST_INTERVAL_USEC (5 * Ck_USEC_PER_SEC)
 /*
- * A call whose answer was lost may take effect, and the listing may lag, for
- * so long.  What appears later still is found by Ft_IsSurplus().
+ * For this long a call whose answer was lost may still take effect, and the
+ * listing may lag. Ft_IsOrphan() finds a host that appears later.
  */
-#define SETTLE_AFTER (60 * Ck_USEC_PER_SEC)
-#define CODE_CREATED 201
-#define CODE_REFUSED 409
+#define SETTLE_USEC (60 * Ck_USEC_PER_SEC)
+#define HTTP_CREATED 201
+#define HTTP_CONFLICT 409
 
 static void
-enter(struct ft_intent *intent, enum ft_intent_state state, int64_t now)
+set_state(struct ft_intent *intent, enum ft_intent_state state, int64_t now)
 {
     intent->state = state;
-    intent->since = now;
+    intent->state_since = now;
 }
 
-/* Starts an intent that is not yet in the log. */
+/* Creates an intent that is not yet in the log. */
 void
 Ft_IntentInit(struct ft_intent *intent, const char *token,
               const struct ft_offer *offer, int64_t now)
@@ -35,38 +35,45 @@
     memset(intent, 0, sizeof(*intent));
     strlcpy(intent->token, token, sizeof(intent->token));
     intent->offer = *offer;
-    enter(intent, FT_INTENDED, now);
+    set_state(intent, FT_UNRECORDED, now);
 }
 
 /*
- * Takes over an intent read from the log without a result.  Whether its
- * writer made the call cannot be known, so it is never called again.
+ * Restores an intent that the log holds without a result. Whether the process
+ * that wrote it called the cloud is unknown, so the cloud is never called
+ * again for it.
  */
 void
 Ft_IntentRestore(struct ft_intent *intent, int64_t now)
 {
-    enter(intent, FT_UNKNOWN, now);
+    set_state(intent, FT_UNKNOWN, now);
 }
 
-/* The intent is in the log. */
+/* Records that the intent is in the log. */
 void
 Ft_IntentRecorded(struct ft_intent *intent, int64_t now)
 {
-    if (intent->state == FT_INTENDED) {
-        enter(intent, FT_RECORDED, now);
+    if (intent->state == FT_UNRECORDED) {
+        set_state(intent, FT_RECORDED, now);
     }
 }
 
-/* The call is being made: to be entered before its first byte is sent. */
+/*
+ * Records that the cloud is being called; to be invoked before the first byte
+ * of the call is sent.
+ */
 void
 Ft_IntentCalled(struct ft_intent *intent, int64_t now)
 {
     if (intent->state == FT_RECORDED) {
-        enter(intent, FT_CALLED, now);
+        set_state(intent, FT_CALLED, now);
     }
 }
 
-/* The answer to the call; code 0: none came, whatever the cause. */
+/*
+ * Records the HTTP status that answered the call; 0: no answer came, whatever
+ * the cause.
+ */
 void
 Ft_IntentAnswered(struct ft_intent *intent, int code, const char *host,
                   int64_t now)
@@ -74,73 +81,76 @@
     if (intent->state != FT_CALLED && intent->state != FT_UNKNOWN) {
         return;
     }
-    if (code == CODE_CREATED && host != NULL) {
+    if (code == HTTP_CREATED && host != NULL) {
         strlcpy(intent->host, host, sizeof(intent->host));
-        enter(intent, FT_BOUGHT, now);
+        set_state(intent, FT_BOUGHT, now);
     }
-    else if (code == CODE_REFUSED) {
-        enter(intent, FT_REFUSED, now);
+    else if (code == HTTP_CONFLICT) {
+        set_state(intent, FT_REFUSED, now);
     }
     else if (intent->state == FT_CALLED) {
-        enter(intent, FT_UNKNOWN, now);
+        set_state(intent, FT_UNKNOWN, now);
     }
 }
 
 /*
- * A listing that was asked for at asked_at shows this host with the
- * intent's token, or none (NULL).  Only a listing asked for long after the
- * call may prove that there is none.
+ * Records the result of a listing requested at requested_at: the host with the
+ * intent's token, or NULL if there was none. Only a listing requested at least
+ * SETTLE_USEC after the outcome became unknown proves that there is none.
  */
 void
-Ft_IntentListed(struct ft_intent *intent, const char *host, int64_t asked_at,
-                int64_t now)
+Ft_IntentListed(struct ft_intent *intent, const char *host,
+                int64_t requested_at, int64_t now)
 {
     if (intent->state != FT_CALLED && intent->state != FT_UNKNOWN) {
         return;
     }
     if (host != NULL) {
         strlcpy(intent->host, host, sizeof(intent->host));
-        enter(intent, FT_BOUGHT, now);
+        set_state(intent, FT_BOUGHT, now);
     }
     else if (intent->state == FT_UNKNOWN &&
-             asked_at - intent->since >= SETTLE_AFTER) {
-        enter(intent, FT_NOTHING, now);
+             requested_at - intent->state_since >= SETTLE_USEC) {
+        set_state(intent, FT_NOT_CREATED, now);
     }
 }
 
-/* What to do next for the intent. */
+/* Returns the next action for the intent. */
 enum ft_action
 Ft_IntentNext(const struct ft_intent *intent, int64_t now)
 {
     switch (intent->state) {
-    case FT_INTENDED:
+    case FT_UNRECORDED:
         return FT_RECORD;
     case FT_RECORDED:
         return FT_CALL;
     case FT_CALLED:
-        return now - intent->since >= ANSWER_MAX ? FT_LIST : FT_WAIT;
+        return now - intent->state_since >= ANSWER_TIMEOUT_USEC ? FT_LIST
+                                                                : FT_WAIT;
     case FT_UNKNOWN:
-        return now - intent->since >= LIST_EVERY ? FT_LIST : FT_WAIT;
+        return now - intent->state_since >= LIST_INTERVAL_USEC ? FT_LIST
+                                                               : FT_WAIT;
     default:
         return FT_CLOSE;
     }
 }
 
 /*
- * Whether a listed host with a token of ours is one that nobody counts on: a
- * second host of one token, or one that appeared after its intent was
- * settled as nothing.  It is to be released, or it is paid for unseen.
- * "intents" are all that are in the log, the settled ones included.
+ * Whether a listed host that carries one of our tokens is unused: a second
+ * host with the same token, or one that appeared after its intent was settled
+ * without a host. Such a host must be released, or it is paid for unnoticed.
+ * "intents" holds all intents in the log, settled ones included.
  */
 bool
-Ft_IsSurplus(const char *host, const char *token,
-             const struct ft_intent *intents, size_t count)
+Ft_IsOrphan(const char *host, const char *token,
+            const struct ft_intent *intents, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         if (strcmp(intents[i].token, token) != 0) {
             continue;
         }
-        if (intents[i].state == FT_NOTHING || intents[i].state == FT_REFUSED) {
+        if (intents[i].state == FT_NOT_CREATED ||
+            intents[i].state == FT_REFUSED) {
             return true;
         }
         return intents[i].state == FT_BOUGHT &&
--- a/packages/policy/fleet_plan.c
+++ b/packages/policy/fleet_plan.c
@@ -1,25 +1,32 @@
-/*
- * Which hosts to buy, drain and release.
- */
+/* Plans which hosts to buy, drain and release. */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "policy/fleet.h"
 
-#define CENTRES_MAX 32
-#define BUYS_MAX 32        /* a plan */
-#define SPARE_TO_DRAIN 1.1 /* need met with this to spare, a host may go */
-#define OTHER_LOSSES 0.01  /* weight of the losses beside the worst */
-#define DEARER 1.3         /* price over the replacement's that is replaced */
+#define DATA_CENTRES_MAX 32
+#define BUYS_PER_PLAN_MAX 32
+/*
+ * A host may be drained when the rest meet the need at this multiple of the
+ * predicted load.
+ */
+#define DRAIN_LOAD_FACTOR 1.1
+/* Weight of the loss of the other data centres beside the worst one. */
+#define OTHER_LOSSES_WEIGHT 0.01
+/*
+ * A host is replaced when its price is at least this multiple of the
+ * replacement's.
+ */
+#define REPLACE_PRICE_RATIO 1.3
 
-/* What the hosts that count add up to. */
+/* Totals over the hosts that run or start. */
 struct sum {
     int hosts;
-    double all;
+    double capacity;
     double reclaimable;
-    const char *centres[CENTRES_MAX];
-    double in_centre[CENTRES_MAX]; /* reclaimable capacity */
+    const char *centres[DATA_CENTRES_MAX];
+    double in_centre[DATA_CENTRES_MAX]; /* reclaimable capacity */
     size_t centre_count;
 };
 
@@ -27,7 +34,7 @@
 add(struct sum *sum, const struct ft_offer *offer, double sign)
 {
     sum->hosts += sign > 0 ? 1 : -1;
-    sum->all += sign * offer->capacity;
+    sum->capacity += sign * offer->capacity;
     if (!offer->reclaimable) {
         return;
     }
@@ -37,7 +44,7 @@
            strcmp(sum->centres[i], offer->data_centre) != 0) {
         i++;
     }
-    if (i == CENTRES_MAX) {
+    if (i == DATA_CENTRES_MAX) {
         return;
     }
     if (i == sum->centre_count) {
@@ -49,7 +56,7 @@
 }
 
 static bool
-counts(const struct ft_host *host)
+is_usable(const struct ft_host *host)
 {
     return host->state == FT_RUNNING || host->state == FT_STARTING;
 }
@@ -59,7 +66,7 @@
 {
     struct sum sum = {0};
     for (size_t i = 0; i < count; i++) {
-        if (counts(&hosts[i])) {
+        if (is_usable(&hosts[i])) {
             add(&sum, &hosts[i].offer, 1);
         }
     }
@@ -67,40 +74,43 @@
 }
 
 /*
- * What the loss of the worst data centre leaves missing.  The other data
- * centres count a little: with two equally large ones no single host makes
- * the worst loss smaller, but one in either is half the way.
+ * Capacity missing after the loss of the worst data centre. The losses of the
+ * other data centres count with a small weight: where two data centres are
+ * equally large, no single host reduces the worst loss, but a host that
+ * reduces either one is a step towards it.
  */
 static double
 loss_shortfall(const struct sum *sum, double load)
 {
-    double worst = fmax(0, load - sum->all);
+    double worst = fmax(0, load - sum->capacity);
     double others = 0;
     for (size_t i = 0; i < sum->centre_count; i++) {
-        double gap = fmax(0, load - (sum->all - sum->in_centre[i]));
+        double gap = fmax(0, load - (sum->capacity - sum->in_centre[i]));
         worst = fmax(worst, gap);
         others += gap;
     }
-    return worst + OTHER_LOSSES * others;
+    return worst + OTHER_LOSSES_WEIGHT * others;
 }
 
 /*
- * How much is missing: of the capacity with headroom, of what is left when
- * the data centre with the most reclaimable capacity is taken at once (the
- * headroom may then be used up), of the part that must not be reclaimable,
- * and of the least number of hosts.  0: the need is met.
+ * Total capacity missing: below the predicted load with headroom; after the
+ * data centre with the most reclaimable capacity has lost all of it at once
+ * (the headroom may then be used up); of the capacity that must not be
+ * reclaimable; and, with a small weight, below the least number of hosts. 0:
+ * the need is met.
  */
 static double
-shortfall(const struct sum *sum, const struct ft_need *need, double factor)
+shortfall(const struct sum *sum, const struct ft_need *need,
+          double load_factor)
 {
-    double target = factor * need->per_sec / (1 - need->headroom);
-    double missing = fmax(0, target - sum->all);
+    double target = load_factor * need->per_sec / (1 - need->headroom);
+    double missing = fmax(0, target - sum->capacity);
     if (need->survive_dc_loss) {
-        missing += loss_shortfall(sum, factor * need->per_sec);
+        missing += loss_shortfall(sum, load_factor * need->per_sec);
     }
     if (need->reclaimable_max < 1) {
-        double firm = (1 - need->reclaimable_max) * target;
-        missing += fmax(0, firm - (sum->all - sum->reclaimable));
+        double on_demand = (1 - need->reclaimable_max) * target;
+        missing += fmax(0, on_demand - (sum->capacity - sum->reclaimable));
     }
     if (sum->hosts < need->hosts_min) {
         missing += 1e-3 * (need->hosts_min - sum->hosts);
@@ -108,7 +118,7 @@
     return missing < 1e-9 ? 0 : missing;
 }
 
-/* Whether the hosts that run or start meet the need. */
+/* Whether the running and starting hosts meet the need. */
 bool
 Ft_Meets(const struct ft_host *hosts, size_t count, const struct ft_need *need)
 {
@@ -117,16 +127,16 @@
 }
 
 /*
- * The offer that closes most of the gap for its price; on-demand ones only
- * when no reclaimable one closes any of it.  The largest data centre's
- * loss counts in the gap, so buying more where most already is closes little
- * and the hosts spread by themselves.  offer_count when none helps.
+ * Returns the offer that closes most of the gap for its price, or offer_count
+ * when none closes any of it; an on-demand offer only when no reclaimable one
+ * does. The gap includes the loss of the largest data centre, so buying more
+ * hosts there closes little and the hosts spread over the data centres.
  */
 static size_t
 best_offer(const struct ft_inputs *in, const struct sum *sum)
 {
     size_t best = in->offer_count;
-    double best_worth = 0;
+    double best_gap_per_price = 0;
     bool best_reclaimable = false;
     double gap = shortfall(sum, in->need, 1);
     for (size_t i = 0; i < in->offer_count; i++) {
@@ -136,15 +146,15 @@
         }
         struct sum with = *sum;
         add(&with, offer, 1);
-        double closed = gap - shortfall(&with, in->need, 1);
-        double worth = closed / fmax(offer->price, 1e-6);
-        if (closed <= 1e-9 || (best_reclaimable && !offer->reclaimable)) {
+        double gap_closed = gap - shortfall(&with, in->need, 1);
+        double gap_per_price = gap_closed / fmax(offer->price, 1e-6);
+        if (gap_closed <= 1e-9 || (best_reclaimable && !offer->reclaimable)) {
             continue;
         }
-        if (worth > best_worth + 1e-12 ||
+        if (gap_per_price > best_gap_per_price + 1e-12 ||
             (offer->reclaimable && !best_reclaimable)) {
             best = i;
-            best_worth = worth;
+            best_gap_per_price = gap_per_price;
             best_reclaimable = offer->reclaimable;
         }
     }
@@ -156,7 +166,8 @@
           size_t size)
 {
     size_t n = 0;
-    while (n < size && n < BUYS_MAX && sum->hosts < in->need->hosts_max &&
+    while (n < size && n < BUYS_PER_PLAN_MAX &&
+           sum->hosts < in->need->hosts_max &&
            shortfall(sum, in->need, 1) > 0) {
         size_t best = best_offer(in, sum);
         if (best == in->offer_count) {
@@ -170,18 +181,18 @@
 
 static bool
 is_spare(const struct ft_inputs *in, const struct sum *sum,
-         const struct ft_host *host, double factor)
+         const struct ft_host *host, double load_factor)
 {
     struct sum without = *sum;
     add(&without, &host->offer, -1);
-    return shortfall(&without, in->need, factor) <= 0;
+    return shortfall(&without, in->need, load_factor) <= 0;
 }
 
 static bool
-is_dear(const struct ft_inputs *in, const struct ft_host *host)
+has_cheaper_offer(const struct ft_inputs *in, const struct ft_host *host)
 {
     for (size_t i = 0; i < in->offer_count; i++) {
-        if (in->offers[i].price * DEARER <= host->offer.price &&
+        if (in->offers[i].price * REPLACE_PRICE_RATIO <= host->offer.price &&
             Ft_MayTry(in->refusals, &in->offers[i], in->now)) {
             return true;
         }
@@ -189,15 +200,21 @@
     return false;
 }
 
-/* The dearest running host that can go, the emptiest of equals. */
+/*
+ * Returns the most expensive running host that is not needed, among equal
+ * prices the one with the fewest requests in flight; host_count when there is
+ * none.
+ */
 static size_t
 find_spare(const struct ft_inputs *in, const struct sum *sum)
 {
     size_t best = in->host_count;
     for (size_t i = 0; i < in->host_count; i++) {
         const struct ft_host *host = &in->hosts[i];
-        double factor = is_dear(in, host) ? 1 : SPARE_TO_DRAIN;
-        if (host->state != FT_RUNNING || !is_spare(in, sum, host, factor)) {
+        double load_factor =
+            has_cheaper_offer(in, host) ? 1 : DRAIN_LOAD_FACTOR;
+        if (host->state != FT_RUNNING ||
+            !is_spare(in, sum, host, load_factor)) {
             continue;
         }
         const struct ft_host *dearest =
@@ -223,8 +240,9 @@
 }
 
 /*
- * A cheaper host to buy in the place of a dear one, which then becomes
- * spare: on-demand hosts bought in a shortage would otherwise stay for good.
+ * Returns an offer to replace a more expensive running host, which becomes
+ * spare once the new host runs; offer_count when there is none. Without this,
+ * on-demand hosts bought in a shortage would be kept for good.
  */
 static size_t
 find_cheaper(const struct ft_inputs *in, const struct sum *sum)
@@ -237,7 +255,7 @@
         }
         for (size_t i = 0; i < in->offer_count; i++) {
             const struct ft_offer *offer = &in->offers[i];
-            if (offer->price * DEARER > host->offer.price ||
+            if (offer->price * REPLACE_PRICE_RATIO > host->offer.price ||
                 !Ft_MayTry(in->refusals, offer, in->now) ||
                 (best < in->offer_count &&
                  in->offers[best].price <= offer->price)) {
@@ -254,8 +272,8 @@
 }
 
 /*
- * Drained hosts that run nothing are released; one with work in flight is
- * never taken away, however long it lasts.
+ * Releases drained hosts without requests in flight. A host with requests in
+ * flight is never released, however long they take.
  */
 static size_t
 plan_releases(const struct ft_inputs *in, struct ft_step *out, size_t size)
@@ -270,8 +288,9 @@
 }
 
 /*
- * Spread, cheapest, on-demand last.  While hosts start none is drained: they
- * may yet be refused or fail.  One host is drained or replaced at a time.
+ * Spreads the hosts over the data centres, takes the cheapest offers first and
+ * on-demand ones last. No host is drained while hosts start, because a start
+ * may still be refused or fail. One host is drained or replaced at a time.
  */
 static size_t
 plan_spread(const struct ft_inputs *in, struct ft_step *out, size_t size)
@@ -319,9 +338,9 @@
         add(&sum, &in->offers[best], 1);
         out[n++] = (struct ft_step){FT_BUY, best};
     }
-    struct ft_inputs relaxed = *in;
-    relaxed.need = &need;
-    size_t spare = find_spare(&relaxed, &sum);
+    struct ft_inputs relaxed_inputs = *in;
+    relaxed_inputs.need = &need;
+    size_t spare = find_spare(&relaxed_inputs, &sum);
     if (spare < in->host_count && n < size && !is_starting(in)) {
         out[n++] = (struct ft_step){FT_DRAIN, spare};
     }
@@ -344,7 +363,7 @@
 static const struct ft_ops on_demand_ops = {"all on-demand", plan_on_demand};
 static const struct ft_ops cheapest_ops = {"cheapest only", plan_cheapest};
 
-/* The plan that is used. */
+/* The planner in use. */
 const struct ft_ops *
 Ft_Spread(void)
 {
--- a/packages/policy/fleet_refusal.c
+++ b/packages/policy/fleet_refusal.c
@@ -1,7 +1,7 @@
 /*
- * Offers that refused a start: each is left alone for a while, longer each
- * time.  A cloud out of one class would otherwise be asked every second
- * while another data centre has hosts.
+ * Offers that refused a start: each is not tried again until a backoff has
+ * passed, which grows with each refusal. Otherwise a cloud that is out of one
+ * host class would be asked every second while another data centre has hosts.
  */
 #include <bsd/sys/queue.h>
 #include <stdlib.h>
@@ -10,21 +10,21 @@
 #include "base/clock.h"
 #include "policy/fleet.h"
 
-#define FIRST_PAUSE (30 * Ck_USEC_PER_SEC)
-#define DOUBLINGS_MAX 6
+#define BACKOFF_MIN_USEC (30 * Ck_USEC_PER_SEC)
+#define BACKOFF_DOUBLINGS_MAX 6
 
 struct refusal {
     SLIST_ENTRY(refusal) entry;
     struct ft_offer offer;
     int count;
-    int64_t until;
+    int64_t retry_at;
 };
 
 struct ft_refusals {
     SLIST_HEAD(refusal_list, refusal) list;
 };
 
-/* Makes an empty table; NULL when there is no memory. */
+/* Creates an empty table; NULL when there is no memory. */
 struct ft_refusals *
 Ft_RefusalsCreate(void)
 {
@@ -52,7 +52,7 @@
 }
 
 static struct refusal *
-find(const struct ft_refusals *refusals, const struct ft_offer *offer)
+find_refusal(const struct ft_refusals *refusals, const struct ft_offer *offer)
 {
     struct refusal *refusal;
     SLIST_FOREACH (refusal, &refusals->list, entry) {
@@ -65,12 +65,15 @@
     return NULL;
 }
 
-/* Enters a refused start; the pause is 30 s, doubled each time, to 32 min. */
+/*
+ * Records a refused start; the backoff is 30 s, doubled with each refusal up
+ * to 32 min, plus up to a quarter of it at random.
+ */
 enum st_status
 Ft_Refused(struct ft_refusals *refusals, const struct ft_offer *offer,
            struct rn_random *random, int64_t now)
 {
-    struct refusal *refusal = find(refusals, offer);
+    struct refusal *refusal = find_refusal(refusals, offer);
     if (refusal == NULL) {
         refusal = calloc(1, sizeof(*refusal));
         if (refusal == NULL) {
@@ -80,32 +83,32 @@
         refusal->offer = *offer;
         SLIST_INSERT_HEAD(&refusals->list, refusal, entry);
     }
-    int64_t pause = FIRST_PAUSE << refusal->count;
-    pause += (int64_t)((double)pause * Rn_Unit(random) / 4);
-    refusal->until = now + pause;
-    if (refusal->count < DOUBLINGS_MAX) {
+    int64_t backoff = BACKOFF_MIN_USEC << refusal->count;
+    backoff += (int64_t)((double)backoff * Rn_Unit(random) / 4);
+    refusal->retry_at = now + backoff;
+    if (refusal->count < BACKOFF_DOUBLINGS_MAX) {
         refusal->count++;
     }
     return ST_OK;
 }
 
-/* Enters a start that was accepted. */
+/* Records an accepted start, which resets the offer's backoff. */
 void
 Ft_Accepted(struct ft_refusals *refusals, const struct ft_offer *offer)
 {
-    struct refusal *refusal = find(refusals, offer);
+    struct refusal *refusal = find_refusal(refusals, offer);
     if (refusal != NULL) {
         refusal->count = 0;
-        refusal->until = 0;
+        refusal->retry_at = 0;
     }
 }
 
-/* Whether the offer is not being left alone. */
+/* Whether the offer may be tried: its backoff, if any, has passed. */
 bool
 Ft_MayTry(const struct ft_refusals *refusals, const struct ft_offer *offer,
           int64_t now)
 {
     const struct refusal *refusal =
-        refusals != NULL ? find(refusals, offer) : NULL;
-    return refusal == NULL || now >= refusal->until;
+        refusals != NULL ? find_refusal(refusals, offer) : NULL;
+    return refusal == NULL || now >= refusal->retry_at;
 }
--- a/packages/policy/test/crowd_test.cc
+++ b/packages/policy/test/crowd_test.cc
@@ -14,7 +14,7 @@
 const int64_t kSecond = Ck_USEC_PER_SEC;
 const int64_t kNow = 1000 * kSecond;
 
-TEST(Crowd, AHostWhoseTurnsAreLongForAWhileTakesNone)
+TEST(Crowd, NoConnectionsAfterASlowPeriod)
 {
     cr_host host = {};
     Cr_Turn(&host, 50 * kMs, kNow);
@@ -27,8 +27,9 @@
     EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
 }
 
-// A host that was frozen turns callers away though nothing waits.
-TEST(Crowd, OneLongTurnIsNoCrowd)
+// Guards against a host that was frozen and turns callers away though no
+// request waits.
+TEST(Crowd, OneLongTurnIsNotOverload)
 {
     cr_host host = {};
     Cr_Turn(&host, 5 * kSecond, kNow);
@@ -37,72 +38,73 @@
     EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
 }
 
-// Callers take all descriptors, and no endpoint can be connected to.
-TEST(Crowd, DescriptorsBoundWhatIsTaken)
+// Guards against callers that use up all descriptors, so that the host can
+// connect to no endpoint.
+TEST(Crowd, DescriptorsBoundConnections)
 {
     cr_host host = {};
     EXPECT_TRUE(Cr_MayTake(&host, 99, 100));
     EXPECT_FALSE(Cr_MayTake(&host, 100, 100));
 }
 
-// What a host does with more than it can read.
-enum Way {
-    kTakeAll,
+// What an overloaded host does with connections it cannot read in time.
+enum OverloadPolicy {
+    kAcceptAll,
     kCloseUnread,
-    kNotReady, // and the crowd goes to the next host
+    kNotReady, // reports itself as not ready; callers go to the next host
 };
 
 struct Scene {
     size_t hosts;
-    double per_sec;        // all new connections, to one host
-    int64_t serve_usec;    // of a host's time, for a request
-    int64_t close_usec;    // for a connection that is closed unread
-    int64_t patience_usec; // of a caller who gets no answer
+    double per_sec;       // new connections a second, all to one host
+    int64_t serve_usec;   // host time to serve a request
+    int64_t close_usec;   // host time to close a connection unread
+    int64_t timeout_usec; // how long a caller waits for its answer
 };
 
-struct Played {
-    int read = 0;   // first tries that a host has read
-    int served = 0; // of these, in time
-    int unread = 0; // closed, or given up unread
+struct Result {
+    int read = 0;   // requests that a host has read
+    int served = 0; // of the read ones, answered in time
+    int unread = 0; // closed, or given up by the caller, unread
 };
 
 class Model {
   public:
-    Model(const Scene &scene, Way way, unsigned seed)
-        : scene_(scene), way_(way), random_(seed), hosts_(scene.hosts)
+    Model(const Scene &scene, OverloadPolicy policy, unsigned seed)
+        : scene_(scene), policy_(policy), random_(seed), hosts_(scene.hosts)
     {
     }
 
-    Played
+    Result
     Run()
     {
         std::exponential_distribution<double> gap(scene_.per_sec / 1e6);
         int64_t next = kNow;
         for (now_ = kNow; now_ < kNow + 10 * kSecond; now_ += kMs) {
             for (; next <= now_; next += 1 + (int64_t)gap(random_)) {
-                Arrive(hosts_[crowded_]);
+                Arrive(hosts_[target_]);
             }
             for (Host &host : hosts_) {
                 Turn(host);
             }
             if ((now_ - kNow) % kSecond == 0) {
-                Probe();
+                CheckReadiness();
             }
         }
-        return played_;
+        return result_;
     }
 
   private:
     static const size_t kAcceptsAtOnce = 64;
     static const size_t kBacklog = 1024;
-    static const int64_t kUnreadPatience = 1 * kSecond;
+    static const int64_t kUnreadTimeout = 1 * kSecond;
 
     struct Host {
         cr_host load = {};
         std::deque<int64_t> backlog;
-        std::deque<int64_t> taken;
+        std::deque<int64_t> accepted;
         int64_t busy_until = 0;
-        int misses = 0;
+        int failed_checks = 0;
     };
 
     void
@@ -112,7 +114,7 @@
             host.backlog.push_back(now_);
         }
         else {
-            played_.unread++;
+            result_.unread++;
         }
     }
 
@@ -120,67 +122,68 @@
     Turn(Host &host)
     {
         if (now_ < host.busy_until ||
-            (host.backlog.empty() && host.taken.empty())) {
+            (host.backlog.empty() && host.accepted.empty())) {
             return;
         }
         int64_t at = now_;
-        for (; !host.taken.empty(); host.taken.pop_front()) {
-            int64_t since = host.taken.front();
-            if (at - since > kUnreadPatience) {
-                played_.unread++;
+        for (; !host.accepted.empty(); host.accepted.pop_front()) {
+            int64_t since = host.accepted.front();
+            if (at - since > kUnreadTimeout) {
+                result_.unread++;
                 at += scene_.close_usec;
                 continue;
             }
             at += scene_.serve_usec;
-            played_.read++;
-            played_.served += at - since <= scene_.patience_usec;
+            result_.read++;
+            result_.served += at - since <= scene_.timeout_usec;
         }
-        size_t taken = 0;
-        for (; taken < kAcceptsAtOnce && !host.backlog.empty();
+        size_t accepted = 0;
+        for (; accepted < kAcceptsAtOnce && !host.backlog.empty();
              host.backlog.pop_front()) {
             at += scene_.close_usec;
-            if (way_ == kCloseUnread && !Cr_MayTake(&host.load, 0, 1000)) {
-                played_.unread++;
+            if (policy_ == kCloseUnread && !Cr_MayTake(&host.load, 0, 1000)) {
+                result_.unread++;
                 continue;
             }
-            host.taken.push_back(host.backlog.front());
-            taken++;
+            host.accepted.push_back(host.backlog.front());
+            accepted++;
         }
         Cr_Turn(&host.load, at - now_, at);
         host.busy_until = at;
     }
 
-    // Two questions without an answer take a host out.
+    // Two failed readiness checks in a row take a host out.
     void
-    Probe()
+    CheckReadiness()
     {
-        Host &host = hosts_[crowded_];
+        Host &host = hosts_[target_];
         bool late = host.load.full;
-        host.misses = way_ == kNotReady && late ? host.misses + 1 : 0;
-        if (host.misses >= 2) {
-            host.misses = 0;
-            crowded_ = (crowded_ + 1) % hosts_.size();
+        host.failed_checks =
+            policy_ == kNotReady && late ? host.failed_checks + 1 : 0;
+        if (host.failed_checks >= 2) {
+            host.failed_checks = 0;
+            target_ = (target_ + 1) % hosts_.size();
         }
     }
 
     Scene scene_;
-    Way way_;
+    OverloadPolicy policy_;
     std::mt19937 random_;
     std::vector<Host> hosts_;
-    size_t crowded_ = 0;
+    size_t target_ = 0;
     int64_t now_ = kNow;
-    Played played_;
+    Result result_;
 };
 
 double
-Share(const char *name, const Scene &scene, Way way)
+ShareInTime(const char *name, const Scene &scene, OverloadPolicy policy)
 {
-    Played sum;
+    Result sum;
     for (unsigned seed = 1; seed <= 5; seed++) {
-        Played played = Model(scene, way, seed).Run();
-        sum.read += played.read;
-        sum.served += played.served;
-        sum.unread += played.unread;
+        Result result = Model(scene, policy, seed).Run();
+        sum.read += result.read;
+        sum.served += result.served;
+        sum.unread += result.unread;
     }
     std::cout << name << " at " << scene.per_sec << " a second: " << sum.served
               << " of " << sum.read << " read served in time, " << sum.unread
@@ -188,19 +191,20 @@
     return sum.read == 0 ? 0 : (double)sum.served / sum.read;
 }
 
-// A host reads what it can't serve in time, and of that it serves little.
-TEST(CrowdModel, WhatIsClosedUnreadLeavesTimeForTheRest)
+// Guards against a host that reads more requests than it can serve in time and
+// then serves few of them in time.
+TEST(CrowdModel, ClosingUnreadServesMoreInTime)
 {
-    // A quarter of a processor, and requests with little time.
+    // A quarter of a processor, and requests with short deadlines.
     Scene scene = {7, 400, 1200, 120, 300 * kMs};
     for (double per_sec : {400.0, 800.0, 1600.0, 3200.0}) {
         scene.per_sec = per_sec;
-        Share("takes all", scene, kTakeAll);
-        Share("not ready", scene, kNotReady);
-        EXPECT_GE(Share("closes unread", scene, kCloseUnread), 0.75);
+        ShareInTime("takes all", scene, kAcceptAll);
+        ShareInTime("not ready", scene, kNotReady);
+        EXPECT_GE(ShareInTime("closes unread", scene, kCloseUnread), 0.75);
     }
     scene.per_sec = 1600;
-    EXPECT_LT(Share("takes all", scene, kTakeAll), 0.75);
+    EXPECT_LT(ShareInTime("takes all", scene, kAcceptAll), 0.75);
 }
 
 } // namespace
--- a/packages/policy/test/fleet_model.c
+++ b/packages/policy/test/fleet_model.c
@@ -4,21 +4,21 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SEC INT64_C(1000000)
-#define STEP (10 * SEC)
-#define DAY (86400 * SEC)
-#define CENTRES 4
-#define OFFERS (CENTRES * 2)
+#define USEC_PER_SEC INT64_C(1000000)
+#define STEP_USEC (10 * USEC_PER_SEC)
+#define DAY_USEC (86400 * USEC_PER_SEC)
+#define DATA_CENTRES 4
+#define OFFERS (DATA_CENTRES * 2)
 #define HOSTS 256
-#define START_USEC (180 * SEC)
-#define AHEAD (300 * SEC)
-#define NOTICE (30 * SEC)
+#define START_USEC (180 * USEC_PER_SEC)
+#define FORECAST_USEC (300 * USEC_PER_SEC)
+#define RECLAIM_NOTICE_USEC (30 * USEC_PER_SEC)
 
 struct sim {
     struct rn_random random;
     struct ft_offer offers[OFFERS];
     struct ft_host hosts[HOSTS];
-    int64_t due[HOSTS]; /* running or gone at */
+    int64_t due_at[HOSTS]; /* when it runs or, once reclaimed, is gone */
     size_t count;
     int64_t refused_until[OFFERS];
     struct ft_forecast forecast;
@@ -30,7 +30,7 @@
 static double
 load(struct sim *s)
 {
-    double hour = (double)(s->now % DAY) / 3600e6;
+    double hour = (double)(s->now % DAY_USEC) / 3600e6;
     double lunch = exp(-pow((hour - 12) / 1.2, 2));
     double evening = exp(-pow((hour - 19) / 1.5, 2));
     double noise = 0.95 + 0.1 * Rn_Unit(&s->random);
@@ -43,9 +43,9 @@
     for (int i = 0; i < OFFERS; i++) {
         struct ft_offer *offer = &s->offers[i];
         snprintf(offer->data_centre, sizeof(offer->data_centre), "dc%d",
-                 i % CENTRES);
+                 i % DATA_CENTRES);
         snprintf(offer->host_class, sizeof(offer->host_class), "a");
-        offer->reclaimable = i < CENTRES;
+        offer->reclaimable = i < DATA_CENTRES;
         offer->price = offer->reclaimable ? 1 + 0.15 * i : 3;
         offer->capacity = 5;
     }
@@ -56,34 +56,35 @@
 {
     s->count--;
     s->hosts[i] = s->hosts[s->count];
-    s->due[i] = s->due[s->count];
+    s->due_at[i] = s->due_at[s->count];
 }
 
 static void
-events(struct sim *s)
+apply_events(struct sim *s)
 {
-    double a_day = (double)STEP / (double)DAY;
-    for (int c = 0; c < CENTRES; c++) {
-        bool wave = Rn_Unit(&s->random) < 1.0 * a_day;
-        if (Rn_Unit(&s->random) < 3 * a_day) {
-            s->refused_until[c] = s->now + 3600 * SEC;
+    double days_per_step = (double)STEP_USEC / (double)DAY_USEC;
+    for (int c = 0; c < DATA_CENTRES; c++) {
+        bool reclaim = Rn_Unit(&s->random) < 1.0 * days_per_step;
+        if (Rn_Unit(&s->random) < 3 * days_per_step) {
+            s->refused_until[c] = s->now + 3600 * USEC_PER_SEC;
         }
-        for (size_t i = 0; wave && i < s->count; i++) {
+        for (size_t i = 0; reclaim && i < s->count; i++) {
             struct ft_host *host = &s->hosts[i];
             if (host->offer.reclaimable &&
                 strcmp(host->offer.data_centre, s->offers[c].data_centre) ==
                     0) {
-                host->state = FT_LEAVING;
-                s->due[i] = s->now + NOTICE;
+                host->state = FT_RECLAIMED;
+                s->due_at[i] = s->now + RECLAIM_NOTICE_USEC;
             }
         }
-        s->refused_until[c] = wave ? s->now + 1800 * SEC : s->refused_until[c];
+        s->refused_until[c] =
+            reclaim ? s->now + 1800 * USEC_PER_SEC : s->refused_until[c];
     }
     for (size_t i = 0; i < s->count; i++) {
-        if (s->hosts[i].state == FT_STARTING && s->now >= s->due[i]) {
+        if (s->hosts[i].state == FT_STARTING && s->now >= s->due_at[i]) {
             s->hosts[i].state = FT_RUNNING;
         }
-        else if (s->hosts[i].state == FT_LEAVING && s->now >= s->due[i]) {
+        else if (s->hosts[i].state == FT_RECLAIMED && s->now >= s->due_at[i]) {
             remove_host(s, i--);
         }
     }
@@ -101,7 +102,7 @@
     memset(host, 0, sizeof(*host));
     host->offer = s->offers[offer];
     host->state = FT_STARTING;
-    s->due[s->count] = s->now + START_USEC;
+    s->due_at[s->count] = s->now + START_USEC;
     s->count++;
 }
 
@@ -115,7 +116,8 @@
         }
         else if (step->kind == FT_DRAIN) {
             s->hosts[step->index].state = FT_DRAINING;
-            s->hosts[step->index].in_flight = 6; /* a minute's rest */
+            /* One request ends per step, so the rest takes a minute. */
+            s->hosts[step->index].in_flight = 6;
         }
         else {
             s->out->cut += s->hosts[step->index].in_flight > 0;
@@ -131,11 +133,11 @@
     double capacity = 0;
     for (size_t i = 0; i < s->count; i++) {
         struct ft_host *host = &s->hosts[i];
-        double part = (double)STEP / 3600e6;
-        bool serves = host->state == FT_RUNNING || host->state == FT_LEAVING;
-        s->out->cost += host->offer.price * part;
-        *hours += part;
-        s->out->on_demand += host->offer.reclaimable ? 0 : part;
+        double step_hours = (double)STEP_USEC / 3600e6;
+        bool serves = host->state == FT_RUNNING || host->state == FT_RECLAIMED;
+        s->out->cost += host->offer.price * step_hours;
+        *hours += step_hours;
+        s->out->on_demand += host->offer.reclaimable ? 0 : step_hours;
         capacity += serves ? host->offer.capacity : 0;
         host->in_flight -=
             host->state == FT_DRAINING && host->in_flight > 0 ? 1 : 0;
@@ -156,12 +158,12 @@
     Rn_Seed(&s.random, seed);
     s.refusals = Ft_RefusalsCreate();
     set_up(&s);
-    for (s.now = STEP; s.now < days * DAY; s.now += STEP) {
+    for (s.now = STEP_USEC; s.now < days * DAY_USEC; s.now += STEP_USEC) {
         double per_sec = load(&s);
-        events(&s);
+        apply_events(&s);
         Ft_Observe(&s.forecast, per_sec, s.now, s.now);
         struct ft_need need = {
-            .per_sec = Ft_Predict(&s.forecast, AHEAD, s.now),
+            .per_sec = Ft_Predict(&s.forecast, FORECAST_USEC, s.now),
             .headroom = 0.2,
             .hosts_min = 2,
             .hosts_max = 200,
@@ -173,7 +175,7 @@
         struct ft_step steps[64];
         size_t n = ops->plan(&inputs, steps, 64);
         act(&s, steps, n);
-        if (s.now > 600 * SEC) {
+        if (s.now > 600 * USEC_PER_SEC) {
             account(&s, per_sec, &requests, &missed, &hours);
         }
     }
--- a/packages/policy/test/fleet_model.h
+++ b/packages/policy/test/fleet_model.h
@@ -1,6 +1,7 @@
 /*
- * A seeded model of days of hosts: a load with peaks, prices by data centre,
- * reclaims of a data centre's worth at once, and starts refused for hours.
+ * A seeded simulation of several days of hosts: a load with peaks, prices by
+ * data centre, reclaims of all reclaimable hosts of a data centre at once, and
+ * offers that refuse starts for hours.
  */
 #ifndef POLICY_TEST_FLEET_MODEL_H
 #define POLICY_TEST_FLEET_MODEL_H
@@ -14,10 +15,10 @@
 #endif
 
 struct fleet_result {
-    double cost;      /* a day */
-    double uncovered; /* share of requests above the capacity */
-    double on_demand; /* share of host hours */
-    int cut;          /* hosts released with work in flight */
+    double cost;      /* per day */
+    double uncovered; /* fraction of the requests above the capacity */
+    double on_demand; /* fraction of the host hours */
+    int cut;          /* hosts released with requests in flight */
 };
 
 void Fleet_Run(const struct ft_ops *ops, uint64_t seed, int days,
--- a/packages/policy/test/fleet_test.cc
+++ b/packages/policy/test/fleet_test.cc
@@ -54,7 +54,7 @@
         return steps;
     }
 
-    /* Buys what is planned until nothing is; all run at once. */
+    /* Applies the plan until it is empty; bought hosts run at once. */
     void
     settle()
     {
@@ -78,7 +78,7 @@
                 }
             }
         }
-        FAIL() << "the plan never rests";
+        FAIL() << "the plan does not become empty";
     }
 
     double
@@ -91,7 +91,10 @@
         return sum;
     }
 
-    /* Capacity left when the worst data centre loses what can be taken. */
+    /*
+     * Capacity left after the worst data centre has lost its reclaimable
+     * hosts.
+     */
     double
     after_loss()
     {
@@ -111,8 +114,8 @@
 };
 
 /*
- * Friday evening, the cheapest data centre is reclaimed at once, and the
- * whole service goes with it: all hosts had been bought there.
+ * Guards against the loss of a whole service: all hosts had been bought in the
+ * cheapest data centre, which was then reclaimed at once.
  */
 TEST(Fleet, LosingTheLargestDataCentreStillMeetsTheLoad)
 {
@@ -164,10 +167,11 @@
 }
 
 /*
- * The service stays short for an hour because its cheapest offer is refused
- * again and again while other data centres have hosts.
+ * Guards against a service that lacks capacity for an hour because its
+ * cheapest offer is tried, and refused, again and again while other data
+ * centres have hosts.
  */
-TEST(Fleet, RefusedStartsBackOffAndFallOver)
+TEST(Fleet, RefusedOffersBackOffAndOthersAreTried)
 {
     Fleet f;
     f.offers = {offer("a", 1), offer("b", 1.2), offer("b", 3, false)};
@@ -210,18 +214,18 @@
     g.offers = f.offers;
     g.need.reclaimable_max = 0.5;
     g.settle();
-    double firm = 0;
+    double on_demand = 0;
     for (const auto &host : g.hosts) {
-        firm += host.offer.reclaimable ? 0 : host.offer.capacity;
+        on_demand += host.offer.reclaimable ? 0 : host.offer.capacity;
     }
-    EXPECT_GE(firm, 0.5 * 50 / 0.8 - 1e-6);
+    EXPECT_GE(on_demand, 0.5 * 50 / 0.8 - 1e-6);
 }
 
 /*
- * A case review breaks off at night: its host was released as spare while
- * the answer was still being written.
+ * Guards against answers cut off because their host was released as spare
+ * while it still wrote them.
  */
-TEST(Fleet, ScaleDownCutsNoWork)
+TEST(Fleet, ScaleDownCutsOffNoRequests)
 {
     Fleet f;
     f.offers = {offer("a", 1), offer("b", 1.2), offer("c", 1.3)};
@@ -251,7 +255,7 @@
 }
 
 /*
- * Two hosts are paid for where one was wanted: the cloud's answer was lost,
+ * Guards against two hosts bought for one intent: the cloud's answer was lost,
  * and the buyer, or the daemon that took over from it, called again.
  */
 TEST(Fleet, ALostAnswerIsSettledByListingNeverByBuyingAgain)
@@ -262,7 +266,8 @@
     Ft_IntentInit(&intent, "t1", &o, now);
     EXPECT_EQ(FT_RECORD, Ft_IntentNext(&intent, now));
     Ft_IntentCalled(&intent, now);
-    EXPECT_EQ(FT_RECORD, Ft_IntentNext(&intent, now)); /* log comes first */
+    /* A call before the record is ignored: the log comes first. */
+    EXPECT_EQ(FT_RECORD, Ft_IntentNext(&intent, now));
     Ft_IntentRecorded(&intent, now);
     EXPECT_EQ(FT_CALL, Ft_IntentNext(&intent, now));
     Ft_IntentCalled(&intent, now);
@@ -273,17 +278,17 @@
         EXPECT_NE(FT_CALL, Ft_IntentNext(&intent, now));
     }
     struct ft_intent late = intent;
-    Ft_IntentListed(&late, nullptr, 110 * kSec, now); /* asked too early */
+    Ft_IntentListed(&late, nullptr, 110 * kSec, now); /* requested too early */
     EXPECT_EQ(FT_UNKNOWN, late.state);
     Ft_IntentListed(&late, "h1", now, now);
     EXPECT_EQ(FT_BOUGHT, late.state);
     EXPECT_EQ(FT_CLOSE, Ft_IntentNext(&late, now));
-    EXPECT_FALSE(Ft_IsSurplus("h1", "t1", &late, 1));
-    EXPECT_TRUE(Ft_IsSurplus("h2", "t1", &late, 1));
+    EXPECT_FALSE(Ft_IsOrphan("h1", "t1", &late, 1));
+    EXPECT_TRUE(Ft_IsOrphan("h2", "t1", &late, 1));
     Ft_IntentListed(&intent, nullptr, now, now);
-    EXPECT_EQ(FT_NOTHING, intent.state);
-    EXPECT_TRUE(Ft_IsSurplus("h1", "t1", &intent, 1));
-    EXPECT_FALSE(Ft_IsSurplus("h9", "other", &intent, 1));
+    EXPECT_EQ(FT_NOT_CREATED, intent.state);
+    EXPECT_TRUE(Ft_IsOrphan("h1", "t1", &intent, 1));
+    EXPECT_FALSE(Ft_IsOrphan("h9", "other", &intent, 1));
 
     for (enum ft_intent_state state : {FT_RECORDED, FT_CALLED}) {
         struct ft_intent read;
@@ -300,7 +305,7 @@
     }
 }
 
-TEST(Fleet, ForecastLeadsARiseAndRemembersTheDay)
+TEST(Fleet, ForecastFollowsTheTrendAndEarlierDays)
 {
     struct ft_forecast f = {};
     int64_t now = kSec;
