--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -1,6 +1,6 @@
 /*
- * Start-time fair queueing between customers; two trees ordered by deadline
- * inside each.
+ * Start-time fair queueing between customers; within each customer one tree
+ * per class, ordered by deadline.
  */
 #include "policy/queue.h"
 
@@ -12,10 +12,10 @@
 
 #include "base/clock.h"
 
-#define DEFAULT_LENGTH 4096
-#define DEFAULT_BYTES (16u << 20)
+#define DEFAULT_LENGTH_MAX 4096
+#define DEFAULT_BYTES_MAX (16u << 20)
 #define DEFAULT_PATIENT_EVERY 8
-#define RETRY_MIN Ck_USEC_PER_SEC
+#define RETRY_AFTER_MIN_USEC Ck_USEC_PER_SEC
 
 RB_HEAD(qu_tree, qu_item);
 
@@ -23,23 +23,23 @@
     LIST_ENTRY(qu_flow) entry;
     char customer[Qu_NAME_MAX];
     double weight;
-    double start; /* virtual time at which its next item starts */
+    double start_tag; /* virtual time at which the flow's next item starts */
     struct qu_tree items[QU_CLASSES];
     int lengths[QU_CLASSES];
-    int urgent_in_row;
+    int consecutive_urgent;
 };
 
 struct qu_queue {
     struct qu_settings settings;
     LIST_HEAD(flow_list, qu_flow) flows;
-    double virtual_now;
+    double virtual_time;
     int length;
     size_t bytes;
     uint64_t order;
 };
 
 static int
-compare(struct qu_item *a, struct qu_item *b)
+compare_deadlines(struct qu_item *a, struct qu_item *b)
 {
     if (a->deadline != b->deadline) {
         return a->deadline < b->deadline ? -1 : 1;
@@ -47,19 +47,19 @@
     return (a->order > b->order) - (a->order < b->order);
 }
 
-RB_PROTOTYPE(qu_tree, qu_item, entry, compare);
-RB_GENERATE(qu_tree, qu_item, entry, compare);
+RB_PROTOTYPE(qu_tree, qu_item, entry, compare_deadlines);
+RB_GENERATE(qu_tree, qu_item, entry, compare_deadlines);
 
-/* Bounds that fit a daemon of 32 MB. */
+/* Sets bounds that suit a daemon with 32 MB of memory. */
 void
 Qu_Defaults(struct qu_settings *settings)
 {
-    settings->length_max = DEFAULT_LENGTH;
-    settings->bytes_max = DEFAULT_BYTES;
+    settings->length_max = DEFAULT_LENGTH_MAX;
+    settings->bytes_max = DEFAULT_BYTES_MAX;
     settings->patient_every = DEFAULT_PATIENT_EVERY;
 }
 
-/* Makes an empty queue; NULL when there is no memory. */
+/* Creates an empty queue; NULL when there is no memory. */
 struct qu_queue *
 Qu_Create(const struct qu_settings *settings)
 {
@@ -70,7 +70,7 @@
     return queue;
 }
 
-/* Frees the queue; the items left in it stay the caller's. */
+/* Frees the queue; the caller keeps the items left in it. */
 void
 Qu_Destroy(struct qu_queue *queue)
 {
@@ -103,7 +103,7 @@
     return flow->lengths[QU_URGENT] + flow->lengths[QU_PATIENT];
 }
 
-/* Sets a customer's weight; one never set has weight 1. */
+/* Sets a customer's weight; the default is 1. */
 enum st_status
 Qu_SetWeight(struct qu_queue *queue, const char *customer, double weight)
 {
@@ -115,28 +115,30 @@
                                          "the daemon on a larger host");
         }
         strlcpy(flow->customer, customer, sizeof(flow->customer));
-        flow->start = queue->virtual_now;
+        flow->start_tag = queue->virtual_time;
         LIST_INSERT_HEAD(&queue->flows, flow, entry);
     }
     flow->weight = weight > 0 ? weight : 1;
     return ST_OK;
 }
 
-/* Items waiting. */
 int
 Qu_Length(const struct qu_queue *queue)
 {
     return queue->length;
 }
 
-/* Memory kept for the items waiting. */
+/* Memory taken by the items waiting. */
 size_t
 Qu_Bytes(const struct qu_queue *queue)
 {
     return queue->bytes;
 }
 
-/* Items of the flow that go before one of the class and deadline. */
+/*
+ * Counts the items of the flow that are served before a new one of this class
+ * and deadline.
+ */
 static int
 count_ahead(const struct qu_flow *flow, enum qu_class service_class,
             int64_t deadline)
@@ -154,14 +156,14 @@
 }
 
 /*
- * Predicted wait of a new item when per_sec requests a second leave the
- * queue: its customer's items ahead at the customer's part of the rate, but
- * no more than all items at the whole rate.  0 when the rate is not known.
+ * Predicts the wait of a new item while per_sec requests a second leave the
+ * queue: the customer's items ahead of it at the customer's share of the rate,
+ * but at most all items at the whole rate. 0 when the rate is unknown.
  */
 int64_t
-Qu_Wait(const struct qu_queue *queue, const char *customer,
-        enum qu_class service_class, int64_t deadline, double per_sec,
-        int64_t now)
+Qu_PredictWait(const struct qu_queue *queue, const char *customer,
+               enum qu_class service_class, int64_t deadline, double per_sec,
+               int64_t now)
 {
     if (per_sec <= 0) {
         return 0;
@@ -176,9 +178,9 @@
         }
     }
     int ahead = own != NULL ? count_ahead(own, service_class, deadline) : 0;
-    double by_share = ahead / (per_sec * own_weight / weights);
-    double whole = queue->length / per_sec;
-    return (int64_t)(fmin(by_share, whole) * 1e6);
+    double own_wait = ahead / (per_sec * own_weight / weights);
+    double total_wait = queue->length / per_sec;
+    return (int64_t)(fmin(own_wait, total_wait) * 1e6);
 }
 
 static void
@@ -192,7 +194,7 @@
     item->flow = NULL;
 }
 
-/* Takes out an item that nobody waits for any more. */
+/* Removes an item whose caller no longer waits. */
 void
 Qu_Remove(struct qu_queue *queue, struct qu_item *item)
 {
@@ -209,12 +211,13 @@
 }
 
 /*
- * The last item of the customer with the longest queue for its weight, if
- * that is longer than the one of "flow" would be.  One customer's flood
- * would otherwise fill the queue and have all others refused.
+ * Returns the item to evict: the last one of the customer with the longest
+ * queue relative to its weight, if that queue is longer than the one of "flow"
+ * would become; otherwise NULL. Without this, one customer's flood would fill
+ * the queue and all others would be refused.
  */
 static struct qu_item *
-find_evictable(const struct qu_queue *queue, const struct qu_flow *flow)
+find_eviction(const struct qu_queue *queue, const struct qu_flow *flow)
 {
     struct qu_flow *longest = NULL;
     struct qu_flow *other;
@@ -237,8 +240,8 @@
 link_item(struct qu_queue *queue, struct qu_flow *flow, struct qu_item *item,
           int64_t now)
 {
-    if (flow_length(flow) == 0 && flow->start < queue->virtual_now) {
-        flow->start = queue->virtual_now; /* no credit for idle times */
+    if (flow_length(flow) == 0 && flow->start_tag < queue->virtual_time) {
+        flow->start_tag = queue->virtual_time; /* no credit for idle time */
     }
     item->flow = flow;
     item->arrived = now;
@@ -250,10 +253,10 @@
 }
 
 /*
- * Queues an item or refuses it at once: ST_TIMEOUT when the predicted wait
- * at per_sec departures a second ends after its deadline, ST_OVERLOAD when
- * the queue is full.  Either way it was not run.  An item that had to give
- * way is in refusal->evicted, also when the result is ST_OK.
+ * Queues an item or refuses it at once: ST_TIMEOUT when the wait predicted at
+ * per_sec departures a second ends after the item's deadline, ST_OVERLOAD when
+ * the queue is full. A refused item was not run. An item evicted to make room
+ * is in refusal->evicted, also when the result is ST_OK.
  */
 enum st_status
 Qu_Push(struct qu_queue *queue, const char *customer, struct qu_item *item,
@@ -268,26 +271,29 @@
         }
         flow = find_flow(queue, customer);
     }
-    refusal->wait = Qu_Wait(queue, customer, item->service_class,
-                            item->deadline, per_sec, now);
-    int64_t over = now + refusal->wait - item->deadline;
-    if (over > 0) {
-        refusal->retry_after = over > RETRY_MIN ? over : RETRY_MIN;
+    refusal->wait = Qu_PredictWait(queue, customer, item->service_class,
+                                   item->deadline, per_sec, now);
+    int64_t excess = now + refusal->wait - item->deadline;
+    if (excess > 0) {
+        refusal->retry_after =
+            excess > RETRY_AFTER_MIN_USEC ? excess : RETRY_AFTER_MIN_USEC;
         return St_Fail(ST_TIMEOUT,
                        "the wait would be %lld ms, longer than the deadline "
                        "allows; allow more time or try again later",
                        (long long)(refusal->wait / Ck_USEC_PER_MSEC));
     }
     if (is_full(queue, item->bytes)) {
-        refusal->evicted = find_evictable(queue, flow);
+        refusal->evicted = find_eviction(queue, flow);
         if (refusal->evicted != NULL) {
             unlink_item(queue, refusal->evicted);
         }
     }
     if (is_full(queue, item->bytes)) {
-        int64_t drain =
+        int64_t drain_usec =
             per_sec > 0 ? (int64_t)(queue->length / per_sec * 1e6) : 0;
-        refusal->retry_after = drain > RETRY_MIN ? drain : RETRY_MIN;
+        refusal->retry_after = drain_usec > RETRY_AFTER_MIN_USEC
+                                   ? drain_usec
+                                   : RETRY_AFTER_MIN_USEC;
         return St_Fail(ST_OVERLOAD, "the queue is full; try again later or "
                                     "add replicas");
     }
@@ -296,8 +302,8 @@
 }
 
 /*
- * Takes out one item whose deadline has passed, to be refused; NULL when
- * there is none.
+ * Removes and returns one item whose deadline has passed, for the caller to
+ * refuse; NULL when there is none.
  */
 struct qu_item *
 Qu_Late(struct qu_queue *queue, int64_t now)
@@ -316,27 +322,28 @@
 }
 
 /*
- * The customer's next item.  Urgent goes before patient, but a steady stream
- * of urgent ones would starve the patient: one of every patient_every is
- * patient, and a patient item that has used half its time counts as urgent.
+ * Returns the customer's next item. Urgent items are served before patient
+ * ones, but a steady stream of urgent items would starve the patient ones: so
+ * one of every patient_every items is patient, and a patient item that has
+ * spent half its time waiting is ordered by deadline like an urgent one.
  */
 static struct qu_item *
-next_of(const struct qu_queue *queue, struct qu_flow *flow, int64_t now)
+next_item(const struct qu_queue *queue, struct qu_flow *flow, int64_t now)
 {
     struct qu_item *urgent = RB_MIN(qu_tree, &flow->items[QU_URGENT]);
     struct qu_item *patient = RB_MIN(qu_tree, &flow->items[QU_PATIENT]);
     if (urgent == NULL || patient == NULL) {
         return urgent != NULL ? urgent : patient;
     }
-    if (flow->urgent_in_row >= queue->settings.patient_every - 1) {
+    if (flow->consecutive_urgent >= queue->settings.patient_every - 1) {
         return patient;
     }
-    int64_t aged = patient->arrived / 2 + patient->deadline / 2;
-    return now >= aged && patient->deadline < urgent->deadline ? patient
-                                                               : urgent;
+    int64_t half_time = patient->arrived / 2 + patient->deadline / 2;
+    return now >= half_time && patient->deadline < urgent->deadline ? patient
+                                                                    : urgent;
 }
 
-/* Takes out the item to run next; NULL when the queue is empty. */
+/* Removes and returns the item to run next; NULL when the queue is empty. */
 struct qu_item *
 Qu_Pop(struct qu_queue *queue, int64_t now)
 {
@@ -344,18 +351,18 @@
     struct qu_flow *flow;
     LIST_FOREACH (flow, &queue->flows, entry) {
         if (flow_length(flow) > 0 &&
-            (best == NULL || flow->start < best->start)) {
+            (best == NULL || flow->start_tag < best->start_tag)) {
             best = flow;
         }
     }
     if (best == NULL) {
         return NULL;
     }
-    struct qu_item *item = next_of(queue, best, now);
+    struct qu_item *item = next_item(queue, best, now);
     bool patient = item->service_class == QU_PATIENT;
-    best->urgent_in_row = patient ? 0 : best->urgent_in_row + 1;
-    queue->virtual_now = best->start;
-    best->start += (item->cost > 0 ? item->cost : 1) / best->weight;
+    best->consecutive_urgent = patient ? 0 : best->consecutive_urgent + 1;
+    queue->virtual_time = best->start_tag;
+    best->start_tag += (item->cost > 0 ? item->cost : 1) / best->weight;
     unlink_item(queue, item);
     return item;
 }
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -1,9 +1,9 @@
 /*
- * The queue in front of a service's endpoints: fair between customers by
- * weight, inside a customer by class and deadline, bounded, and quick to
- * refuse what cannot be in time.  The caller owns the items and must answer
- * those it gets back from Qu_Push(), Qu_Late() and Qu_Pop().  Times are
- * microseconds.
+ * The queue in front of a service's endpoints: weighted fair queueing between
+ * customers; by class and deadline within a customer; bounded; and it refuses
+ * at once a request that cannot be served before its deadline. The caller owns
+ * the items and must answer the ones that Qu_Push(), Qu_Late() and Qu_Pop()
+ * return. Times are microseconds.
  */
 #ifndef POLICY_QUEUE_H
 #define POLICY_QUEUE_H
@@ -26,16 +26,16 @@
 struct qu_flow;
 
 /*
- * Embedded in the caller's request: zeroed first, then set what is above
- * "Of the queue".
+ * Embedded in the caller's request. The caller zeroes it, then sets the fields
+ * above "Set by the queue".
  */
 struct qu_item {
     enum qu_class service_class;
     int64_t deadline; /* when the answer must have begun */
-    size_t bytes;     /* kept in memory for it */
-    double cost;      /* work, e.g. tokens; 0 counts as 1 */
-    void *request;    /* the caller's */
-    /* Of the queue. */
+    size_t bytes;     /* memory that the request takes */
+    double cost;      /* work, for instance tokens; 0 counts as 1 */
+    void *request;    /* owned by the caller */
+    /* Set by the queue. */
     RB_ENTRY(qu_item) entry;
     struct qu_flow *flow;
     int64_t arrived;
@@ -45,14 +45,17 @@
 struct qu_settings {
     int length_max;
     size_t bytes_max;
-    int patient_every; /* of so many, one is patient when any waits */
+    int patient_every; /* one of so many is patient, if any waits */
 };
 
-/* Why an item was not taken, and when it may be tried again. */
+/*
+ * Result of a push: the predicted wait, when to retry a refused item, and the
+ * item evicted, if any.
+ */
 struct qu_refusal {
-    int64_t wait;            /* predicted */
-    int64_t retry_after;     /* until the wait would fit */
-    struct qu_item *evicted; /* an item that gave way; answer it "not run" */
+    int64_t wait;            /* predicted wait of the item */
+    int64_t retry_after;     /* time after which a retry may be accepted */
+    struct qu_item *evicted; /* removed to make room; answer it "not run" */
 };
 
 struct qu_queue;
@@ -74,9 +77,9 @@
 /* Queries. */
 int Qu_Length(const struct qu_queue *queue);
 size_t Qu_Bytes(const struct qu_queue *queue);
-int64_t Qu_Wait(const struct qu_queue *queue, const char *customer,
-                enum qu_class service_class, int64_t deadline, double per_sec,
-                int64_t now);
+int64_t Qu_PredictWait(const struct qu_queue *queue, const char *customer,
+                       enum qu_class service_class, int64_t deadline,
+                       double per_sec, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -6,11 +6,14 @@
 #include "base/clock.h"
 
 #define ATTEMPTS_MAX 3
-#define UNREACHED_MAX 16
-#define GAP_FIRST_USEC (INT64_C(10) * Ck_USEC_PER_MSEC)
-#define GAP_DOUBLINGS 5
+#define CONNECT_FAILURES_MAX 16
+#define BACKOFF_MIN_USEC (INT64_C(10) * Ck_USEC_PER_MSEC)
+#define BACKOFF_DOUBLINGS_MAX 5
 
-/* Starts a full budget: "ratio" of a retry per success, "most" at once. */
+/*
+ * Starts with a full budget of "most" tokens; each success adds "ratio" of a
+ * token, and a retry takes one.
+ */
 void
 Rt_Init(struct rt_budget *budget, double ratio, double most)
 {
@@ -20,9 +23,10 @@
 }
 
 /*
- * Widens the budget to a retry for each request in flight, so that an event
- * that fails all of them at once leaves none without a second try.  It stays
- * as full as it is: requests that pile up in an outage bring no retries.
+ * Raises the capacity to one retry for each request in flight, so that an
+ * event that fails all of them at once leaves none without a second attempt.
+ * The ratio of tokens to capacity is kept: requests that pile up in an outage
+ * add no retries.
  */
 void
 Rt_Cover(struct rt_budget *budget, int in_flight)
@@ -33,7 +37,7 @@
     }
 }
 
-/* Enters a request that succeeded at its first attempt or later. */
+/* Records a request that succeeded, at its first attempt or a later one. */
 void
 Rt_Success(struct rt_budget *budget)
 {
@@ -44,7 +48,7 @@
 }
 
 static bool
-take(struct rt_budget *budget)
+take_token(struct rt_budget *budget)
 {
     if (budget->tokens < 1) {
         return false;
@@ -54,7 +58,7 @@
 }
 
 static enum rt_verdict
-give_up(const struct rt_attempt *attempt)
+final_verdict(const struct rt_attempt *attempt)
 {
     if (attempt->stage == RT_NOT_SENT || attempt->stage == RT_REFUSED) {
         return RT_NOT_RUN;
@@ -63,21 +67,22 @@
 }
 
 /*
- * Whether a further attempt is no load beyond the first one that is owed: no
- * byte of the last has left this host, or it went to a version on trial and
- * the next one is the first for the others.  Each is bounded by itself.
+ * Whether a further attempt puts no more load on endpoints than the first one:
+ * no byte of the last attempt has left this host, or the last attempt went to
+ * a version on trial and the next one is the first at another version.
+ * Attempts of either kind have a bound of their own.
  */
 static bool
-is_free(const struct rt_attempt *attempt)
+needs_no_token(const struct rt_attempt *attempt)
 {
     return attempt->stage == RT_NOT_SENT || attempt->attempts == 0;
 }
 
 /*
- * Why the attempt may not be followed by another; changes nothing.  Work that
- * may have run is repeated only when it is idempotent: an idempotency key
- * does not make it so, as the endpoint need not know the key and a charge
- * would be made twice.
+ * Returns why the attempt may not be followed by another; changes nothing. A
+ * request that may have run is repeated only when it is idempotent. An
+ * idempotency key is not enough: the endpoint may not know the key, and a
+ * charge would be made twice.
  */
 enum rt_reason
 Rt_Why(const struct rt_budget *budget, const struct rt_attempt *attempt)
@@ -86,25 +91,25 @@
     if (!attempt->idempotent && !unreached && attempt->stage != RT_REFUSED) {
         return RT_MAY_HAVE_RUN;
     }
-    if (attempt->stage == RT_ANSWERED) {
+    if (attempt->stage == RT_PARTLY_ANSWERED) {
         return RT_ANSWER_BEGUN;
     }
     if (attempt->attempts >= ATTEMPTS_MAX) {
         return RT_ATTEMPTS_SPENT;
     }
-    if (attempt->unreached >= UNREACHED_MAX) {
+    if (attempt->unreached >= CONNECT_FAILURES_MAX) {
         return RT_NOBODY_REACHED;
     }
     if (attempt->left <= attempt->predicted) {
         return RT_NO_TIME_LEFT;
     }
-    if (!is_free(attempt) && budget->tokens < 1) {
+    if (!needs_no_token(attempt) && budget->tokens < 1) {
         return RT_BUDGET_SPENT;
     }
     return RT_ALLOWED;
 }
 
-/* The reason as log lines and metrics name it. */
+/* The name of the reason in log lines and metrics. */
 const char *
 Rt_ReasonName(enum rt_reason reason)
 {
@@ -121,27 +126,28 @@
 }
 
 /*
- * Decides on a dispatch that failed; RT_RETRY takes from the budget unless the
- * next attempt is free.  Without a budget an outage turns each request into
- * three and keeps the endpoints down.
+ * Decides on an attempt that failed; RT_RETRY takes a token from the budget
+ * unless the next attempt needs none. Without a budget, an outage would turn
+ * each request into three attempts, and these would keep the endpoints
+ * overloaded.
  */
 enum rt_verdict
 Rt_Decide(struct rt_budget *budget, const struct rt_attempt *attempt)
 {
     if (Rt_Why(budget, attempt) != RT_ALLOWED) {
-        return give_up(attempt);
+        return final_verdict(attempt);
     }
-    if (!is_free(attempt)) {
-        (void)take(budget);
+    if (!needs_no_token(attempt)) {
+        (void)take_token(budget);
     }
     return RT_RETRY;
 }
 
 /*
- * How long work that is not given up waits before its next attempt, in
- * microseconds, after "unreached" attempts in a row that reached nobody:
- * nothing at first, then longer each time.  Without gaps any number of tries
- * is spent in a millisecond where the one endpoint left refuses connections.
+ * Backoff before the next attempt, in microseconds, after "unreached"
+ * consecutive attempts that reached no endpoint: 0 at first, then doubled each
+ * time up to a bound. Without it, all attempts are spent within a millisecond
+ * where the only endpoint left refuses connections.
  */
 int64_t
 Rt_Gap(int unreached)
@@ -150,17 +156,17 @@
         return 0;
     }
     int doublings = unreached - 2;
-    if (doublings > GAP_DOUBLINGS) {
-        doublings = GAP_DOUBLINGS;
+    if (doublings > BACKOFF_DOUBLINGS_MAX) {
+        doublings = BACKOFF_DOUBLINGS_MAX;
     }
-    return GAP_FIRST_USEC << doublings;
+    return BACKOFF_MIN_USEC << doublings;
 }
 
 /*
  * Whether to send a second copy of a request that has waited longer than
- * "usual" (the time within which 95 in 100 begin to answer); true takes from
- * the budget.  Only idempotent work without a key is hedged: a kept outcome
- * must be that of the one run.
+ * "usual" (the time within which 95 of 100 requests begin to be answered);
+ * true takes a token from the budget. Only idempotent requests without a key
+ * are hedged: a stored outcome must be that of a single run.
  */
 bool
 Rt_Hedge(struct rt_budget *budget, const struct rt_attempt *attempt,
@@ -173,5 +179,5 @@
     if (usual <= 0 || waited < usual || attempt->left <= attempt->predicted) {
         return false;
     }
-    return take(budget);
+    return take_token(budget);
 }
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -1,6 +1,7 @@
 /*
- * Whether a request that failed may be sent again, and whether a slow one
- * may be sent a second time beside the first.  Times are microseconds.
+ * Decides whether a failed request may be sent again, and whether a second
+ * copy of a slow request may be sent beside the first (hedging). Times are
+ * microseconds.
  */
 #ifndef POLICY_RETRY_H
 #define POLICY_RETRY_H
@@ -12,51 +13,52 @@
 extern "C" {
 #endif
 
-/* How far a dispatch got; take the later one when in doubt. */
+/* How far an attempt got; the later stage when in doubt. */
 enum rt_stage {
-    RT_NOT_SENT, /* provably no byte has left */
-    RT_REFUSED,  /* the endpoint says it has not run it */
-    RT_SENT,     /* a byte may have left: it may have run */
-    RT_ANSWERED, /* part of the answer has gone to the caller */
+    RT_NOT_SENT, /* provably no byte has left this host */
+    RT_REFUSED,  /* the endpoint answered that it did not run the request */
+    RT_SENT,     /* a byte may have left: the request may have run */
+    RT_PARTLY_ANSWERED, /* part of the answer has gone to the caller */
 };
 
 struct rt_attempt {
     enum rt_stage stage;
     bool idempotent; /* running it twice does no harm */
-    bool keyed;      /* its outcome is kept under an idempotency key */
+    bool keyed;      /* its outcome is stored under an idempotency key */
     /*
-     * Failures so far, this one included, of what was sent, without a first
-     * one at a version on trial: 0 when that is all there is.
+     * Failed attempts in which a byte was sent, this one included. A first
+     * attempt at a version on trial does not count: 0 when it was the only
+     * one.
      */
     int attempts;
-    int unreached;     /* so far, this one included, that were not */
-    int64_t left;      /* until the deadline */
-    int64_t predicted; /* time a further attempt takes */
+    int unreached; /* attempts in which no byte was sent, this one included */
+    int64_t left;  /* time until the deadline */
+    int64_t predicted; /* predicted duration of a further attempt */
 };
 
 /* Why a failed attempt may not be followed by another. */
 enum rt_reason {
     RT_ALLOWED,
-    RT_MAY_HAVE_RUN,   /* and must not run twice */
-    RT_ANSWER_BEGUN,   /* the caller has part of an answer */
-    RT_ATTEMPTS_SPENT, /* endpoints failed it too often */
-    RT_NOBODY_REACHED, /* too many endpoints could not be reached */
+    RT_MAY_HAVE_RUN,   /* the request may have run and must not run twice */
+    RT_ANSWER_BEGUN,   /* the caller has received part of an answer */
+    RT_ATTEMPTS_SPENT, /* too many attempts were sent and failed */
+    RT_NOBODY_REACHED, /* too many attempts reached no endpoint */
     RT_NO_TIME_LEFT,   /* a further attempt would end too late */
-    RT_BUDGET_SPENT,   /* the service's retries are used up */
+    RT_BUDGET_SPENT,   /* the service's retry budget is empty */
 };
 
 enum rt_verdict {
     RT_RETRY,
-    RT_NOT_RUN, /* give up; saying "not run" is true */
-    RT_UNKNOWN, /* give up; it may have run and must not run again */
-    RT_FAILED,  /* give up; running it again later does no harm */
+    RT_NOT_RUN, /* give up; the request provably was not run */
+    RT_UNKNOWN, /* give up; the request may have run and must not run again */
+    RT_FAILED,  /* give up; running the request again later does no harm */
 };
 
-/* Retries are paid for by successes. */
+/* Token bucket for a service's retries, filled by successful requests. */
 struct rt_budget {
     double tokens;
-    double ratio; /* earned by a success */
-    double most;
+    double ratio; /* tokens that a success adds */
+    double most;  /* capacity */
 };
 
 void Rt_Init(struct rt_budget *budget, double ratio, double most);
--- a/packages/policy/stream_track.c
+++ b/packages/policy/stream_track.c
@@ -1,14 +1,12 @@
-/*
- * Index bookkeeping of a stream.
- */
+/* Tracking of a stream's token indexes. */
 #include <bsd/string.h>
 #include <string.h>
 
 #include "policy/stream.h"
 
 /*
- * Starts the bookkeeping of a request; its first dispatch is source 0.  The
- * counts may be shared by many streams.
+ * Starts tracking a request; its first dispatch is source 0. Several streams
+ * may share the counts.
  */
 void
 Sm_Start(struct sm_track *track, const char *request, struct sm_counts *counts)
@@ -19,22 +17,23 @@
 }
 
 /*
- * Enters the event of one token and says whether to pass it on.  After a
- * switch the old endpoint may still send: its tokens and those of the new
- * one need not be the same text, so a token from the old one is dropped even
- * when its index is the next.  After a gap nothing of that source is passed
- * on: the caller would get an answer with a hole that looks whole.
+ * Records a received token and says whether to pass it on. After a switch the
+ * old endpoint may still send tokens, and its text may differ from that of the
+ * new endpoint, so its tokens are dropped even when the index is the next one.
+ * After a gap no token of that source is passed on: the caller would take an
+ * answer with a missing token for a whole one.
  */
-enum sm_take
-Sm_Take(struct sm_track *track, int source, const char *request, int64_t index)
+enum sm_token_result
+Sm_AddToken(struct sm_track *track, int source, const char *request,
+            int64_t index)
 {
     if (strcmp(request, track->request) != 0) {
-        track->counts->crossed++;
-        return SM_CROSSED;
+        track->counts->foreign++;
+        return SM_FOREIGN;
     }
     if (source != track->source) {
-        track->counts->late++;
-        return SM_LATE;
+        track->counts->stale++;
+        return SM_STALE;
     }
     if (index < track->next) {
         track->counts->repeated++;
@@ -46,15 +45,15 @@
         return SM_GAP;
     }
     track->next++;
-    track->counts->given++;
-    return SM_GIVE;
+    track->counts->delivered++;
+    return SM_DELIVER;
 }
 
 /*
- * Makes a new dispatch, which goes on after "from" tokens, the only source.
- * ST_CONFLICT unless "from" is what the caller has been given: an exported
- * cache that is ahead needs the missing events first, one that is behind
- * would continue another text than the caller has.
+ * Makes a new dispatch, which continues after "from" tokens, the only accepted
+ * source. ST_CONFLICT unless the caller has received exactly "from" tokens: an
+ * exported cache that is ahead needs the missing events first, and one that is
+ * behind would continue another text than the caller has.
  */
 enum st_status
 Sm_Switch(struct sm_track *track, int64_t from, int *source)
@@ -72,14 +71,15 @@
 }
 
 /*
- * Ends the stream.  ST_CONFLICT when the end comes from a source that was
- * left, ST_UNAVAILABLE when tokens are missing: resume from track->next.
+ * Ends the stream. ST_CONFLICT when the end comes from a source that the
+ * stream has left, ST_UNAVAILABLE when tokens are missing: resume from
+ * track->next.
  */
 enum st_status
 Sm_Finish(struct sm_track *track, int source, int64_t completion_tokens)
 {
     if (source != track->source) {
-        track->counts->late++;
+        track->counts->stale++;
         return St_Fail(ST_CONFLICT, "the end comes from an endpoint that the "
                                     "stream has left; ignore it");
     }
--- a/packages/policy/test/queue_test.cc
+++ b/packages/policy/test/queue_test.cc
@@ -33,20 +33,20 @@
     }
 
     enum st_status
-    push(const char *customer, enum qu_class cls = QU_URGENT,
-         int64_t in = 60 * kSec, double per_sec = 0)
+    push(const char *customer, enum qu_class service_class = QU_URGENT,
+         int64_t time_left = 60 * kSec, double per_sec = 0)
     {
         items.push_back({});
         struct qu_item *item = &items.back();
-        item->service_class = cls;
-        item->deadline = now + in;
+        item->service_class = service_class;
+        item->deadline = now + time_left;
         item->bytes = 100;
         owner[item] = customer;
         return Qu_Push(queue, customer, item, per_sec, now, &refusal);
     }
 };
 
-TEST(Queue, CustomersShareByWeightWhateverTheyQueue)
+TEST(Queue, CustomersAreServedByWeightAtAnyQueueLength)
 {
     Queue q;
     Qu_SetWeight(q.queue, "large", 3);
@@ -67,10 +67,10 @@
 }
 
 /*
- * Nobody else is served for minutes: a customer that was idle all day comes
- * with a flood and is given all the turns it did not use.
+ * Guards against a customer that was idle, sends a flood, is served for all
+ * the turns it did not use, and leaves the others unserved for minutes.
  */
-TEST(Queue, IdleTimesGiveNoCredit)
+TEST(Queue, IdleTimeGivesNoCredit)
 {
     Queue q;
     for (int i = 0; i < 300; i++) {
@@ -107,8 +107,8 @@
 }
 
 /*
- * A long case review is never run. Its customer's urgent questions come as
- * fast as they are served, and each goes before the patient one.
+ * Guards against a patient request that is never run, because its customer's
+ * urgent requests arrive as fast as they are served and each goes first.
  */
 TEST(Queue, PatientIsNotStarvedByUrgent)
 {
@@ -134,8 +134,9 @@
 }
 
 /*
- * A parent waits the whole deadline only to be refused. The queue took the
- * request although the ones before it already filled the time.
+ * Guards against a caller that waits until the deadline only to be refused:
+ * the queue took the request although the requests ahead already filled the
+ * time.
  */
 TEST(Queue, RefusesAtOnceWhenTheWaitExceedsTheDeadline)
 {
@@ -146,13 +147,13 @@
     EXPECT_EQ(ST_TIMEOUT, q.push("c", QU_URGENT, 61 * kSec, 1));
     EXPECT_EQ(100 * kSec, q.refusal.wait);
     EXPECT_EQ(39 * kSec, q.refusal.retry_after);
-    /* Another customer has its own part of the rate. */
+    /* Another customer has its own share of the rate. */
     EXPECT_EQ(ST_OK, q.push("d", QU_URGENT, 2 * kSec, 10));
     EXPECT_EQ(ST_OK, q.push("d", QU_URGENT, 2 * kSec, 10));
     EXPECT_EQ(102, Qu_Length(q.queue));
 }
 
-TEST(Queue, GivesBackWhatIsLate)
+TEST(Queue, ReturnsExpiredItems)
 {
     Queue q;
     q.push("c", QU_URGENT, kSec);
@@ -168,9 +169,10 @@
 }
 
 /*
- * Every customer is refused because one of them has filled the queue.
+ * Guards against one customer that fills the queue so that all others are
+ * refused.
  */
-TEST(Queue, AFloodGivesWayToOthersInAFullQueue)
+TEST(Queue, FloodIsEvictedForOthersFromAFullQueue)
 {
     Queue q(50);
     for (int i = 0; i < 50; i++) {
@@ -202,11 +204,11 @@
 }
 
 /*
- * A seat is charged twice. The charge was sent, the connection broke before
- * the answer, and the daemon sent it to a second endpoint; an idempotency key
- * does not help where the endpoint does not know it.
+ * Guards against a charge made twice: the request was sent, the connection
+ * broke before the answer, and the daemon sent it to a second endpoint. An
+ * idempotency key does not help where the endpoint does not know it.
  */
-TEST(Retry, WhatMayHaveRunIsNeverRepeatedUnlessIdempotent)
+TEST(Retry, RequestThatMayHaveRunIsRepeatedOnlyIfIdempotent)
 {
     struct Case {
         enum rt_stage stage;
@@ -221,8 +223,8 @@
         {RT_SENT, false, false, RT_UNKNOWN},
         {RT_SENT, false, true, RT_UNKNOWN},
         {RT_SENT, true, false, RT_RETRY},
-        {RT_ANSWERED, true, false, RT_FAILED},
-        {RT_ANSWERED, false, true, RT_UNKNOWN},
+        {RT_PARTLY_ANSWERED, true, false, RT_FAILED},
+        {RT_PARTLY_ANSWERED, false, true, RT_UNKNOWN},
     };
     for (const auto &c : cases) {
         struct rt_budget budget;
@@ -243,10 +245,11 @@
 }
 
 /*
- * An outage of a few seconds lasts for minutes: every failed request is sent
- * three times, and the endpoints that come back drown in repeats.
+ * Guards against an outage of a few seconds that lasts for minutes: every
+ * failed request is sent three times, and endpoints that recover are
+ * overloaded by retries.
  */
-TEST(Retry, RetriesArePaidForBySuccesses)
+TEST(Retry, SuccessesFillTheBudget)
 {
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 10);
@@ -265,9 +268,9 @@
     EXPECT_EQ(RT_RETRY, Rt_Decide(&budget, &attempt));
 }
 
-// Guards against a bad version on trial that uses up the retries of what the
-// settled one fails.
-TEST(Retry, WhatAVersionOnTrialFailsCostsNoRetry)
+// Guards against a bad version on trial whose failures use up the retry budget
+// that requests at the established version need.
+TEST(Retry, FailureAtAVersionOnTrialTakesNoToken)
 {
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 2);
@@ -285,14 +288,14 @@
     EXPECT_EQ(RT_MAY_HAVE_RUN, Rt_Why(&budget, &attempt));
 }
 
-// Guards against requests told "unknown" since an endpoint that dies with all
-// its places taken fails more at once than the budget holds.
-TEST(Retry, AllInFlightMayBeTriedOnceMore)
+// Guards against requests answered "unknown" because an endpoint that dies
+// with all its slots taken fails more requests at once than the budget holds.
+TEST(Retry, BudgetCoversAllRequestsInFlight)
 {
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 10);
-    for (int flying = 1; flying <= 64; flying++) {
-        Rt_Cover(&budget, flying);
+    for (int in_flight = 1; in_flight <= 64; in_flight++) {
+        Rt_Cover(&budget, in_flight);
     }
     struct rt_attempt attempt = {RT_SENT, true, false, 1, 0, kSec, 0};
     int retried = 0;
@@ -303,9 +306,9 @@
     EXPECT_EQ(64, retried);
 }
 
-// Guards against all tries of an accepted stream being spent within a
-// millisecond on an endpoint that refuses connections.
-TEST(Retry, GapsBetweenUnreachedTriesGrow)
+// Guards against all attempts of an accepted stream spent within a millisecond
+// on an endpoint that refuses connections.
+TEST(Retry, BackoffAfterConnectFailuresGrows)
 {
     EXPECT_EQ(0, Rt_Gap(0));
     EXPECT_EQ(0, Rt_Gap(1));
@@ -322,20 +325,20 @@
     EXPECT_EQ(Rt_Gap(100), Rt_Gap(1000));
 }
 
-// Guards against endpoints that refuse connections using up the retries of
-// requests that an endpoint failed.
-TEST(Retry, WhatReachedNobodyIsBoundedByItself)
+// Guards against endpoints that refuse connections and so use up the retry
+// budget of requests that were sent and failed.
+TEST(Retry, ConnectFailuresHaveTheirOwnBound)
 {
-    const int kMost = 32;
+    const int kAttemptsMax = 32;
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 1);
     struct rt_attempt attempt = {RT_NOT_SENT, false, false, 0, 1, kSec, 0};
-    while (attempt.unreached < kMost &&
+    while (attempt.unreached < kAttemptsMax &&
            Rt_Decide(&budget, &attempt) == RT_RETRY) {
         attempt.unreached++;
     }
     EXPECT_GT(attempt.unreached, 3);
-    EXPECT_LT(attempt.unreached, kMost);
+    EXPECT_LT(attempt.unreached, kAttemptsMax);
     EXPECT_EQ(RT_NOBODY_REACHED, Rt_Why(&budget, &attempt));
     EXPECT_EQ(RT_NOT_RUN, Rt_Decide(&budget, &attempt));
     EXPECT_EQ(1, budget.tokens);
@@ -344,7 +347,7 @@
     EXPECT_EQ(RT_NO_TIME_LEFT, Rt_Why(&budget, &attempt));
 }
 
-TEST(Retry, HedgesOnlyIdempotentWorkWithoutAKey)
+TEST(Retry, HedgesOnlyIdempotentRequestsWithoutAKey)
 {
     struct rt_budget budget;
     Rt_Init(&budget, 0.05, 2);
@@ -360,7 +363,7 @@
     attempt.attempts = 2;
     EXPECT_FALSE(Rt_Hedge(&budget, &attempt, 300, 300));
     attempt.attempts = 1;
-    attempt.stage = RT_ANSWERED;
+    attempt.stage = RT_PARTLY_ANSWERED;
     EXPECT_FALSE(Rt_Hedge(&budget, &attempt, 300, 300));
     attempt.stage = RT_SENT;
     EXPECT_TRUE(Rt_Hedge(&budget, &attempt, 300, 300));
--- a/packages/policy/test/stream_test.cc
+++ b/packages/policy/test/stream_test.cc
@@ -45,10 +45,11 @@
 }
 
 /*
- * An answer breaks off: its move was begun when the endpoint had less time
- * than the export takes, and the host went in the middle of it.
+ * Guards against an answer that breaks off: its move was begun when less time
+ * was left than the export takes, and the host was reclaimed during the
+ * export.
  */
-TEST(Stream, NoMoveIsBegunThatCannotEndInTime)
+TEST(Stream, NoMoveIsStartedThatCannotEndInTime)
 {
     for (int64_t left = 0; left < 3 * kSec; left += 10000) {
         struct sm_target slow = kTarget;
@@ -65,7 +66,10 @@
     }
 }
 
-/* All streams of a reclaimed host resume in the same moment. */
+/*
+ * Guards against all streams of a reclaimed host that resume at the same
+ * moment.
+ */
 TEST(Stream, ResumesAreSpreadOverTheTimeLeft)
 {
     struct sm_settings settings;
@@ -85,66 +89,68 @@
 }
 
 /*
- * A coach reads a summary made of two texts: after the move the old endpoint
- * sent one more token with the next index, before the new one did.
+ * Guards against an answer mixed from two texts: after the move the old
+ * endpoint sent one more token with the next index, before the new endpoint
+ * sent its own.
  */
-TEST(Stream, TheOldEndpointAddsNothingAfterTheSwitch)
+TEST(Stream, TokensOfTheOldEndpointAreDroppedAfterTheSwitch)
 {
     struct sm_counts counts = {};
     struct sm_track track;
     int source;
     Sm_Start(&track, "r1", &counts);
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, 0, "r1", 0));
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, 0, "r1", 1));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, 0, "r1", 0));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, 0, "r1", 1));
     ASSERT_EQ(ST_OK, Sm_Switch(&track, 2, &source));
-    EXPECT_EQ(SM_LATE, Sm_Take(&track, 0, "r1", 2));
-    EXPECT_EQ(SM_REPEATED, Sm_Take(&track, source, "r1", 1));
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, source, "r1", 2));
+    EXPECT_EQ(SM_STALE, Sm_AddToken(&track, 0, "r1", 2));
+    EXPECT_EQ(SM_REPEATED, Sm_AddToken(&track, source, "r1", 1));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, source, "r1", 2));
     EXPECT_EQ(ST_CONFLICT, Sm_Finish(&track, 0, 3));
     EXPECT_EQ(ST_OK, Sm_Finish(&track, source, 3));
     EXPECT_EQ(1u, counts.repeated);
-    EXPECT_EQ(2u, counts.late);
+    EXPECT_EQ(2u, counts.stale);
 }
 
-TEST(Stream, AnExportAheadOrBehindIsNotSwitchedTo)
+TEST(Stream, SwitchToAnExportAheadOrBehindIsRefused)
 {
     struct sm_counts counts = {};
     struct sm_track track;
     int source;
     Sm_Start(&track, "r1", &counts);
-    Sm_Take(&track, 0, "r1", 0);
+    Sm_AddToken(&track, 0, "r1", 0);
     EXPECT_EQ(ST_CONFLICT, Sm_Switch(&track, 2, &source));
     EXPECT_EQ(ST_CONFLICT, Sm_Switch(&track, 0, &source));
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, 0, "r1", 1));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, 0, "r1", 1));
     EXPECT_EQ(ST_OK, Sm_Switch(&track, 2, &source));
 }
 
 /*
- * A joiner's answer lacks a step. One event was lost on the way, the next
- * one was passed on, and the end looked regular.
+ * Guards against an answer that lacks a token: one event was lost in transit,
+ * the next one was passed on, and the stream ended normally.
  */
-TEST(Stream, AGapIsNeverPassedOver)
+TEST(Stream, NothingIsDeliveredAfterAGap)
 {
     struct sm_counts counts = {};
     struct sm_track track;
     int source;
     Sm_Start(&track, "r1", &counts);
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, 0, "r1", 0));
-    EXPECT_EQ(SM_GAP, Sm_Take(&track, 0, "r1", 2));
-    EXPECT_EQ(SM_GAP, Sm_Take(&track, 0, "r1", 1));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, 0, "r1", 0));
+    EXPECT_EQ(SM_GAP, Sm_AddToken(&track, 0, "r1", 2));
+    EXPECT_EQ(SM_GAP, Sm_AddToken(&track, 0, "r1", 1));
     EXPECT_EQ(ST_UNAVAILABLE, Sm_Finish(&track, 0, 3));
     EXPECT_EQ(1u, counts.gaps);
     ASSERT_EQ(ST_OK, Sm_Switch(&track, 1, &source));
-    EXPECT_EQ(SM_GIVE, Sm_Take(&track, source, "r1", 1));
+    EXPECT_EQ(SM_DELIVER, Sm_AddToken(&track, source, "r1", 1));
     EXPECT_EQ(ST_UNAVAILABLE, Sm_Finish(&track, source, 3));
     EXPECT_EQ(2u, counts.gaps);
 }
 
 /*
- * A parent gets part of another parent's answer: events of two requests
- * crossed on one connection; others come twice, late or not at all.
+ * Guards against a caller that gets part of another request's answer: events
+ * of two requests are mixed up on one connection, and others are repeated,
+ * late or lost.
  */
-TEST(Stream, UnderLossRepeatsAndCrossingTheCallerGetsOneWholeText)
+TEST(Stream, CallerGetsOneWholeTextDespiteLossAndRepeats)
 {
     const int total = 60;
     int switches = 0;
@@ -152,10 +158,10 @@
         struct rn_random random;
         struct sm_counts counts = {};
         struct sm_track track;
-        std::vector<int> text; /* source that each token came from */
+        std::vector<int> text; /* source of each token */
         Rn_Seed(&random, seed);
         Sm_Start(&track, "mine", &counts);
-        std::vector<int> at = {0}; /* next index of each source */
+        std::vector<int> at = {0}; /* next token index of each source */
         int source = 0;
         for (int step = 0; step < 5000; step++) {
             int from = (int)Rn_Below(&random, (uint32_t)at.size());
@@ -174,7 +180,7 @@
                     break;
                 }
             }
-            else if (Sm_Take(&track, from, id, index) == SM_GIVE) {
+            else if (Sm_AddToken(&track, from, id, index) == SM_DELIVER) {
                 EXPECT_STREQ("mine", id);
                 EXPECT_EQ((int64_t)text.size(), index);
                 EXPECT_EQ(source, from);
@@ -190,7 +196,7 @@
             }
         }
         EXPECT_EQ((size_t)total, text.size());
-        EXPECT_EQ((uint64_t)total, counts.given);
+        EXPECT_EQ((uint64_t)total, counts.delivered);
     }
     EXPECT_GT(switches, 500);
 }
