--- a/packages/policy/test/warmup_test.cc
+++ b/packages/policy/test/warmup_test.cc
@@ -1,6 +1,6 @@
 /*
- * Hundreds of hosts before endpoints that have just started, while drawn hosts
- * do not hear each other or start again.
+ * Simulates hundreds of hosts and endpoints that have just started, while some
+ * hosts, drawn at random, are partitioned or restart.
  */
 #include <gtest/gtest.h>
 
@@ -15,26 +15,27 @@
 
 constexpr int64_t kSec = 1000000;
 constexpr double kPerSec = 16;
-// A host is remembered for this long after it was last heard.
-constexpr int64_t kForget = 60 * kSec;
+// A host counts as known for this long after it was last heard from.
+constexpr int64_t kForgetUsec = 60 * kSec;
 
-// Who may send to a cold endpoint.
-enum class Way {
-    kAll,     // whoever finds it idle
-    kDivided, // each host its part of the rate
-    kWarm,    // nobody while it is cold
-    kFirst,   // the first by their claims
+// Which hosts may send to a cold endpoint.
+enum class SendPolicy {
+    kAnyHost,     // any host that finds it idle
+    kRateDivided, // every host, at its part of the rate
+    kNeverCold,   // no host while it is cold
+    kSenders,     // the hosts selected by rendezvous hash
 };
 
-struct Outcome {
-    int most = 0;    // requests at one endpoint within one second
-    double used = 0; // of what all cold endpoints bear
+struct Result {
+    int max_per_sec = 0; // requests at one endpoint within one second, at most
+    double utilization = 0; // fraction of what all cold endpoints can serve
 };
 
-class Replay {
+class Simulation {
   public:
-    Replay(Way way, size_t hosts, size_t endpoints, uint32_t seed)
-        : way_(way), random_(seed), hosts_(hosts), arrivals_(endpoints)
+    Simulation(SendPolicy policy, size_t hosts, size_t endpoints,
+               uint32_t seed)
+        : policy_(policy), random_(seed), hosts_(hosts), arrivals_(endpoints)
     {
         for (size_t i = 0; i < hosts; i++) {
             hosts_[i].hash = random_();
@@ -46,13 +47,13 @@
         }
     }
 
-    // Hosts that are apart hear only their own side.
+    // Hosts hear only from hosts on their own side of the partition.
     void
-    Cut(double share)
+    Partition(double share)
     {
-        std::bernoulli_distribution apart(share);
+        std::bernoulli_distribution other_side(share);
         for (Host &host : hosts_) {
-            host.side = apart(random_);
+            host.side = other_side(random_);
         }
     }
 
@@ -69,19 +70,19 @@
         }
     }
 
-    Outcome
+    Result
     Run(double load, int64_t from, int64_t to)
     {
         std::exponential_distribution<double> gap(load);
         std::uniform_int_distribution<size_t> host(0, hosts_.size() - 1);
         std::uniform_int_distribution<size_t> any(0, hashes_.size() - 1);
-        int64_t told = from;
-        Tell(from);
+        int64_t last_exchange = from;
+        ExchangeLiveness(from);
         for (int64_t now = from; now < to;
              now += 1 + (int64_t)(gap(random_) * kSec)) {
-            if (now - told > kSec / 2) {
-                Tell(now);
-                told = now;
+            if (now - last_exchange > kSec / 2) {
+                ExchangeLiveness(now);
+                last_exchange = now;
             }
             Host &at = hosts_[host(random_)];
             size_t first = any(random_);
@@ -93,22 +94,23 @@
                 }
             }
         }
-        outcome_.used = (double)sent_ / ((double)hashes_.size() * kPerSec *
-                                         (double)(to - from) / kSec);
-        return outcome_;
+        result_.utilization =
+            (double)sent_ /
+            ((double)hashes_.size() * kPerSec * (double)(to - from) / kSec);
+        return result_;
     }
 
   private:
     struct Host {
         uint64_t hash = 0;
         bool side = false;
-        int64_t started = -kForget;
+        int64_t started = -kForgetUsec;
         std::vector<int64_t> heard; // -1: never
         std::vector<struct wu_warmup> warmups;
     };
 
     void
-    Tell(int64_t now)
+    ExchangeLiveness(int64_t now)
     {
         for (Host &host : hosts_) {
             for (size_t i = 0; i < hosts_.size(); i++) {
@@ -120,45 +122,47 @@
     }
 
     size_t
-    Known(const Host &host, int64_t now) const
+    CountKnown(const Host &host, int64_t now) const
     {
         return (size_t)std::count_if(
             host.heard.begin(), host.heard.end(),
-            [&](int64_t at) { return at >= 0 && now - at < kForget; });
+            [&](int64_t at) { return at >= 0 && now - at < kForgetUsec; });
     }
 
     bool
-    IsFirst(const Host &host, size_t endpoint, size_t most, int64_t now) const
+    IsSender(const Host &host, size_t endpoint, size_t max_per_sec,
+             int64_t now) const
     {
-        size_t before = 0;
-        uint64_t own = Wu_Claim(host.hash, hashes_[endpoint]);
+        size_t higher = 0;
+        uint64_t own = Wu_Weight(host.hash, hashes_[endpoint]);
         for (size_t i = 0; i < hosts_.size(); i++) {
-            before += host.heard[i] >= 0 && now - host.heard[i] < kForget &&
-                      Wu_Claim(hosts_[i].hash, hashes_[endpoint]) > own;
+            higher += host.heard[i] >= 0 &&
+                      now - host.heard[i] < kForgetUsec &&
+                      Wu_Weight(hosts_[i].hash, hashes_[endpoint]) > own;
         }
-        return before < most;
+        return higher < max_per_sec;
     }
 
     bool
     MaySend(Host &host, size_t endpoint, int64_t now)
     {
         struct wu_warmup &warmup = host.warmups[endpoint];
-        if (way_ == Way::kAll) {
+        if (policy_ == SendPolicy::kAnyHost) {
             return true;
         }
-        if (way_ == Way::kWarm) {
+        if (policy_ == SendPolicy::kNeverCold) {
             return false;
         }
-        if (way_ == Way::kDivided) {
-            return now >= warmup.next_at;
+        if (policy_ == SendPolicy::kRateDivided) {
+            return now >= warmup.next_send_at;
         }
-        if (warmup.claimed_at == 0 || now - warmup.claimed_at > kSec / 2) {
-            size_t known = Known(host, now);
-            warmup.claimed_at = now;
+        if (warmup.selected_at == 0 || now - warmup.selected_at > kSec / 2) {
+            size_t known = CountKnown(host, now);
+            warmup.selected_at = now;
             struct wu_part part = Wu_Part(kPerSec, known);
             struct wu_view view = {now - host.started, false, known, known};
-            warmup.claimed =
-                IsFirst(host, endpoint, Wu_Places(&part, &view), now);
+            warmup.selected =
+                IsSender(host, endpoint, Wu_SenderCount(&part, &view), now);
         }
         return Wu_MaySend(&warmup, now);
     }
@@ -166,8 +170,8 @@
     void
     Send(Host &host, size_t endpoint, int64_t now)
     {
-        struct wu_part part = Wu_Part(kPerSec, Known(host, now));
-        if (way_ == Way::kDivided) {
+        struct wu_part part = Wu_Part(kPerSec, CountKnown(host, now));
+        if (policy_ == SendPolicy::kRateDivided) {
             part.gap_usec =
                 (int64_t)((double)kSec * (double)hosts_.size() / kPerSec);
         }
@@ -177,57 +181,59 @@
             at.pop_front();
         }
         at.push_back(now);
-        outcome_.most = std::max(outcome_.most, (int)at.size());
+        result_.max_per_sec = std::max(result_.max_per_sec, (int)at.size());
         sent_++;
     }
 
-    Way way_;
+    SendPolicy policy_;
     std::mt19937 random_;
     std::vector<Host> hosts_;
     std::vector<uint32_t> hashes_;
     std::vector<std::deque<int64_t>> arrivals_;
-    Outcome outcome_;
+    Result result_;
     int64_t sent_ = 0;
 };
 
-// A load of twice what the cold endpoints bear, and nothing else is left.
-Outcome
-Play(Way way, size_t hosts, uint32_t seed, double restarted)
+// Simulates twice the load that the cold endpoints can serve, with no warm
+// endpoint left.
+Result
+Simulate(SendPolicy policy, size_t hosts, uint32_t seed, double restarted)
 {
     const size_t kEndpoints = 10;
-    Replay replay(way, hosts, kEndpoints, seed);
-    replay.Run(1, kSec, 2 * kSec);
+    Simulation simulation(policy, hosts, kEndpoints, seed);
+    simulation.Run(1, kSec, 2 * kSec);
     if (seed % 3 != 0) {
-        replay.Cut(seed % 3 == 1 ? 0.1 : 0.5);
+        simulation.Partition(seed % 3 == 1 ? 0.1 : 0.5);
     }
-    replay.Restart(restarted, 2 * kSec);
-    return replay.Run(2 * kEndpoints * kPerSec, 2 * kSec, 10 * kSec);
+    simulation.Restart(restarted, 2 * kSec);
+    return simulation.Run(2 * kEndpoints * kPerSec, 2 * kSec, 10 * kSec);
 }
 
-// Guards against a cold endpoint that falls over since each of many hosts
-// finds it idle, also those that are cut off.
-TEST(Warmup, TheSumOverAllHostsHolds)
+// Guards against a cold endpoint that fails because each of many hosts, also
+// partitioned ones, finds it idle.
+TEST(Warmup, TotalRateOfAllHostsIsBounded)
 {
     for (size_t hosts : {1, 2, 7, 15, 16, 17, 69, 300}) {
         for (uint32_t seed = 0; seed < 6; seed++) {
-            Outcome outcome = Play(Way::kFirst, hosts, seed, 0);
-            EXPECT_LE(outcome.most, kPerSec)
+            Result result = Simulate(SendPolicy::kSenders, hosts, seed, 0);
+            EXPECT_LE(result.max_per_sec, kPerSec)
                 << hosts << " hosts, seed " << seed;
         }
     }
 }
 
-// Guards against hosts that start behind a cut, know nothing of the other side
-// and take all of what an endpoint bears.
-TEST(Warmup, TheSumHoldsWhereHostsStartBehindACut)
+// Guards against hosts that start during a network partition, know nothing of
+// the other side and use all of what an endpoint can serve.
+TEST(Warmup, TotalRateIsBoundedWhenHostsStartPartitioned)
 {
-    // The rate, half as much again and five requests are allowed.
+    // One and a half times the rate and five requests are allowed.
     const double kAllowed = kPerSec * 1.5 + 5;
     for (size_t hosts : {7, 16, 69}) {
         for (uint32_t seed = 0; seed < 12; seed++) {
             for (double restarted : {0.1, 0.3, 0.7, 1.0}) {
-                Outcome outcome = Play(Way::kFirst, hosts, seed, restarted);
-                EXPECT_LE(outcome.most, kAllowed)
+                Result result =
+                    Simulate(SendPolicy::kSenders, hosts, seed, restarted);
+                EXPECT_LE(result.max_per_sec, kAllowed)
                     << hosts << " hosts, seed " << seed;
             }
         }
@@ -235,26 +241,29 @@
 }
 
 // Guards against cold endpoints left idle while callers are refused, and
-// against a way that uses more of them than they bear.
-TEST(Warmup, FirstByClaimsUsesWhatIsBorneAndNoMore)
+// against a policy that sends them more than they can serve.
+TEST(Warmup, SendersUseTheRateAndNoMore)
 {
     for (size_t hosts : {7, 69, 300}) {
-        Outcome first = Play(Way::kFirst, hosts, 0, 0);
-        Outcome divided = Play(Way::kDivided, hosts, 0, 0);
-        Outcome all = Play(Way::kAll, hosts, 0, 0);
-        printf("%zu hosts: first %d at most, %.2f used; divided %d, %.2f; "
-               "all %d, %.2f\n",
-               hosts, first.most, first.used, divided.most, divided.used,
-               all.most, all.used);
-        EXPECT_LE(first.most, kPerSec);
-        EXPECT_GT(first.used, Play(Way::kWarm, hosts, 0, 0).used);
-        EXPECT_GT(divided.most, kPerSec) << hosts;
-        EXPECT_GT(all.most, kPerSec) << hosts;
+        Result senders = Simulate(SendPolicy::kSenders, hosts, 0, 0);
+        Result rate_divided = Simulate(SendPolicy::kRateDivided, hosts, 0, 0);
+        Result any_host = Simulate(SendPolicy::kAnyHost, hosts, 0, 0);
+        printf("%zu hosts: senders %d a second, %.2f used; "
+               "rate divided %d, %.2f; any host %d, %.2f\n",
+               hosts, senders.max_per_sec, senders.utilization,
+               rate_divided.max_per_sec, rate_divided.utilization,
+               any_host.max_per_sec, any_host.utilization);
+        EXPECT_LE(senders.max_per_sec, kPerSec);
+        EXPECT_GT(senders.utilization,
+                  Simulate(SendPolicy::kNeverCold, hosts, 0, 0).utilization);
+        EXPECT_GT(rate_divided.max_per_sec, kPerSec) << hosts;
+        EXPECT_GT(any_host.max_per_sec, kPerSec) << hosts;
     }
 }
 
-// Guards against a gap so short that three requests fall into one second.
-TEST(Warmup, PartsSumToTheRate)
+// Guards against an interval so short that three requests fall into one
+// second.
+TEST(Warmup, SendersTogetherKeepTheRate)
 {
     for (double per_sec = 0.1; per_sec < 200; per_sec += 0.7) {
         for (size_t hosts = 1; hosts < 500; hosts += 3) {
@@ -268,9 +277,9 @@
     }
 }
 
-// Guards against a rate or a time that makes no sense: no send without a gap,
-// no endpoint that is cold for ever.
-TEST(Warmup, NonsenseIsBounded)
+// Guards against invalid rates and times: no request without an interval, no
+// endpoint that stays cold for ever.
+TEST(Warmup, InvalidInputIsBounded)
 {
     for (double per_sec : {0.0, -1.0, -1e300, 1e-300, 0.0 / 0.0}) {
         struct wu_part part = Wu_Part(per_sec, 0);
--- a/packages/policy/test/way_test.cc
+++ b/packages/policy/test/way_test.cc
@@ -18,13 +18,14 @@
     return link;
 }
 
-TEST(Way, DirectFirstAndAPeerBehindIt)
+TEST(Way, DirectFirstThenThroughAPeer)
 {
     wy_link link = {};
     EXPECT_EQ(Wy_Order(&link, kNow), WY_DIRECT_FIRST);
 }
 
-// A host that cannot connect where a peer can learns nothing from it.
+// Guards against a host that cannot connect where a peer can, and does not
+// remember it.
 TEST(Way, ThroughAPeerOnceTheLinkIsCut)
 {
     wy_link link = CutLink();
@@ -34,9 +35,9 @@
     EXPECT_EQ(Wy_Order(&link, kNow), WY_DIRECT_FIRST);
 }
 
-// A crashed endpoint is taken for a cut link, and peers are asked for it at
-// every request.
-TEST(Way, AnEndpointThatNobodyReachesIsNotACutLink)
+// Guards against a crashed endpoint that is taken for a cut link, so that
+// peers are asked to connect to it at every request.
+TEST(Way, AnEndpointThatNoHostReachesIsNotACutLink)
 {
     wy_link link = {};
     EXPECT_FALSE(Wy_Ended(&link, WY_FAILED, WY_FAILED, kNow));
@@ -44,16 +45,18 @@
     EXPECT_EQ(Wy_Order(&link, kNow + 100 * kMs), WY_DIRECT_FIRST);
 }
 
-// A peer that is late once, beside a direct connection that came, is no sign.
-TEST(Way, ADirectConnectionIsProofOfTheLink)
+// Guards against a peer's failure that counts against the link although the
+// direct connection was made.
+TEST(Way, ADirectConnectionProvesTheLink)
 {
     wy_link link = {};
     EXPECT_FALSE(Wy_Ended(&link, WY_CAME, WY_FAILED, kNow));
     EXPECT_EQ(Wy_Order(&link, kNow + kMs), WY_DIRECT_FIRST);
 }
 
-// One lost segment has all links tested, and kept connections closed.
-TEST(Way, OneLateConnectionIsNoCut)
+// Guards against a single lost segment that makes the host test all links and
+// close kept connections.
+TEST(Way, OneSlowConnectionIsNoCut)
 {
     wy_link link = {};
     EXPECT_FALSE(Wy_Ended(&link, WY_OVERDUE, WY_CAME, kNow));
@@ -65,7 +68,7 @@
     EXPECT_FALSE(Wy_Ended(&other, WY_OVERDUE, WY_CAME, kNow + 200 * kMs));
 }
 
-TEST(Way, TrialsAreFurtherApartEachTime)
+TEST(Way, DirectAttemptsBackOff)
 {
     wy_link link = CutLink();
     int64_t now = kNow;
@@ -80,9 +83,9 @@
     EXPECT_TRUE(Wy_TrialDue(&link, now + kMs));
 }
 
-// A busy service is taken for a silent link: each slow answer costs its
-// endpoint a connection more.
-TEST(Way, ASlowAnswerIsNoDoubtWhereTheServiceIsHeard)
+// Guards against a busy service that is taken for a cut link: each slow answer
+// would cost its endpoint another connection.
+TEST(Way, ASlowAnswerOfAServiceHeardFromTestsNoLink)
 {
     wy_link link = {};
     int64_t later = kNow + Wy_SILENCE;
@@ -94,23 +97,24 @@
 }
 
 /*
- * Hosts that each make a connection every 50 ms while some are cut: how many
- * of those asked for at cut hosts come in time, from the bound on.
+ * Simulates hosts that each make a connection every 50 ms while some hosts are
+ * cut off from the endpoints. Measures the fraction of the cut hosts'
+ * connections, from the third second on, that are made in time.
  */
-enum Pick { kNone, kNearFirst, kAny, kChosen };
+enum PeerChoice { kNoPeer, kSameZoneFirst, kRandomPeer, kPickPeer };
 
 struct Scene {
     size_t hosts;
     size_t zones;
-    bool silent; // or refused at once
-    bool whole;  // a whole data centre, or each third host
+    bool silent; // connections time out; otherwise they are refused at once
+    bool whole;  // a whole data centre is cut off; otherwise each third host
     size_t endpoints;
 };
 
 class Model {
   public:
-    Model(const Scene &scene, Pick pick, unsigned seed)
-        : scene_(scene), pick_(pick), random_(seed), hosts_(scene.hosts)
+    Model(const Scene &scene, PeerChoice choice, unsigned seed)
+        : scene_(scene), choice_(choice), random_(seed), hosts_(scene.hosts)
     {
         for (size_t i = 0; i < hosts_.size(); i++) {
             hosts_[i].zone = i % scene.zones;
@@ -120,7 +124,7 @@
         }
     }
 
-    // Share of the connections of cut hosts that came in time.
+    // Fraction of the cut hosts' connections that were made in time.
     double
     Run()
     {
@@ -132,10 +136,10 @@
                 }
             }
             for (Host &host : hosts_) {
-                host.told_cut = host.knows_cut;
+                host.reports_cut = host.knows_cut;
             }
         }
-        return (double)in_time_ / (double)asked_;
+        return (double)in_time_ / (double)attempts_;
     }
 
   private:
@@ -143,7 +147,7 @@
         size_t zone;
         bool cut;
         bool knows_cut = false;
-        bool told_cut = false;
+        bool reports_cut = false;
         std::vector<wy_link> links;
         std::vector<int64_t> failed; // by peer
     };
@@ -162,8 +166,8 @@
         for (size_t i = 0; i < hosts_.size(); i++) {
             if (i != own) {
                 wy_peer peer = {hosts_[i].zone == hosts_[own].zone,
-                                hosts_[i].told_cut, hosts_[own].failed[i]};
-                if (pick_ == kAny) {
+                                hosts_[i].reports_cut, hosts_[own].failed[i]};
+                if (choice_ == kRandomPeer) {
                     peer = {false, false, 0};
                 }
                 peers.push_back(peer);
@@ -171,8 +175,8 @@
             }
         }
         wy_link seen = link;
-        seen.cut |= pick_ == kNearFirst;
-        if (pick_ == kNearFirst) {
+        seen.cut |= choice_ == kSameZoneFirst;
+        if (choice_ == kSameZoneFirst) {
             for (wy_peer &peer : peers) {
                 peer.failed_at = 0;
             }
@@ -195,7 +199,7 @@
             direct = WY_NOT_TRIED;
         }
         enum wy_end peer_end = WY_NOT_TRIED;
-        if (pick_ != kNone && order != WY_DIRECT_ONLY) {
+        if (choice_ != kNoPeer && order != WY_DIRECT_ONLY) {
             size_t peer = PickPeer(own, link, now);
             peer_end = hosts_[peer].cut ? WY_FAILED : WY_CAME;
             took = order == WY_PEER_FIRST ? 4 * kMs
@@ -209,31 +213,32 @@
         Wy_Ended(&link, direct, peer_end, now);
         host.knows_cut |= link.cut;
         if (at >= 3000 * kMs) {
-            asked_++;
+            attempts_++;
             in_time_ += took >= 0 && took <= 150 * kMs;
         }
     }
 
     Scene scene_;
-    Pick pick_;
+    PeerChoice choice_;
     std::mt19937 random_;
     std::vector<Host> hosts_;
-    int asked_ = 0;
+    int attempts_ = 0;
     int in_time_ = 0;
 };
 
 double
-Worst(const Scene &scene, Pick pick)
+WorstFraction(const Scene &scene, PeerChoice choice)
 {
     double worst = 1;
     for (unsigned seed = 1; seed <= 5; seed++) {
-        worst = std::min(worst, Model(scene, pick, seed).Run());
+        worst = std::min(worst, Model(scene, choice, seed).Run());
     }
     return worst;
 }
 
-// Cut hosts ask those that are cut with them, or ask the same one in vain.
-TEST(WayModel, AnyPeerUntilTheCutIsShown)
+// Guards against cut hosts that ask peers which are cut off as well, or ask
+// the same peer again and again.
+TEST(WayModel, PickedPeersReachMostEndpoints)
 {
     const Scene scenes[] = {
         {7, 4, true, true, 13},    {7, 4, false, true, 13},
@@ -242,10 +247,10 @@
         {300, 7, true, true, 200}, {300, 7, false, false, 200},
     };
     for (const Scene &scene : scenes) {
-        double none = Worst(scene, kNone);
-        double near = Worst(scene, kNearFirst);
-        double any = Worst(scene, kAny);
-        double chosen = Worst(scene, kChosen);
+        double none = WorstFraction(scene, kNoPeer);
+        double near = WorstFraction(scene, kSameZoneFirst);
+        double any = WorstFraction(scene, kRandomPeer);
+        double chosen = WorstFraction(scene, kPickPeer);
         std::cout << scene.hosts << " hosts, "
                   << (scene.silent ? "silent" : "refused") << ", "
                   << (scene.whole ? "a data centre" : "each third")
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -1,12 +1,14 @@
 /*
- * What an endpoint that has just started may be sent.  Pure.  The load it
- * answers: a cold endpoint looks idle to hundreds of hosts at once, bears a
- * few requests a second, and falls over when each host sends it one.
+ * Limits the requests sent to an endpoint that has just started and is cold.
+ * Pure. A cold endpoint looks idle to hundreds of hosts at once, serves only a
+ * few requests a second, and fails when each host sends it one.
  *
- * A few hosts serve a cold endpoint, the first by their claims on it, and each
- * keeps a gap between two requests; the others pass it by.  Claims need no
- * word between hosts: the sum holds while they do not hear each other, as long
- * as they remember of whom they have heard.
+ * Only a few hosts, the senders, may send to a cold endpoint: those with the
+ * highest rendezvous hash of host and endpoint. Each sender keeps an interval
+ * between two requests, and all other hosts choose other endpoints. Hosts
+ * exchange no messages about this. The total rate holds even while hosts are
+ * partitioned from each other, provided that each host keeps counting the
+ * hosts it was in contact with before.
  */
 #ifndef POLICY_WARMUP_H
 #define POLICY_WARMUP_H
@@ -19,72 +21,85 @@
 extern "C" {
 #endif
 
-/* How hosts divide what a cold endpoint bears. */
+/* Which part of the rate of a cold endpoint each sender may use. */
 struct wu_part {
-    size_t hosts;     /* that may send to it */
-    int64_t gap_usec; /* between two requests of one host, at the least */
+    size_t hosts;     /* number of senders */
+    int64_t gap_usec; /* least time between two requests of one sender */
 };
 
-/* What one host knows of an endpoint's warm-up. */
+/* One host's state of an endpoint's warm-up. */
 struct wu_warmup {
-    int64_t until; /* cold until then, as the endpoint says; 0: it is not */
-    int64_t doubted_to; /* may have started again: perhaps cold until then */
-    int64_t next_at;    /* when this host may send to it again */
-    int64_t claimed_at; /* when "claimed" was found; 0: never */
-    bool claimed;       /* this host is one of those that serve it */
+    int64_t cold_until;       /* as reported by the endpoint; 0: warm */
+    int64_t maybe_cold_until; /* perhaps cold, after a restart */
+    int64_t next_send_at;     /* when this host may send the next request */
+    int64_t selected_at;      /* when "selected" was computed; 0: never */
+    bool selected;            /* this host is a sender */
 };
 
 /*
- * "per_sec" requests a second are borne, by an endpoint that "hosts" hosts
- * know, this one included.
+ * Divides the "per_sec" requests a second that a cold endpoint can serve among
+ * the senders of "hosts" hosts, this one included.
  */
 struct wu_part Wu_Part(double per_sec, size_t hosts);
-/* The claim of a host on an endpoint; the highest go first. */
-uint64_t Wu_Claim(uint64_t host, uint64_t endpoint);
-/* How well a host can count the claims of others. */
+/*
+ * Rendezvous hash of a host and an endpoint; the hosts with the highest ones
+ * are the senders.
+ */
+uint64_t Wu_Weight(uint64_t host, uint64_t endpoint);
+/* What is known about how complete a host's list of hosts is. */
 struct wu_view {
-    int64_t up_usec;  /* since its start */
-    bool first_start; /* it started with all the others */
-    size_t heard;     /* hosts heard since then, this one included */
-    size_t known;     /* these and those only known of */
+    int64_t up_usec;  /* time since this host started */
+    bool first_start; /* this host started together with all others */
+    size_t heard;     /* hosts heard from since the start, this one included */
+    size_t known;     /* hosts heard from and hosts only known by name */
 };
 
 #define Wu_HOSTS_MAX 1024
 
-/* The hosts that a host knows, as the claims are counted. */
+/* The hosts that this host ranks by their hashes. */
 struct wu_hosts {
-    uint64_t own;
-    size_t count; /* of the others */
+    uint64_t own; /* hash of this host */
+    size_t count; /* number of others */
     uint64_t others[Wu_HOSTS_MAX];
     struct wu_view view;
 };
 
-/* How many hosts have a higher claim on an endpoint than this one. */
+/* Number of hosts whose hash for the endpoint is higher than this host's. */
 size_t Wu_Rank(const struct wu_hosts *hosts, uint64_t endpoint);
 
 /*
- * The place in the order of claims before which a host must be to serve a
- * cold endpoint: none while it has yet to hear of the others; a part while it
- * may not know of hosts that it is cut off from.
+ * Number of senders that this host may assume; it is a sender if its Wu_Rank()
+ * is lower. 0 until the host has been up long enough to discover the others
+ * and has heard from half of the known hosts; about half of the senders while
+ * the list may lack hosts that it is partitioned from.
  */
-size_t Wu_Places(const struct wu_part *part, const struct wu_view *view);
+size_t Wu_SenderCount(const struct wu_part *part, const struct wu_view *view);
 
 /*
- * Finds anew whether this host is one of those that serve an endpoint that
- * bears "per_sec"; due now and then, as hosts come and go.
+ * Computes again whether this host is a sender of an endpoint that can serve
+ * "per_sec" requests a second. To be repeated regularly, because hosts join
+ * and leave.
  */
 bool Wu_ClaimIsOld(const struct wu_warmup *warmup, int64_t now);
 void Wu_RenewClaim(struct wu_warmup *warmup, const struct wu_hosts *hosts,
                    double per_sec, uint64_t endpoint, int64_t now);
 
-/* Whether the endpoint says that it is cold; whether it may be. */
+/*
+ * Whether the endpoint has reported that it is cold; whether it may be cold
+ * because it may have restarted.
+ */
 bool Wu_IsCold(const struct wu_warmup *warmup, int64_t now);
 bool Wu_IsDoubted(const struct wu_warmup *warmup, int64_t now);
-/* The endpoint says for how much longer it is cold; 0: it is warm. */
-void Wu_Told(struct wu_warmup *warmup, int64_t left_usec, int64_t now);
-/* It may have started again without a word: "cold_usec" is what it takes. */
+/*
+ * Records for how much longer the endpoint reports that it is cold; 0: warm.
+ */
+void Wu_Told(struct wu_warmup *warmup, int64_t cold_left_usec, int64_t now);
+/*
+ * Records that the endpoint may have restarted without a report; it is then
+ * cold for "cold_usec".
+ */
 void Wu_Doubt(struct wu_warmup *warmup, int64_t cold_usec, int64_t now);
-/* Whether this host may send to it now, and that it did. */
+/* Whether this host may send to the endpoint now; records that it has sent. */
 bool Wu_MaySend(const struct wu_warmup *warmup, int64_t now);
 void Wu_Sent(struct wu_warmup *warmup, const struct wu_part *part,
              int64_t now);
--- a/packages/policy/way.c
+++ b/packages/policy/way.c
@@ -1,22 +1,31 @@
 #include "policy/way.h"
 
 /*
- * An endpoint that nobody reaches would cost each request two tries more, and
- * the peers as many.
+ * After neither this host nor a peer could connect, only direct attempts are
+ * made for this long: an endpoint that no host reaches would otherwise cost
+ * each request two more attempts, and the peers as many.
  */
-#define Wy_NOBODY_GAP (100 * Ck_USEC_PER_MSEC)
-/* Own tries while a link is cut, twice as far apart each time. */
-#define Wy_TRIAL_GAP (250 * Ck_USEC_PER_MSEC)
-#define Wy_TRIAL_DOUBLINGS 2
-#define Wy_TEST_GAP (250 * Ck_USEC_PER_MSEC)
-/* One opening segment may be lost; two in a row within this are a cut. */
-#define Wy_LATE_USEC (2 * Ck_USEC_PER_SEC)
+#define Wy_DIRECT_ONLY_USEC (100 * Ck_USEC_PER_MSEC)
+/*
+ * Interval between direct attempts while a link is cut; it doubles after each
+ * failed one.
+ */
+#define Wy_PROBE_INTERVAL_USEC (250 * Ck_USEC_PER_MSEC)
+#define Wy_PROBE_DOUBLINGS_MAX 2
+#define Wy_TEST_INTERVAL_USEC (250 * Ck_USEC_PER_MSEC)
+/*
+ * A single slow direct connection may be due to a lost SYN segment; two in a
+ * row within this time mean that the link is cut.
+ */
+#define Wy_SLOW_WINDOW_USEC (2 * Ck_USEC_PER_SEC)
 
-/* A peer that did not connect is asked after the others for so long. */
-#define Wy_FAILED_USEC (2 * Ck_USEC_PER_SEC)
+/*
+ * A peer that failed to connect is asked only after the others for this long.
+ */
+#define Wy_PEER_AVOID_USEC (2 * Ck_USEC_PER_SEC)
 
 static bool
-passed(int64_t since, int64_t gap, int64_t now)
+has_passed(int64_t since, int64_t gap, int64_t now)
 {
     return since == 0 || now - since >= gap;
 }
@@ -27,8 +36,9 @@
     if (link->cut) {
         return WY_PEER_FIRST;
     }
-    return passed(link->nobody_at, Wy_NOBODY_GAP, now) ? WY_DIRECT_FIRST
-                                                       : WY_DIRECT_ONLY;
+    return has_passed(link->unreachable_at, Wy_DIRECT_ONLY_USEC, now)
+               ? WY_DIRECT_FIRST
+               : WY_DIRECT_ONLY;
 }
 
 void
@@ -58,9 +68,9 @@
 }
 
 static int
-rank_of(const struct wy_link *link, const struct wy_peer *peer, int64_t now)
+peer_rank(const struct wy_link *link, const struct wy_peer *peer, int64_t now)
 {
-    return (passed(peer->failed_at, Wy_FAILED_USEC, now) ? 4 : 0) +
+    return (has_passed(peer->failed_at, Wy_PEER_AVOID_USEC, now) ? 4 : 0) +
            (peer->cut ? 0 : 2) + (link->cut && peer->near ? 1 : 0);
 }
 
@@ -71,7 +81,7 @@
     int best = -1;
     size_t best_count = 0;
     for (size_t i = 0; i < count; i++) {
-        int rank = rank_of(link, &peers[i], now);
+        int rank = peer_rank(link, &peers[i], now);
         if (rank > best) {
             best = rank;
             best_count = 0;
@@ -81,7 +91,7 @@
     size_t left = (size_t)(unit * (double)best_count);
     size_t picked = 0;
     for (size_t i = 0; i < count; i++) {
-        if (rank_of(link, &peers[i], now) == best) {
+        if (peer_rank(link, &peers[i], now) == best) {
             picked = i;
             if (left-- == 0) {
                 break;
@@ -95,30 +105,31 @@
 Wy_Ended(struct wy_link *link, enum wy_end direct, enum wy_end peer,
          int64_t now)
 {
-    bool was = link->cut;
+    bool was_cut = link->cut;
     if (direct == WY_CAME) {
         link->cut = false;
-        link->trials = 0;
-        link->nobody_at = 0;
-        link->late_at = 0;
+        link->failed_probes = 0;
+        link->unreachable_at = 0;
+        link->slow_at = 0;
     }
     else if (peer == WY_CAME && direct != WY_NOT_TRIED) {
-        bool again = !passed(link->late_at, Wy_LATE_USEC, now);
-        link->late_at = now;
-        link->cut = was || direct == WY_FAILED || again;
-        link->trial_at = was ? link->trial_at : now;
+        bool slow_again = !has_passed(link->slow_at, Wy_SLOW_WINDOW_USEC, now);
+        link->slow_at = now;
+        link->cut = was_cut || direct == WY_FAILED || slow_again;
+        link->trial_at = was_cut ? link->trial_at : now;
     }
     else if (peer == WY_FAILED) {
-        link->nobody_at = now;
+        link->unreachable_at = now;
     }
-    return link->cut != was;
+    return link->cut != was_cut;
 }
 
 bool
 Wy_TrialDue(const struct wy_link *link, int64_t now)
 {
     return link->cut &&
-           passed(link->trial_at, Wy_TRIAL_GAP << link->trials, now);
+           has_passed(link->trial_at,
+                      Wy_PROBE_INTERVAL_USEC << link->failed_probes, now);
 }
 
 void
@@ -130,8 +141,8 @@
 void
 Wy_TrialFailed(struct wy_link *link)
 {
-    if (link->trials < Wy_TRIAL_DOUBLINGS) {
-        link->trials++;
+    if (link->failed_probes < Wy_PROBE_DOUBLINGS_MAX) {
+        link->failed_probes++;
     }
 }
 
@@ -139,13 +150,14 @@
 Wy_TrySoon(struct wy_link *link)
 {
     link->trial_at = 0;
-    link->trials = 0;
+    link->failed_probes = 0;
 }
 
 bool
 Wy_MayTest(const struct wy_link *link, int64_t now)
 {
-    return !link->cut && passed(link->doubt_at, Wy_TEST_GAP, now);
+    return !link->cut &&
+           has_passed(link->tested_at, Wy_TEST_INTERVAL_USEC, now);
 }
 
 bool
@@ -159,5 +171,5 @@
 void
 Wy_Tested(struct wy_link *link, int64_t now)
 {
-    link->doubt_at = now;
+    link->tested_at = now;
 }
--- a/packages/policy/way.h
+++ b/packages/policy/way.h
@@ -1,8 +1,9 @@
 /*
- * Which way a host connects to an endpoint: by itself, or through a peer that
- * reaches it.  Pure; one link for each endpoint, fed with how connections
- * came.  A link is cut when a peer connects where this host cannot: an
- * endpoint that nobody reaches is not.
+ * Decides how a host connects to an endpoint: directly, or through a peer that
+ * can reach the endpoint. Pure; there is one link for each endpoint, updated
+ * with the outcome of each connection. A link is cut when a peer connects to
+ * the endpoint and this host cannot; an endpoint that no host reaches has no
+ * cut link. Times are microseconds.
  */
 #ifndef POLICY_WAY_H
 #define POLICY_WAY_H
@@ -17,18 +18,19 @@
 extern "C" {
 #endif
 
-/* A connection that takes longer is tried another way as well. */
+/* A direct connection that takes longer is tried through a peer as well. */
 #define Wy_PATIENCE (100 * Ck_USEC_PER_MSEC)
-/* What a request waits for an answer before its link may be doubted. */
+/* Time that a request waits for an answer before its link may be tested. */
 #define Wy_SILENCE (250 * Ck_USEC_PER_MSEC)
 
 struct wy_link {
     bool cut;
-    int64_t late_at;   /* a peer connected while this host's try hung */
-    int64_t nobody_at; /* when neither this host nor a peer connected */
-    int64_t trial_at;  /* when this host last tried by itself, while cut */
-    int64_t doubt_at;  /* when the link was last tested for its silence */
-    int trials;        /* in a row that came to nothing, while cut */
+    int64_t slow_at;        /* a peer connected, this host's attempt did not */
+    int64_t unreachable_at; /* both this host and a peer failed */
+    int64_t trial_at;       /* last direct attempt while cut */
+    int64_t tested_at;      /* last test of the link because of its silence */
+    int failed_probes; /* consecutive failed direct attempts while cut, bounded
+                        */
 };
 
 enum wy_order {
@@ -40,11 +42,11 @@
 /* A peer that may be asked to connect. */
 struct wy_peer {
     bool near;         /* in this host's data centre */
-    bool cut;          /* from some endpoints, as it says */
-    int64_t failed_at; /* when it last did not connect for this host; 0 */
+    bool cut;          /* it reports a cut link to some endpoint */
+    int64_t failed_at; /* when it last failed for this host; 0: never */
 };
 
-/* Peers that did not connect lately, the oldest forgotten first. */
+/* Peers that recently failed to connect; the oldest entry is overwritten. */
 #define Wy_FAILURES_MAX 32
 
 struct wy_failures {
@@ -56,43 +58,49 @@
 };
 
 void Wy_NoteFailure(struct wy_failures *failures, uint64_t peer, int64_t now);
-/* When a peer last did not connect; 0: not lately. */
+/* When a peer last failed to connect; 0: not recently. */
 int64_t Wy_FailedAt(const struct wy_failures *failures, uint64_t peer);
 
-/* How a try ended. */
+/* Outcome of a connection attempt. */
 enum wy_end {
     WY_NOT_TRIED,
-    WY_CAME,
-    WY_OVERDUE, /* not there when another way came */
+    WY_CAME,    /* connected */
+    WY_OVERDUE, /* still pending when the other attempt connected */
     WY_FAILED,
 };
 
-/* "now" in microseconds. */
 enum wy_order Wy_Order(const struct wy_link *link, int64_t now);
 /*
- * Which of "count" peers, at least one, to ask; "unit" is a draw, 0 to 1.  As
- * long as the link's cut is not shown the near ones, which would be cut with
- * this host, are nothing better.
+ * Picks one of "count" peers, at least one, to ask; "unit" is a random number
+ * from 0 to 1. Peers in this host's data centre are preferred only once the
+ * link is known to be cut: until then, they are likely to have lost the same
+ * link as this host.
  */
 size_t Wy_PickPeer(const struct wy_link *link, const struct wy_peer *peers,
                    size_t count, double unit, int64_t now);
-/* Takes how a connection came; true when the link's state has changed. */
+/*
+ * Records the outcome of a direct attempt and of one through a peer; true when
+ * the link's cut state has changed.
+ */
 bool Wy_Ended(struct wy_link *link, enum wy_end direct, enum wy_end peer,
               int64_t now);
-/* Whether this host should try by itself, to see whether its link is back. */
+/*
+ * Whether this host should try directly, to find out whether a cut link works
+ * again.
+ */
 bool Wy_TrialDue(const struct wy_link *link, int64_t now);
 void Wy_TrialBegun(struct wy_link *link, int64_t now);
 void Wy_TrialFailed(struct wy_link *link);
-/* The link of another endpoint is back: this one may be as well. */
+/* The link to another endpoint works again: try this one directly at once. */
 void Wy_TrySoon(struct wy_link *link);
 /*
- * Whether a request that was sent on a kept connection at "sent_at" has met
- * such silence that the link itself should be tested.  "heard_at" is when
- * any endpoint of its service was last heard directly.
+ * Whether a request sent on a kept connection at "sent_at" has waited so long
+ * without an answer that the link should be tested. "heard_at" is when any
+ * endpoint of its service was last heard from directly.
  */
 bool Wy_Doubtful(const struct wy_link *link, int64_t sent_at, int64_t heard_at,
                  int64_t now);
-/* Whether the link may be tested again, whatever the reason. */
+/* Whether the link may be tested again, for any reason. */
 bool Wy_MayTest(const struct wy_link *link, int64_t now);
 void Wy_Tested(struct wy_link *link, int64_t now);
 
