--- a/packages/policy/test/warmup_test.cc
+++ b/packages/policy/test/warmup_test.cc
@@ -21,7 +21,7 @@
 // Which hosts may send to a cold endpoint.
 enum class SendPolicy {
     kAnyHost,     // any host that finds it idle
-    kRateDivided, // every host, at its part of the rate
+    kRateDivided, // every host, at an even fraction of the rate
     kNeverCold,   // no host while it is cold
     kSenders,     // the hosts selected by rendezvous hash
 };
@@ -159,10 +159,10 @@
         if (warmup.selected_at == 0 || now - warmup.selected_at > kSec / 2) {
             size_t known = CountKnown(host, now);
             warmup.selected_at = now;
-            struct wu_part part = Wu_Part(kPerSec, known);
+            struct wu_part pacing = Wu_Part(kPerSec, known);
             struct wu_view view = {now - host.started, false, known, known};
             warmup.selected =
-                IsSender(host, endpoint, Wu_SenderCount(&part, &view), now);
+                IsSender(host, endpoint, Wu_SenderCount(&pacing, &view), now);
         }
         return Wu_MaySend(&warmup, now);
     }
@@ -170,12 +170,12 @@
     void
     Send(Host &host, size_t endpoint, int64_t now)
     {
-        struct wu_part part = Wu_Part(kPerSec, CountKnown(host, now));
+        struct wu_part pacing = Wu_Part(kPerSec, CountKnown(host, now));
         if (policy_ == SendPolicy::kRateDivided) {
-            part.gap_usec =
+            pacing.gap_usec =
                 (int64_t)((double)kSec * (double)hosts_.size() / kPerSec);
         }
-        Wu_Sent(&host.warmups[endpoint], &part, now);
+        Wu_Sent(&host.warmups[endpoint], &pacing, now);
         std::deque<int64_t> &at = arrivals_[endpoint];
         while (!at.empty() && now - at.front() >= kSec) {
             at.pop_front();
@@ -267,12 +267,12 @@
 {
     for (double per_sec = 0.1; per_sec < 200; per_sec += 0.7) {
         for (size_t hosts = 1; hosts < 500; hosts += 3) {
-            struct wu_part part = Wu_Part(per_sec, hosts);
-            int64_t each = (kSec + part.gap_usec - 1) / part.gap_usec;
-            EXPECT_LE((double)each * (double)part.hosts,
+            struct wu_part pacing = Wu_Part(per_sec, hosts);
+            int64_t each = (kSec + pacing.gap_usec - 1) / pacing.gap_usec;
+            EXPECT_LE((double)each * (double)pacing.hosts,
                       std::max(per_sec, 1.0))
                 << per_sec << " " << hosts;
-            EXPECT_GE(part.hosts, 1u);
+            EXPECT_GE(pacing.hosts, 1u);
         }
     }
 }
@@ -282,9 +282,9 @@
 TEST(Warmup, InvalidInputIsBounded)
 {
     for (double per_sec : {0.0, -1.0, -1e300, 1e-300, 0.0 / 0.0}) {
-        struct wu_part part = Wu_Part(per_sec, 0);
-        EXPECT_EQ(part.hosts, 1u);
-        EXPECT_GT(part.gap_usec, kSec);
+        struct wu_part pacing = Wu_Part(per_sec, 0);
+        EXPECT_EQ(pacing.hosts, 1u);
+        EXPECT_GT(pacing.gap_usec, kSec);
     }
     struct wu_warmup warmup = {};
     Wu_Told(&warmup, INT64_MAX, kSec);
--- a/packages/policy/warmup.c
+++ b/packages/policy/warmup.c
@@ -32,20 +32,20 @@
     if (hosts < 1) {
         hosts = 1;
     }
-    struct wu_part part = {.hosts = 1};
+    struct wu_part pacing = {.hosts = 1};
     if (per_sec >= 2) {
         double hosts_max = floor(fmin(per_sec, (double)hosts));
-        part.hosts = (size_t)hosts_max;
+        pacing.hosts = (size_t)hosts_max;
     }
     /*
      * Each sender gets whole requests a second: a fraction above one could put
      * one request more into some seconds.
      */
-    double each = per_sec / (double)part.hosts;
+    double each = per_sec / (double)pacing.hosts;
     each = each >= 1 ? floor(each) : each;
-    part.gap_usec =
+    pacing.gap_usec =
         (int64_t)((double)Ck_USEC_PER_SEC / each) + GAP_MARGIN_USEC;
-    return part;
+    return pacing;
 }
 
 uint64_t
@@ -61,15 +61,15 @@
  * endpoint would get twice the requests that it can serve.
  */
 size_t
-Wu_SenderCount(const struct wu_part *part, const struct wu_view *view)
+Wu_SenderCount(const struct wu_part *pacing, const struct wu_view *view)
 {
     if (view->up_usec < DISCOVERY_USEC || view->heard * 2 < view->known) {
         return 0;
     }
     if (view->first_start || view->up_usec >= PARTITION_MAX_USEC) {
-        return part->hosts;
+        return pacing->hosts;
     }
-    return (part->hosts + 1) / 2;
+    return (pacing->hosts + 1) / 2;
 }
 
 size_t
@@ -94,10 +94,10 @@
 Wu_RenewClaim(struct wu_warmup *warmup, const struct wu_hosts *hosts,
               double per_sec, uint64_t endpoint, int64_t now)
 {
-    struct wu_part part = Wu_Part(per_sec, hosts->count + 1);
+    struct wu_part pacing = Wu_Part(per_sec, hosts->count + 1);
     warmup->selected_at = now;
     warmup->selected =
-        Wu_Rank(hosts, endpoint) < Wu_SenderCount(&part, &hosts->view);
+        Wu_Rank(hosts, endpoint) < Wu_SenderCount(&pacing, &hosts->view);
 }
 
 bool
@@ -139,7 +139,7 @@
 }
 
 void
-Wu_Sent(struct wu_warmup *warmup, const struct wu_part *part, int64_t now)
+Wu_Sent(struct wu_warmup *warmup, const struct wu_part *pacing, int64_t now)
 {
-    warmup->next_send_at = now + part->gap_usec;
+    warmup->next_send_at = now + pacing->gap_usec;
 }
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -21,7 +21,7 @@
 extern "C" {
 #endif
 
-/* Which part of the rate of a cold endpoint each sender may use. */
+/* How the senders divide the rate that a cold endpoint can serve. */
 struct wu_part {
     size_t hosts;     /* number of senders */
     int64_t gap_usec; /* least time between two requests of one sender */
@@ -73,7 +73,8 @@
  * and has heard from half of the known hosts; about half of the senders while
  * the list may lack hosts that it is partitioned from.
  */
-size_t Wu_SenderCount(const struct wu_part *part, const struct wu_view *view);
+size_t Wu_SenderCount(const struct wu_part *pacing,
+                      const struct wu_view *view);
 
 /*
  * Computes again whether this host is a sender of an endpoint that can serve
@@ -101,7 +102,7 @@
 void Wu_Doubt(struct wu_warmup *warmup, int64_t cold_usec, int64_t now);
 /* Whether this host may send to the endpoint now; records that it has sent. */
 bool Wu_MaySend(const struct wu_warmup *warmup, int64_t now);
-void Wu_Sent(struct wu_warmup *warmup, const struct wu_part *part,
+void Wu_Sent(struct wu_warmup *warmup, const struct wu_part *pacing,
              int64_t now);
 
 #ifdef __cplusplus
--- a/packages/policy/way.h
+++ b/packages/policy/way.h
@@ -29,8 +29,7 @@
     int64_t unreachable_at; /* both this host and a peer failed */
     int64_t trial_at;       /* last direct attempt while cut */
     int64_t tested_at;      /* last test of the link because of its silence */
-    int failed_probes; /* consecutive failed direct attempts while cut, bounded
-                        */
+    int failed_probes;      /* failed direct attempts in a row while cut */
 };
 
 enum wy_order {
