--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -11,6 +11,7 @@
 #include "base/clock.h"
 #include "policy/admit_internal.h"
 
+/* A peer without a publication for this many intervals is silent. */
 #define SILENT_INTERVALS 4
 /* A raised share takes effect after this many publication intervals. */
 #define RAISE_WINDOW_INTERVALS 3
--- a/packages/policy/crowd.h
+++ b/packages/policy/crowd.h
@@ -1,7 +1,7 @@
 /*
- * Decides whether a host accepts another connection from callers. Pure: the
- * caller reports how long each iteration ("turn") of the host's event loop
- * took, which is how long a request waits to be read.
+ * Decides whether a host accepts another connection from callers. Pure; its
+ * input is how long each iteration ("turn") of the host's event loop took,
+ * which is how long a request waits to be read.
  *
  * A load balancer may send most new connections to one host for some seconds.
  * Connections that this host cannot read in time are closed unread, and the
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -194,7 +194,7 @@
     item->flow = NULL;
 }
 
-/* Removes an item whose caller no longer waits. */
+/* Removes an item whose request was abandoned while it waited. */
 void
 Qu_Remove(struct qu_queue *queue, struct qu_item *item)
 {
