--- a/packages/policy/move.c
+++ b/packages/policy/move.c
@@ -1,8 +1,9 @@
 /*
- * The state machine of a version move.  A change is first recorded, then
- * acted on; only distrust works without a record.  A holder that dies between
- * its decision and the record leaves a move that its successor decides anew
- * from the last record, the same evidence and the same distrust.
+ * The state machine of a version move.  A change of state is written to the
+ * log before anything acts on it; only the routers' circuit breakers act
+ * without a log record.  If the holder of the move's lease dies between its
+ * decision and the record, the next holder decides again, from the last
+ * record, the routers' reports and the state of their circuit breakers.
  */
 #include "policy/move.h"
 
@@ -15,44 +16,50 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-#define DEFAULT_SPAN (3600 * Ck_USEC_PER_SEC)
+#define DEFAULT_SPAN_USEC (3600 * Ck_USEC_PER_SEC)
 #define DEFAULT_FIRST_SHARE 0.02
-#define SMALL_PART 6 /* parts of the time from start to deadline */
-#define STEP_PART 12
-#define PROBATION_PART 3
-#define SMALL_LEAST (30 * Ck_USEC_PER_SEC)
-#define SMALL_MOST (600 * Ck_USEC_PER_SEC)
-#define STEP_LEAST (20 * Ck_USEC_PER_SEC)
-#define STEP_MOST (300 * Ck_USEC_PER_SEC)
-#define PROBATION_LEAST (60 * Ck_USEC_PER_SEC)
-#define PROBATION_MOST (1800 * Ck_USEC_PER_SEC)
-#define CONTROL_PER_SEC 0.5 /* to the old version in probation */
-#define CONTROL_LEAST 0.05  /* the same as a share, at least */
-#define CONTROL_MOST 0.3
-#define GROWTH 3.0
-#define SUSPICION 10.0 /* e-value above which nothing grows */
-#define REQUESTS_MIN 30
-#define NEAR_PEAK 0.8
+/*
+ * Minimum durations of a phase or step: the time from the start of the move
+ * to its deadline divided by these, within the bounds below.
+ */
+#define SMALL_DIVISOR 6
+#define STEP_DIVISOR 12
+#define PROBATION_DIVISOR 3
+#define SMALL_MIN_USEC (30 * Ck_USEC_PER_SEC)
+#define SMALL_MAX_USEC (600 * Ck_USEC_PER_SEC)
+#define STEP_MIN_USEC (20 * Ck_USEC_PER_SEC)
+#define STEP_MAX_USEC (300 * Ck_USEC_PER_SEC)
+#define PROBATION_MIN_USEC (60 * Ck_USEC_PER_SEC)
+#define PROBATION_MAX_USEC (1800 * Ck_USEC_PER_SEC)
+/* Requests for the old version during probation, bounded as a share. */
+#define CONTROL_RATE_PER_SEC 0.5
+#define CONTROL_SHARE_MIN 0.05
+#define CONTROL_SHARE_MAX 0.3
+#define GROWTH_FACTOR 3.0      /* of the share, per step */
+#define HOLD_E_VALUE 10.0      /* from here on the share is not raised */
+#define SMALL_REQUESTS_MIN 30  /* of the new version, before growing */
+#define NEAR_PEAK_FRACTION 0.8 /* of the day's peak request rate */
 
 static int64_t
-clamp_time(int64_t value, int64_t least, int64_t most)
+clamp_time(int64_t value, int64_t min_usec, int64_t max_usec)
 {
-    if (value < least) {
-        return least;
+    if (value < min_usec) {
+        return min_usec;
     }
-    return value > most ? most : value;
+    return value > max_usec ? max_usec : value;
 }
 
 static int64_t
-span(const struct mv_move *move)
+span_usec(const struct mv_move *move)
 {
     return move->plan.deadline > move->started
                ? move->plan.deadline - move->started
-               : DEFAULT_SPAN;
+               : DEFAULT_SPAN_USEC;
 }
 
 static void
-enter(struct mv_move *move, enum mv_phase phase, double share, int64_t now)
+enter_phase(struct mv_move *move, enum mv_phase phase, double share,
+            int64_t now)
 {
     move->phase = phase;
     move->share = share;
@@ -61,9 +68,9 @@
 }
 
 static void
-take_back(struct mv_move *move, const char *reason, int64_t now)
+roll_back(struct mv_move *move, const char *reason, int64_t now)
 {
-    enter(move, MV_TAKEN_BACK, 0, now);
+    enter_phase(move, MV_TAKEN_BACK, 0, now);
     strlcpy(move->reason, reason, sizeof(move->reason));
 }
 
@@ -76,7 +83,7 @@
     }
 }
 
-/* Starts a move as planned; nothing is sent to the new version yet. */
+/* Starts a move; the new version gets no requests in the first phase. */
 enum st_status
 Mv_Begin(struct mv_move *move, const struct mv_plan *plan, int64_t now)
 {
@@ -89,21 +96,20 @@
     memset(move, 0, sizeof(*move));
     set_plan(move, plan);
     move->started = now;
-    enter(move, MV_PLANNED, 0, now);
+    enter_phase(move, MV_PLANNED, 0, now);
     if (plan->withdrawn) {
-        take_back(move, "withdrawn before it began", now);
+        roll_back(move, "withdrawn before it began", now);
     }
     return ST_OK;
 }
 
-/* Whether the move has its final phase. */
 bool
 Mv_IsOver(const struct mv_move *move)
 {
     return move->phase == MV_DONE || move->phase == MV_TAKEN_BACK;
 }
 
-/* The phase as operators read it. */
+/* The name of the phase in texts for operators. */
 const char *
 Mv_PhaseName(enum mv_phase phase)
 {
@@ -114,26 +120,26 @@
 }
 
 /*
- * Takes in a revised plan; true when something changed that is to be
- * recorded.  A withdrawal sends everything back at once.  Another deadline or
- * first share applies to the move as it stands.  Another target begins anew
- * from the version that carries the traffic: nothing that was seen of the
- * one target says anything of the other.  A version taken back for a fault
- * stays so; the operator publishes a new one.
+ * Applies a revised plan; true when the state changed and must be recorded.
+ * A withdrawal rolls the move back at once.  A new deadline or first share
+ * applies to the move in its present phase.  A new target version starts a
+ * new move from the version that carries the traffic, because the statistics
+ * of one version do not apply to another.  A version that was rolled back
+ * stays so; the operator has to publish a new one.
  */
 bool
 Mv_Revise(struct mv_move *move, const struct mv_plan *plan, int64_t now)
 {
-    bool other = strcmp(plan->to, move->plan.to) != 0;
-    if (!other && Mv_IsOver(move)) {
+    bool new_target = strcmp(plan->to, move->plan.to) != 0;
+    if (!new_target && Mv_IsOver(move)) {
         return false;
     }
-    if (!other && plan->withdrawn) {
+    if (!new_target && plan->withdrawn) {
         set_plan(move, plan);
-        take_back(move, "withdrawn by the operator", now);
+        roll_back(move, "withdrawn by the operator", now);
         return true;
     }
-    if (!other) {
+    if (!new_target) {
         bool changed = plan->deadline != move->plan.deadline ||
                        plan->first_share != move->plan.first_share;
         set_plan(move, plan);
@@ -146,7 +152,7 @@
         if (Mv_IsOver(move)) {
             return false;
         }
-        take_back(move, "revised to the version before", now);
+        roll_back(move, "revised to the version before", now);
         return true;
     }
     struct mv_plan next = *plan;
@@ -164,11 +170,11 @@
 tick_planned(struct mv_move *move, const struct mv_view *view, int64_t now)
 {
     if (view->new_endpoints > 0) {
-        enter(move, MV_SMALL, fmin(move->plan.first_share, 0.5), now);
+        enter_phase(move, MV_SMALL, fmin(move->plan.first_share, 0.5), now);
         return true;
     }
     if (is_past_deadline(move, now)) {
-        take_back(move, "no endpoint of the version was ready in time", now);
+        roll_back(move, "no endpoint of the version was ready in time", now);
         return true;
     }
     return false;
@@ -177,45 +183,47 @@
 static bool
 tick_small(struct mv_move *move, const struct mv_totals *totals, int64_t now)
 {
-    int64_t least =
-        clamp_time(span(move) / SMALL_PART, SMALL_LEAST, SMALL_MOST);
-    int64_t here = now - move->phase_since;
-    bool seen = totals->count[MV_NEW] >= REQUESTS_MIN;
-    /* Too little traffic to fill the count must not stop the move. */
-    if (here < least || (!seen && here < 2 * least)) {
+    int64_t min_usec = clamp_time(span_usec(move) / SMALL_DIVISOR,
+                                  SMALL_MIN_USEC, SMALL_MAX_USEC);
+    int64_t phase_age = now - move->phase_since;
+    bool enough = totals->count[MV_NEW] >= SMALL_REQUESTS_MIN;
+    /* With too little traffic for the count, the move goes on later. */
+    if (phase_age < min_usec || (!enough && phase_age < 2 * min_usec)) {
         return false;
     }
-    enter(move, MV_GROWING, move->share, now);
+    enter_phase(move, MV_GROWING, move->share, now);
     return true;
 }
 
 /*
- * Share kept on the old version in probation, to compare with over the same
- * minutes: the fewer requests there are, the larger.
+ * The share of the old version during probation, as a control group over the
+ * same time.  It is larger at lower request rates.
  */
 static double
 control_share(const struct mv_view *view)
 {
-    double share = view->per_sec > 0 ? CONTROL_PER_SEC / view->per_sec : 1;
-    return fmin(fmax(share, CONTROL_LEAST), CONTROL_MOST);
+    double share =
+        view->per_sec > 0 ? CONTROL_RATE_PER_SEC / view->per_sec : 1;
+    return fmin(fmax(share, CONTROL_SHARE_MIN), CONTROL_SHARE_MAX);
 }
 
 static bool
 tick_growing(struct mv_move *move, const struct mv_view *view, int64_t now)
 {
-    int64_t step = clamp_time(span(move) / STEP_PART, STEP_LEAST, STEP_MOST);
+    int64_t step = clamp_time(span_usec(move) / STEP_DIVISOR, STEP_MIN_USEC,
+                              STEP_MAX_USEC);
     if (now - move->step_since < step && move->step_since > 0 &&
         move->phase_since != move->step_since) {
         return false;
     }
     double most = 1 - control_share(view);
-    double next = fmin(move->share * GROWTH, most);
+    double next = fmin(move->share * GROWTH_FACTOR, most);
     next = fmin(next, view->new_capacity);
     if (next <= move->share) {
         return false;
     }
     if (next >= most) {
-        enter(move, MV_PROBATION, most, now);
+        enter_phase(move, MV_PROBATION, most, now);
         return true;
     }
     move->share = next;
@@ -224,20 +232,21 @@
 }
 
 /*
- * Probation lasts its time and until the new version has carried a load near
- * the day's peak, at most to the deadline: a fault that shows only under
- * load would otherwise show when the old version is gone.
+ * Probation ends when its minimum time is over and the new version has served
+ * a load near the day's peak, or at the deadline.  Otherwise a fault that
+ * appears only under load would appear when the old version has been shut
+ * down.
  */
 static bool
 tick_probation(struct mv_move *move, int64_t now)
 {
-    int64_t least = clamp_time(span(move) / PROBATION_PART, PROBATION_LEAST,
-                               PROBATION_MOST);
-    bool over = now - move->phase_since >= least && move->peak_seen;
+    int64_t min_usec = clamp_time(span_usec(move) / PROBATION_DIVISOR,
+                                  PROBATION_MIN_USEC, PROBATION_MAX_USEC);
+    bool over = now - move->phase_since >= min_usec && move->peak_seen;
     if (!over && !is_past_deadline(move, now)) {
         return false;
     }
-    enter(move, MV_DONE, 1, now);
+    enter_phase(move, MV_DONE, 1, now);
     strlcpy(move->reason,
             move->peak_seen ? "no fault found"
                             : "no fault found; it has not yet carried a load "
@@ -246,17 +255,17 @@
     return true;
 }
 
-/* What ends a move at whatever phase; true when it did. */
+/* Rolls the move back for causes that apply to each phase; true if it did. */
 static bool
-tick_faults(struct mv_move *move, const struct mv_finding *finding,
-            const struct mv_view *view, int64_t now)
+tick_rollback(struct mv_move *move, const struct mv_finding *finding,
+              const struct mv_view *view, int64_t now)
 {
     if (view->distrusted) {
-        take_back(move, "routers saw requests fail one after another", now);
+        roll_back(move, "routers saw requests fail one after another", now);
         return true;
     }
     if (finding->alarm) {
-        take_back(move,
+        roll_back(move,
                   finding->slow ? "first tokens are late"
                                 : "more requests fail",
                   now);
@@ -265,20 +274,20 @@
     if (!is_past_deadline(move, now)) {
         return false;
     }
-    if (finding->e_value >= SUSPICION) {
-        take_back(move, "under suspicion at the deadline", now);
+    if (finding->e_value >= HOLD_E_VALUE) {
+        roll_back(move, "under suspicion at the deadline", now);
         return true;
     }
     if (move->phase == MV_SMALL || move->phase == MV_GROWING) {
-        take_back(move, "not enough of it was ready by the deadline", now);
+        roll_back(move, "not enough of it was ready by the deadline", now);
         return true;
     }
     return false;
 }
 
 /*
- * Decides anew; true when the state changed and is to be recorded.  Call it
- * every second or so.
+ * Advances the state machine; true when the state changed and must be
+ * recorded.  To be called about once a second.
  */
 bool
 Mv_Tick(struct mv_move *move, const struct mv_evidence *evidence,
@@ -294,17 +303,17 @@
     Mv_Totals(evidence, &totals);
     if (move->phase == MV_PROBATION &&
         (view->peak_per_sec <= 0 ||
-         view->per_sec >= NEAR_PEAK * view->peak_per_sec)) {
+         view->per_sec >= NEAR_PEAK_FRACTION * view->peak_per_sec)) {
         move->peak_seen = true;
     }
-    if (tick_faults(move, &finding, view, now)) {
+    if (tick_rollback(move, &finding, view, now)) {
         changed = true;
     }
     else if (move->phase == MV_PLANNED) {
         changed = tick_planned(move, view, now);
     }
-    else if (finding.e_value >= SUSPICION) {
-        return false; /* hold the share until it is one or the other */
+    else if (finding.e_value >= HOLD_E_VALUE) {
+        return false; /* keep the share until the evidence is clear */
     }
     else if (move->phase == MV_SMALL) {
         changed = tick_small(move, &totals, now);
@@ -329,7 +338,7 @@
 }
 
 static void
-timeliness(const struct mv_move *move, char *out, size_t size)
+describe_timing(const struct mv_move *move, char *out, size_t size)
 {
     if (move->plan.deadline <= 0) {
         strlcpy(out, "no deadline was set", size);
@@ -342,7 +351,7 @@
 }
 
 static void
-evidence_text(const struct mv_move *move, char *out, size_t size)
+describe_evidence(const struct mv_move *move, char *out, size_t size)
 {
     const struct mv_finding *finding = &move->finding;
     if (move->phase == MV_TAKEN_BACK && finding->alarm) {
@@ -366,15 +375,15 @@
              percent(totals->failed[MV_OLD], totals->count[MV_OLD]));
 }
 
-/* Writes the sentence that tells an operator where the move stands. */
+/* Writes the status of the move as a sentence for operators. */
 void
 Mv_Sentence(const struct mv_move *move, char *out, size_t size)
 {
     char time[64];
     char evidence[256];
     const struct mv_plan *plan = &move->plan;
-    timeliness(move, time, sizeof(time));
-    evidence_text(move, evidence, sizeof(evidence));
+    describe_timing(move, time, sizeof(time));
+    describe_evidence(move, evidence, sizeof(evidence));
     if (!Mv_IsOver(move)) {
         snprintf(out, size,
                  "The move of %s from %s to %s is in phase \"%s\": %.0f%% of "
@@ -392,12 +401,13 @@
 }
 
 /*
- * One router's part of a small share.  At small traffic a share by count
- * says little: one hanging request of the three in flight is a third.  So
- * the requests in flight on the new version are capped over all routers at
- * the share of those in flight, at least one; where the cap is below the
- * number of routers only the first by hash send to the new version, each as
- * much more often.
+ * One router's allotment in the first phase.  At low request rates a share of
+ * the arriving requests does not limit the harm: one hanging request of three
+ * in flight is a third of them.  The requests in flight at the new version
+ * are therefore capped over all routers at its share of all requests in
+ * flight, but at one at least.  Where the cap is below the number of routers,
+ * only as many routers, chosen by rendezvous hashing, send to the new version,
+ * with a proportionally higher share.
  */
 void
 Mv_Allot(const struct mv_move *move, const char *router,
@@ -416,11 +426,11 @@
         return;
     }
     uint64_t own = Hash_Rendezvous(move->plan.service, router);
-    int before = 0;
+    int rank = 0;
     for (size_t i = 0; i < count; i++) {
-        before += Hash_Rendezvous(move->plan.service, routers[i]) > own;
+        rank += Hash_Rendezvous(move->plan.service, routers[i]) > own;
     }
-    if (before >= cap) {
+    if (rank >= cap) {
         out->share = 0;
         out->max_in_flight = -1;
         return;
--- a/packages/policy/move.h
+++ b/packages/policy/move.h
@@ -1,9 +1,11 @@
 /*
- * Moving a service's traffic from one version to another: the router's own
- * trip, the evidence of all routers with a sequential test, and the state
- * machine that grows the share or takes the move back.  Everything here is
- * pure; docs/design/version-moves.md tells how the parts are put together.
- * Times are microseconds.
+ * A move is the progressive rollout of a service from its old version to a
+ * new one.  This module has the circuit breaker ("trip") with which each
+ * router stops sending to a faulty new version, the statistics of all routers
+ * with a sequential test on them, and the state machine that raises the new
+ * version's share of the traffic or rolls the move back.  The functions do no
+ * I/O and read no clock; docs/design/version-moves.md describes how they are
+ * combined.  Times are microseconds.
  */
 #ifndef POLICY_MOVE_H
 #define POLICY_MOVE_H
@@ -21,14 +23,15 @@
 #define Mv_NAME_MAX 64
 #define Mv_BUCKETS 40
 #define Mv_CELLS_MAX 16
-#define Mv_BLOCK_USEC INT64_C(10000000) /* evidence is compared by block */
+/* Both versions are compared over time intervals ("blocks") of this length. */
+#define Mv_BLOCK_USEC INT64_C(10000000)
 
 enum mv_side { MV_OLD, MV_NEW, MV_SIDES };
 
 /*
- * What one router saw of one route and class in one block: requests,
- * failures, and first-token times of those that did not fail, by bucket of
- * Mv_Bucket().
+ * One router's counts for one route and request class in one block: requests,
+ * failures, and a histogram over the buckets of Mv_Bucket() of the time to
+ * first token of requests that did not fail.
  */
 struct mv_cell {
     char route[Mv_NAME_MAX];
@@ -41,35 +44,42 @@
 int Mv_Bucket(int64_t usec);
 int64_t Mv_BucketStart(int bucket);
 
-/* ---- a router's own trip ---- */
+/* ---- circuit breaker of one router ---- */
 
 enum mv_outcome {
     MV_GOOD,
-    MV_FAILED, /* or no first token long after it was due */
+    MV_FAILED, /* also: the first token is long overdue */
     MV_VERY_SLOW,
 };
 
-#define Mv_TRIP_WINDOW 64   /* outcomes of the new version that are kept */
-#define Mv_TRIP_ENDPOINTS 8 /* failing endpoints of the old one kept apart */
+#define Mv_TRIP_WINDOW 64   /* latest outcomes of the new version */
+#define Mv_TRIP_ENDPOINTS 8 /* failing endpoints of the old version */
 
-/* One outcome of the new version and what the old one did around it. */
-struct mv_seen {
-    uint64_t endpoint; /* hash of its id; 0: not told */
+/*
+ * One outcome of the new version, with the old version's outcomes just before
+ * and after it.
+ */
+struct mv_trip_entry {
+    uint64_t endpoint; /* hash of its id; 0: unknown */
     bool bad;
-    int old_before; /* good ones of the old version in a row just before */
-    int old_good;   /* until the next outcome of the new one */
+    /* Successive good outcomes of the old version just before this one. */
+    int old_good_before;
+    /* Outcomes of the old version until the next one of the new version. */
+    int old_good;
     int old_bad;
 };
 
 struct mv_trip {
-    double sum;       /* cumulative evidence that the new one is not good */
-    double old_usual; /* share of bad ones, old version */
-    int old_row;      /* good ones of the old version in a row */
-    bool old_seen;    /* since the sum was last 0 */
+    /* Cumulative log-likelihood ratio: new version faulty against good. */
+    double log_ratio;
+    double old_bad_rate; /* moving average of the old version */
+    int old_good_streak; /* successive good outcomes of the old version */
+    bool old_observed;   /* an old outcome came since log_ratio was last 0 */
     bool tripped;
     int count;
-    struct mv_seen seen[Mv_TRIP_WINDOW]; /* the oldest first */
-    uint64_t failing[Mv_TRIP_ENDPOINTS]; /* old ones whose last was bad */
+    struct mv_trip_entry entries[Mv_TRIP_WINDOW]; /* oldest first */
+    /* Endpoints of the old version whose latest outcome was bad. */
+    uint64_t failing_endpoints[Mv_TRIP_ENDPOINTS];
     int next_failing;
 };
 
@@ -79,22 +89,23 @@
 bool Mv_TripNote(struct mv_trip *trip, enum mv_side side,
                  enum mv_outcome outcome);
 bool Mv_TripSuspects(const struct mv_trip *trip);
-bool Mv_TripBlock(struct mv_trip *trip, uint32_t good, uint32_t bad,
-                  double old_bad);
+bool Mv_TripNoteCounts(struct mv_trip *trip, uint32_t good, uint32_t bad,
+                       double old_bad);
 
-/* ---- evidence of all routers ---- */
+/* ---- statistics of all routers ---- */
 
 struct mv_evidence;
 
-/* The cell that speaks most against the new version. */
+/* The route and class with the strongest evidence against the new version. */
 struct mv_finding {
     bool alarm;
-    double e_value; /* of all cells together; alarm at 1 over the rate */
-    bool slow;      /* the first token is late; else requests fail */
+    /* Over all routes and classes; alarm at 1 / false-alarm rate. */
+    double e_value;
+    bool slow; /* true: first tokens are late; false: requests fail */
     char route[Mv_NAME_MAX]; /* empty: all routes together */
     int request_class;
     uint64_t count[MV_SIDES];
-    uint64_t bad[MV_SIDES]; /* failed or late */
+    uint64_t bad[MV_SIDES]; /* failed, or late where "slow" is set */
 };
 
 struct mv_totals {
@@ -114,12 +125,12 @@
 /* ---- the move ---- */
 
 enum mv_phase {
-    MV_PLANNED,    /* no endpoint of the new version yet */
-    MV_SMALL,      /* the new version carries the first share */
-    MV_GROWING,    /* growing shares */
-    MV_PROBATION,  /* it carries all; the old one is kept warm */
-    MV_DONE,       /* the old one may go */
-    MV_TAKEN_BACK, /* the old one carries all */
+    MV_PLANNED,    /* the new version has no endpoint yet */
+    MV_SMALL,      /* the new version gets the first share of the traffic */
+    MV_GROWING,    /* its share is raised step by step */
+    MV_PROBATION,  /* it gets all but a control share for the old version */
+    MV_DONE,       /* it gets all; the old version may be shut down */
+    MV_TAKEN_BACK, /* rolled back: the old version gets all */
 };
 
 struct mv_plan {
@@ -131,27 +142,30 @@
     bool withdrawn;
 };
 
-/* What the move's holder sees at a tick. */
+/* Input of a tick, as seen by the daemon that holds the move's lease. */
 struct mv_view {
-    int new_endpoints;   /* live, with the version loaded */
-    double new_capacity; /* share of the traffic they can carry, 0 to 1 */
-    bool distrusted;     /* a router has tripped on the new version */
-    double per_sec;      /* requests of the service now */
-    double peak_per_sec; /* its highest in the last day; 0: not known */
+    int new_endpoints;   /* live endpoints that have the new version loaded */
+    double new_capacity; /* share of the traffic they can serve, 0 to 1 */
+    bool distrusted;     /* the circuit breaker of a router has tripped */
+    double per_sec;      /* current request rate of the service */
+    double peak_per_sec; /* its highest rate in the last day; 0: unknown */
 };
 
-/* The whole state of a move; a log record of it restores the holder. */
+/*
+ * The whole state of a move.  It is written to the log, from which the next
+ * holder of the lease restores it.
+ */
 struct mv_move {
     struct mv_plan plan;
     enum mv_phase phase;
-    double share; /* of the new version */
+    double share; /* traffic share of the new version */
     int64_t started;
     int64_t phase_since;
     int64_t step_since;
-    bool peak_seen; /* the new version has carried a load near the peak */
+    bool peak_seen; /* the new version has served near the day's peak rate */
     char reason[160];
-    struct mv_finding finding; /* at the end */
-    struct mv_totals totals;   /* at the end */
+    struct mv_finding finding; /* at the latest change of the state */
+    struct mv_totals totals;   /* the same */
 };
 
 enum st_status Mv_Begin(struct mv_move *move, const struct mv_plan *plan,
@@ -163,10 +177,10 @@
 void Mv_Sentence(const struct mv_move *move, char *out, size_t size);
 const char *Mv_PhaseName(enum mv_phase phase);
 
-/* One router's part of a share. */
+/* What one router may send to the new version. */
 struct mv_allotment {
     double share;
-    int max_in_flight; /* as in struct ch_share */
+    int max_in_flight; /* 0: no limit; -1: none, as in struct ch_share */
 };
 
 void Mv_Allot(const struct mv_move *move, const char *router,
--- a/packages/policy/move_evidence.c
+++ b/packages/policy/move_evidence.c
@@ -1,5 +1,5 @@
 /*
- * Evidence of all routers: merging their reports, block by block.
+ * Merges the reports of all routers, block by block.
  */
 #include <bsd/string.h>
 #include <math.h>
@@ -9,37 +9,44 @@
 #include "policy/move.h"
 #include "policy/move_internal.h"
 
-#define BUCKET_FIRST 1000.0 /* usec */
-#define BUCKET_FACTOR 1.3   /* slower by less than this is not judged */
-#define START_WEIGHT                                                          \
-    0.5             /* of a fault from the start; the rest begin later        \
-                     */
-#define HORIZON 720 /* blocks over which the later starts are spread */
+#define BUCKET_FIRST_USEC 1000.0
+/* Slowdowns by less than this factor are not detected. */
+#define BUCKET_FACTOR 1.3
+/*
+ * Prior weight of a fault that is present from the start.  The rest is spread
+ * evenly over faults that begin with one of the next ONSET_HORIZON_BLOCKS
+ * blocks.
+ */
+#define ONSET_AT_START_WEIGHT 0.5
+#define ONSET_HORIZON_BLOCKS 720
 
-/* The bucket of a time; each is BUCKET_FACTOR wide. */
+/*
+ * The histogram bucket of a time.  The upper bound of a bucket is
+ * BUCKET_FACTOR times its lower bound; the first and the last are open.
+ */
 int
 Mv_Bucket(int64_t usec)
 {
-    if ((double)usec < BUCKET_FIRST) {
+    if ((double)usec < BUCKET_FIRST_USEC) {
         return 0;
     }
-    double at = log((double)usec / BUCKET_FIRST) / log(BUCKET_FACTOR);
+    double at = log((double)usec / BUCKET_FIRST_USEC) / log(BUCKET_FACTOR);
     return at < Mv_BUCKETS - 2 ? (int)at + 1 : Mv_BUCKETS - 1;
 }
 
-/* The least time that falls into the bucket. */
+/* The lower bound of the bucket. */
 int64_t
 Mv_BucketStart(int bucket)
 {
     return bucket < 1
                ? 0
-               : (int64_t)(BUCKET_FIRST * pow(BUCKET_FACTOR, bucket - 1));
+               : (int64_t)(BUCKET_FIRST_USEC * pow(BUCKET_FACTOR, bucket - 1));
 }
 
 /*
- * Starts the evidence of one move; false_alarms is the probability with
- * which a version no worse than the old one may ever be found bad.  NULL
- * when there is no memory.
+ * Starts the statistics of one move.  false_alarms is the permitted
+ * probability, over the whole move, of an alarm on a new version that is no
+ * worse than the old one.  Returns NULL when out of memory.
  */
 struct mv_evidence *
 Mv_EvidenceCreate(double false_alarms)
@@ -49,18 +56,17 @@
         return NULL;
     }
     evidence->threshold = 1 / false_alarms;
-    evidence->unstarted = 1 - START_WEIGHT;
+    evidence->pending_weight = 1 - ONSET_AT_START_WEIGHT;
     SLIST_INIT(&evidence->routers);
     for (int i = 0; i <= Mv_CELLS_MAX; i++) {
-        for (int q = 0; q < Mv_QUESTIONS; q++) {
-            mv_start_process(&evidence->cells[i].processes[q], START_WEIGHT);
+        for (int m = 0; m < Mv_METRICS; m++) {
+            mv_init_test(&evidence->cells[i].tests[m], ONSET_AT_START_WEIGHT);
         }
     }
     evidence->cells[0].used = true;
     return evidence;
 }
 
-/* Frees the evidence; NULL is allowed. */
 void
 Mv_EvidenceDestroy(struct mv_evidence *evidence)
 {
@@ -93,11 +99,11 @@
     return router;
 }
 
-static struct mv_state_cell *
+static struct mv_cell_state *
 find_cell(struct mv_evidence *evidence, const struct mv_cell *key)
 {
     for (int i = 1; i <= Mv_CELLS_MAX; i++) {
-        struct mv_state_cell *cell = &evidence->cells[i];
+        struct mv_cell_state *cell = &evidence->cells[i];
         if (!cell->used) {
             cell->used = true;
             strlcpy(cell->block.route, key->route, sizeof(cell->block.route));
@@ -109,27 +115,28 @@
             return cell;
         }
     }
-    return NULL; /* counted in the sum of all only */
+    return NULL; /* table full: counted in cells[0] only */
 }
 
 static void
-add_cell(struct mv_cell *sum, const struct mv_cell *part)
+add_cell(struct mv_cell *sum, const struct mv_cell *added)
 {
     for (int side = 0; side < MV_SIDES; side++) {
-        sum->count[side] += part->count[side];
-        sum->failed[side] += part->failed[side];
+        sum->count[side] += added->count[side];
+        sum->failed[side] += added->failed[side];
         for (int b = 0; b < Mv_BUCKETS; b++) {
-            sum->first_token[side][b] += part->first_token[side][b];
+            sum->first_token[side][b] += added->first_token[side][b];
         }
     }
 }
 
 /*
- * Adds what a router saw in a block to the block that is open.  Reports of a
- * router are numbered from 1 up, and one not newer than the last is dropped:
- * gossip repeats, and counted twice a report would prove twice as much.  A
- * late report still holds both versions over the same time and is added
- * whole.  "router" names the incarnation as well.
+ * Adds a router's report on a block to the open block.  A router numbers its
+ * reports from 1 up.  A report that is not newer than the router's last one
+ * is dropped: gossip delivers reports repeatedly, and a report counted twice
+ * would count as twice the evidence.  A late report is added whole, since it
+ * has the counts of both versions over the same time.  "id" must differ
+ * between incarnations of a router, which restart the numbering.
  */
 enum st_status
 Mv_Merge(struct mv_evidence *evidence, const char *id, uint64_t sequence,
@@ -145,7 +152,7 @@
     }
     router->sequence = sequence;
     for (size_t i = 0; i < count; i++) {
-        struct mv_state_cell *cell = find_cell(evidence, &cells[i]);
+        struct mv_cell_state *cell = find_cell(evidence, &cells[i]);
         if (cell != NULL) {
             add_cell(&cell->block, &cells[i]);
         }
@@ -159,36 +166,37 @@
 }
 
 /*
- * Ends the open block: call it each Mv_BLOCK_USEC, some seconds after the
- * routers have sent their reports.
+ * Closes and tests the open block.  To be called every Mv_BLOCK_USEC, some
+ * seconds after the routers have sent their reports.
  */
 void
 Mv_CloseBlock(struct mv_evidence *evidence)
 {
-    double start = 0;
-    if (evidence->blocks > 0 && evidence->blocks <= HORIZON) {
-        start = (1 - START_WEIGHT) / HORIZON;
-        evidence->unstarted = fmax(0, evidence->unstarted - start);
+    double onset_weight = 0;
+    if (evidence->blocks > 0 && evidence->blocks <= ONSET_HORIZON_BLOCKS) {
+        onset_weight = (1 - ONSET_AT_START_WEIGHT) / ONSET_HORIZON_BLOCKS;
+        evidence->pending_weight =
+            fmax(0, evidence->pending_weight - onset_weight);
     }
     evidence->blocks++;
     for (int i = 0; i <= Mv_CELLS_MAX; i++) {
         if (evidence->cells[i].used) {
-            mv_close_cell(&evidence->cells[i], start);
+            mv_close_cell(&evidence->cells[i], onset_weight);
         }
     }
     if (!evidence->finding.alarm) {
-        mv_judge(evidence);
+        mv_update_finding(evidence);
     }
 }
 
-/* Tells what the evidence says; an alarm once given stays. */
+/* The test result as of the last closed block; an alarm is never cleared. */
 void
 Mv_Finding(const struct mv_evidence *evidence, struct mv_finding *out)
 {
     *out = evidence->finding;
 }
 
-/* Requests and failures merged so far. */
+/* The requests and failures merged so far. */
 void
 Mv_Totals(const struct mv_evidence *evidence, struct mv_totals *out)
 {
--- a/packages/policy/move_internal.h
+++ b/packages/policy/move_internal.h
@@ -1,5 +1,5 @@
 /*
- * The evidence of a move as move_evidence.c and move_judge.c share it.
+ * Statistics of a move, shared by move_evidence.c and move_judge.c.
  */
 #ifndef POLICY_MOVE_INTERNAL_H
 #define POLICY_MOVE_INTERNAL_H
@@ -9,26 +9,27 @@
 #include "policy/move.h"
 
 #define Mv_EFFECTS 5
-#define Mv_QUESTIONS 2
+#define Mv_METRICS 2
 
-enum mv_question { MV_FAILS, MV_SLOW };
+enum mv_metric { MV_METRIC_FAILURES, MV_METRIC_LATENCY };
 
-struct mv_process {
-    double log_sum[Mv_EFFECTS];
-    double old_count; /* fading history */
+/* The sequential test of one metric of one route and class. */
+struct mv_seq_test {
+    double log_e_value[Mv_EFFECTS]; /* one for each assumed effect size */
+    double old_count;               /* decayed counts of the old version */
     double old_bad;
-    uint64_t count[MV_SIDES]; /* in the test so far */
+    uint64_t count[MV_SIDES]; /* tested so far */
     uint64_t bad[MV_SIDES];
 };
 
-struct mv_state_cell {
+struct mv_cell_state {
     bool used;
-    struct mv_cell block; /* of the open block, all routers */
-    struct mv_process processes[Mv_QUESTIONS];
-    double history[Mv_BUCKETS]; /* of the old version, fading */
-    double recent_count;        /* of the old version, fading fast */
-    double recent_bad;
-    struct mv_trip trip; /* on the requests of all routers */
+    struct mv_cell block; /* counts of the open block, all routers */
+    struct mv_seq_test tests[Mv_METRICS];
+    double old_first_token[Mv_BUCKETS]; /* decayed histogram */
+    double old_recent_count;            /* decayed over a few blocks */
+    double old_recent_bad;
+    struct mv_trip trip; /* fed with the requests of all routers */
 };
 
 struct mv_router {
@@ -38,18 +39,17 @@
 };
 
 struct mv_evidence {
-    double threshold;
+    double threshold; /* e-value of an alarm */
     int blocks;
-    double unstarted; /* weight of starts still to come */
-    struct mv_state_cell
-        cells[Mv_CELLS_MAX + 1]; /* the first is all together */
+    double pending_weight; /* prior weight of fault onsets yet to come */
+    struct mv_cell_state cells[Mv_CELLS_MAX + 1]; /* [0]: sum of all */
     SLIST_HEAD(mv_router_list, mv_router) routers;
     struct mv_totals totals;
     struct mv_finding finding;
 };
 
-void mv_start_process(struct mv_process *process, double weight);
-void mv_close_cell(struct mv_state_cell *cell, double start);
-void mv_judge(struct mv_evidence *evidence);
+void mv_init_test(struct mv_seq_test *test, double weight);
+void mv_close_cell(struct mv_cell_state *cell, double onset_weight);
+void mv_update_finding(struct mv_evidence *evidence);
 
 #endif
--- a/packages/policy/move_judge.c
+++ b/packages/policy/move_judge.c
@@ -1,16 +1,17 @@
 /*
- * The sequential test on the evidence of all routers.
+ * The sequential test on the statistics of all routers.
  *
- * For each block (the same minutes for both versions), each cell and each
- * question (does it fail, is it slow) an e-value compares the two shares of
- * bad requests: the likelihood of "old a, new b" over the likelihood of one
- * common share, for several b above a, with a and b fixed before the block.
- * Its mean is at most 1 when the new version is no worse, so the product
- * over the blocks exceeds 1/r with a probability of at most r, at whatever
- * time one looks and however often (Ville's inequality).  Means of such
- * products have the same property; so the cells, the questions, the sizes of
- * a fault and the times at which a fault may begin are all put together as
- * weighted means, and the rate holds for the whole move.
+ * For each block (the same time interval for both versions), each cell (route
+ * and request class) and each metric (failures, late first tokens), an
+ * e-value compares the bad-request rates of the two versions: the likelihood
+ * of the rates "old a, new b" divided by the likelihood of one common rate,
+ * for several b above a, with a and b fixed before the block.  Its
+ * expectation is at most 1 when the new version is no worse.  The product
+ * over the blocks therefore exceeds 1/r with a probability of at most r,
+ * whenever and however often it is checked (Ville's inequality).  Weighted
+ * means of such products have the same property.  The test takes weighted
+ * means over the cells, the metrics, the effect sizes and the times at which
+ * a fault may begin, so the false-alarm rate holds for the whole move.
  */
 #include <bsd/string.h>
 #include <math.h>
@@ -19,27 +20,29 @@
 #include "policy/move.h"
 #include "policy/move_internal.h"
 
-#define OVERALL_WEIGHT 0.5
-#define TOLERANCE 0.002 /* more failures by less than this are not judged */
-#define FADE 0.97       /* of the old version's history, a block */
-#define SLOW_QUANTILE 0.9
-#define LATE_TOLERANCE 0.01 /* the same of late first tokens */
-#define BLOCK_WORTH 50.0    /* requests that a block proves as much as */
-#define BAD_MIN 3
-#define PRIOR_COUNT 10.0
-#define RECENT_FADE 0.8 /* of the old version's recent share, a block */
-#define SHARE_LOW 0.002
-#define SHARE_HIGH 0.9
+#define OVERALL_WEIGHT 0.5 /* of the sum of all cells */
+/* Smaller increases of the failure rate and the late rate are ignored. */
+#define FAILURE_TOLERANCE 0.002
+#define LATE_TOLERANCE 0.01
+#define HISTORY_DECAY 0.97 /* per block */
+#define RECENT_DECAY 0.8   /* per block */
+#define LATE_QUANTILE 0.9  /* of the old version's first-token times */
+/* Effective sample size of a block for latency; see sample_late(). */
+#define BLOCK_SAMPLE_MAX 50.0 /* requests */
+#define BAD_MIN 3             /* bad requests needed for an alarm */
+#define PRIOR_COUNT 10.0      /* requests, weight of the prior bad rate 0.01 */
+#define RATE_MIN 0.002
+#define RATE_MAX 0.9
 
-/* How much worse a bad version may be, as part of what is left to 1. */
+/* Effect sizes: by which fraction of 1 - old the bad rate may be higher. */
 static const double effects[Mv_EFFECTS] = {0.01, 0.04, 0.15, 0.4, 0.8};
 
-/* Starts a process with the weight of a fault from the start. */
+/* "weight" is the prior weight of a fault that is present from the start. */
 void
-mv_start_process(struct mv_process *process, double weight)
+mv_init_test(struct mv_seq_test *test, double weight)
 {
     for (int i = 0; i < Mv_EFFECTS; i++) {
-        process->log_sum[i] = log(weight);
+        test->log_e_value[i] = log(weight);
     }
 }
 
@@ -51,12 +54,12 @@
 }
 
 static double
-clamp_share(double share)
+clamp_rate(double rate)
 {
-    return fmin(fmax(share, SHARE_LOW), SHARE_HIGH);
+    return fmin(fmax(rate, RATE_MIN), RATE_MAX);
 }
 
-/* Counts of a block as the test takes them. */
+/* Counts of a block after tolerance and weighting, as input of a test. */
 struct sample {
     double count[MV_SIDES];
     double bad[MV_SIDES];
@@ -76,47 +79,49 @@
 }
 
 /*
- * Multiplies a block into a process.  The old version's share is what it was
- * in earlier blocks; using this block's own would void the false-alarm rate.
+ * Multiplies the e-value of a block into a test.  The old version's rate is
+ * estimated from earlier blocks; estimating it from this block would break
+ * the guaranteed false-alarm rate.
  */
 static void
-step_process(struct mv_process *process, const struct sample *sample,
-             double start)
+update_test(struct mv_seq_test *test, const struct sample *sample,
+            double onset_weight)
 {
-    double old = clamp_share((process->old_bad + PRIOR_COUNT * 0.01) /
-                             (process->old_count + PRIOR_COUNT));
+    double old = clamp_rate((test->old_bad + PRIOR_COUNT * 0.01) /
+                            (test->old_count + PRIOR_COUNT));
     for (int i = 0; i < Mv_EFFECTS; i++) {
-        if (start > 0) {
-            process->log_sum[i] = log_add(process->log_sum[i], log(start));
+        if (onset_weight > 0) {
+            test->log_e_value[i] =
+                log_add(test->log_e_value[i], log(onset_weight));
         }
         double new = old + effects[i] * (1 - old);
-        process->log_sum[i] += log_likelihood_ratio(sample, old, new);
+        test->log_e_value[i] += log_likelihood_ratio(sample, old, new);
     }
-    process->old_count = process->old_count * FADE + sample->count[MV_OLD];
-    process->old_bad = process->old_bad * FADE + sample->bad[MV_OLD];
+    test->old_count = test->old_count * HISTORY_DECAY + sample->count[MV_OLD];
+    test->old_bad = test->old_bad * HISTORY_DECAY + sample->bad[MV_OLD];
 }
 
 static bool
-has_both(const struct sample *sample)
+has_both_sides(const struct sample *sample)
 {
     return sample->count[MV_OLD] > 0 && sample->count[MV_NEW] > 0;
 }
 
 static void
-note_bad(struct mv_process *process, const struct mv_cell *block,
-         const struct sample *sample, enum mv_question question)
+add_counts(struct mv_seq_test *test, const struct mv_cell *block,
+           const struct sample *sample, enum mv_metric metric)
 {
     for (int side = 0; side < MV_SIDES; side++) {
-        process->count[side] += (uint64_t)sample->count[side];
-        process->bad[side] += question == MV_FAILS
-                                  ? block->failed[side]
-                                  : (uint64_t)sample->bad[side];
+        test->count[side] += (uint64_t)sample->count[side];
+        test->bad[side] += metric == MV_METRIC_FAILURES
+                               ? block->failed[side]
+                               : (uint64_t)sample->bad[side];
     }
 }
 
 /*
- * Failures.  The old version is taken to fail by TOLERANCE more than it
- * does: a difference too small to matter must not take a good version back.
+ * Adds FAILURE_TOLERANCE to the old version's failure rate, so that a
+ * negligible difference does not roll a good version back.
  */
 static void
 sample_failures(const struct mv_cell *block, struct sample *out)
@@ -125,20 +130,21 @@
         out->count[side] = block->count[side];
         out->bad[side] = block->failed[side];
     }
-    out->bad[MV_OLD] += TOLERANCE * (out->count[MV_OLD] - out->bad[MV_OLD]);
+    out->bad[MV_OLD] +=
+        FAILURE_TOLERANCE * (out->count[MV_OLD] - out->bad[MV_OLD]);
 }
 
 static int
-usual_slow_bucket(const double history[Mv_BUCKETS])
+late_bucket(const double first_token[Mv_BUCKETS])
 {
     double all = 0;
     for (int b = 0; b < Mv_BUCKETS; b++) {
-        all += history[b];
+        all += first_token[b];
     }
     double sum = 0;
     for (int b = 0; b < Mv_BUCKETS; b++) {
-        sum += history[b];
-        if (all > 0 && sum >= SLOW_QUANTILE * all) {
+        sum += first_token[b];
+        if (all > 0 && sum >= LATE_QUANTILE * all) {
             return b + 1;
         }
     }
@@ -146,30 +152,31 @@
 }
 
 /*
- * Late first tokens: for the old version those above its usual 90 in 100,
- * for the new one those a bucket above that.  Requests of one block are not
- * independent: a pause of an engine or host makes a run of them late
- * together.  However many a block holds, they count as BLOCK_WORTH; counted
- * singly, a pause on either side would prove what hundreds of requests prove.
+ * Counts late first tokens.  For the old version these are the times above
+ * its usual 90th percentile, for the new version the times at least one
+ * bucket above that.  The requests of one block are not independent: a pause
+ * of an engine or host delays many of them together.  A block therefore
+ * counts as at most BLOCK_SAMPLE_MAX requests on each side; otherwise a
+ * single pause would count as hundreds of independent observations.
  */
 static void
-sample_slow(const struct mv_state_cell *cell, struct sample *out)
+sample_late(const struct mv_cell_state *cell, struct sample *out)
 {
-    int from = usual_slow_bucket(cell->history);
+    int late_from = late_bucket(cell->old_first_token);
     memset(out, 0, sizeof(*out));
-    if (from >= Mv_BUCKETS) {
+    if (late_from >= Mv_BUCKETS) {
         return;
     }
     for (int side = 0; side < MV_SIDES; side++) {
-        int first = side == MV_OLD ? from : from + 1;
+        int first = side == MV_OLD ? late_from : late_from + 1;
         for (int b = 0; b < Mv_BUCKETS; b++) {
-            uint32_t seen = cell->block.first_token[side][b];
-            out->count[side] += seen;
-            out->bad[side] += b >= first ? seen : 0;
+            uint32_t requests = cell->block.first_token[side][b];
+            out->count[side] += requests;
+            out->bad[side] += b >= first ? requests : 0;
         }
-        if (out->count[side] > BLOCK_WORTH) {
-            out->bad[side] *= BLOCK_WORTH / out->count[side];
-            out->count[side] = BLOCK_WORTH;
+        if (out->count[side] > BLOCK_SAMPLE_MAX) {
+            out->bad[side] *= BLOCK_SAMPLE_MAX / out->count[side];
+            out->count[side] = BLOCK_SAMPLE_MAX;
         }
     }
     out->bad[MV_OLD] +=
@@ -177,11 +184,11 @@
 }
 
 static void
-fade_history(struct mv_state_cell *cell)
+decay_history(struct mv_cell_state *cell)
 {
     for (int b = 0; b < Mv_BUCKETS; b++) {
-        cell->history[b] =
-            cell->history[b] * FADE + cell->block.first_token[MV_OLD][b];
+        cell->old_first_token[b] = cell->old_first_token[b] * HISTORY_DECAY +
+                                   cell->block.first_token[MV_OLD][b];
     }
 }
 
@@ -194,114 +201,118 @@
 }
 
 /*
- * The trip of a single router, on the requests of all: at small traffic no
- * router alone sees enough.  It looks for gross faults only; small ones are
- * the sequential test's.
+ * Runs the circuit breaker of a single router on the requests of all routers,
+ * since no single router sees enough of them when there is little traffic.
+ * It detects gross faults only; the sequential test detects small ones.
  */
 static void
-step_trip(struct mv_state_cell *cell)
+update_trip(struct mv_cell_state *cell)
 {
     const struct mv_cell *block = &cell->block;
-    cell->recent_count =
-        cell->recent_count * RECENT_FADE + block->count[MV_OLD];
-    cell->recent_bad = cell->recent_bad * RECENT_FADE + block->failed[MV_OLD];
-    double old_bad = (cell->recent_bad + 0.5) / (cell->recent_count + 1);
+    cell->old_recent_count =
+        cell->old_recent_count * RECENT_DECAY + block->count[MV_OLD];
+    cell->old_recent_bad =
+        cell->old_recent_bad * RECENT_DECAY + block->failed[MV_OLD];
+    double old_bad =
+        (cell->old_recent_bad + 0.5) / (cell->old_recent_count + 1);
     if (block->failed[MV_OLD] >= 2) {
         old_bad = fmax(old_bad,
                        (double)block->failed[MV_OLD] / block->count[MV_OLD]);
     }
-    Mv_TripBlock(&cell->trip, block->count[MV_NEW] - block->failed[MV_NEW],
-                 block->failed[MV_NEW], old_bad);
+    Mv_TripNoteCounts(&cell->trip,
+                      block->count[MV_NEW] - block->failed[MV_NEW],
+                      block->failed[MV_NEW], old_bad);
 }
 
-/* Tests what the block of a cell holds and empties it. */
+/* Tests the counts of the cell's open block and clears them. */
 void
-mv_close_cell(struct mv_state_cell *cell, double start)
+mv_close_cell(struct mv_cell_state *cell, double onset_weight)
 {
     struct sample sample;
     sample_failures(&cell->block, &sample);
-    if (!has_both(&sample)) {
-        return; /* one version alone proves nothing; waits for the other */
+    if (!has_both_sides(&sample)) {
+        return; /* keep the counts until both versions had requests */
     }
-    step_trip(cell);
-    step_process(&cell->processes[MV_FAILS], &sample, start);
-    note_bad(&cell->processes[MV_FAILS], &cell->block, &sample, MV_FAILS);
-    sample_slow(cell, &sample);
-    if (has_both(&sample)) {
-        step_process(&cell->processes[MV_SLOW], &sample, start);
-        note_bad(&cell->processes[MV_SLOW], &cell->block, &sample, MV_SLOW);
+    update_trip(cell);
+    update_test(&cell->tests[MV_METRIC_FAILURES], &sample, onset_weight);
+    add_counts(&cell->tests[MV_METRIC_FAILURES], &cell->block, &sample,
+               MV_METRIC_FAILURES);
+    sample_late(cell, &sample);
+    if (has_both_sides(&sample)) {
+        update_test(&cell->tests[MV_METRIC_LATENCY], &sample, onset_weight);
+        add_counts(&cell->tests[MV_METRIC_LATENCY], &cell->block, &sample,
+                   MV_METRIC_LATENCY);
     }
-    fade_history(cell);
+    decay_history(cell);
     clear_block(&cell->block);
 }
 
 static double
-process_value(const struct mv_process *process, double unstarted)
+test_e_value(const struct mv_seq_test *test, double pending_weight)
 {
     double sum = 0;
     for (int i = 0; i < Mv_EFFECTS; i++) {
-        sum += exp(fmin(process->log_sum[i], 600)) + unstarted;
+        sum += exp(fmin(test->log_e_value[i], 600)) + pending_weight;
     }
     return sum / Mv_EFFECTS;
 }
 
 static void
-describe(struct mv_finding *finding, const struct mv_state_cell *cell,
-         bool overall, enum mv_question question)
+describe(struct mv_finding *finding, const struct mv_cell_state *cell,
+         bool overall, enum mv_metric metric)
 {
-    const struct mv_process *process = &cell->processes[question];
-    finding->slow = question == MV_SLOW;
+    const struct mv_seq_test *test = &cell->tests[metric];
+    finding->slow = metric == MV_METRIC_LATENCY;
     finding->request_class = cell->block.request_class;
     strlcpy(finding->route, overall ? "" : cell->block.route,
             sizeof(finding->route));
-    memcpy(finding->count, process->count, sizeof(finding->count));
-    memcpy(finding->bad, process->bad, sizeof(finding->bad));
+    memcpy(finding->count, test->count, sizeof(finding->count));
+    memcpy(finding->bad, test->bad, sizeof(finding->bad));
 }
 
 static void
-judge_processes(struct mv_evidence *evidence)
+evaluate_tests(struct mv_evidence *evidence)
 {
     struct mv_finding *finding = &evidence->finding;
     double total = 0;
-    double most = 0;
-    uint64_t bad = 0;
+    double highest = 0;
+    uint64_t highest_bad = 0;
     for (int i = 0; i <= Mv_CELLS_MAX; i++) {
-        const struct mv_state_cell *cell = &evidence->cells[i];
+        const struct mv_cell_state *cell = &evidence->cells[i];
         double weight =
             i == 0 ? OVERALL_WEIGHT : (1 - OVERALL_WEIGHT) / Mv_CELLS_MAX;
-        for (int q = 0; q < Mv_QUESTIONS; q++) {
-            double value = cell->used ? process_value(&cell->processes[q],
-                                                      evidence->unstarted)
+        for (int m = 0; m < Mv_METRICS; m++) {
+            double value = cell->used ? test_e_value(&cell->tests[m],
+                                                     evidence->pending_weight)
                                       : 1;
-            value *= weight / Mv_QUESTIONS;
+            value *= weight / Mv_METRICS;
             total += value;
-            if (cell->used && value > most) {
-                most = value;
-                bad = cell->processes[q].bad[MV_NEW];
-                describe(finding, cell, i == 0, (enum mv_question)q);
+            if (cell->used && value > highest) {
+                highest = value;
+                highest_bad = cell->tests[m].bad[MV_NEW];
+                describe(finding, cell, i == 0, (enum mv_metric)m);
             }
         }
     }
     finding->e_value = total;
-    finding->alarm = total >= evidence->threshold && bad >= BAD_MIN;
+    finding->alarm = total >= evidence->threshold && highest_bad >= BAD_MIN;
 }
 
 static void
-judge_trips(struct mv_evidence *evidence)
+evaluate_trips(struct mv_evidence *evidence)
 {
     for (int i = 0; i <= Mv_CELLS_MAX && !evidence->finding.alarm; i++) {
-        const struct mv_state_cell *cell = &evidence->cells[i];
+        const struct mv_cell_state *cell = &evidence->cells[i];
         if (cell->trip.tripped) {
-            describe(&evidence->finding, cell, i == 0, MV_FAILS);
+            describe(&evidence->finding, cell, i == 0, MV_METRIC_FAILURES);
             evidence->finding.alarm = true;
         }
     }
 }
 
-/* Renews the finding. */
 void
-mv_judge(struct mv_evidence *evidence)
+mv_update_finding(struct mv_evidence *evidence)
 {
-    judge_processes(evidence);
-    judge_trips(evidence);
+    evaluate_tests(evidence);
+    evaluate_trips(evidence);
 }
--- a/packages/policy/move_trip.c
+++ b/packages/policy/move_trip.c
@@ -1,53 +1,58 @@
 /*
- * A router's own trip: it stops sending to a bad version on what it saw
- * itself, without waiting for anybody.
+ * Per-router circuit breaker for the new version of a move.  The router trips
+ * it on its own outcomes, without waiting for other routers or the log.
  */
 #include <math.h>
 #include <string.h>
 
 #include "policy/move.h"
 
-#define GOOD_BAD_SHARE 0.02 /* a version no worse than this is good */
-#define BAD_SHARE 0.5       /* the share the trip is made for */
-#define TOO_BAD_OLD 0.3     /* an old version as bad as this proves nothing */
+/* Bad-outcome rates of the two hypotheses of the likelihood-ratio test. */
+#define GOOD_BAD_RATE 0.02  /* highest rate of a good version */
+#define FAULTY_BAD_RATE 0.5 /* rate that the test is tuned to detect */
+/* Above this rate of the old version, the versions are not compared. */
+#define OLD_BAD_RATE_MAX 0.3
 /*
- * A version as good as assumed comes to this once in exp(TRIP_AT) of its
- * requests in the mean, or less often.
+ * A good version reaches this log-likelihood ratio on average at most once in
+ * exp(TRIP_LOG_RATIO) of its requests.
  */
-#define TRIP_AT 14.0
-#define BLIND_AT (3 * TRIP_AT) /* with nothing seen of the old version */
+#define TRIP_LOG_RATIO 14.0
+/* Threshold without any outcome of the old version to compare with. */
+#define TRIP_LOG_RATIO_BLIND (3 * TRIP_LOG_RATIO)
 /*
- * Two versions with one common share differ by this in a given stretch about
- * once in exp(APART).
+ * Two versions with the same bad rate are separated by this log-likelihood
+ * ratio in a given suffix with a probability of about exp(-SEPARATION_MIN).
  */
-#define APART 8.5
-/* More is asked where the old version fails: usually, or in the stretch. */
-#define APART_USUAL 120.0
-#define APART_HERE 60.0
-#define USUAL_GAIN 0.01
+#define SEPARATION_MIN 8.5
+/*
+ * The threshold rises with the old version's bad rate, on average and within
+ * the suffix.
+ */
+#define SEPARATION_PER_OLD_RATE 120.0
+#define SEPARATION_PER_SUFFIX_RATE 60.0
+#define OLD_RATE_GAIN 0.01
 
-/* What was seen in a stretch of requests, up to now. */
-struct stretch {
+/* Counts over a suffix of the outcome window: from some outcome to now. */
+struct suffix {
     double good[MV_SIDES];
     double bad[MV_SIDES];
 };
 
-/* What one endpoint of the new version did in a stretch. */
-struct tally {
+/* Outcomes of one endpoint of the new version in a suffix. */
+struct endpoint_tally {
     uint64_t endpoint;
-    int seen;
+    int outcomes;
     int failed;
-    bool well; /* one of its last two was good */
+    bool healthy; /* one of its last two outcomes was good */
 };
 
-struct tallies {
-    struct tally of[Mv_TRIP_WINDOW];
+struct endpoint_tallies {
+    struct endpoint_tally of[Mv_TRIP_WINDOW];
     int count;
-    int well;
-    const struct tally *worst;
+    int healthy_count;
+    const struct endpoint_tally *worst;
 };
 
-/* Starts with nothing seen. */
 void
 Mv_TripInit(struct mv_trip *trip)
 {
@@ -55,10 +60,10 @@
 }
 
 static double
-evidence(double good, double bad, double usual)
+log_ratio(double good, double bad, double assumed_rate)
 {
-    return bad * log(BAD_SHARE / usual) +
-           good * log((1 - BAD_SHARE) / (1 - usual));
+    return bad * log(FAULTY_BAD_RATE / assumed_rate) +
+           good * log((1 - FAULTY_BAD_RATE) / (1 - assumed_rate));
 }
 
 static double
@@ -68,88 +73,102 @@
 }
 
 static double
-own_share(double good, double bad)
+max_log_likelihood(double good, double bad)
 {
     return x_log_x(good) + x_log_x(bad) - x_log_x(good + bad);
 }
 
-/* The log likelihood of a share for each version over that of one share. */
+/*
+ * The log-likelihood ratio of separate bad rates for the two versions against
+ * one common rate; 0 where the new version is no worse.
+ */
 static double
-apart(const struct stretch *s)
+separation(const struct suffix *counts)
 {
-    double old = s->good[MV_OLD] + s->bad[MV_OLD];
-    double new = s->good[MV_NEW] + s->bad[MV_NEW];
-    if (s->bad[MV_NEW] * old <= s->bad[MV_OLD] * new) {
+    double old = counts->good[MV_OLD] + counts->bad[MV_OLD];
+    double new = counts->good[MV_NEW] + counts->bad[MV_NEW];
+    if (counts->bad[MV_NEW] * old <= counts->bad[MV_OLD] * new) {
         return 0;
     }
-    return own_share(s->good[MV_OLD], s->bad[MV_OLD]) +
-           own_share(s->good[MV_NEW], s->bad[MV_NEW]) -
-           own_share(s->good[MV_OLD] + s->good[MV_NEW],
-                     s->bad[MV_OLD] + s->bad[MV_NEW]);
+    return max_log_likelihood(counts->good[MV_OLD], counts->bad[MV_OLD]) +
+           max_log_likelihood(counts->good[MV_NEW], counts->bad[MV_NEW]) -
+           max_log_likelihood(counts->good[MV_OLD] + counts->good[MV_NEW],
+                              counts->bad[MV_OLD] + counts->bad[MV_NEW]);
 }
 
-/* Never less than apart(), and cheap: chi-square of the two shares. */
+/*
+ * A cheap upper bound of separation(): the chi-square statistic of the two
+ * bad rates.
+ */
 static double
-apart_most(const struct stretch *s)
+separation_bound(const struct suffix *counts)
 {
-    double old = s->good[MV_OLD] + s->bad[MV_OLD];
-    double new = s->good[MV_NEW] + s->bad[MV_NEW];
-    double good = s->good[MV_OLD] + s->good[MV_NEW];
-    double bad = s->bad[MV_OLD] + s->bad[MV_NEW];
-    double cross =
-        s->bad[MV_NEW] * s->good[MV_OLD] - s->bad[MV_OLD] * s->good[MV_NEW];
-    double below = old * new *good *bad;
-    return below > 0 ? cross * cross * (old + new) / below : 0;
+    double old = counts->good[MV_OLD] + counts->bad[MV_OLD];
+    double new = counts->good[MV_NEW] + counts->bad[MV_NEW];
+    double good = counts->good[MV_OLD] + counts->good[MV_NEW];
+    double bad = counts->bad[MV_OLD] + counts->bad[MV_NEW];
+    double cross = counts->bad[MV_NEW] * counts->good[MV_OLD] -
+                   counts->bad[MV_OLD] * counts->good[MV_NEW];
+    double denominator = old * new *good *bad;
+    return denominator > 0 ? cross * cross * (old + new) / denominator : 0;
 }
 
 static bool
-is_apart(const struct mv_trip *trip, const struct stretch *s)
+is_separated(const struct mv_trip *trip, const struct suffix *counts)
 {
-    double old = s->good[MV_OLD] + s->bad[MV_OLD];
+    double old = counts->good[MV_OLD] + counts->bad[MV_OLD];
     if (old <= 0) {
         return false;
     }
-    double least = APART + fmax(APART_USUAL * trip->old_usual,
-                                APART_HERE * s->bad[MV_OLD] / old);
-    return apart_most(s) >= least && apart(s) >= least;
+    double threshold =
+        SEPARATION_MIN +
+        fmax(SEPARATION_PER_OLD_RATE * trip->old_bad_rate,
+             SEPARATION_PER_SUFFIX_RATE * counts->bad[MV_OLD] / old);
+    return separation_bound(counts) >= threshold &&
+           separation(counts) >= threshold;
 }
 
-static struct tally *
-find_tally(struct tallies *tallies, uint64_t endpoint)
+static struct endpoint_tally *
+find_tally(struct endpoint_tallies *tallies, uint64_t endpoint)
 {
     for (int i = 0; i < tallies->count; i++) {
         if (tallies->of[i].endpoint == endpoint) {
             return &tallies->of[i];
         }
     }
-    struct tally *tally = &tallies->of[tallies->count++];
-    *tally = (struct tally){.endpoint = endpoint};
+    struct endpoint_tally *tally = &tallies->of[tallies->count++];
+    *tally = (struct endpoint_tally){.endpoint = endpoint};
     return tally;
 }
 
-/* Which endpoints answer; their failures are counted as the stretch grows. */
+/*
+ * Finds the healthy endpoints of the new version.  count_failure() counts the
+ * failures of each endpoint as the suffix is extended.
+ */
 static void
-find_well(const struct mv_trip *trip, struct tallies *out)
+find_healthy(const struct mv_trip *trip, struct endpoint_tallies *out)
 {
     out->count = 0;
-    out->well = 0;
+    out->healthy_count = 0;
     out->worst = NULL;
     for (int i = trip->count - 1; i >= 0; i--) {
-        struct tally *tally = find_tally(out, trip->seen[i].endpoint);
-        if (++tally->seen <= 2 && !trip->seen[i].bad && !tally->well) {
-            tally->well = true;
-            out->well++;
+        struct endpoint_tally *tally =
+            find_tally(out, trip->entries[i].endpoint);
+        if (++tally->outcomes <= 2 && !trip->entries[i].bad &&
+            !tally->healthy) {
+            tally->healthy = true;
+            out->healthy_count++;
         }
     }
 }
 
 static void
-count_failure(struct tallies *tallies, uint64_t endpoint)
+count_failure(struct endpoint_tallies *tallies, uint64_t endpoint)
 {
     if (endpoint == 0) {
         return;
     }
-    struct tally *tally = find_tally(tallies, endpoint);
+    struct endpoint_tally *tally = find_tally(tallies, endpoint);
     tally->failed++;
     if (tallies->worst == NULL || tally->failed > tallies->worst->failed) {
         tallies->worst = tally;
@@ -157,73 +176,81 @@
 }
 
 /*
- * An endpoint that dies fails all it had in flight and says nothing of its
- * version.  While another one of the version answers, the worst endpoint's
- * failures count for no more than those of the others and two.
+ * An endpoint that dies fails all its requests in flight, which is no evidence
+ * against its version.  While another endpoint of the version is healthy, the
+ * failures of the worst endpoint therefore count for at most two more than
+ * the failures of all others together.
  */
 static double
-of_version(const struct tallies *tallies, double bad)
+discount_worst(const struct endpoint_tallies *tallies, double bad)
 {
-    const struct tally *worst = tallies->worst;
-    if (worst == NULL || tallies->well - worst->well <= 0) {
+    const struct endpoint_tally *worst = tallies->worst;
+    if (worst == NULL || tallies->healthy_count - worst->healthy <= 0) {
         return bad;
     }
     return fmin(bad, 2 * (bad - worst->failed) + 2);
 }
 
 /*
- * Looks at each stretch from an outcome of the new version to now.  In one of
- * them the new version must be far from good and the two versions' shares
- * apart: in an outage of what both use they are not.  Failures of the old
- * version that came before or after the stretch excuse nothing in it.
+ * Tests every suffix of the outcome window.  The new version is faulty when,
+ * in one of them, its bad rate is far above that of a good version and also
+ * separated from the old version's rate.  In an outage of a dependency of
+ * both versions the rates are not separated.  Failures of the old version
+ * outside a suffix do not count in it, so they cannot hide a faulty new
+ * version.
  */
 static bool
-is_bad(const struct mv_trip *trip)
+is_new_faulty(const struct mv_trip *trip)
 {
-    struct stretch s = {{0, 0}, {0, 0}};
-    struct tallies tallies;
+    struct suffix suffix = {{0, 0}, {0, 0}};
+    struct endpoint_tallies tallies;
     double bad = 0;
-    find_well(trip, &tallies);
+    find_healthy(trip, &tallies);
     for (int i = trip->count - 1; i >= 0; i--) {
-        const struct mv_seen *seen = &trip->seen[i];
-        s.good[MV_OLD] += seen->old_good;
-        s.bad[MV_OLD] += seen->old_bad;
-        s.good[MV_NEW] += !seen->bad;
-        if (seen->bad) {
+        const struct mv_trip_entry *entry = &trip->entries[i];
+        suffix.good[MV_OLD] += entry->old_good;
+        suffix.bad[MV_OLD] += entry->old_bad;
+        suffix.good[MV_NEW] += !entry->bad;
+        if (entry->bad) {
             bad++;
-            count_failure(&tallies, seen->endpoint);
+            count_failure(&tallies, entry->endpoint);
         }
-        s.bad[MV_NEW] = of_version(&tallies, bad);
-        double sum = evidence(s.good[MV_NEW], s.bad[MV_NEW], GOOD_BAD_SHARE);
-        if (sum < TRIP_AT) {
+        suffix.bad[MV_NEW] = discount_worst(&tallies, bad);
+        double suffix_log_ratio =
+            log_ratio(suffix.good[MV_NEW], suffix.bad[MV_NEW], GOOD_BAD_RATE);
+        if (suffix_log_ratio < TRIP_LOG_RATIO) {
             continue;
         }
-        struct stretch longer = s;
-        longer.good[MV_OLD] += seen->old_before;
-        if (is_apart(trip, &s) ||
-            (seen->old_before > 0 && is_apart(trip, &longer)) ||
-            (!trip->old_seen && sum >= BLIND_AT)) {
+        struct suffix extended = suffix;
+        extended.good[MV_OLD] += entry->old_good_before;
+        if (is_separated(trip, &suffix) ||
+            (entry->old_good_before > 0 && is_separated(trip, &extended)) ||
+            (!trip->old_observed &&
+             suffix_log_ratio >= TRIP_LOG_RATIO_BLIND)) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether the endpoint failed the time before as well; keeps it for next. */
+/*
+ * Whether the endpoint's previous outcome was bad as well.  Remembers this
+ * outcome for the next call.
+ */
 static bool
-fails_again(struct mv_trip *trip, uint64_t endpoint, bool bad)
+is_repeated_failure(struct mv_trip *trip, uint64_t endpoint, bool bad)
 {
     if (endpoint == 0) {
         return false;
     }
     for (int i = 0; i < Mv_TRIP_ENDPOINTS; i++) {
-        if (trip->failing[i] == endpoint) {
-            trip->failing[i] = bad ? endpoint : 0;
+        if (trip->failing_endpoints[i] == endpoint) {
+            trip->failing_endpoints[i] = bad ? endpoint : 0;
             return bad;
         }
     }
     if (bad) {
-        trip->failing[trip->next_failing] = endpoint;
+        trip->failing_endpoints[trip->next_failing] = endpoint;
         trip->next_failing = (trip->next_failing + 1) % Mv_TRIP_ENDPOINTS;
     }
     return false;
@@ -232,13 +259,14 @@
 static void
 note_old(struct mv_trip *trip, bool bad, uint64_t endpoint)
 {
-    trip->old_seen = true;
-    if (!fails_again(trip, endpoint, bad)) {
-        trip->old_usual += ((bad ? 1 : 0) - trip->old_usual) * USUAL_GAIN;
+    trip->old_observed = true;
+    if (!is_repeated_failure(trip, endpoint, bad)) {
+        trip->old_bad_rate +=
+            ((bad ? 1 : 0) - trip->old_bad_rate) * OLD_RATE_GAIN;
     }
-    trip->old_row = bad ? 0 : trip->old_row + 1;
+    trip->old_good_streak = bad ? 0 : trip->old_good_streak + 1;
     if (trip->count > 0) {
-        struct mv_seen *last = &trip->seen[trip->count - 1];
+        struct mv_trip_entry *last = &trip->entries[trip->count - 1];
         last->old_good += !bad;
         last->old_bad += bad;
     }
@@ -247,26 +275,29 @@
 static void
 note_new(struct mv_trip *trip, bool bad, uint64_t endpoint)
 {
-    trip->sum += evidence(!bad, bad, GOOD_BAD_SHARE);
-    trip->sum = fmin(fmax(trip->sum, 0), BLIND_AT);
-    if (trip->sum <= 0) {
-        trip->old_seen = false;
+    trip->log_ratio += log_ratio(!bad, bad, GOOD_BAD_RATE);
+    trip->log_ratio = fmin(fmax(trip->log_ratio, 0), TRIP_LOG_RATIO_BLIND);
+    if (trip->log_ratio <= 0) {
+        trip->old_observed = false;
     }
     if (trip->count == Mv_TRIP_WINDOW) {
         trip->count--;
-        memmove(trip->seen, trip->seen + 1,
-                (size_t)trip->count * sizeof(trip->seen[0]));
+        memmove(trip->entries, trip->entries + 1,
+                (size_t)trip->count * sizeof(trip->entries[0]));
     }
-    trip->seen[trip->count++] = (struct mv_seen){
-        .endpoint = endpoint, .bad = bad, .old_before = trip->old_row};
-    trip->old_row = 0;
+    trip->entries[trip->count++] =
+        (struct mv_trip_entry){.endpoint = endpoint,
+                               .bad = bad,
+                               .old_good_before = trip->old_good_streak};
+    trip->old_good_streak = 0;
 }
 
 /*
- * Enters an outcome at an endpoint; true from the one on that trips.  The
- * cumulative likelihood ratio of BAD_SHARE against a good version's share is
- * kept from falling below zero, so that a fault that begins late is seen as
- * soon as one at the start; it says when to look.
+ * Records an outcome of an endpoint.  Returns true once the circuit breaker
+ * has tripped.  The cumulative log-likelihood ratio of FAULTY_BAD_RATE against
+ * GOOD_BAD_RATE is kept at or above zero (CUSUM), so that a fault that begins
+ * late is detected as quickly as one at the start.  When the ratio reaches
+ * TRIP_LOG_RATIO, the suffixes of the window are tested.
  */
 bool
 Mv_TripNoteAt(struct mv_trip *trip, enum mv_side side, enum mv_outcome outcome,
@@ -279,15 +310,19 @@
     else {
         note_new(trip, bad, endpoint);
     }
-    /* Only these speak against the new one. */
-    bool against = (side == MV_NEW) == bad;
-    if (!trip->tripped && against && trip->sum >= TRIP_AT) {
-        trip->tripped = is_bad(trip);
+    /* Only a bad outcome of the new version or a good one of the old trips. */
+    bool implicates_new = (side == MV_NEW) == bad;
+    if (!trip->tripped && implicates_new &&
+        trip->log_ratio >= TRIP_LOG_RATIO) {
+        trip->tripped = is_new_faulty(trip);
     }
     return trip->tripped;
 }
 
-/* The same with the endpoint not told: each failure counts. */
+/*
+ * Mv_TripNoteAt() for an unknown endpoint, for which no failure is
+ * discounted.
+ */
 bool
 Mv_TripNote(struct mv_trip *trip, enum mv_side side, enum mv_outcome outcome)
 {
@@ -295,31 +330,34 @@
 }
 
 /*
- * Whether the router should send every other request to the old version:
- * when the new one carries nearly all, only that tells its fault from an
- * outage of what both use before many requests have failed.
+ * Whether the router should send every other request to the old version.
+ * Where the new version gets nearly all the traffic, only this distinguishes
+ * its fault from an outage of a shared dependency before many requests have
+ * failed.
  */
 bool
 Mv_TripSuspects(const struct mv_trip *trip)
 {
-    return trip->sum >= TRIP_AT / 2;
+    return trip->log_ratio >= TRIP_LOG_RATIO / 2;
 }
 
 /*
- * The same for many outcomes of the new version at once, their order not
- * known, with the old version's share over the same time.  While the old one
- * is bad, what was held against the new one is void.
+ * Records many outcomes of the new version at once, in unknown order; old_bad
+ * is the old version's bad rate over the same time.  While the old version
+ * itself is bad, the evidence against the new version is discarded.
  */
 bool
-Mv_TripBlock(struct mv_trip *trip, uint32_t good, uint32_t bad, double old_bad)
+Mv_TripNoteCounts(struct mv_trip *trip, uint32_t good, uint32_t bad,
+                  double old_bad)
 {
-    double usual = fmax(GOOD_BAD_SHARE, 2 * old_bad);
-    if (usual >= TOO_BAD_OLD) {
-        trip->sum = 0;
+    double assumed_rate = fmax(GOOD_BAD_RATE, 2 * old_bad);
+    if (assumed_rate >= OLD_BAD_RATE_MAX) {
+        trip->log_ratio = 0;
     }
     else {
-        trip->sum = fmax(0, trip->sum + evidence(good, bad, usual));
+        trip->log_ratio =
+            fmax(0, trip->log_ratio + log_ratio(good, bad, assumed_rate));
     }
-    trip->tripped |= trip->sum >= TRIP_AT;
+    trip->tripped |= trip->log_ratio >= TRIP_LOG_RATIO;
     return trip->tripped;
 }
