--- a/packages/policy/test/move_model.c
+++ b/packages/policy/test/move_model.c
@@ -7,17 +7,17 @@
 
 #include "base/random.h"
 
-#define SEC INT64_C(1000000)
-#define SPAN (3600 * SEC)
-#define LATE_AT (2100 * SEC)
-#define LOAD_PERIOD (1800 * SEC)
+#define USEC_PER_SEC INT64_C(1000000)
+#define DEADLINE_USEC (3600 * USEC_PER_SEC)
+#define LATE_FAULT_USEC (2100 * USEC_PER_SEC)
+#define LOAD_PERIOD_USEC (1800 * USEC_PER_SEC)
 #define ROUTES 4
 #define CLASSES 2
-#define ENGINES 2 /* of each version */
-#define STALL_LEAST (200 * 1000)
-#define STALL_MOST (2 * SEC)
+#define ENGINES 2 /* per version */
+#define STALL_MIN_USEC (200 * 1000)
+#define STALL_MAX_USEC (2 * USEC_PER_SEC)
 
-struct run {
+struct simulation {
     const struct move_model *model;
     struct rn_random random;
     struct mv_evidence *evidence;
@@ -31,15 +31,15 @@
 static double
 load(int64_t now)
 {
-    return 0.75 - 0.25 * cos(2 * M_PI * (double)now / LOAD_PERIOD);
+    return 0.75 - 0.25 * cos(2 * M_PI * (double)now / LOAD_PERIOD_USEC);
 }
 
 static double
-failing(const struct run *run, enum mv_side side, int route)
+failure_rate(const struct simulation *run, enum mv_side side, int route)
 {
-    double usual = run->model->old_failed;
+    double usual_rate = run->model->old_failed;
     if (side == MV_OLD) {
-        return usual;
+        return usual_rate;
     }
     switch (run->model->fault) {
     case FAULT_FAILS:
@@ -47,13 +47,13 @@
     case FAULT_FAILS_LITTLE:
         return 0.03;
     case FAULT_LATE:
-        return run->now >= LATE_AT ? 0.3 : usual;
+        return run->now >= LATE_FAULT_USEC ? 0.3 : usual_rate;
     case FAULT_LOAD:
-        return load(run->now) > 0.8 ? 0.2 : usual;
+        return load(run->now) > 0.8 ? 0.2 : usual_rate;
     case FAULT_ROUTE:
-        return route == 0 ? 0.2 : usual;
+        return route == 0 ? 0.2 : usual_rate;
     default:
-        return usual;
+        return usual_rate;
     }
 }
 
@@ -64,9 +64,9 @@
     return sqrt(-2 * log(u)) * cos(2 * M_PI * Rn_Unit(random));
 }
 
-/* Draws the pauses that begin in this second. */
+/* Draws at random whether an engine stalls from this second on. */
 static void
-stall(struct run *run)
+draw_stall(struct simulation *run)
 {
     double rate = run->model->stalls_per_min / 60;
     if (Rn_Unit(&run->random) >= rate) {
@@ -74,23 +74,24 @@
     }
     int side = (int)Rn_Below(&run->random, MV_SIDES);
     int engine = (int)Rn_Below(&run->random, ENGINES);
-    int64_t lasts = STALL_LEAST +
-                    (int64_t)Rn_Below(&run->random, STALL_MOST - STALL_LEAST);
-    run->stalled_until[side][engine] = run->now + lasts;
+    int64_t duration =
+        STALL_MIN_USEC +
+        (int64_t)Rn_Below(&run->random, STALL_MAX_USEC - STALL_MIN_USEC);
+    run->stalled_until[side][engine] = run->now + duration;
 }
 
-/* What is left of the pause of the engine that a request has come to. */
+/* The remaining stall, at its arrival, of a request's random engine. */
 static int64_t
-stalled(struct run *run, enum mv_side side)
+remaining_stall(struct simulation *run, enum mv_side side)
 {
     int engine = (int)Rn_Below(&run->random, ENGINES);
-    int64_t arrives = run->now + (int64_t)Rn_Below(&run->random, SEC);
+    int64_t arrives = run->now + (int64_t)Rn_Below(&run->random, USEC_PER_SEC);
     int64_t left = run->stalled_until[side][engine] - arrives;
     return left > 0 ? left : 0;
 }
 
 static void
-request(struct run *run, struct mv_move *move)
+simulate_request(struct simulation *run, struct mv_move *move)
 {
     int router = (int)Rn_Below(&run->random, (uint32_t)run->model->routers);
     double drawn = Rn_Unit(&run->random);
@@ -105,15 +106,15 @@
     }
     enum mv_side side = new ? MV_NEW : MV_OLD;
     struct mv_cell *cell = &run->cells[router][route * CLASSES + cls];
-    double middle = 120000 * (1 + 0.5 * load(run->now));
+    double median = 120000 * (1 + 0.5 * load(run->now));
     if (new && run->model->fault == FAULT_SLOWS) {
-        middle *= 2;
+        median *= 2;
     }
-    int64_t first = (int64_t)(middle * exp(0.5 * normal(&run->random)));
+    int64_t first = (int64_t)(median * exp(0.5 * normal(&run->random)));
     if (run->model->stalls_per_min > 0) {
-        first += stalled(run, side);
+        first += remaining_stall(run, side);
     }
-    bool failed = Rn_Unit(&run->random) < failing(run, side, route);
+    bool failed = Rn_Unit(&run->random) < failure_rate(run, side, route);
     cell->count[side]++;
     cell->failed[side] += failed;
     cell->first_token[side][Mv_Bucket(first)] += !failed;
@@ -123,7 +124,7 @@
 }
 
 static void
-report(struct run *run, uint64_t sequence)
+send_reports(struct simulation *run, uint64_t sequence)
 {
     for (int r = 0; r < run->model->routers; r++) {
         char id[16];
@@ -140,7 +141,7 @@
 }
 
 static void
-set_up(struct run *run)
+set_up(struct simulation *run)
 {
     const struct move_model *model = run->model;
     size_t routers = (size_t)model->routers;
@@ -158,7 +159,7 @@
     }
     run->out->fault_at = -1;
     if (model->fault == FAULT_LATE) {
-        run->out->fault_at = LATE_AT;
+        run->out->fault_at = LATE_FAULT_USEC;
     }
     else if (model->fault != FAULT_NONE) {
         run->out->fault_at = 0;
@@ -168,27 +169,29 @@
 void
 Move_Run(const struct move_model *model, struct move_outcome *out)
 {
-    struct run run = {.model = model, .out = out};
-    struct mv_plan plan = {"rink", "v1", "v2", 0.02, SPAN + SEC, false};
+    struct simulation run = {.model = model, .out = out};
+    struct mv_plan plan = {
+        "rink", "v1", "v2", 0.02, DEADLINE_USEC + USEC_PER_SEC, false};
     memset(out, 0, sizeof(*out));
     set_up(&run);
-    Mv_Begin(&out->move, &plan, SEC);
+    Mv_Begin(&out->move, &plan, USEC_PER_SEC);
     double due = 0;
     uint64_t sequence = 0;
-    while (!Mv_IsOver(&out->move) && run.now < SPAN + 60 * SEC) {
+    while (!Mv_IsOver(&out->move) &&
+           run.now < DEADLINE_USEC + 60 * USEC_PER_SEC) {
         double per_sec = model->per_sec * load(run.now);
         due += per_sec;
         int arrivals = (int)due;
         due -= arrivals;
         if (model->stalls_per_min > 0) {
-            stall(&run);
+            draw_stall(&run);
         }
         for (int i = 0; i < arrivals; i++) {
-            request(&run, &out->move);
+            simulate_request(&run, &out->move);
         }
-        run.now += SEC;
+        run.now += USEC_PER_SEC;
         if (run.now % Mv_BLOCK_USEC == 0) {
-            report(&run, ++sequence);
+            send_reports(&run, ++sequence);
         }
         struct mv_view view = {2, 1, false, per_sec, model->per_sec};
         for (int r = 0; r < model->routers; r++) {
@@ -196,7 +199,7 @@
         }
         out->tripped = view.distrusted;
         out->share_at_end = out->move.share;
-        Mv_Tick(&out->move, run.evidence, &view, run.now + SEC);
+        Mv_Tick(&out->move, run.evidence, &view, run.now + USEC_PER_SEC);
     }
     out->ended_at = run.now;
     Mv_EvidenceDestroy(run.evidence);
@@ -213,24 +216,24 @@
     Mv_TripInit(&trip);
     for (int i = 0; i < 8000; i++) {
         bool outage = i / 2000 % 2 == 1;
-        double here = Mv_TripSuspects(&trip) ? fmin(0.5, share) : share;
-        enum mv_side side = Rn_Unit(&random) < here ? MV_NEW : MV_OLD;
+        double share_now = Mv_TripSuspects(&trip) ? fmin(0.5, share) : share;
+        enum mv_side side = Rn_Unit(&random) < share_now ? MV_NEW : MV_OLD;
         bool failed = Rn_Unit(&random) < (outage ? bad : 0.01);
         Mv_TripNote(&trip, side, failed ? MV_FAILED : MV_GOOD);
     }
     return trip.tripped;
 }
 
-#define EJECTED_FROM 5 /* failures in a row */
-#define EJECTED_FOR 100
-#define EJECTED_DOUBLINGS 6
-#define USUAL_FAILED 0.005
+#define EJECT_AFTER 5      /* successive failures */
+#define EJECT_REQUESTS 100 /* doubled for each further ejection */
+#define EJECT_DOUBLINGS_MAX 6
+#define USUAL_FAILURE_RATE 0.005
 
 struct engine {
     uint64_t id;
-    int row;
+    int failure_streak;
     int ejections;
-    int out_until;
+    int ejected_until;
 };
 
 struct router {
@@ -243,10 +246,10 @@
 };
 
 static void
-answer(struct router *router, enum mv_side side, const struct engine *engine,
-       int at, bool failed)
+record_outcome(struct router *router, enum mv_side side,
+               const struct engine *engine, int request, bool failed)
 {
-    bool bad = router->model->new_bad > 0 && at >= router->model->bad_at;
+    bool bad = router->model->new_bad > 0 && request >= router->model->bad_at;
     router->out->hurt += side == MV_NEW && failed && bad;
     bool tripped = Mv_TripNoteAt(&router->trip, side,
                                  failed ? MV_FAILED : MV_GOOD, engine->id);
@@ -257,47 +260,48 @@
 }
 
 static bool
-is_dead(const struct router *router, enum mv_side side, int engine, int at)
+is_dead(const struct router *router, enum mv_side side, int engine,
+        int request)
 {
     const struct trip_model *model = router->model;
     return engine == 0 && model->killed && side == model->killed_side &&
-           at >= model->killed_at;
+           request >= model->killed_at;
 }
 
 static bool
-is_failed(struct router *router, enum mv_side side, int engine, int at)
+is_failed(struct router *router, enum mv_side side, int engine, int request)
 {
     const struct trip_model *model = router->model;
     double drawn = Rn_Unit(&router->random);
-    bool outage =
-        at >= model->outage_at && at < model->outage_at + model->outage_for;
-    bool bad = side == MV_NEW && at >= model->bad_at;
+    bool outage = request >= model->outage_at &&
+                  request < model->outage_at + model->outage_for;
+    bool bad = side == MV_NEW && request >= model->bad_at;
     bool broken = engine == 0 && model->failing &&
-                  side == model->failing_side && at >= model->failing_at;
+                  side == model->failing_side && request >= model->failing_at;
     bool resets = engine == 0 && side == MV_OLD && drawn < model->resets;
-    return drawn < (outage ? model->outage : USUAL_FAILED) ||
+    return drawn < (outage ? model->outage : USUAL_FAILURE_RATE) ||
            (bad && drawn < model->new_bad) || broken || resets;
 }
 
-/* The endpoint's own health, as choose.h has it. */
+/* Models the endpoint ejection of choose.h. */
 static void
-eject(struct engine *engines, int which, int count, int at, bool failed)
+eject(struct engine *engines, int which, int count, int request, bool failed)
 {
     struct engine *engine = &engines[which];
-    engine->row = failed ? engine->row + 1 : 0;
-    if (engine->row >= EJECTED_FROM && count > 1 &&
-        engines[1 - which].out_until <= at) {
-        int doublings = engine->ejections < EJECTED_DOUBLINGS
+    engine->failure_streak = failed ? engine->failure_streak + 1 : 0;
+    if (engine->failure_streak >= EJECT_AFTER && count > 1 &&
+        engines[1 - which].ejected_until <= request) {
+        int doublings = engine->ejections < EJECT_DOUBLINGS_MAX
                             ? engine->ejections
-                            : EJECTED_DOUBLINGS;
-        engine->out_until = at + (EJECTED_FOR << doublings);
+                            : EJECT_DOUBLINGS_MAX;
+        engine->ejected_until = request + (EJECT_REQUESTS << doublings);
         engine->ejections++;
-        engine->row = EJECTED_FROM - 1;
+        engine->failure_streak = EJECT_AFTER - 1;
     }
 }
 
 static void
-send_one(struct router *router, int at)
+send_one(struct router *router, int request)
 {
     const struct trip_model *model = router->model;
     double share = Mv_TripSuspects(&router->trip) ? fmin(0.5, model->share)
@@ -306,11 +310,11 @@
     struct engine *engines = router->engines[side];
     int count = side == MV_NEW ? model->new_engines : ENGINES;
     int which = (int)Rn_Below(&router->random, (uint32_t)count);
-    if (engines[which].out_until > at && count > 1) {
+    if (engines[which].ejected_until > request && count > 1) {
         which = 1 - which;
     }
-    bool failed = is_failed(router, side, which, at);
-    if (is_dead(router, side, which, at)) {
+    bool failed = is_failed(router, side, which, request);
+    if (is_dead(router, side, which, request)) {
         if (router->refused > 0) {
             router->refused--;
             failed = true;
@@ -322,8 +326,8 @@
             return;
         }
     }
-    eject(engines, which, count, at, failed);
-    answer(router, side, &engines[which], at, failed);
+    eject(engines, which, count, request, failed);
+    record_outcome(router, side, &engines[which], request, failed);
 }
 
 void
@@ -337,15 +341,17 @@
     for (int i = 0; i < MV_SIDES * ENGINES; i++) {
         router.engines[i / ENGINES][i % ENGINES].id = (uint64_t)i + 1;
     }
-    for (int at = 0; at < model->requests && !out->tripped; at++) {
+    for (int request = 0; request < model->requests && !out->tripped;
+         request++) {
         for (int i = 0; i < model->in_flight && model->killed &&
-                        at == model->killed_at && !out->tripped;
+                        request == model->killed_at && !out->tripped;
              i++) {
-            answer(&router, model->killed_side,
-                   &router.engines[model->killed_side][0], at, true);
+            record_outcome(&router, model->killed_side,
+                           &router.engines[model->killed_side][0], request,
+                           true);
         }
         if (!out->tripped) {
-            send_one(&router, at);
+            send_one(&router, request);
         }
     }
 }
--- a/packages/policy/test/move_model.h
+++ b/packages/policy/test/move_model.h
@@ -1,6 +1,6 @@
 /*
- * A seeded model of one version move over all routers, to measure false
- * alarms and detection with.
+ * A seeded simulation of one version move on all routers, which measures
+ * false alarms and the detection of faults.
  */
 #ifndef POLICY_TEST_MOVE_MODEL_H
 #define POLICY_TEST_MOVE_MODEL_H
@@ -16,10 +16,10 @@
 
 enum move_fault {
     FAULT_NONE,
-    FAULT_FAILS,        /* 30% fail at once */
-    FAULT_FAILS_LITTLE, /* 3% fail at once */
-    FAULT_SLOWS,        /* first tokens take twice as long */
-    FAULT_LATE,         /* 30% fail from 35 minutes on */
+    FAULT_FAILS,        /* 30% fail from the start */
+    FAULT_FAILS_LITTLE, /* 3% fail from the start */
+    FAULT_SLOWS,        /* the time to first token is doubled */
+    FAULT_LATE,         /* 30% fail from minute 35 on */
     FAULT_LOAD,         /* 20% fail while the load is above 80% of its peak */
     FAULT_ROUTE,        /* 20% fail on one route of four (a tenth of all) */
     FAULT_KINDS
@@ -27,68 +27,72 @@
 
 struct move_model {
     uint64_t seed;
-    double per_sec; /* at the peak; the load swings between half and all */
+    double per_sec; /* peak rate; the rate swings between half and all of it */
     int routers;
-    double old_failed; /* share of failures of a good version */
+    double old_failed; /* failure rate of a good version */
     enum move_fault fault;
     bool without_trip;
-    double stalls_per_min; /* pauses of an engine of one of the versions */
+    double stalls_per_min; /* of a random engine of a random version */
 };
 
 struct move_outcome {
     struct mv_move move;
-    bool tripped;        /* by a router */
-    int64_t fault_at;    /* -1: never began */
+    bool tripped;        /* the circuit breaker of a router tripped */
+    int64_t fault_at;    /* since the start of the move; -1: no fault */
     int64_t ended_at;    /* since the start of the move */
-    uint64_t hurt;       /* failed requests on the new version */
-    uint64_t requests;   /* on the new version */
-    double share_at_end; /* before the end */
+    uint64_t hurt;       /* failed requests of the new version */
+    uint64_t requests;   /* all requests of the new version */
+    double share_at_end; /* of the new version, before the last tick */
 };
 
 /*
- * One router, two outages of what both versions use with "bad" of the
- * requests failing; "share" goes to the new version.  True when it tripped.
+ * Simulates one router and two outages of a dependency of both versions, in
+ * which the fraction "bad" of the requests fails.  The new version gets the
+ * share "share".  True when the router's circuit breaker tripped.
  */
 bool Outage_Run(uint64_t seed, double bad, double share);
 
 /*
- * One router with two engines of the old version.  An engine that is killed
- * fails all it had in flight at once, then refuses some more; one that fails
- * all is ejected and tried again.
+ * One router with two engines of the old version.  When an engine is killed,
+ * all its requests in flight fail at once, and it refuses some further ones.
+ * An engine that fails all requests is ejected and tried again later.  Times
+ * ("_at", "_for") are counted in requests.
  */
 struct trip_model {
     uint64_t seed;
-    double share; /* of the new version */
+    double share; /* traffic share of the new version */
     int new_engines;
     int requests;
-    double new_bad; /* share that the new version fails from "bad_at" on */
+    double new_bad; /* failure rate of the new version from "bad_at" on */
     int bad_at;
-    double outage; /* share that both fail in an outage */
+    double outage; /* failure rate of both versions in an outage */
     int outage_at;
     int outage_for;
-    bool killed; /* the first engine of "killed_side" */
+    bool killed; /* the first engine of "killed_side" is killed */
     enum mv_side killed_side;
     int killed_at;
     int in_flight;
     int refused;
-    bool failing; /* the same of an engine that fails all */
+    bool failing; /* the first engine of "failing_side" fails all requests */
     enum mv_side failing_side;
     int failing_at;
-    double resets; /* share that the first engine of the old one resets */
+    /* Fraction of its requests that the old version's first engine resets. */
+    double resets;
 };
 
 struct trip_outcome {
     bool tripped;
-    bool early; /* before the new version was bad */
-    int hurt;   /* failures of the new version since it was bad */
+    bool early; /* tripped before the fault of the new version began */
+    int hurt;   /* failures of the new version since its fault began */
 };
 
 void Trip_Run(const struct trip_model *model, struct trip_outcome *out);
 
 /*
- * A new version that fails all after "old_failed" failures in a row of one
- * old engine, "known" good ones before and "between" good ones of the other
- * to each failure of the new one; returns these failures.
+ * One router after "known" good outcomes of the old version and "old_failed"
+ * successive failures of one old engine.  The new version fails all requests,
+ * with "between" good outcomes of the other old engine after each failure.
+ * Returns the number of failures of the new version until the trip.
  */
 int Trip_AfterOldFailures(int known, int old_failed, int between);
 
--- a/packages/policy/test/move_test.cc
+++ b/packages/policy/test/move_test.cc
@@ -12,20 +12,20 @@
 
 const int64_t kSec = 1000000;
 
-struct Mover {
+struct MoveRun {
     struct mv_evidence *evidence = Mv_EvidenceCreate(0.01);
     struct mv_move move;
     struct mv_view view = {2, 1, false, 10, 10};
     int64_t now = kSec;
     uint64_t sequence = 0;
 
-    explicit Mover(int64_t deadline = 3601 * kSec)
+    explicit MoveRun(int64_t deadline = 3601 * kSec)
     {
         struct mv_plan plan = {"rink", "v1", "v2", 0.02, deadline, false};
         EXPECT_EQ(ST_OK, Mv_Begin(&move, &plan, now));
     }
 
-    ~Mover()
+    ~MoveRun()
     {
         Mv_EvidenceDestroy(evidence);
     }
@@ -46,7 +46,7 @@
         Mv_CloseBlock(evidence);
     }
 
-    /* Runs ticks until the phase or the end of the time. */
+    /* Ticks until the phase is reached, the move is over or time is up. */
     void
     until(enum mv_phase phase, int64_t most = 4000 * kSec)
     {
@@ -69,9 +69,9 @@
     }
 };
 
-TEST(Move, AGoodVersionIsDoneBeforeTheDeadlineInGrowingSteps)
+TEST(Move, AGoodVersionIsRolledOutInGrowingStepsBeforeTheDeadline)
 {
-    Mover m;
+    MoveRun m;
     std::vector<double> shares;
     EXPECT_EQ(MV_PLANNED, m.move.phase);
     while (!Mv_IsOver(&m.move) && m.now < 3700 * kSec) {
@@ -92,11 +92,10 @@
     EXPECT_NE(std::string::npos, m.sentence().find("before the deadline"));
 }
 
-/*
- * Door sales fail for minutes although a router saw ten failures in a row:
- * it waited for the log, which was down, to tell the others.
- */
-TEST(Move, ARouterTripsOnItsOwnAfterFewFailures)
+// Guards against a router that, after ten successive failures of the new
+// version, goes on sending to it for minutes because it waits for the log,
+// which is down.
+TEST(Move, ARouterTripsByItselfAfterFewFailures)
 {
     struct mv_trip trip;
     Mv_TripInit(&trip);
@@ -120,8 +119,8 @@
 }
 
 // Guards against a router that goes on sending to a version that fails every
-// request, since the old version failed one of its own before.
-TEST(Move, OneFailureOfTheOldVersionDoesNotBlindARouter)
+// request, because the old version has failed one request before.
+TEST(Move, OneFailureOfTheOldVersionDoesNotPreventATrip)
 {
     const int kMost = 15;
     for (int good_between : {1, 2, 5}) {
@@ -142,12 +141,13 @@
     }
 }
 
-// Guards against a bad version that empties the retries since an engine of
-// the old version died with its slots full and excused the new one's failures.
-TEST(Move, ADeadEngineOfTheOldVersionDoesNotBlindARouter)
+// Guards against a bad version that uses up the retry budget: an engine of the
+// old version died with its slots full, and its failures hid those of the new
+// version.
+TEST(Move, ADeadEngineOfTheOldVersionDoesNotPreventATrip)
 {
     const int kMost = 10;
-    const int kMostDrawn = 40; /* of the 50 retries that a service has */
+    const int kMostFailures = 40; /* of the retry budget of 50 */
     for (int known : {0, 100}) {
         for (int old_failed : {0, 4, 8, 16, 24, 32, 48}) {
             EXPECT_LE(Trip_AfterOldFailures(known, old_failed, 2), kMost)
@@ -168,13 +168,13 @@
         struct trip_outcome out;
         Trip_Run(&model, &out);
         EXPECT_TRUE(out.tripped) << seed;
-        EXPECT_LE(out.hurt, kMostDrawn) << seed;
+        EXPECT_LE(out.hurt, kMostFailures) << seed;
     }
 }
 
-// Guards against a good new version given up since one of its engines died
-// with its slots full, or fails all it gets, while the other one answers.
-TEST(Move, ADeadEngineOfTheNewVersionTripsNothing)
+// Guards against a trip on a good new version because one of its engines died
+// with its slots full, or fails all requests, while the other engine answers.
+TEST(Move, ADeadEngineOfTheNewVersionDoesNotTrip)
 {
     const int kRuns = 100;
     const int kMost = 3;
@@ -207,23 +207,21 @@
     }
 }
 
-/*
- * A good version is given up because the database behind both versions was
- * away for a minute.
- */
-TEST(Move, AFaultOfBothVersionsTripsNothing)
+// Guards against a trip on a good version because the database that both
+// versions use was unavailable for a minute.
+TEST(Move, AnOutageOfBothVersionsDoesNotTrip)
 {
-    int whole = 0;
-    int part = 0;
+    int full_outage_trips = 0;
+    int partial_outage_trips = 0;
     for (uint64_t seed = 1; seed <= 100; seed++) {
         for (double share : {0.02, 0.5, 0.95}) {
-            whole += Outage_Run(seed, 1, share);
-            part += Outage_Run(seed, 0.4, share);
+            full_outage_trips += Outage_Run(seed, 1, share);
+            partial_outage_trips += Outage_Run(seed, 0.4, share);
         }
     }
-    EXPECT_EQ(0, whole);
-    EXPECT_LE(part, 15);
-    Mover m;
+    EXPECT_EQ(0, full_outage_trips);
+    EXPECT_LE(partial_outage_trips, 15);
+    MoveRun m;
     m.until(MV_GROWING);
     for (int i = 0; i < 60; i++) {
         m.report(900, i / 6 % 2 == 1 ? 500 : 5, 100, i / 6 % 2 == 1 ? 55 : 1);
@@ -233,7 +231,8 @@
     EXPECT_FALSE(finding.alarm);
 }
 
-/* Gossip repeats; a report counted twice would prove twice as much. */
+// Gossip delivers reports repeatedly.  Guards against counting a report twice,
+// which would count as twice the evidence.
 TEST(Move, ARepeatedReportCountsOnce)
 {
     struct mv_evidence *evidence = Mv_EvidenceCreate(0.01);
@@ -254,9 +253,9 @@
     Mv_EvidenceDestroy(evidence);
 }
 
-TEST(Move, FindingNamesRouteAndClassAndTheSentenceTellsIt)
+TEST(Move, TheFindingAndTheSentenceNameRouteAndClass)
 {
-    Mover m;
+    MoveRun m;
     m.until(MV_GROWING);
     for (int i = 0; i < 30; i++) {
         struct mv_cell cells[2] = {};
@@ -280,10 +279,10 @@
     EXPECT_NE(std::string::npos, m.sentence().find("All requests go to v1"));
 }
 
-TEST(Move, DistrustTakesItBackInEveryPhase)
+TEST(Move, ATrippedRouterRollsTheMoveBackInEveryPhase)
 {
     for (int phase = MV_PLANNED; phase <= MV_PROBATION; phase++) {
-        Mover m;
+        MoveRun m;
         m.view.new_endpoints = phase == MV_PLANNED ? 0 : 2;
         m.until((enum mv_phase)phase);
         ASSERT_EQ(phase, m.move.phase);
@@ -295,13 +294,11 @@
     }
 }
 
-/*
- * The old version is gone when the Friday peak shows that the new one fails
- * under load: the move was done in the quiet of the morning.
- */
+// Guards against a move that ends at low traffic: the old version is shut down
+// before the peak shows that the new version fails under load.
 TEST(Move, ProbationLastsUntilALoadNearThePeak)
 {
-    Mover m(8 * 3600 * kSec);
+    MoveRun m(8 * 3600 * kSec);
     m.view.per_sec = 3;
     m.until(MV_PROBATION);
     ASSERT_EQ(MV_PROBATION, m.move.phase);
@@ -314,31 +311,30 @@
     EXPECT_EQ(MV_DONE, m.move.phase);
 }
 
-TEST(Move, DeadlineDecidesWhatIsNotReady)
+TEST(Move, TheDeadlineEndsAMoveThatIsNotReady)
 {
-    Mover none;
-    none.view.new_endpoints = 0;
-    none.until(MV_DONE);
-    EXPECT_EQ(MV_TAKEN_BACK, none.move.phase);
-    EXPECT_EQ(3601 * kSec, none.now);
-    Mover few;
-    few.view.new_capacity = 0.3;
-    few.until(MV_DONE);
-    EXPECT_EQ(MV_TAKEN_BACK, few.move.phase);
-    Mover quiet;
-    quiet.view.per_sec = 1;
-    quiet.until(MV_DONE);
-    EXPECT_EQ(MV_DONE, quiet.move.phase);
-    EXPECT_NE(std::string::npos, quiet.sentence().find("not yet carried"));
+    MoveRun no_endpoint;
+    no_endpoint.view.new_endpoints = 0;
+    no_endpoint.until(MV_DONE);
+    EXPECT_EQ(MV_TAKEN_BACK, no_endpoint.move.phase);
+    EXPECT_EQ(3601 * kSec, no_endpoint.now);
+    MoveRun low_capacity;
+    low_capacity.view.new_capacity = 0.3;
+    low_capacity.until(MV_DONE);
+    EXPECT_EQ(MV_TAKEN_BACK, low_capacity.move.phase);
+    MoveRun low_traffic;
+    low_traffic.view.per_sec = 1;
+    low_traffic.until(MV_DONE);
+    EXPECT_EQ(MV_DONE, low_traffic.move.phase);
+    EXPECT_NE(std::string::npos,
+              low_traffic.sentence().find("not yet carried"));
 }
 
-/*
- * An operator corrects the target while the move runs, and the third
- * version inherits the share the second one had earned.
- */
-TEST(Move, RevisedAndWithdrawnInMidFlight)
+// Guards against a new target version that inherits the share of the previous
+// target when an operator revises a running move.
+TEST(Move, TheRunningMoveIsRevisedAndWithdrawn)
 {
-    Mover m;
+    MoveRun m;
     m.until(MV_PROBATION);
     struct mv_plan plan = m.move.plan;
     EXPECT_FALSE(Mv_Revise(&m.move, &plan, m.now));
@@ -361,22 +357,21 @@
     plan.deadline += 60 * kSec;
     EXPECT_FALSE(Mv_Revise(&m.move, &plan, m.now));
     EXPECT_EQ(MV_TAKEN_BACK, m.move.phase);
-    Mover over;
+    MoveRun over;
     over.until(MV_DONE);
     plan = over.move.plan;
-    plan.withdrawn = true; /* the old version may be gone by now */
+    plan.withdrawn = true; /* the old version may be shut down by now */
     EXPECT_FALSE(Mv_Revise(&over.move, &plan, over.now));
     EXPECT_EQ(MV_DONE, over.move.phase);
 }
 
-/*
- * At three requests in flight over seven routers each router lets one
- * request through to a hanging version, and all parents wait on it.
- */
-TEST(Move, SmallTrafficIsCappedInFlightOverAllRouters)
+// Guards against a cap per router: with three requests in flight over seven
+// routers, each router would send one request to a hanging version, and all
+// requests would hang.
+TEST(Move, TheFirstShareCapsRequestsInFlightOverAllRouters)
 {
     const char *routers[] = {"a", "b", "c", "d", "e", "f", "g"};
-    Mover m;
+    MoveRun m;
     m.until(MV_SMALL);
     for (int in_flight : {0, 3, 50, 100, 600, 6000}) {
         int cap = 0;
@@ -397,18 +392,18 @@
     }
 }
 
-struct Outcomes {
+struct Totals {
     int taken_back = 0;
     int done = 0;
     double delay = 0;
     double worst_share = 0;
 };
 
-Outcomes
-run_all(enum move_fault fault, int seeds, double per_sec, bool trip,
-        double stalls = 0)
+Totals
+run_seeds(enum move_fault fault, int seeds, double per_sec, bool trip,
+          double stalls = 0)
 {
-    Outcomes sum;
+    Totals sum;
     for (int seed = 1; seed <= seeds; seed++) {
         struct move_model model = {(uint64_t)seed, per_sec, 7,     0.005,
                                    fault,          !trip,   stalls};
@@ -422,37 +417,39 @@
     return sum;
 }
 
-TEST(Move, GoodVersionsAreDoneAtTheStatedRate)
+TEST(Move, GoodVersionsAreRolledOutAtTheStatedRate)
 {
-    Outcomes good = run_all(FAULT_NONE, 100, 5, true);
+    Totals good = run_seeds(FAULT_NONE, 100, 5, true);
     EXPECT_GE(good.done, 97);
     EXPECT_EQ(100, good.done + good.taken_back);
 }
 
-// Guards against a good version taken back since an engine paused now and
-// then: the requests of one pause are late together and prove one pause.
-TEST(Move, PausesOfEnginesTakeNoGoodVersionBack)
+// Guards against rolling a good version back because its engines stall now and
+// then: all requests in a stall are late together, and must count as one
+// stall.
+TEST(Move, EngineStallsRollNoGoodVersionBack)
 {
     const int kMoves = 100;
-    const int kStatedRate = 100; /* one good version in so many */
+    const int kStatedRate =
+        100; /* one good version in so many is rolled back */
     const double kPerSec = 50;
     for (double stalls_per_min : {12.0, 30.0}) {
-        Outcomes good =
-            run_all(FAULT_NONE, kMoves, kPerSec, true, stalls_per_min);
+        Totals good =
+            run_seeds(FAULT_NONE, kMoves, kPerSec, true, stalls_per_min);
         EXPECT_LE(good.taken_back, kMoves / kStatedRate) << stalls_per_min;
-        Outcomes slow =
-            run_all(FAULT_SLOWS, 10, kPerSec, true, stalls_per_min);
+        Totals slow =
+            run_seeds(FAULT_SLOWS, 10, kPerSec, true, stalls_per_min);
         EXPECT_EQ(10, slow.taken_back) << stalls_per_min;
     }
 }
 
-TEST(Move, EachKindOfBadVersionIsTakenBack)
+TEST(Move, EachKindOfBadVersionIsRolledBack)
 {
     for (int fault = FAULT_FAILS; fault < FAULT_KINDS; fault++) {
-        Outcomes bad = run_all((enum move_fault)fault, 10, 10, true);
+        Totals bad = run_seeds((enum move_fault)fault, 10, 10, true);
         EXPECT_EQ(10, bad.taken_back) << fault;
     }
-    EXPECT_LE(run_all(FAULT_FAILS, 10, 10, true).worst_share, 0.02);
+    EXPECT_LE(run_seeds(FAULT_FAILS, 10, 10, true).worst_share, 0.02);
 }
 
 } // namespace
