--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -4,29 +4,29 @@
 
 #include "policy/poison_internal.h"
 
-/* What came from an endpoint so soon after may have been under way. */
-#define Pz_UNDER_WAY_USEC (50 * Ck_USEC_PER_MSEC)
-/* A sign of life comes by then. */
-#define Pz_UNSURE_USEC (1500 * Ck_USEC_PER_MSEC)
-/* Endpoints that ended longer ago accuse nothing. */
-#define Pz_CRASH_LASTS_USEC (600 * Ck_USEC_PER_SEC)
+/* Data that arrives this soon after a crash may have been in transit. */
+#define Pz_IN_TRANSIT_USEC (50 * Ck_USEC_PER_MSEC)
+/* A living endpoint has shown a sign of life by then. */
+#define Pz_CONFIRM_USEC (1500 * Ck_USEC_PER_MSEC)
+/* Older crashes implicate nothing. */
+#define Pz_CRASH_TTL_USEC (600 * Ck_USEC_PER_SEC)
 
 struct pz_rule
 Pz_Rule(void)
 {
     return (struct pz_rule){
-        .begun_crashes = 3,
+        .crashes_after_head = 3,
         .crashes = 5,
-        .known_factor = 2,
+        .answered_factor = 2,
         .requests = 2,
-        .others_begun = 2,
-        .in_order = true,
-        .explains = true,
-        .settle_usec = 3 * Ck_USEC_PER_SEC,
+        .other_answers = 2,
+        .in_sequence = true,
+        .explain_crashes = true,
+        .startup_grace_usec = 3 * Ck_USEC_PER_SEC,
     };
 }
 
-/* Returns NULL without memory. */
+/* Returns NULL when out of memory. */
 struct pz_table *
 Pz_Create(const struct pz_rule *rule, const struct pz_ops *ops, void *arg,
           int64_t now)
@@ -37,10 +37,10 @@
         table->ops = ops;
         table->arg = arg;
         table->started_at = now;
-        TAILQ_INIT(&table->rows);
-        TAILQ_INIT(&table->spare);
+        TAILQ_INIT(&table->crashes);
+        TAILQ_INIT(&table->free_entries);
         for (size_t i = 0; i < Pz_CRASHES_MAX; i++) {
-            TAILQ_INSERT_TAIL(&table->spare, &table->pool[i], link);
+            TAILQ_INSERT_TAIL(&table->free_entries, &table->pool[i], link);
         }
     }
     return table;
@@ -53,57 +53,57 @@
 }
 
 static void
-remove_row(struct pz_table *table, struct pz_row *row)
+remove_entry(struct pz_table *table, struct pz_crash_entry *entry)
 {
-    TAILQ_REMOVE(&table->rows, row, link);
-    TAILQ_INSERT_TAIL(&table->spare, row, link);
+    TAILQ_REMOVE(&table->crashes, entry, link);
+    TAILQ_INSERT_TAIL(&table->free_entries, entry, link);
 }
 
-static struct pz_row *
-find_row(const struct pz_table *table, const struct pz_crash *crash)
+static struct pz_crash_entry *
+find_entry(const struct pz_table *table, const struct pz_crash *crash)
 {
-    struct pz_row *row;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        if (row->crash.endpoint == crash->endpoint &&
-            pz_same(&row->crash.key, &crash->key)) {
-            return row;
+    struct pz_crash_entry *entry;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        if (entry->crash.endpoint == crash->endpoint &&
+            pz_same_key(&entry->crash.key, &crash->key)) {
+            return entry;
         }
     }
     return NULL;
 }
 
 /*
- * Several requests with a part may wait at an endpoint that ends: the one
- * that was sent last counts, since it alone may have been sent after the end
- * before.
+ * Several requests with a part may wait at an endpoint when it crashes.  The
+ * one that was sent last is kept: if any of them was sent after the previous
+ * crash, that one was.
  */
 void
-pz_add_crash(struct pz_table *table, const struct pz_crash *crash, bool own)
+pz_add_crash(struct pz_table *table, const struct pz_crash *crash, bool local)
 {
-    struct pz_row *row = find_row(table, crash);
-    if (row != NULL) {
-        bool later = crash->sent_at > row->crash.sent_at;
-        table->changed |= later || (crash->begun && !row->crash.begun) ||
-                          (!own && !row->sure);
-        row->own |= own;
-        row->sure |= !own;
-        row->crash.begun |= crash->begun;
+    struct pz_crash_entry *entry = find_entry(table, crash);
+    if (entry != NULL) {
+        bool later = crash->sent_at > entry->crash.sent_at;
+        table->changed |= later || (crash->begun && !entry->crash.begun) ||
+                          (!local && !entry->confirmed);
+        entry->local |= local;
+        entry->confirmed |= !local;
+        entry->crash.begun |= crash->begun;
         if (later) {
-            row->crash.sent_at = crash->sent_at;
-            row->crash.request = crash->request;
+            entry->crash.sent_at = crash->sent_at;
+            entry->crash.request = crash->request;
         }
         return;
     }
-    if (TAILQ_EMPTY(&table->spare)) {
-        remove_row(table, TAILQ_FIRST(&table->rows));
+    if (TAILQ_EMPTY(&table->free_entries)) {
+        remove_entry(table, TAILQ_FIRST(&table->crashes));
     }
-    row = TAILQ_FIRST(&table->spare);
-    TAILQ_REMOVE(&table->spare, row, link);
-    *row = (struct pz_row){0};
-    row->crash = *crash;
-    row->own = own;
-    row->sure = !own;
-    TAILQ_INSERT_TAIL(&table->rows, row, link);
+    entry = TAILQ_FIRST(&table->free_entries);
+    TAILQ_REMOVE(&table->free_entries, entry, link);
+    *entry = (struct pz_crash_entry){0};
+    entry->crash = *crash;
+    entry->local = local;
+    entry->confirmed = !local;
+    TAILQ_INSERT_TAIL(&table->crashes, entry, link);
     table->changed = true;
 }
 
@@ -124,28 +124,28 @@
 void
 Pz_Began(struct pz_table *table, const struct pz_request *request, int64_t now)
 {
-    pz_note_begin(table, request->service, now);
+    pz_note_service_answer(table, request->service, now);
     for (size_t i = 0; i < request->count; i++) {
         struct pz_key key = {request->service, request->customer,
                              request->parts[i]};
-        struct pz_key any = pz_any(&key);
-        pz_see(table, &key, 1, now);
-        pz_see(table, &any, 1, now);
+        struct pz_key all = pz_all_customers(&key);
+        pz_note_answer(table, &key, 1, now);
+        pz_note_answer(table, &all, 1, now);
         pz_lift_cleared(table, &key);
-        pz_lift_cleared(table, &any);
+        pz_lift_cleared(table, &all);
     }
 }
 
 void
 Pz_Lives(struct pz_table *table, uint32_t endpoint, int64_t at)
 {
-    struct pz_row *row;
-    struct pz_row *next;
-    TAILQ_FOREACH_SAFE (row, &table->rows, link, next) {
-        int64_t since = at - row->crash.ended_at;
-        if (row->crash.endpoint == endpoint && since > Pz_UNDER_WAY_USEC &&
+    struct pz_crash_entry *entry;
+    struct pz_crash_entry *next;
+    TAILQ_FOREACH_SAFE (entry, &table->crashes, link, next) {
+        int64_t since = at - entry->crash.ended_at;
+        if (entry->crash.endpoint == endpoint && since > Pz_IN_TRANSIT_USEC &&
             since < Pz_BACK_USEC) {
-            remove_row(table, row);
+            remove_entry(table, entry);
         }
     }
 }
@@ -153,11 +153,11 @@
 void
 Pz_Forget(struct pz_table *table, uint32_t endpoint)
 {
-    struct pz_row *row;
-    struct pz_row *next;
-    TAILQ_FOREACH_SAFE (row, &table->rows, link, next) {
-        if (row->crash.endpoint == endpoint && row->own) {
-            remove_row(table, row);
+    struct pz_crash_entry *entry;
+    struct pz_crash_entry *next;
+    TAILQ_FOREACH_SAFE (entry, &table->crashes, link, next) {
+        if (entry->crash.endpoint == endpoint && entry->local) {
+            remove_entry(table, entry);
         }
     }
 }
@@ -165,26 +165,26 @@
 void
 Pz_Dead(struct pz_table *table, uint32_t endpoint)
 {
-    struct pz_row *row;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        if (row->crash.endpoint == endpoint && !row->sure) {
-            row->sure = true;
+    struct pz_crash_entry *entry;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        if (entry->crash.endpoint == endpoint && !entry->confirmed) {
+            entry->confirmed = true;
             table->changed = true;
         }
     }
 }
 
 bool
-pz_counts(const struct pz_row *row, int64_t now)
+pz_is_counted(const struct pz_crash_entry *entry, int64_t now)
 {
-    return row->sure || now - row->crash.ended_at >= Pz_UNSURE_USEC;
+    return entry->confirmed || now - entry->crash.ended_at >= Pz_CONFIRM_USEC;
 }
 
 struct pz_stop *
 pz_find_stop(struct pz_table *table, const struct pz_key *key)
 {
     for (size_t i = 0; i < table->stop_count; i++) {
-        if (pz_same(&table->stops[i].key, key)) {
+        if (pz_same_key(&table->stops[i].key, key)) {
             return &table->stops[i];
         }
     }
@@ -211,12 +211,15 @@
     table->ops->lifted(table->arg, &lifted, why);
 }
 
-/* Hosts that still say so are answered that it has begun. */
+/*
+ * Lifts the stop of a part.  The part is recorded as answered, so that hosts
+ * which still gossip the stop get a clear in return.
+ */
 static void
-lift_known(struct pz_table *table, const struct pz_key *key, const char *why,
-           int64_t now)
+clear_and_lift(struct pz_table *table, const struct pz_key *key,
+               const char *why, int64_t now)
 {
-    pz_see(table, key, 1, now);
+    pz_note_answer(table, key, 1, now);
     struct pz_stop *stop = pz_find_stop(table, key);
     if (stop != NULL) {
         lift(table, stop, why);
@@ -230,7 +233,7 @@
     for (size_t i = table->stop_count; i > 0; i--) {
         struct pz_key key = table->stops[i - 1].key;
         if (key.service == service) {
-            lift_known(table, &key, why, now);
+            clear_and_lift(table, &key, why, now);
         }
     }
 }
@@ -251,9 +254,9 @@
     for (size_t i = 0; i < request->count && table->stop_count > 0; i++) {
         struct pz_key key = {request->service, request->customer,
                              request->parts[i]};
-        struct pz_key any = pz_any(&key);
+        struct pz_key all = pz_all_customers(&key);
         struct pz_stop *stop = pz_find_stop(table, &key);
-        stop = stop == NULL ? pz_find_stop(table, &any) : stop;
+        stop = stop == NULL ? pz_find_stop(table, &all) : stop;
         if (stop != NULL) {
             stop->seen_at = now;
             return stop;
@@ -271,10 +274,10 @@
 void
 pz_expire(struct pz_table *table, int64_t now)
 {
-    while (!TAILQ_EMPTY(&table->rows) &&
-           now - TAILQ_FIRST(&table->rows)->crash.ended_at >
-               Pz_CRASH_LASTS_USEC) {
-        remove_row(table, TAILQ_FIRST(&table->rows));
+    while (!TAILQ_EMPTY(&table->crashes) &&
+           now - TAILQ_FIRST(&table->crashes)->crash.ended_at >
+               Pz_CRASH_TTL_USEC) {
+        remove_entry(table, TAILQ_FIRST(&table->crashes));
     }
     for (size_t i = table->stop_count; i > 0; i--) {
         if (!pz_is_current(&table->stops[i - 1], now)) {
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -1,19 +1,28 @@
 /*
- * Which part of a prompt ends the endpoints that begin to answer it (a poison
- * request).  Pure; true time, the same at all hosts, is passed in.
+ * Poison requests: finds the prompt part that crashes the endpoints which
+ * answer a request, so that requests with this part can be refused.  The
+ * functions do no I/O and read no clock; the caller passes the true time,
+ * which is the same on all hosts.
  *
- * A request whose endpoint ended before its first event accuses all its
- * parts, and the first event of any request clears its own.  Hosts tell each
- * other both.  A part is stopped when endpoints ended under it one after the
- * other, each given the request after the end before, and it has not begun
- * anywhere since, while other requests began.  What stops explains an end,
- * which accuses nothing else any more.  Of parts that are equally accused the
- * one that began least often is stopped, and of those the deepest, which the
- * fewest requests share.
+ * A prompt is a sequence of parts, each known by its hash.  A crash is the end
+ * of an endpoint before the first event of a request's answer.  It implicates
+ * all parts of the request.  The first event of an answer clears all parts of
+ * its request.  Hosts gossip both.
  *
- * A part is stopped for the customer whose requests it came in: the sheet of
- * a prompt is the caller's word, and nobody has another's parts stopped.  Once
- * it ends endpoints in requests of several, it is stopped for all.
+ * A part is stopped, that is, requests with it are refused, when
+ *  - a chain of endpoints crashed, each of which was sent a request with the
+ *    part after the crash before,
+ *  - no request with the part was answered on any host since, and
+ *  - other requests were answered meanwhile.
+ * A crash that a stopped part explains no longer implicates other parts.  If
+ * several parts qualify, the one with the fewest answers is stopped; among
+ * these the one with the longest chain, then the deepest one in the prompt,
+ * which the fewest requests have.
+ *
+ * A part is stopped for the customer that sent it, since callers choose the
+ * parts of their prompts, and no customer may get another one's requests
+ * refused.  When a part crashes endpoints in requests of several customers,
+ * it is stopped for all.
  */
 #ifndef POLICY_POISON_H
 #define POLICY_POISON_H
@@ -30,22 +39,22 @@
 
 struct pz_key {
     uint32_t service;
-    uint32_t customer; /* never 0 in a request; 0 in a stop: of all */
+    uint32_t customer; /* never 0 in a request; 0 in a stop: all customers */
     uint32_t part;
 };
 
-/* An endpoint that ended while a request with the part waited there. */
+/* An endpoint crashed while a request with the part waited for its answer. */
 struct pz_crash {
     struct pz_key key;
-    uint32_t endpoint; /* one run of it */
-    uint32_t request;  /* whose repeats are the same */
-    int depth;         /* of the part in the prompt, from 0 */
-    bool begun;        /* the answer had begun, without an event */
+    uint32_t endpoint; /* identifies one start of the endpoint */
+    uint32_t request;  /* the same for all repeats of a request */
+    int depth;         /* index of the part in the prompt, from 0 */
+    bool begun;        /* the answer's headers had come, but no event */
     int64_t sent_at;
     int64_t ended_at;
 };
 
-/* A part that began well. */
+/* A request with the part was answered. */
 struct pz_clear {
     struct pz_key key;
     int64_t at;
@@ -53,47 +62,50 @@
 
 struct pz_stop {
     struct pz_key key;
-    int64_t decided_at;
-    int64_t seen_at; /* last request with it */
+    int64_t decided_at; /* time of the last crash of its chain */
+    int64_t seen_at;    /* last request with the part */
 };
 
-/* Parts that are stopped at the same time. */
+/* Largest number of stopped parts. */
 #define Pz_STOPS_MAX 64
-/* No endpoint is back so soon after its end. */
+/*
+ * No endpoint restarts within this time after a crash, so an earlier sign of
+ * life shows that the endpoint did not crash.
+ */
 #define Pz_BACK_USEC (1500 * Ck_USEC_PER_MSEC)
-/* A stop ends when no request with the part has come for so long. */
+/* A stop expires when no request with the part came for this long. */
 #define Pz_STOP_LASTS_USEC (600 * Ck_USEC_PER_SEC)
 
-/* What a request asks with; the part that is its own is left out. */
 #define Pz_PARTS_MAX 32
 
+/* The last part of a prompt, which no other request has, is left out. */
 struct pz_request {
     uint32_t service;
     uint32_t customer;
-    uint32_t id; /* its repeats have the same */
+    uint32_t id; /* the same for all repeats of a request */
     uint32_t parts[Pz_PARTS_MAX];
     size_t count;
 };
 
-/* What stops a part; 0 and false leave a condition out. */
+/* Conditions for stopping a part; 0 and false switch a condition off. */
 struct pz_rule {
-    int begun_crashes;   /* of requests whose answer had begun */
-    int crashes;         /* of any */
-    int known_factor;    /* times as many for a part that has begun before */
-    int requests;        /* that ended them: one may have met others' ends */
-    int others_begun;    /* other requests meanwhile */
-    bool in_order;       /* each request was sent after the end before */
-    bool explains;       /* what stops explains an end */
-    int64_t settle_usec; /* no decision so soon after the start */
+    int crashes_after_head; /* crashes after the headers of an answer */
+    int crashes;            /* crashes at any time before the first event */
+    int answered_factor;    /* multiplies both for a part answered before */
+    int requests;           /* distinct requests: one may have been a victim */
+    int other_answers;      /* other requests answered meanwhile */
+    bool in_sequence;       /* each request was sent after the crash before */
+    bool explain_crashes;   /* a stopped part explains a crash */
+    int64_t startup_grace_usec; /* no decision this soon after the start */
 };
 
 struct pz_rule Pz_Rule(void);
 
 struct pz_ops {
-    /* A part was stopped, by this host or, when "heard", by another. */
+    /* A part was stopped by this host or, if "from_peer", by another one. */
     void (*stopped)(void *arg, const struct pz_stop *stop, int crashes,
-                    bool heard);
-    /* It is not stopped any more. */
+                    bool from_peer);
+    /* A stop was lifted. */
     void (*lifted)(void *arg, const struct pz_stop *stop, const char *why);
 };
 
@@ -103,46 +115,54 @@
                            const struct pz_ops *ops, void *arg, int64_t now);
 void Pz_Destroy(struct pz_table *table);
 
-/* The first event of an answer. */
+/* The first event of an answer arrived. */
 void Pz_Began(struct pz_table *table, const struct pz_request *request,
               int64_t now);
-/* The connection of a request ended before its first event. */
+/* The connection of a request broke before the answer's first event. */
 void Pz_Ended(struct pz_table *table, const struct pz_request *request,
               const struct pz_crash *crash);
 /*
- * A connection may break though its endpoint lives: what it accuses counts,
- * and is told, once the endpoint is known to have ended, or has shown no sign
- * of life for a while.  "at": of the sign.
+ * A connection may break although its endpoint is alive.  Its crash is
+ * counted, and gossiped, once the endpoint is known to have ended or has shown
+ * no sign of life for a while.  Pz_Lives() reports a sign of life at "at".
  */
 void Pz_Lives(struct pz_table *table, uint32_t endpoint, int64_t at);
-/* What broke was the link to it. */
+/* The link to the endpoint broke: drops the crashes that this host saw. */
 void Pz_Forget(struct pz_table *table, uint32_t endpoint);
+/* The endpoint is known to have ended. */
 void Pz_Dead(struct pz_table *table, uint32_t endpoint);
 /*
- * Why the request is not to be sent: a stop, valid until the next call; NULL:
- * it may be.
+ * The stop that forbids to send the request, valid until the next call; NULL
+ * if the request may be sent.
  */
 const struct pz_stop *Pz_Refuses(struct pz_table *table,
                                  const struct pz_request *request,
                                  int64_t now);
-/* Whether another endpoint is too much for what it has done already. */
+/*
+ * Whether the request must not be sent to another endpoint, because one of
+ * its parts was never answered and has crashed several endpoints already.
+ */
 bool Pz_Doubts(const struct pz_table *table, const struct pz_request *request,
                int64_t now);
-/* Decides by what is known; after changes, and now and then. */
+/*
+ * Decides which parts to stop.  To be called after changes and also
+ * periodically, since crashes are counted and stops expire with time.
+ */
 void Pz_Judge(struct pz_table *table, int64_t now);
 
-/* What other hosts are told; at most "most" rows, the newest. */
+/* The rows to gossip to other hosts: the newest, at most "most". */
 size_t Pz_TellCrashes(const struct pz_table *table, struct pz_crash *out,
                       size_t most, int64_t now);
 size_t Pz_TellClears(const struct pz_table *table, struct pz_clear *out,
                      size_t most, int64_t now);
 size_t Pz_TellStops(const struct pz_table *table, struct pz_stop *out,
                     size_t most);
+/* Rows received from other hosts. */
 void Pz_HearCrash(struct pz_table *table, const struct pz_crash *crash);
 void Pz_HearClear(struct pz_table *table, const struct pz_clear *clear);
 void Pz_HearStop(struct pz_table *table, const struct pz_stop *stop,
                  int64_t now);
-/* Another version of a service ends its stops. */
+/* Lifts all stops of a service, for instance at a change of its version. */
 void Pz_LiftService(struct pz_table *table, uint32_t service, const char *why,
                     int64_t now);
 
--- a/packages/policy/poison_internal.h
+++ b/packages/policy/poison_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the decision on poison requests only. */
+/* Internal to the poison_*.c files. */
 #ifndef POLICY_POISON_INTERNAL_H
 #define POLICY_POISON_INTERNAL_H
 
@@ -12,37 +12,37 @@
 #endif
 
 #define Pz_CRASHES_MAX 256
-/* Parts whose beginning is kept in mind: so many sets of so many. */
+/* Size of the set-associative table of answered parts. */
 #define Pz_SETS 1024 /* a power of two */
 #define Pz_WAYS 4
 #define Pz_SERVICES_MAX 16
-#define Pz_BEGINS_MAX 8
+#define Pz_RECENT_ANSWERS 8
 
-struct pz_row {
-    TAILQ_ENTRY(pz_row) link;
+struct pz_crash_entry {
+    TAILQ_ENTRY(pz_crash_entry) link;
     struct pz_crash crash;
-    bool own;  /* a request of this host */
-    bool sure; /* the endpoint has ended */
-    /* As of the last decision. */
+    bool local;     /* the request was sent by this host */
+    bool confirmed; /* the endpoint is known to have ended */
+    /* Set by the last decision. */
     bool stopped;
     bool explained;
 };
 
-TAILQ_HEAD(pz_rows, pz_row);
+TAILQ_HEAD(pz_crash_list, pz_crash_entry);
 
-/* When a part began, in requests of this host or as others say. */
-struct pz_seen {
+/* Answers to requests with a part, on this host or reported by peers. */
+struct pz_history {
     struct pz_key key;
     uint32_t count;
-    int64_t at;
-    int64_t accused_at; /* last end of an endpoint under it that was heard */
+    int64_t answered_at;
+    int64_t implicated_at; /* last crash or stop that a peer reported */
 };
 
-/* The last beginnings of requests of a service at this host. */
-struct pz_begins {
+/* Times of the last answers of a service to requests of this host. */
+struct pz_recent_answers {
     uint32_t service;
     size_t next;
-    int64_t at[Pz_BEGINS_MAX];
+    int64_t at[Pz_RECENT_ANSWERS];
 };
 
 struct pz_table {
@@ -50,70 +50,77 @@
     const struct pz_ops *ops;
     void *arg;
     int64_t started_at;
-    bool changed;        /* since the last decision */
-    bool waits;          /* a part is accused, and too little else has begun */
-    struct pz_rows rows; /* the oldest first */
-    struct pz_rows spare;
-    struct pz_row pool[Pz_CRASHES_MAX];
+    bool changed; /* since the last decision */
+    /* A decision waits for a crash to be counted or for other answers. */
+    bool pending;
+    struct pz_crash_list crashes; /* oldest first */
+    struct pz_crash_list free_entries;
+    struct pz_crash_entry pool[Pz_CRASHES_MAX];
     struct pz_stop stops[Pz_STOPS_MAX];
     size_t stop_count;
     size_t service_count;
-    struct pz_begins begins[Pz_SERVICES_MAX];
-    struct pz_seen seen[Pz_SETS][Pz_WAYS];
+    struct pz_recent_answers recent_answers[Pz_SERVICES_MAX];
+    struct pz_history history[Pz_SETS][Pz_WAYS];
 };
 
-/* The part in requests of all customers. */
-#define Pz_ANY 0
-
-struct pz_key pz_any(const struct pz_key *key);
-/* Whether the end of its endpoint is known, or has not been denied. */
-bool pz_counts(const struct pz_row *row, int64_t now);
-bool pz_same(const struct pz_key *a, const struct pz_key *b);
-/* NULL: it has not begun, as far as is known. */
-struct pz_seen *pz_find_seen(const struct pz_table *table,
-                             const struct pz_key *key);
-/* Notes a beginning, "count" times, at "at". */
-void pz_see(struct pz_table *table, const struct pz_key *key, uint32_t count,
-            int64_t at);
-/* When it last began; 0: never, as far as is known. */
+/* As the customer of a key: the part in requests of any customer. */
+#define Pz_ALL_CUSTOMERS 0
+
+struct pz_key pz_all_customers(const struct pz_key *key);
+/*
+ * Whether the crash counts: the endpoint is known to have ended, or has shown
+ * no sign of life since.
+ */
+bool pz_is_counted(const struct pz_crash_entry *entry, int64_t now);
+bool pz_same_key(const struct pz_key *a, const struct pz_key *b);
+/* NULL: no answer to a request with the part is known. */
+struct pz_history *pz_find_history(const struct pz_table *table,
+                                   const struct pz_key *key);
+/* Records "count" answers to requests with the part, at "at". */
+void pz_note_answer(struct pz_table *table, const struct pz_key *key,
+                    uint32_t count, int64_t at);
+/* Time of the last known answer; 0: none. */
 int64_t pz_cleared_at(const struct pz_table *table, const struct pz_key *key);
-/* How often it began lately. */
-uint32_t pz_seen_count(const struct pz_table *table, const struct pz_key *key,
-                       int64_t now);
-void pz_note_begin(struct pz_table *table, uint32_t service, int64_t now);
-/* Requests of the service that began since, Pz_BEGINS_MAX at most. */
-int pz_begun_since(const struct pz_table *table, uint32_t service,
-                   int64_t since);
+/* Number of recent answers. */
+uint32_t pz_answer_count(const struct pz_table *table,
+                         const struct pz_key *key, int64_t now);
+void pz_note_service_answer(struct pz_table *table, uint32_t service,
+                            int64_t now);
+/* Answers of the service since "since", at most Pz_RECENT_ANSWERS. */
+int pz_answers_since(const struct pz_table *table, uint32_t service,
+                     int64_t since);
 
 void pz_add_crash(struct pz_table *table, const struct pz_crash *crash,
-                  bool own);
+                  bool local);
 struct pz_stop *pz_find_stop(struct pz_table *table, const struct pz_key *key);
-/* False: there is no room. */
+/* False: the table of stops is full. */
 bool pz_add_stop(struct pz_table *table, const struct pz_stop *stop);
-/* Whether requests with the part came lately. */
+/* Whether a request with the part came recently enough to keep the stop. */
 bool pz_is_current(const struct pz_stop *stop, int64_t now);
-/* Forgets what is over. */
+/* Removes expired crashes and stops. */
 void pz_expire(struct pz_table *table, int64_t now);
-/* Lifts the stop of a part that began after it was decided. */
+/* Lifts the stop of a part that was answered after the decision. */
 void pz_lift_cleared(struct pz_table *table, const struct pz_key *key);
 
 /*
- * Endpoints that ended one after the other under a part and that nothing
- * clears or explains; "begun": only under requests whose answer had begun.
+ * Successive crashes that implicate a part: no later answer clears the part,
+ * and no stopped part explains them.
  */
 struct pz_chain {
     int length;
     int customers;
     int requests;
-    uint32_t endpoint; /* the last */
+    uint32_t endpoint; /* of the last crash */
     int64_t first_at;
     int64_t last_at;
     int depth;
 };
 
+/* "begun": count only crashes after the headers of an answer. */
 struct pz_chain pz_find_chain(const struct pz_table *table,
                               const struct pz_key *key, bool begun,
                               int64_t now);
+
 #ifdef __cplusplus
 }
 #endif
--- a/packages/policy/poison_judge.c
+++ b/packages/policy/poison_judge.c
@@ -1,32 +1,34 @@
-/* The decision which part is stopped. */
+/* Decides which prompt parts to stop. */
 #include <stdlib.h>
 
 #include "policy/poison_internal.h"
 
-/* Endpoints that a request may end before it is sent to no further one. */
-#define Pz_DOUBTED 2
+/* A request is not retried after its parts crashed this many endpoints. */
+#define Pz_RETRY_CRASHES_MAX 2
 
-/* Customers in whose requests a part ends endpoints before it is stopped for
-   all. */
-#define Pz_CUSTOMERS_LEAST 2
+/*
+ * A part is stopped for all customers when it crashed endpoints in requests of
+ * at least this many.
+ */
+#define Pz_CUSTOMERS_MIN 2
 
-/* Endpoints that end within this of each other may end at once. */
-#define Pz_APART_USEC (50 * Ck_USEC_PER_MSEC)
+/* Crashes this close together may have one common cause. */
+#define Pz_SIMULTANEOUS_USEC (50 * Ck_USEC_PER_MSEC)
 
 static bool
 is_stopped(struct pz_table *table, const struct pz_key *key)
 {
-    struct pz_key any = pz_any(key);
+    struct pz_key all = pz_all_customers(key);
     return pz_find_stop(table, key) != NULL ||
-           pz_find_stop(table, &any) != NULL;
+           pz_find_stop(table, &all) != NULL;
 }
 
 /*
- * Whether the part of a row, which is stopped, accounts for the end in another
- * row: not where it only waited, and the other had begun.
+ * Whether a stopped part explains the crash that implicates another part.  It
+ * does not when its own request had no headers yet and the other one had.
  */
 static bool
-explains(const struct pz_crash *stopped, const struct pz_crash *other)
+accounts_for(const struct pz_crash *stopped, const struct pz_crash *other)
 {
     return stopped->endpoint == other->endpoint &&
            stopped->key.part != other->key.part &&
@@ -34,19 +36,19 @@
 }
 
 static void
-find_explained(struct pz_table *table, int64_t now)
+mark_explained(struct pz_table *table, int64_t now)
 {
-    struct pz_row *row;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        row->stopped = is_stopped(table, &row->crash.key);
-        row->explained = false;
-        table->waits |= !pz_counts(row, now);
+    struct pz_crash_entry *entry;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        entry->stopped = is_stopped(table, &entry->crash.key);
+        entry->explained = false;
+        table->pending |= !pz_is_counted(entry, now);
     }
-    struct pz_row *other;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        TAILQ_FOREACH (other, &table->rows, link) {
-            if (row->stopped && explains(&row->crash, &other->crash)) {
-                other->explained = table->rule.explains;
+    struct pz_crash_entry *other;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        TAILQ_FOREACH (other, &table->crashes, link) {
+            if (entry->stopped && accounts_for(&entry->crash, &other->crash)) {
+                other->explained = table->rule.explain_crashes;
             }
         }
     }
@@ -61,26 +63,28 @@
 }
 
 static bool
-is_of(const struct pz_key *key, const struct pz_crash *crash)
+matches_key(const struct pz_key *key, const struct pz_crash *crash)
 {
     return crash->key.part == key->part &&
            crash->key.service == key->service &&
-           (key->customer == Pz_ANY || crash->key.customer == key->customer);
+           (key->customer == Pz_ALL_CUSTOMERS ||
+            crash->key.customer == key->customer);
 }
 
-/* The crashes that accuse a part, in order of time. */
+/* The counted crashes that implicate a part, ordered by time. */
 static size_t
-list_accusing(const struct pz_table *table, const struct pz_key *key,
-              bool begun, struct pz_crash *out, int64_t now)
+list_counted(const struct pz_table *table, const struct pz_key *key,
+             bool begun, struct pz_crash *out, int64_t now)
 {
     size_t count = 0;
     int64_t cleared_at = pz_cleared_at(table, key);
-    const struct pz_row *row;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        if (is_of(key, &row->crash) && row->crash.ended_at > cleared_at &&
-            (row->crash.begun || !begun) && !row->explained &&
-            pz_counts(row, now)) {
-            out[count++] = row->crash;
+    const struct pz_crash_entry *entry;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        if (matches_key(key, &entry->crash) &&
+            entry->crash.ended_at > cleared_at &&
+            (entry->crash.begun || !begun) && !entry->explained &&
+            pz_is_counted(entry, now)) {
+            out[count++] = entry->crash;
         }
     }
     qsort(out, count, sizeof(*out), compare_ends);
@@ -88,18 +92,20 @@
 }
 
 /*
- * Several customers' requests with a part may wait at one endpoint, and a
- * request may go on from one to another of those that all end at once.
+ * Whether a crash is the next of the chain.  Requests of several customers
+ * with the part may have waited at the same endpoint, which counts once.  A
+ * request may also be retried from one endpoint to the next while all of them
+ * crash for a common cause; these crashes count once as well.
  */
 static bool
-is_next(const struct pz_table *table, const struct pz_chain *chain,
-        const struct pz_crash *crash)
+extends_chain(const struct pz_table *table, const struct pz_chain *chain,
+              const struct pz_crash *crash)
 {
-    if (chain->length == 0 || !table->rule.in_order) {
+    if (chain->length == 0 || !table->rule.in_sequence) {
         return chain->length == 0 || crash->endpoint != chain->endpoint;
     }
     return crash->sent_at >= chain->last_at &&
-           crash->ended_at >= chain->last_at + Pz_APART_USEC;
+           crash->ended_at >= chain->last_at + Pz_SIMULTANEOUS_USEC;
 }
 
 struct pz_chain
@@ -109,12 +115,12 @@
     static struct pz_crash crashes[Pz_CRASHES_MAX];
     struct pz_chain chain = {0};
     uint32_t last_request = 0;
-    size_t count = list_accusing(table, key, begun, crashes, now);
+    size_t count = list_counted(table, key, begun, crashes, now);
     for (size_t i = 0; i < count; i++) {
         const struct pz_crash *crash = &crashes[i];
         chain.customers +=
             i == 0 || crash->key.customer != crashes[i - 1].key.customer;
-        if (!is_next(table, &chain, crash)) {
+        if (!extends_chain(table, &chain, crash)) {
             continue;
         }
         chain.first_at = chain.length == 0 ? crash->ended_at : chain.first_at;
@@ -128,46 +134,45 @@
     return chain;
 }
 
-/* A part that may be stopped. */
 struct suspect {
     struct pz_key key;
     struct pz_chain chain;
-    uint32_t seen;
+    uint32_t answers;
 };
 
-/* Whether the part is accused enough, by itself. */
+/* Whether the part meets the conditions of the rule. */
 static bool
-is_accused(struct pz_table *table, const struct pz_key *key,
-           struct suspect *out, int64_t now)
+check_suspect(struct pz_table *table, const struct pz_key *key,
+              struct suspect *out, int64_t now)
 {
     const struct pz_rule *rule = &table->rule;
     out->key = *key;
-    out->seen = pz_seen_count(table, key, now);
-    int factor = out->seen > 0 ? rule->known_factor : 1;
-    bool any = key->customer == Pz_ANY;
+    out->answers = pz_answer_count(table, key, now);
+    int factor = out->answers > 0 ? rule->answered_factor : 1;
+    bool all = key->customer == Pz_ALL_CUSTOMERS;
     out->chain = pz_find_chain(table, key, true, now);
-    if (out->chain.length < rule->begun_crashes * factor) {
+    if (out->chain.length < rule->crashes_after_head * factor) {
         out->chain = pz_find_chain(table, key, false, now);
-        if (any || out->chain.length < rule->crashes * factor) {
+        if (all || out->chain.length < rule->crashes * factor) {
             return false;
         }
     }
     if (out->chain.requests < rule->requests ||
-        (any && out->chain.customers < Pz_CUSTOMERS_LEAST)) {
+        (all && out->chain.customers < Pz_CUSTOMERS_MIN)) {
         return false;
     }
-    bool enough = rule->others_begun == 0 ||
-                  pz_begun_since(table, key->service, out->chain.first_at) >=
-                      rule->others_begun;
-    table->waits |= !enough;
+    bool enough = rule->other_answers == 0 ||
+                  pz_answers_since(table, key->service, out->chain.first_at) >=
+                      rule->other_answers;
+    table->pending |= !enough;
     return enough;
 }
 
 static bool
-is_worse(const struct suspect *a, const struct suspect *b)
+is_likelier(const struct suspect *a, const struct suspect *b)
 {
-    if (a->seen != b->seen) {
-        return a->seen < b->seen;
+    if (a->answers != b->answers) {
+        return a->answers < b->answers;
     }
     if (a->chain.length != b->chain.length) {
         return a->chain.length > b->chain.length;
@@ -177,45 +182,45 @@
 
 static void
 consider(struct pz_table *table, const struct pz_key *key,
-         struct suspect *worst, bool *found, int64_t now)
+         struct suspect *likeliest, bool *found, int64_t now)
 {
     struct suspect suspect;
-    if (!is_stopped(table, key) && is_accused(table, key, &suspect, now) &&
-        (!*found || is_worse(&suspect, worst))) {
-        *worst = suspect;
+    if (!is_stopped(table, key) && check_suspect(table, key, &suspect, now) &&
+        (!*found || is_likelier(&suspect, likeliest))) {
+        *likeliest = suspect;
         *found = true;
     }
 }
 
-/* Whether an earlier row has the same part of the same customer. */
+/* Whether an earlier entry has the same key. */
 static bool
-is_repeated(const struct pz_table *table, const struct pz_row *row)
+is_duplicate(const struct pz_table *table, const struct pz_crash_entry *entry)
 {
-    const struct pz_row *other;
-    TAILQ_FOREACH (other, &table->rows, link) {
-        if (other == row) {
+    const struct pz_crash_entry *other;
+    TAILQ_FOREACH (other, &table->crashes, link) {
+        if (other == entry) {
             return false;
         }
-        if (pz_same(&other->crash.key, &row->crash.key)) {
+        if (pz_same_key(&other->crash.key, &entry->crash.key)) {
             return true;
         }
     }
     return false;
 }
 
-/* The part that is accused more than any other; false: none is enough. */
+/* The most likely cause among the suspects; false: there is no suspect. */
 static bool
-find_worst(struct pz_table *table, struct suspect *out, int64_t now)
+find_likeliest(struct pz_table *table, struct suspect *out, int64_t now)
 {
     bool found = false;
     *out = (struct suspect){0};
-    find_explained(table, now);
-    const struct pz_row *row;
-    TAILQ_FOREACH (row, &table->rows, link) {
-        if (!is_repeated(table, row)) {
-            struct pz_key any = pz_any(&row->crash.key);
-            consider(table, &row->crash.key, out, &found, now);
-            consider(table, &any, out, &found, now);
+    mark_explained(table, now);
+    const struct pz_crash_entry *entry;
+    TAILQ_FOREACH (entry, &table->crashes, link) {
+        if (!is_duplicate(table, entry)) {
+            struct pz_key all = pz_all_customers(&entry->crash.key);
+            consider(table, &entry->crash.key, out, &found, now);
+            consider(table, &all, out, &found, now);
         }
     }
     return found;
@@ -225,19 +230,19 @@
 Pz_Judge(struct pz_table *table, int64_t now)
 {
     pz_expire(table, now);
-    if ((!table->changed && !table->waits) ||
-        now - table->started_at < table->rule.settle_usec) {
+    if ((!table->changed && !table->pending) ||
+        now - table->started_at < table->rule.startup_grace_usec) {
         return;
     }
     table->changed = false;
-    table->waits = false;
-    struct suspect worst;
-    while (find_worst(table, &worst, now)) {
-        struct pz_stop stop = {worst.key, worst.chain.last_at, now};
+    table->pending = false;
+    struct suspect likeliest;
+    while (find_likeliest(table, &likeliest, now)) {
+        struct pz_stop stop = {likeliest.key, likeliest.chain.last_at, now};
         if (!pz_add_stop(table, &stop)) {
             return;
         }
-        table->ops->stopped(table->arg, &stop, worst.chain.length, false);
+        table->ops->stopped(table->arg, &stop, likeliest.chain.length, false);
     }
 }
 
@@ -245,11 +250,13 @@
 Pz_Doubts(const struct pz_table *table, const struct pz_request *request,
           int64_t now)
 {
-    for (size_t i = 0; i < request->count && !TAILQ_EMPTY(&table->rows); i++) {
+    for (size_t i = 0; i < request->count && !TAILQ_EMPTY(&table->crashes);
+         i++) {
         struct pz_key key = {request->service, request->customer,
                              request->parts[i]};
-        if (pz_seen_count(table, &key, now) == 0 &&
-            pz_find_chain(table, &key, false, now).length >= Pz_DOUBTED) {
+        if (pz_answer_count(table, &key, now) == 0 &&
+            pz_find_chain(table, &key, false, now).length >=
+                Pz_RETRY_CRASHES_MAX) {
             return true;
         }
     }
--- a/packages/policy/poison_pack.h
+++ b/packages/policy/poison_pack.h
@@ -1,4 +1,4 @@
-/* Rows of a word on parts that end endpoints (see poison.h), in msgpack. */
+/* Gossip rows about parts that crash endpoints (see poison.h), in msgpack. */
 #ifndef POLICY_POISON_PACK_H
 #define POLICY_POISON_PACK_H
 
@@ -10,14 +10,14 @@
 extern "C" {
 #endif
 
-/* Each is an array of numbers, row after row. */
+/* Each list is one array of numbers, row after row. */
 void Pz_PackCrashes(msgpack_packer *packer, const struct pz_crash *rows,
                     size_t count);
 void Pz_PackClears(msgpack_packer *packer, const struct pz_clear *rows,
                    size_t count);
 void Pz_PackStops(msgpack_packer *packer, const struct pz_stop *rows,
                   size_t count);
-/* Reads at most "most" rows; returns how many, 0 of what is no array. */
+/* Read at most "most" rows; return their number, 0 if it is no array. */
 size_t Pz_ReadCrashes(const msgpack_object *list, struct pz_crash *out,
                       size_t most);
 size_t Pz_ReadClears(const msgpack_object *list, struct pz_clear *out,
--- a/packages/policy/poison_seen.c
+++ b/packages/policy/poison_seen.c
@@ -1,138 +1,146 @@
 /*
- * When parts of prompts began: a table of fixed size, in which a part that
- * began often stays before one that began once, so that ever new parts take
- * each other's place only.
+ * The answers to requests with a prompt part, in a set-associative table of
+ * fixed size.  The part with the fewest answers is evicted first, so a stream
+ * of new parts evicts only other new parts.
  */
 #include <string.h>
 
 #include "base/hash.h"
 #include "policy/poison_internal.h"
 
-/* A part that has not begun for so long is new again. */
-#define Pz_KNOWN_USEC (120 * Ck_USEC_PER_SEC)
-#define Pz_COUNT_MAX 1000000
+/* A part that was not answered for this long is treated as new. */
+#define Pz_HISTORY_TTL_USEC (120 * Ck_USEC_PER_SEC)
+#define Pz_ANSWER_COUNT_MAX 1000000
 
 bool
-pz_same(const struct pz_key *a, const struct pz_key *b)
+pz_same_key(const struct pz_key *a, const struct pz_key *b)
 {
     return a->part == b->part && a->customer == b->customer &&
            a->service == b->service;
 }
 
 struct pz_key
-pz_any(const struct pz_key *key)
+pz_all_customers(const struct pz_key *key)
 {
-    return (struct pz_key){key->service, Pz_ANY, key->part};
+    return (struct pz_key){key->service, Pz_ALL_CUSTOMERS, key->part};
 }
 
 static size_t
-set_of(const struct pz_key *key)
+set_index(const struct pz_key *key)
 {
     return Hash_Bytes(key, sizeof(*key), 0) & (Pz_SETS - 1);
 }
 
-struct pz_seen *
-pz_find_seen(const struct pz_table *table, const struct pz_key *key)
+struct pz_history *
+pz_find_history(const struct pz_table *table, const struct pz_key *key)
 {
-    const struct pz_seen *set = table->seen[set_of(key)];
+    const struct pz_history *set = table->history[set_index(key)];
     for (size_t i = 0; i < Pz_WAYS; i++) {
-        if (set[i].count > 0 && pz_same(&set[i].key, key)) {
-            return (struct pz_seen *)&set[i];
+        if (set[i].count > 0 && pz_same_key(&set[i].key, key)) {
+            return (struct pz_history *)&set[i];
         }
     }
     return NULL;
 }
 
-/* Whether "a" is the one to be forgotten. */
+/* Whether "a" is evicted before "b". */
 static bool
-is_worth_less(const struct pz_seen *a, const struct pz_seen *b, int64_t now)
+evicts_before(const struct pz_history *a, const struct pz_history *b,
+              int64_t now)
 {
-    bool a_old = now - a->at > Pz_KNOWN_USEC;
-    bool b_old = now - b->at > Pz_KNOWN_USEC;
+    bool a_old = now - a->answered_at > Pz_HISTORY_TTL_USEC;
+    bool b_old = now - b->answered_at > Pz_HISTORY_TTL_USEC;
     if (a_old != b_old) {
         return a_old;
     }
-    return a->count != b->count ? a->count < b->count : a->at < b->at;
+    return a->count != b->count ? a->count < b->count
+                                : a->answered_at < b->answered_at;
 }
 
-static struct pz_seen *
-take_place(struct pz_table *table, const struct pz_key *key, int64_t now)
+static struct pz_history *
+evict_for(struct pz_table *table, const struct pz_key *key, int64_t now)
 {
-    struct pz_seen *set = table->seen[set_of(key)];
-    struct pz_seen *least = &set[0];
+    struct pz_history *set = table->history[set_index(key)];
+    struct pz_history *least = &set[0];
     for (size_t i = 1; i < Pz_WAYS; i++) {
-        if (is_worth_less(&set[i], least, now)) {
+        if (evicts_before(&set[i], least, now)) {
             least = &set[i];
         }
     }
-    *least = (struct pz_seen){.key = *key};
+    *least = (struct pz_history){.key = *key};
     return least;
 }
 
 void
-pz_see(struct pz_table *table, const struct pz_key *key, uint32_t count,
-       int64_t at)
+pz_note_answer(struct pz_table *table, const struct pz_key *key,
+               uint32_t count, int64_t at)
 {
-    struct pz_seen *seen = pz_find_seen(table, key);
-    if (seen == NULL) {
-        seen = take_place(table, key, at);
+    struct pz_history *history = pz_find_history(table, key);
+    if (history == NULL) {
+        history = evict_for(table, key, at);
     }
-    if (at - seen->at > Pz_KNOWN_USEC) {
-        seen->count = 0;
+    if (at - history->answered_at > Pz_HISTORY_TTL_USEC) {
+        history->count = 0;
     }
-    seen->count += count;
-    seen->count = seen->count < Pz_COUNT_MAX ? seen->count : Pz_COUNT_MAX;
-    seen->at = at > seen->at ? at : seen->at;
+    history->count += count;
+    history->count = history->count < Pz_ANSWER_COUNT_MAX
+                         ? history->count
+                         : Pz_ANSWER_COUNT_MAX;
+    history->answered_at =
+        at > history->answered_at ? at : history->answered_at;
 }
 
 int64_t
 pz_cleared_at(const struct pz_table *table, const struct pz_key *key)
 {
-    const struct pz_seen *seen = pz_find_seen(table, key);
-    return seen == NULL ? 0 : seen->at;
+    const struct pz_history *history = pz_find_history(table, key);
+    return history == NULL ? 0 : history->answered_at;
 }
 
 uint32_t
-pz_seen_count(const struct pz_table *table, const struct pz_key *key,
-              int64_t now)
+pz_answer_count(const struct pz_table *table, const struct pz_key *key,
+                int64_t now)
 {
-    const struct pz_seen *seen = pz_find_seen(table, key);
-    return seen == NULL || now - seen->at > Pz_KNOWN_USEC ? 0 : seen->count;
+    const struct pz_history *history = pz_find_history(table, key);
+    return history == NULL || now - history->answered_at > Pz_HISTORY_TTL_USEC
+               ? 0
+               : history->count;
 }
 
-static struct pz_begins *
-find_begins(const struct pz_table *table, uint32_t service)
+static struct pz_recent_answers *
+find_recent(const struct pz_table *table, uint32_t service)
 {
     for (size_t i = 0; i < table->service_count; i++) {
-        if (table->begins[i].service == service) {
-            return (struct pz_begins *)&table->begins[i];
+        if (table->recent_answers[i].service == service) {
+            return (struct pz_recent_answers *)&table->recent_answers[i];
         }
     }
     return NULL;
 }
 
 void
-pz_note_begin(struct pz_table *table, uint32_t service, int64_t now)
+pz_note_service_answer(struct pz_table *table, uint32_t service, int64_t now)
 {
-    struct pz_begins *begins = find_begins(table, service);
-    if (begins == NULL) {
+    struct pz_recent_answers *recent_answers = find_recent(table, service);
+    if (recent_answers == NULL) {
         if (table->service_count == Pz_SERVICES_MAX) {
             return;
         }
-        begins = &table->begins[table->service_count++];
-        begins->service = service;
+        recent_answers = &table->recent_answers[table->service_count++];
+        recent_answers->service = service;
     }
-    begins->at[begins->next] = now;
-    begins->next = (begins->next + 1) % Pz_BEGINS_MAX;
+    recent_answers->at[recent_answers->next] = now;
+    recent_answers->next = (recent_answers->next + 1) % Pz_RECENT_ANSWERS;
 }
 
 int
-pz_begun_since(const struct pz_table *table, uint32_t service, int64_t since)
+pz_answers_since(const struct pz_table *table, uint32_t service, int64_t since)
 {
-    const struct pz_begins *begins = find_begins(table, service);
+    const struct pz_recent_answers *recent_answers =
+        find_recent(table, service);
     int count = 0;
-    for (size_t i = 0; begins != NULL && i < Pz_BEGINS_MAX; i++) {
-        count += begins->at[i] >= since;
+    for (size_t i = 0; recent_answers != NULL && i < Pz_RECENT_ANSWERS; i++) {
+        count += recent_answers->at[i] >= since;
     }
     return count;
 }
--- a/packages/policy/test/poison_test.cc
+++ b/packages/policy/test/poison_test.cc
@@ -309,7 +309,7 @@
 TEST_F(Poison, AHostThatJustStartedDecidesNothing)
 {
     pz_rule rule = Pz_Rule();
-    rule.settle_usec = 20 * kSecond;
+    rule.startup_grace_usec = 20 * kSecond;
     Use(rule);
     EndThree(Ask({kDead}));
     EXPECT_TRUE(events_.empty());
