--- a/packages/policy/test/model/poison_model.cc
+++ b/packages/policy/test/model/poison_model.cc
@@ -15,35 +15,36 @@
 const int64_t kSecond = Ck_USEC_PER_SEC;
 const int64_t kStart = 1000 * kSecond;
 const int64_t kPoisonFrom = 6 * kSecond;
-const int64_t kHead = 40 * kMs; // from the head of an answer to its event
-const int64_t kBoot = 3 * kSecond;
+// From the headers of an answer to its first event.
+const int64_t kHeadToEvent = 40 * kMs;
+const int64_t kRestartTime = 3 * kSecond;
 const int64_t kTick = 100 * kMs;
-const int64_t kContact = 3 * kSecond;
-const int64_t kSign = 120 * kMs; // until a test has shown what lives
+const int64_t kDetectionTime = 3 * kSecond;
+const int64_t kProbeTime = 120 * kMs; // until a health check has its result
 const int64_t kResetsFrom = 6 * kSecond;
 const int64_t kResetsTo = 9 * kSecond;
-const size_t kMany = 5;
+const size_t kCrashesToDetect = 5;
 const size_t kZones = 4;
-const double kNearPerSec = 120;
-const double kFarPerSec = 100;
-const size_t kCrashesTold = 24;
-const size_t kClearsTold = 16;
-const size_t kStopsTold = 8;
-const int kAttempts = 3;
+const double kNearMessagesPerSec = 120;
+const double kFarMessagesPerSec = 100;
+const size_t kCrashRowsMax = 24;
+const size_t kClearRowsMax = 16;
+const size_t kStopRowsMax = 8;
+const int kAttemptsMax = 3;
 const int kSessionRequests = 4;
-const uint32_t kDead = 1;
-const uint32_t kFirst = 100;
-const uint32_t kShared = 1000;
-const uint32_t kSession = 100000;
+const uint32_t kPoisonPart = 1;
+const uint32_t kCustomerPart = 100;
+const uint32_t kSharedPart = 1000;
+const uint32_t kSessionPart = 100000;
 
 struct Request {
-    pz_request asked;
+    pz_request prompt;
     size_t host;
-    int bad;    // which part, from 1; 0: sound
-    bool again; // the caller's own repeat
+    int poison;     // number of its poisonous part, from 1; 0: sound
+    bool is_repeat; // sent again by the caller
     int attempts = 0;
     int64_t sent_at = 0;
-    int64_t due = 0; // its first event
+    int64_t due = 0; // time of its first event
     int64_t arrived = 0;
 };
 
@@ -53,7 +54,7 @@
     std::vector<Request> waiting;
 };
 
-struct Word {
+struct Message {
     std::vector<pz_crash> crashes;
     std::vector<pz_clear> clears;
     std::vector<pz_stop> stops;
@@ -63,15 +64,15 @@
     pz_table *table = nullptr;
     int64_t started = 0;
     int64_t skew = 0;
-    std::shared_ptr<Word> word = nullptr;
-    int64_t word_at = 0;
+    std::shared_ptr<Message> message = nullptr;
+    int64_t message_at = 0;
 };
 
 void
-OnStopped(void *arg, const pz_stop *stop, int crashes, bool heard)
+OnStopped(void *arg, const pz_stop *stop, int crashes, bool from_peer)
 {
-    // What is known must last: the store keeps it.
-    if (!heard) {
+    // A host's own stops are kept in the store, for hosts that restart.
+    if (!from_peer) {
         static_cast<std::vector<pz_stop> *>(arg)->push_back(*stop);
     }
 }
@@ -79,11 +80,11 @@
 void
 OnLifted(void *arg, const pz_stop *stop, const char *why)
 {
-    auto *kept = static_cast<std::vector<pz_stop> *>(arg);
-    for (size_t i = kept->size(); i > 0; i--) {
-        if ((*kept)[i - 1].key.part == stop->key.part &&
-            (*kept)[i - 1].key.customer == stop->key.customer) {
-            kept->erase(kept->begin() + static_cast<long>(i) - 1);
+    auto *store = static_cast<std::vector<pz_stop> *>(arg);
+    for (size_t i = store->size(); i > 0; i--) {
+        if ((*store)[i - 1].key.part == stop->key.part &&
+            (*store)[i - 1].key.customer == stop->key.customer) {
+            store->erase(store->begin() + static_cast<long>(i) - 1);
         }
     }
 }
@@ -92,10 +93,11 @@
 
 class Model {
   public:
-    Model(const PoisonScene &scene, const PoisonWay &way, unsigned seed)
-        : scene_(scene), way_(way), random_(seed), hosts_(scene.hosts),
-          endpoints_(scene.endpoints), next_run_(1),
-          ends_(static_cast<size_t>(scene.parts))
+    Model(const PoisonScenario &scenario, const PoisonPolicy &policy,
+          unsigned seed)
+        : scenario_(scenario), policy_(policy), random_(seed),
+          hosts_(scenario.hosts), endpoints_(scenario.endpoints), next_run_(1),
+          part_crashes_(static_cast<size_t>(scenario.poison_parts))
     {
         for (Endpoint &endpoint : endpoints_) {
             endpoint.run = next_run_++;
@@ -106,7 +108,7 @@
             StartHost(i, false);
             hosts_[i].started = now_ - 10 * kSecond;
         }
-        for (size_t from = 0; from < hosts_.size() && way.words; from++) {
+        for (size_t from = 0; from < hosts_.size() && policy.gossip; from++) {
             for (size_t to = 0; to < hosts_.size(); to++) {
                 if (to != from) {
                     Schedule(from, to, true);
@@ -122,32 +124,32 @@
         }
     }
 
-    PoisonPlayed
+    PoisonResult
     Run()
     {
-        std::poisson_distribution<int> arrivals(scene_.per_sec / 1000);
-        int64_t end = kStart + static_cast<int64_t>(scene_.seconds * 1e6);
-        double restart = scene_.restart_every;
+        std::poisson_distribution<int> arrivals(scenario_.per_sec / 1000);
+        int64_t end = kStart + static_cast<int64_t>(scenario_.seconds * 1e6);
+        double restart = scenario_.restart_every;
         size_t next_crash = 0;
         for (now_ = kStart; now_ < end; now_ += kMs) {
             double second = static_cast<double>(now_ - kStart) / 1e6;
             for (int n = arrivals(random_); n > 0; n--) {
                 Arrive();
             }
-            Begin();
-            TakeSigns();
-            Talk();
-            if (next_crash < scene_.crashes.size() &&
-                second >= scene_.crashes[next_crash]) {
+            DeliverEvents();
+            ApplyProbes();
+            Gossip();
+            if (next_crash < scenario_.crash_times.size() &&
+                second >= scenario_.crash_times[next_crash]) {
                 next_crash++;
                 CrashSome();
             }
-            if (scene_.restart_every > 0 && second >= restart + 6) {
+            if (scenario_.restart_every > 0 && second >= restart + 6) {
                 StartHost(restarts_++ % hosts_.size(), true);
-                restart += scene_.restart_every;
+                restart += scenario_.restart_every;
             }
-            if (scene_.restart_all > 0 && !all_restarted_ &&
-                second >= scene_.restart_all) {
+            if (scenario_.restart_all > 0 && !all_restarted_ &&
+                second >= scenario_.restart_all) {
                 all_restarted_ = true;
                 for (size_t i = 0; i < hosts_.size(); i++) {
                     StartHost(i, true);
@@ -159,26 +161,26 @@
                 }
             }
         }
-        return played_;
+        return result_;
     }
 
   private:
-    struct Due {
+    struct ScheduledMessage {
         int64_t at;
         size_t from;
         size_t to;
         bool
-        operator>(const Due &other) const
+        operator>(const ScheduledMessage &other) const
         {
             return at > other.at;
         }
     };
-    struct Coming {
+    struct Delivery {
         int64_t at;
         size_t to;
-        std::shared_ptr<Word> word;
+        std::shared_ptr<Message> message;
         bool
-        operator>(const Coming &other) const
+        operator>(const Delivery &other) const
         {
             return at > other.at;
         }
@@ -197,13 +199,14 @@
     }
 
     void
-    StartHost(size_t i, bool know)
+    StartHost(size_t i, bool restore)
     {
         Pz_Destroy(hosts_[i].table);
-        hosts_[i].table = Pz_Create(&way_.rule, &ops, &kept_, At(i));
+        hosts_[i].table = Pz_Create(&policy_.rule, &ops, &store_, At(i));
         hosts_[i].started = now_;
-        for (size_t k = 0; know && way_.words && k < kept_.size(); k++) {
-            pz_stop stop = kept_[k];
+        for (size_t k = 0; restore && policy_.gossip && k < store_.size();
+             k++) {
+            pz_stop stop = store_[k];
             stop.seen_at = At(i);
             Pz_HearStop(hosts_[i].table, &stop, At(i));
         }
@@ -215,76 +218,79 @@
         bool near = from % kZones == to % kZones;
         size_t peers = near ? hosts_.size() / kZones
                             : hosts_.size() - hosts_.size() / kZones;
-        double gap =
-            static_cast<double>(peers) / (near ? kNearPerSec : kFarPerSec);
+        double gap = static_cast<double>(peers) /
+                     (near ? kNearMessagesPerSec : kFarMessagesPerSec);
         gap = gap < 0.1 ? 0.1 : gap;
-        double part = first ? Unit() : 0.8 + 0.4 * Unit();
-        due_.push({now_ + static_cast<int64_t>(gap * part * 1e6), from, to});
+        double jitter = first ? Unit() : 0.8 + 0.4 * Unit();
+        schedule_.push(
+            {now_ + static_cast<int64_t>(gap * jitter * 1e6), from, to});
     }
 
     void
-    Talk()
+    Gossip()
     {
-        while (!due_.empty() && due_.top().at <= now_) {
-            Due due = due_.top();
-            due_.pop();
+        while (!schedule_.empty() && schedule_.top().at <= now_) {
+            ScheduledMessage due = schedule_.top();
+            schedule_.pop();
             Schedule(due.from, due.to, false);
-            Say(due.from, due.to);
+            SendMessage(due.from, due.to);
         }
-        while (!coming_.empty() && coming_.top().at <= now_) {
-            Coming coming = coming_.top();
-            coming_.pop();
-            Hear(coming.to, *coming.word);
+        while (!deliveries_.empty() && deliveries_.top().at <= now_) {
+            Delivery delivery = deliveries_.top();
+            deliveries_.pop();
+            ReceiveMessage(delivery.to, *delivery.message);
         }
     }
 
-    static std::shared_ptr<Word>
-    Make(const pz_table *table, int64_t now)
+    static std::shared_ptr<Message>
+    MakeMessage(const pz_table *table, int64_t now)
     {
-        auto word = std::make_shared<Word>();
-        word->crashes.resize(kCrashesTold);
-        word->crashes.resize(
-            Pz_TellCrashes(table, word->crashes.data(), kCrashesTold, now));
-        word->clears.resize(kClearsTold);
-        word->clears.resize(
-            Pz_TellClears(table, word->clears.data(), kClearsTold, now));
-        word->stops.resize(kStopsTold);
-        word->stops.resize(
-            Pz_TellStops(table, word->stops.data(), kStopsTold));
-        return word;
+        auto message = std::make_shared<Message>();
+        message->crashes.resize(kCrashRowsMax);
+        message->crashes.resize(Pz_TellCrashes(table, message->crashes.data(),
+                                               kCrashRowsMax, now));
+        message->clears.resize(kClearRowsMax);
+        message->clears.resize(
+            Pz_TellClears(table, message->clears.data(), kClearRowsMax, now));
+        message->stops.resize(kStopRowsMax);
+        message->stops.resize(
+            Pz_TellStops(table, message->stops.data(), kStopRowsMax));
+        return message;
     }
 
     void
-    Say(size_t from, size_t to)
+    SendMessage(size_t from, size_t to)
     {
         Host &host = hosts_[from];
-        if (host.word == nullptr || now_ - host.word_at >= kTick) {
-            host.word = Make(host.table, At(from));
-            host.word_at = now_;
+        if (host.message == nullptr || now_ - host.message_at >= kTick) {
+            host.message = MakeMessage(host.table, At(from));
+            host.message_at = now_;
         }
-        const std::shared_ptr<Word> &word = host.word;
-        if (word->crashes.size() + word->clears.size() + word->stops.size() ==
+        const std::shared_ptr<Message> &message = host.message;
+        if (message->crashes.size() + message->clears.size() +
+                    message->stops.size() ==
                 0 ||
-            Unit() < scene_.lost) {
+            Unit() < scenario_.message_loss) {
             return;
         }
-        int64_t late = scene_.late > 0
-                           ? static_cast<int64_t>(Unit() * (double)scene_.late)
-                           : kMs;
-        coming_.push({now_ + late, to, word});
+        int64_t delay = scenario_.message_delay_max > 0
+                            ? static_cast<int64_t>(
+                                  Unit() * (double)scenario_.message_delay_max)
+                            : kMs;
+        deliveries_.push({now_ + delay, to, message});
     }
 
     void
-    Hear(size_t to, const Word &word)
+    ReceiveMessage(size_t to, const Message &message)
     {
         pz_table *table = hosts_[to].table;
-        for (const pz_clear &clear : word.clears) {
+        for (const pz_clear &clear : message.clears) {
             Pz_HearClear(table, &clear);
         }
-        for (const pz_stop &stop : word.stops) {
+        for (const pz_stop &stop : message.stops) {
             Pz_HearStop(table, &stop, At(to));
         }
-        for (const pz_crash &crash : word.crashes) {
+        for (const pz_crash &crash : message.crashes) {
             Pz_HearCrash(table, &crash);
         }
     }
@@ -297,34 +303,35 @@
         bool poison_on = now_ - kStart > kPoisonFrom;
         double unit = Unit();
         int part = 0;
-        while (poison_on && part < scene_.parts &&
-               unit > scene_.poisoned * (part + 1)) {
+        while (poison_on && part < scenario_.poison_parts &&
+               unit > scenario_.poison_fraction * (part + 1)) {
             part++;
         }
-        request.bad = poison_on && part < scene_.parts ? part + 1 : 0;
-        // A few customers are large.
-        int customer = static_cast<int>(Unit() * Unit() * scene_.customers);
-        if (request.bad && !scene_.any_customer) {
+        request.poison =
+            poison_on && part < scenario_.poison_parts ? part + 1 : 0;
+        // Customers differ in size: few of them send most requests.
+        int customer = static_cast<int>(Unit() * Unit() * scenario_.customers);
+        if (request.poison && !scenario_.all_customers) {
             customer = 0;
         }
-        pz_request *asked = &request.asked;
-        asked->service = 1;
-        asked->id = ++last_id_;
-        asked->customer = static_cast<uint32_t>(customer + 1);
-        uint32_t first = kFirst + static_cast<uint32_t>(customer);
-        uint32_t dead = kDead + static_cast<uint32_t>(part);
-        asked->parts[asked->count++] =
-            request.bad && scene_.first ? dead : first;
-        if (request.bad && !scene_.first) {
-            asked->parts[asked->count++] = dead;
+        pz_request *prompt = &request.prompt;
+        prompt->service = 1;
+        prompt->id = ++last_id_;
+        prompt->customer = static_cast<uint32_t>(customer + 1);
+        uint32_t first = kCustomerPart + static_cast<uint32_t>(customer);
+        uint32_t poison_part = kPoisonPart + static_cast<uint32_t>(part);
+        prompt->parts[prompt->count++] =
+            request.poison && scenario_.poison_first ? poison_part : first;
+        if (request.poison && !scenario_.poison_first) {
+            prompt->parts[prompt->count++] = poison_part;
         }
         if (Unit() < 0.5) {
-            asked->parts[asked->count++] =
-                kShared + static_cast<uint32_t>(random_() % 8);
+            prompt->parts[prompt->count++] =
+                kSharedPart + static_cast<uint32_t>(random_() % 8);
         }
         else {
-            asked->parts[asked->count++] =
-                kSession + session_++ / kSessionRequests;
+            prompt->parts[prompt->count++] =
+                kSessionPart + session_++ / kSessionRequests;
         }
         request.arrived = now_;
         return request;
@@ -334,27 +341,30 @@
     Arrive()
     {
         Request request = Draw();
-        Take(request);
+        Admit(request);
     }
 
     bool
-    Counts(const Request &request) const
+    IsAfterDetection(const Request &request) const
     {
-        return fifth_ != 0 && request.arrived > fifth_ + 2 * kContact &&
-               request.arrived > hosts_[request.host].started + kContact;
+        return fifth_crash_ != 0 &&
+               request.arrived > fifth_crash_ + 2 * kDetectionTime &&
+               request.arrived > hosts_[request.host].started + kDetectionTime;
     }
 
     void
-    Take(Request request)
+    Admit(Request request)
     {
         const pz_stop *stop = Pz_Refuses(hosts_[request.host].table,
-                                         &request.asked, At(request.host));
-        if (!request.bad && !request.again && Counts(request)) {
-            played_.sound++;
+                                         &request.prompt, At(request.host));
+        if (!request.poison && !request.is_repeat &&
+            IsAfterDetection(request)) {
+            result_.sound_requests++;
         }
         if (stop != nullptr) {
-            played_.refused += !request.bad;
-            played_.refused_late += !request.bad && Counts(request);
+            result_.sound_refused += !request.poison;
+            result_.sound_refused_late +=
+                !request.poison && IsAfterDetection(request);
             return;
         }
         Send(request);
@@ -363,25 +373,28 @@
     void
     Send(Request request)
     {
-        std::vector<size_t> up;
+        std::vector<size_t> available;
         for (size_t i = 0; i < endpoints_.size(); i++) {
             if (endpoints_[i].down_until <= now_) {
-                up.push_back(i);
+                available.push_back(i);
             }
         }
-        if (up.empty()) {
+        if (available.empty()) {
             return;
         }
         request.attempts++;
         request.sent_at = At(request.host);
-        std::exponential_distribution<double> wait(1 / scene_.begin_usec);
-        request.due = now_ + kHead + static_cast<int64_t>(wait(random_));
-        if (request.bad) {
-            CountLate(request);
-        }
-        Endpoint &endpoint = endpoints_[up[random_() % up.size()]];
+        std::exponential_distribution<double> wait(1 /
+                                                   scenario_.first_event_usec);
+        request.due =
+            now_ + kHeadToEvent + static_cast<int64_t>(wait(random_));
+        if (request.poison) {
+            CountSentLate(request);
+        }
+        Endpoint &endpoint =
+            endpoints_[available[random_() % available.size()]];
         bool resets = now_ > kStart + kResetsFrom && now_ < kStart + kResetsTo;
-        if (resets && Unit() < scene_.resets) {
+        if (resets && Unit() < scenario_.reset_fraction) {
             Reset(request, endpoint);
             return;
         }
@@ -389,28 +402,32 @@
     }
 
     void
-    CountLate(const Request &request)
+    CountSentLate(const Request &request)
     {
-        Ends &ends = ends_[static_cast<size_t>(request.bad) - 1];
-        ends.late += ends.fifth != 0 && now_ > ends.fifth + kContact &&
-                     now_ > hosts_[request.host].started + kContact;
-        played_.late = std::max(played_.late, ends.late);
+        PartCrashes &crashes =
+            part_crashes_[static_cast<size_t>(request.poison) - 1];
+        crashes.late += crashes.fifth_at != 0 &&
+                        now_ > crashes.fifth_at + kDetectionTime &&
+                        now_ > hosts_[request.host].started + kDetectionTime;
+        result_.poison_sent_late =
+            std::max(result_.poison_sent_late, crashes.late);
     }
 
     void
-    CountEnd(const Request &request)
+    CountCrash(const Request &request)
     {
-        Ends &ends = ends_[static_cast<size_t>(request.bad) - 1];
-        played_.ended++;
-        ends.count++;
-        if (ends.count == kMany) {
-            ends.fifth = now_;
-            fifth_ = now_;
+        PartCrashes &crashes =
+            part_crashes_[static_cast<size_t>(request.poison) - 1];
+        result_.crashes++;
+        crashes.count++;
+        if (crashes.count == kCrashesToDetect) {
+            crashes.fifth_at = now_;
+            fifth_crash_ = now_;
         }
     }
 
     void
-    Begin()
+    DeliverEvents()
     {
         for (Endpoint &endpoint : endpoints_) {
             for (size_t i = 0; i < endpoint.waiting.size();) {
@@ -419,62 +436,63 @@
                     continue;
                 }
                 Request request = endpoint.waiting[i];
-                if (request.bad) {
-                    CountEnd(request);
-                    End(endpoint);
+                if (request.poison) {
+                    CountCrash(request);
+                    Crash(endpoint);
                     break;
                 }
                 endpoint.waiting.erase(endpoint.waiting.begin() +
                                        static_cast<long>(i));
-                Pz_Began(hosts_[request.host].table, &request.asked,
+                Pz_Began(hosts_[request.host].table, &request.prompt,
                          At(request.host));
-                played_.served += Counts(request);
+                result_.sound_served += IsAfterDetection(request);
             }
         }
     }
 
     void
-    End(Endpoint &endpoint)
+    Crash(Endpoint &endpoint)
     {
-        std::vector<Request> broken;
-        broken.swap(endpoint.waiting);
+        std::vector<Request> victims;
+        victims.swap(endpoint.waiting);
         uint32_t run = endpoint.run;
         endpoint.run = next_run_++;
-        endpoint.down_until = now_ + kBoot;
-        for (const Request &request : broken) {
-            signs_.push_back({now_ + kSign, request.host, run, false});
+        endpoint.down_until = now_ + kRestartTime;
+        for (const Request &request : victims) {
+            probes_.push_back({now_ + kProbeTime, request.host, run, false});
         }
-        for (const Request &request : broken) {
+        for (const Request &request : victims) {
             pz_crash crash = {};
             crash.endpoint = run;
-            crash.begun = request.due - now_ <= kHead;
+            crash.begun = request.due - now_ <= kHeadToEvent;
             crash.sent_at = request.sent_at;
             crash.ended_at = At(request.host);
-            Pz_Ended(hosts_[request.host].table, &request.asked, &crash);
+            Pz_Ended(hosts_[request.host].table, &request.prompt, &crash);
         }
-        for (const Request &request : broken) {
+        for (const Request &request : victims) {
             pz_table *table = hosts_[request.host].table;
             Pz_Judge(table, At(request.host));
-            bool doubted = way_.doubts &&
-                           Pz_Doubts(table, &request.asked, At(request.host));
-            if (Pz_Refuses(table, &request.asked, At(request.host))) {
-                played_.refused += !request.bad;
+            bool no_retry =
+                policy_.limit_retries &&
+                Pz_Doubts(table, &request.prompt, At(request.host));
+            if (Pz_Refuses(table, &request.prompt, At(request.host))) {
+                result_.sound_refused += !request.poison;
                 continue;
             }
-            if (request.attempts < kAttempts && !doubted) {
+            if (request.attempts < kAttemptsMax && !no_retry) {
                 Send(request);
             }
-            else if (!request.again) {
-                Request again = request;
-                again.again = true;
-                again.attempts = 0;
-                again.host = random_() % hosts_.size();
-                Take(again);
+            else if (!request.is_repeat) {
+                Request repeat = request;
+                repeat.is_repeat = true;
+                repeat.attempts = 0;
+                repeat.host = random_() % hosts_.size();
+                Admit(repeat);
             }
         }
     }
 
-    // A connection breaks at once, and the endpoint goes on.
+    // The connection breaks at once, but the endpoint goes on running.
     void
     Reset(Request request, const Endpoint &endpoint)
     {
@@ -483,27 +501,29 @@
         crash.endpoint = endpoint.run;
         crash.sent_at = request.sent_at;
         crash.ended_at = At(request.host) + 2 * kMs;
-        Pz_Ended(table, &request.asked, &crash);
-        signs_.push_back({now_ + kSign, request.host, endpoint.run, true});
-        if (request.attempts < kAttempts &&
-            !Pz_Doubts(table, &request.asked, At(request.host))) {
+        Pz_Ended(table, &request.prompt, &crash);
+        probes_.push_back(
+            {now_ + kProbeTime, request.host, endpoint.run, true});
+        if (request.attempts < kAttemptsMax &&
+            !Pz_Doubts(table, &request.prompt, At(request.host))) {
             Send(request);
         }
     }
 
-    // Hosts test what a connection broke to.
+    // Applies the results of health checks of endpoints whose connection
+    // broke.
     void
-    TakeSigns()
+    ApplyProbes()
     {
-        for (; !signs_.empty() && signs_.front().at <= now_;
-             signs_.pop_front()) {
-            const Sign &sign = signs_.front();
-            pz_table *table = hosts_[sign.host].table;
-            if (sign.lives) {
-                Pz_Lives(table, sign.endpoint, At(sign.host));
+        for (; !probes_.empty() && probes_.front().at <= now_;
+             probes_.pop_front()) {
+            const Probe &probe = probes_.front();
+            pz_table *table = hosts_[probe.host].table;
+            if (probe.alive) {
+                Pz_Lives(table, probe.endpoint, At(probe.host));
             }
             else {
-                Pz_Dead(table, sign.endpoint);
+                Pz_Dead(table, probe.endpoint);
             }
         }
     }
@@ -512,50 +532,55 @@
     CrashSome()
     {
         for (Endpoint &endpoint : endpoints_) {
-            if (endpoint.down_until <= now_ && Unit() < scene_.crash_part) {
-                End(endpoint);
+            if (endpoint.down_until <= now_ &&
+                Unit() < scenario_.crash_fraction) {
+                Crash(endpoint);
             }
         }
     }
 
-    PoisonScene scene_;
-    PoisonWay way_;
+    PoisonScenario scenario_;
+    PoisonPolicy policy_;
     std::mt19937 random_;
     std::vector<Host> hosts_;
     std::vector<Endpoint> endpoints_;
     uint32_t next_run_;
-    struct Ends {
+    struct PartCrashes {
         int count = 0;
         int late = 0;
-        int64_t fifth = 0;
+        int64_t fifth_at = 0;
     };
-    std::vector<Ends> ends_;
+    std::vector<PartCrashes> part_crashes_;
     uint32_t session_ = 0;
     uint32_t last_id_ = 0;
     int64_t now_ = kStart;
-    int64_t fifth_ = 0; // of the part that came to it last
+    int64_t fifth_crash_ = 0; // latest fifth crash of any part
     size_t restarts_ = 0;
     bool all_restarted_ = false;
-    struct Sign {
+    struct Probe {
         int64_t at;
         size_t host;
         uint32_t endpoint;
-        bool lives;
+        bool alive;
     };
-    std::deque<Sign> signs_;
-    std::vector<pz_stop> kept_;
-    std::priority_queue<Due, std::vector<Due>, std::greater<Due>> due_;
-    std::priority_queue<Coming, std::vector<Coming>, std::greater<Coming>>
-        coming_;
-    PoisonPlayed played_;
+    std::deque<Probe> probes_;
+    std::vector<pz_stop> store_;
+    std::priority_queue<ScheduledMessage, std::vector<ScheduledMessage>,
+                        std::greater<ScheduledMessage>>
+        schedule_;
+    std::priority_queue<Delivery, std::vector<Delivery>,
+                        std::greater<Delivery>>
+        deliveries_;
+    PoisonResult result_;
 };
 
 } // namespace
 
-PoisonPlayed
-PlayPoison(const PoisonScene &scene, const PoisonWay &way, unsigned seed)
+PoisonResult
+SimulatePoison(const PoisonScenario &scenario, const PoisonPolicy &policy,
+               unsigned seed)
 {
-    Model model(scene, way, seed);
+    Model model(scenario, policy, seed);
     return model.Run();
 }
 
--- a/packages/policy/test/model/poison_model.h
+++ b/packages/policy/test/model/poison_model.h
@@ -1,5 +1,5 @@
-// A model of hosts that send requests to endpoints, some of which end under
-// a part of their prompts, and tell each other what they saw.
+// A simulation of hosts that send requests to endpoints, some of which crash
+// on a part of a prompt, and that gossip what they observe.
 #ifndef POLICY_TEST_POISON_MODEL_H
 #define POLICY_TEST_POISON_MODEL_H
 
@@ -11,44 +11,49 @@
 
 namespace cg {
 
-struct PoisonScene {
+struct PoisonScenario {
     size_t hosts = 7;
     size_t endpoints = 9;
-    double per_sec = 100;   // requests
-    double poisoned = 0.02; // of these, per poisonous part
-    int parts = 1;          // that end endpoints
+    double per_sec = 100;          // requests
+    double poison_fraction = 0.02; // of the requests, per poisonous part
+    int poison_parts = 1;          // number of parts that crash endpoints
     int customers = 5;
-    bool any_customer = false;        // bad requests come from all of them
-    bool first = false;               // the bad part stands first
-    double lost = 0;                  // words
-    int64_t late = 0;                 // of words, at most
-    double begin_usec = 80000;        // mean time to the first event
-    std::vector<double> crashes = {}; // seconds, of a part of all endpoints
-    double crash_part = 0;
-    double resets = 0;        // part of all requests, from second 6 to 9
-    double restart_every = 0; // seconds between starts of hosts, one by one
-    double restart_all = 0;   // second at which all start again; 0: never
+    bool all_customers = false;      // all of them send poison requests
+    bool poison_first = false;       // the poisonous part is the first one
+    double message_loss = 0;         // fraction
+    int64_t message_delay_max = 0;   // microseconds
+    double first_event_usec = 80000; // mean time to the first event
+    // Seconds at which a fraction of all endpoints crashes for other reasons.
+    std::vector<double> crash_times = {};
+    double crash_fraction = 0;
+    // Fraction of all requests that are reset, from second 6 to 9.
+    double reset_fraction = 0;
+    double restart_every = 0; // seconds between restarts of single hosts
+    double restart_all = 0;   // second at which all hosts restart; 0: never
     double seconds = 16;
 };
 
-// What a host does with what it sees.
-struct PoisonWay {
+// How a host reacts to crashes.
+struct PoisonPolicy {
     pz_rule rule;
-    bool words = true;  // hosts tell each other
-    bool doubts = true; // no third endpoint for what ended two
+    bool gossip = true;        // hosts exchange what they observe
+    bool limit_retries = true; // no third endpoint after two crashes
 };
 
-struct PoisonPlayed {
-    int ended = 0; // endpoints, by the parts
-    int late = 0;  // bad requests sent later than 3 s after the fifth end
-    int sound = 0; // after that time
-    int served = 0;
-    int refused = 0;      // sound ones, by a stop, at any time
-    int refused_late = 0; // from that time on
+// Sound requests have no poisonous part.  Detection counts as late from 3 s
+// after the fifth crash of a part for poison requests, and from 6 s after it
+// for sound requests.
+struct PoisonResult {
+    int crashes = 0;            // of endpoints, by poisonous parts
+    int poison_sent_late = 0;   // late poison requests sent to an endpoint
+    int sound_requests = 0;     // late, without repeats
+    int sound_served = 0;       // late
+    int sound_refused = 0;      // by a stop, at any time
+    int sound_refused_late = 0; // by a stop, late
 };
 
-PoisonPlayed PlayPoison(const PoisonScene &scene, const PoisonWay &way,
-                        unsigned seed);
+PoisonResult SimulatePoison(const PoisonScenario &scenario,
+                            const PoisonPolicy &policy, unsigned seed);
 
 } // namespace cg
 
--- a/packages/policy/test/poison_test.cc
+++ b/packages/policy/test/poison_test.cc
@@ -10,26 +10,27 @@
 
 namespace {
 
-using cg::PlayPoison;
-using cg::PoisonPlayed;
-using cg::PoisonScene;
-using cg::PoisonWay;
+using cg::PoisonPolicy;
+using cg::PoisonResult;
+using cg::PoisonScenario;
+using cg::SimulatePoison;
 
 const int64_t kMs = Ck_USEC_PER_MSEC;
 const int64_t kSecond = Ck_USEC_PER_SEC;
 const int64_t kNow = 1000 * kSecond;
 const uint32_t kService = 1;
 const uint32_t kCustomer = 2;
-const uint32_t kOther = 3;
-const uint32_t kFirst = 10;
-const uint32_t kDead = 11;
-const uint32_t kDeep = 12;
-const int kReachMost = 3; // after the fifth end, and hosts know of it
+const uint32_t kOtherCustomer = 3;
+const uint32_t kFirstPart = 10;
+const uint32_t kPoisonPart = 11;
+const uint32_t kDeepPart = 12;
+// Poison requests sent later than 3 s after the fifth crash.
+const int kSentLateMax = 3;
 
 struct Event {
     pz_stop stop;
     int crashes;
-    bool heard;
+    bool from_peer;
     bool lifted;
 };
 
@@ -37,7 +38,7 @@
   protected:
     Poison()
     {
-        Use(Pz_Rule());
+        SetRule(Pz_Rule());
     }
 
     ~Poison() override
@@ -46,16 +47,16 @@
     }
 
     void
-    Use(const pz_rule &rule)
+    SetRule(const pz_rule &rule)
     {
         static const pz_ops ops = {OnStopped, OnLifted};
         Pz_Destroy(table_);
         table_ = Pz_Create(&rule, &ops, &events_, kNow - 10 * kSecond);
     }
 
-    // Each has a last part of its own.
+    // A request with a new id; its last part, which is unique, is left out.
     pz_request
-    Ask(const std::vector<uint32_t> &parts, uint32_t customer = kCustomer)
+    Request(const std::vector<uint32_t> &parts, uint32_t customer = kCustomer)
     {
         pz_request request = {};
         request.id = ++last_id_;
@@ -67,10 +68,10 @@
         return request;
     }
 
-    // An endpoint ends under a request that was sent a little before.
+    // An endpoint crashes 40 ms after the request was sent.
     void
-    End(uint32_t endpoint, const pz_request &request, int64_t at,
-        bool begun = true)
+    Crash(uint32_t endpoint, const pz_request &request, int64_t at,
+          bool begun = true)
     {
         pz_crash crash = {};
         crash.endpoint = endpoint;
@@ -78,13 +79,13 @@
         crash.sent_at = at - 40 * kMs;
         crash.ended_at = at;
         Pz_Ended(table_, &request, &crash);
-        if (known_) {
+        if (confirm_crashes_) {
             Pz_Dead(table_, endpoint);
         }
     }
 
     void
-    Begin(const pz_request &request, int64_t at, int times = 1)
+    Answer(const pz_request &request, int64_t at, int times = 1)
     {
         for (int i = 0; i < times; i++) {
             Pz_Began(table_, &request, at);
@@ -92,28 +93,28 @@
     }
 
     bool
-    Refused(const pz_request &request)
+    IsRefused(const pz_request &request)
     {
         return Pz_Refuses(table_, &request, kNow + 2 * kSecond) != nullptr;
     }
 
-    // Three endpoints end one after the other; others begin meanwhile.
+    // Three endpoints crash one after the other; others answer meanwhile.
     void
-    EndThree(pz_request request, int64_t at = kNow)
+    CrashThree(pz_request request, int64_t at = kNow)
     {
         for (uint32_t i = 0; i < 3; i++) {
             request.id = ++last_id_;
-            End(100 + i, request, at + i * 200 * kMs);
-            Begin(Ask({99}, kOther), at + i * 200 * kMs + 1, 2);
+            Crash(100 + i, request, at + i * 200 * kMs);
+            Answer(Request({99}, kOtherCustomer), at + i * 200 * kMs + 1, 2);
         }
         Pz_Judge(table_, at + kSecond);
     }
 
     static void
-    OnStopped(void *arg, const pz_stop *stop, int crashes, bool heard)
+    OnStopped(void *arg, const pz_stop *stop, int crashes, bool from_peer)
     {
         static_cast<std::vector<Event> *>(arg)->push_back(
-            {*stop, crashes, heard, false});
+            {*stop, crashes, from_peer, false});
     }
 
     static void
@@ -126,47 +127,52 @@
     std::vector<Event> events_;
     pz_table *table_ = nullptr;
     uint32_t last_id_ = 0;
-    bool known_ = true; // that an endpoint has ended
+    bool confirm_crashes_ = true; // at once, in Crash()
 };
 
-// The part is sent on and on to endpoints that end under it.
-TEST_F(Poison, IsStoppedAfterThreeEndsInARow)
+// Guards against sending the part to ever more endpoints, which crash on it.
+TEST_F(Poison, APartIsStoppedAfterThreeSuccessiveCrashes)
 {
-    EndThree(Ask({kDead}));
-    EXPECT_TRUE(Refused(Ask({kFirst, kDead})));
+    CrashThree(Request({kPoisonPart}));
+    EXPECT_TRUE(IsRefused(Request({kFirstPart, kPoisonPart})));
     ASSERT_EQ(events_.size(), 1u);
     EXPECT_EQ(events_[0].crashes, 3);
 }
 
-// What all requests share is stopped, and all of a customer's with it.
-TEST_F(Poison, APartThatBeganSinceIsNot)
+// Guards against stopping a part that all requests of a customer have, and
+// with it all these requests.
+TEST_F(Poison, APartThatWasAnsweredSinceIsNotStopped)
 {
-    Begin(Ask({kFirst}), kNow - kSecond, 5);
+    Answer(Request({kFirstPart}), kNow - kSecond, 5);
     for (uint32_t i = 0; i < 5; i++) {
-        End(100 + i, Ask({kFirst, kDead}), kNow + i * 200 * kMs);
-        Begin(Ask({kFirst, kDeep}), kNow + i * 200 * kMs + 100 * kMs, 2);
+        Crash(100 + i, Request({kFirstPart, kPoisonPart}),
+              kNow + i * 200 * kMs);
+        Answer(Request({kFirstPart, kDeepPart}),
+               kNow + i * 200 * kMs + 100 * kMs, 2);
     }
     Pz_Judge(table_, kNow + kSecond);
-    EXPECT_FALSE(Refused(Ask({kFirst, kDeep})));
-    EXPECT_TRUE(Refused(Ask({kFirst, kDead})));
+    EXPECT_FALSE(IsRefused(Request({kFirstPart, kDeepPart})));
+    EXPECT_TRUE(IsRefused(Request({kFirstPart, kPoisonPart})));
 }
 
-// All endpoints end at once for another reason, and parts are stopped for it.
-TEST_F(Poison, EndsAtOnceCountOnce)
+// Guards against stopping parts when all endpoints crash at once for another
+// reason.
+TEST_F(Poison, SimultaneousCrashesCountOnce)
 {
     for (uint32_t i = 0; i < 9; i++) {
-        End(100 + i, Ask({kDead}), kNow + i * kMs);
+        Crash(100 + i, Request({kPoisonPart}), kNow + i * kMs);
     }
-    Begin(Ask({99}, kOther), kNow + 100 * kMs, 9);
+    Answer(Request({99}, kOtherCustomer), kNow + 100 * kMs, 9);
     Pz_Judge(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
-// A request goes on from one to another of those that all end at once.
-TEST_F(Poison, RepeatsAmongThoseThatEndAtOnceDoNotCount)
+// Guards against counting each of several endpoints that crash at once when a
+// request is retried from one to the next.
+TEST_F(Poison, RetriesAmongSimultaneousCrashesDoNotCount)
 {
     for (uint32_t i = 0; i < 9; i++) {
-        pz_request request = Ask({kDead});
+        pz_request request = Request({kPoisonPart});
         pz_crash crash = {};
         crash.endpoint = 100 + i;
         crash.begun = true;
@@ -174,43 +180,45 @@
         crash.ended_at = kNow + (i + 1) * kMs;
         Pz_Ended(table_, &request, &crash);
     }
-    Begin(Ask({99}, kOther), kNow + 100 * kMs, 9);
+    Answer(Request({99}, kOtherCustomer), kNow + 100 * kMs, 9);
     Pz_Judge(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
-// Endpoints that end under whatever is begun are blamed on parts.
-TEST_F(Poison, NoneIsStoppedWhereNothingElseBegins)
+// Guards against blaming parts when endpoints crash on every request.
+TEST_F(Poison, NoPartIsStoppedWithoutOtherAnswers)
 {
     for (uint32_t i = 0; i < 9; i++) {
-        End(100 + i, Ask({kDead}), kNow + i * 200 * kMs);
+        Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs);
     }
     Pz_Judge(table_, kNow + 3 * kSecond);
     EXPECT_TRUE(events_.empty());
-    Begin(Ask({99}, kOther), kNow + 3 * kSecond, 2);
+    Answer(Request({99}, kOtherCustomer), kNow + 3 * kSecond, 2);
     Pz_Judge(table_, kNow + 3 * kSecond);
     EXPECT_EQ(events_.size(), 1u);
 }
 
-// A sound request that waited where others ended the endpoint is blamed.
-TEST_F(Poison, WhatHadNotBegunCountsLess)
+// Guards against blaming a sound request that was waiting at an endpoint which
+// another request crashed.
+TEST_F(Poison, CrashesBeforeTheHeadersCountLess)
 {
     for (uint32_t i = 0; i < 5; i++) {
         EXPECT_TRUE(events_.empty());
-        End(100 + i, Ask({kDead}), kNow + i * 200 * kMs, false);
-        Begin(Ask({99}, kOther), kNow + i * 200 * kMs, 2);
+        Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs, false);
+        Answer(Request({99}, kOtherCustomer), kNow + i * 200 * kMs, 2);
         Pz_Judge(table_, kNow + i * 200 * kMs);
     }
     EXPECT_EQ(events_.size(), 1u);
 }
 
-// Hosts see a part of the ends each, and none of them sees enough.
-TEST_F(Poison, EndsThatOthersSawCount)
+// Guards against deciding on local crashes only: each host sees some of them,
+// and none sees enough.
+TEST_F(Poison, CrashesSeenByPeersCount)
 {
-    End(100, Ask({kDead}), kNow);
+    Crash(100, Request({kPoisonPart}), kNow);
     for (uint32_t i = 1; i < 3; i++) {
         pz_crash crash = {};
-        crash.key = {kService, kCustomer, kDead};
+        crash.key = {kService, kCustomer, kPoisonPart};
         crash.endpoint = 100 + i;
         crash.request = 1000 + i;
         crash.begun = true;
@@ -218,109 +226,114 @@
         crash.sent_at = crash.ended_at - 40 * kMs;
         Pz_HearCrash(table_, &crash);
     }
-    Begin(Ask({99}, kOther), kNow + 500 * kMs, 2);
+    Answer(Request({99}, kOtherCustomer), kNow + 500 * kMs, 2);
     Pz_Judge(table_, kNow + kSecond);
-    EXPECT_TRUE(Refused(Ask({kDead})));
+    EXPECT_TRUE(IsRefused(Request({kPoisonPart})));
 }
 
-// A stop waits for what may be no end, and others are told of it.
-TEST_F(Poison, AnEndCountsOnceItIsKnown)
+// Guards against counting or gossiping an unconfirmed crash, and against
+// waiting on after it is confirmed.
+TEST_F(Poison, ACrashCountsOnceItIsConfirmed)
 {
-    known_ = false;
+    confirm_crashes_ = false;
     for (uint32_t i = 0; i < 3; i++) {
-        End(100 + i, Ask({kDead}), kNow + i * 100 * kMs);
+        Crash(100 + i, Request({kPoisonPart}), kNow + i * 100 * kMs);
     }
-    Begin(Ask({99}, kOther), kNow + 210 * kMs, 2);
-    pz_crash told[8];
+    Answer(Request({99}, kOtherCustomer), kNow + 210 * kMs, 2);
+    pz_crash rows[8];
     Pz_Judge(table_, kNow + 250 * kMs);
     EXPECT_TRUE(events_.empty());
-    EXPECT_EQ(Pz_TellCrashes(table_, told, 8, kNow + 250 * kMs), 0u);
+    EXPECT_EQ(Pz_TellCrashes(table_, rows, 8, kNow + 250 * kMs), 0u);
     for (uint32_t i = 0; i < 3; i++) {
         Pz_Dead(table_, 100 + i);
     }
-    EXPECT_EQ(Pz_TellCrashes(table_, told, 8, kNow + 250 * kMs), 3u);
+    EXPECT_EQ(Pz_TellCrashes(table_, rows, 8, kNow + 250 * kMs), 3u);
     Pz_Judge(table_, kNow + 250 * kMs);
     EXPECT_EQ(events_.size(), 1u);
 }
 
-// A host that has seen little stops what others see begin.
-TEST_F(Poison, WhatOthersSawBeginEndsAStop)
+// Guards against a host with few requests that stops a part which is answered
+// on other hosts.
+TEST_F(Poison, AnAnswerSeenByAPeerLiftsAStop)
 {
-    EndThree(Ask({kDead}));
-    pz_clear clear = {{kService, kCustomer, kDead}, kNow + 2 * kSecond};
+    CrashThree(Request({kPoisonPart}));
+    pz_clear clear = {{kService, kCustomer, kPoisonPart}, kNow + 2 * kSecond};
     Pz_HearClear(table_, &clear);
-    EXPECT_FALSE(Refused(Ask({kDead})));
+    EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
     pz_stop stop = {clear.key, kNow + kSecond, kNow + kSecond};
     Pz_HearStop(table_, &stop, kNow + 3 * kSecond);
-    EXPECT_FALSE(Refused(Ask({kDead})));
-    // Who still says that it is stopped is told better.
-    pz_clear told[4];
-    EXPECT_EQ(Pz_TellClears(table_, told, 4, kNow + 3 * kSecond), 1u);
+    EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
+    // A peer that still gossips the stop gets a clear in return.
+    pz_clear rows[4];
+    EXPECT_EQ(Pz_TellClears(table_, rows, 4, kNow + 3 * kSecond), 1u);
 }
 
-// A customer has another's part stopped by naming it in what ends endpoints.
-TEST_F(Poison, IsStoppedForItsCustomerAlone)
+// Guards against a customer that gets another one's part stopped by putting it
+// into poison requests.
+TEST_F(Poison, APartIsStoppedForItsCustomerOnly)
 {
-    EndThree(Ask({kDead}));
-    EXPECT_FALSE(Refused(Ask({kDead}, kOther)));
+    CrashThree(Request({kPoisonPart}));
+    EXPECT_FALSE(IsRefused(Request({kPoisonPart}, kOtherCustomer)));
 }
 
-// Each customer with the part ends three endpoints more.
-TEST_F(Poison, IsStoppedForAllOnceItEndsOneOfAnothers)
+// Guards against three more crashes for each customer that sends the part.
+TEST_F(Poison, ASecondCustomersCrashStopsThePartForAll)
 {
-    EndThree(Ask({kDead}));
-    End(200, Ask({kDead}, kOther), kNow + kSecond);
+    CrashThree(Request({kPoisonPart}));
+    Crash(200, Request({kPoisonPart}, kOtherCustomer), kNow + kSecond);
     Pz_Judge(table_, kNow + kSecond);
-    EXPECT_TRUE(Refused(Ask({kDead}, kOther)));
-    EXPECT_TRUE(Refused(Ask({kDead}, kOther + 1)));
+    EXPECT_TRUE(IsRefused(Request({kPoisonPart}, kOtherCustomer)));
+    EXPECT_TRUE(IsRefused(Request({kPoisonPart}, kOtherCustomer + 1)));
 }
 
-// One request, and its repeats, meet what others end, and of their parts the
-// wrong one is stopped.
-TEST_F(Poison, ARequestAloneStopsNoPart)
+// Guards against stopping the wrong part when one request and its repeats were
+// victims of the crashes of other requests.
+TEST_F(Poison, ASingleRequestStopsNoPart)
 {
-    pz_request request = Ask({kDead, kDeep});
+    pz_request request = Request({kPoisonPart, kDeepPart});
     for (uint32_t i = 0; i < 9; i++) {
-        End(100 + i, request, kNow + i * 200 * kMs);
-        Begin(Ask({99}, kOther), kNow + i * 200 * kMs, 2);
+        Crash(100 + i, request, kNow + i * 200 * kMs);
+        Answer(Request({99}, kOtherCustomer), kNow + i * 200 * kMs, 2);
         Pz_Judge(table_, kNow + i * 200 * kMs + 1);
     }
     EXPECT_TRUE(events_.empty());
-    End(200, Ask({kDead}), kNow + 2 * kSecond);
+    Crash(200, Request({kPoisonPart}), kNow + 2 * kSecond);
     Pz_Judge(table_, kNow + 2 * kSecond);
-    EXPECT_TRUE(Refused(Ask({kDead, kFirst})));
-    EXPECT_FALSE(Refused(Ask({kFirst, kDeep})));
+    EXPECT_TRUE(IsRefused(Request({kPoisonPart, kFirstPart})));
+    EXPECT_FALSE(IsRefused(Request({kFirstPart, kDeepPart})));
 }
 
-// A connection that broke by itself counts as the end of its endpoint.
-TEST_F(Poison, AnEndpointThatLivesAccusesNothing)
+// Guards against counting a broken connection to a living endpoint as a crash.
+TEST_F(Poison, ALivingEndpointImplicatesNothing)
 {
-    known_ = false;
+    confirm_crashes_ = false;
     for (uint32_t i = 0; i < 3; i++) {
-        End(100 + i, Ask({kDead}), kNow + i * 200 * kMs);
+        Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs);
     }
     Pz_Lives(table_, 101, kNow + 300 * kMs);
-    Begin(Ask({99}, kOther), kNow + kSecond, 2);
+    Answer(Request({99}, kOtherCustomer), kNow + kSecond, 2);
     Pz_Judge(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
-// What a host hears in its first moments it can't compare with anything.
-TEST_F(Poison, AHostThatJustStartedDecidesNothing)
+// Guards against decisions on crashes alone, before a starting host has seen
+// any answers.
+TEST_F(Poison, AHostDecidesNothingDuringStartup)
 {
     pz_rule rule = Pz_Rule();
     rule.startup_grace_usec = 20 * kSecond;
-    Use(rule);
-    EndThree(Ask({kDead}));
+    SetRule(rule);
+    CrashThree(Request({kPoisonPart}));
     EXPECT_TRUE(events_.empty());
 }
 
-// A stop is tried by the clock, and each trial costs an endpoint.
-TEST_F(Poison, StaysStoppedWhileItIsAskedFor)
+// Guards against lifting stops periodically to probe them, since each probe
+// costs an endpoint.
+TEST_F(Poison, AStopLastsWhileThePartIsRequested)
 {
-    EndThree(Ask({kDead}));
+    CrashThree(Request({kPoisonPart}));
     int64_t now = kNow + kSecond;
-    pz_request request = Ask({kDead});
+    pz_request request = Request({kPoisonPart});
     for (int i = 0; i < 5; i++) {
         now += Pz_STOP_LASTS_USEC - kSecond;
         Pz_Judge(table_, now);
@@ -330,207 +343,222 @@
     EXPECT_EQ(Pz_Refuses(table_, &request, now + Pz_STOP_LASTS_USEC), nullptr);
 }
 
-TEST_F(Poison, AnotherVersionEndsTheStopsOfItsService)
+TEST_F(Poison, AnotherVersionLiftsTheStopsOfItsService)
 {
-    EndThree(Ask({kDead}));
+    CrashThree(Request({kPoisonPart}));
     Pz_LiftService(table_, kService + 1, "another version", kNow + kSecond);
-    EXPECT_TRUE(Refused(Ask({kDead})));
+    EXPECT_TRUE(IsRefused(Request({kPoisonPart})));
     Pz_LiftService(table_, kService, "another version", kNow + kSecond);
-    EXPECT_FALSE(Refused(Ask({kDead})));
+    EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
 }
 
-// One request takes an endpoint with each of its attempts.
-TEST_F(Poison, WhatEndedTwoIsSentToNoThird)
+// Guards against a request that crashes an endpoint with each attempt.
+TEST_F(Poison, ARequestIsNotRetriedAfterTwoCrashes)
 {
-    pz_request request = Ask({kFirst, kDead});
-    Begin(Ask({kFirst}), kNow - kSecond);
-    End(100, request, kNow);
+    pz_request request = Request({kFirstPart, kPoisonPart});
+    Answer(Request({kFirstPart}), kNow - kSecond);
+    Crash(100, request, kNow);
     EXPECT_FALSE(Pz_Doubts(table_, &request, kNow));
-    End(101, request, kNow + 200 * kMs);
+    Crash(101, request, kNow + 200 * kMs);
     EXPECT_TRUE(Pz_Doubts(table_, &request, kNow + 200 * kMs));
-    // It is for the part that never began.
-    pz_request sound = Ask({kFirst, kDeep});
+    // The retry is denied only for the part that was never answered.
+    pz_request sound = Request({kFirstPart, kDeepPart});
     EXPECT_FALSE(Pz_Doubts(table_, &sound, kNow + 200 * kMs));
 }
 
-// A caller who sends ever new parts fills what others need.
-TEST_F(Poison, EverNewPartsDoNotHideWhatBeganOften)
+// Guards against a caller that fills the table with new parts and evicts other
+// callers' parts.
+TEST_F(Poison, AStreamOfNewPartsDoesNotEvictFrequentOnes)
 {
-    Begin(Ask({kFirst}), kNow, 10);
+    Answer(Request({kFirstPart}), kNow, 10);
     for (uint32_t i = 0; i < 100000; i++) {
-        Begin(Ask({1000 + i}, kOther), kNow);
+        Answer(Request({1000 + i}, kOtherCustomer), kNow);
     }
-    EndThree(Ask({kFirst}), kNow + kSecond);
-    EXPECT_FALSE(Refused(Ask({kFirst})));
+    CrashThree(Request({kFirstPart}), kNow + kSecond);
+    EXPECT_FALSE(IsRefused(Request({kFirstPart})));
 }
 
-// Scenes of many hosts, words late and lost.
-PoisonWay
-Shared()
+// Simulations of many hosts, with gossip messages that are late or lost.
+PoisonPolicy
+GossipPolicy()
 {
-    PoisonWay way;
-    way.rule = Pz_Rule();
-    return way;
+    PoisonPolicy policy;
+    policy.rule = Pz_Rule();
+    return policy;
 }
 
-// Each host by itself.
-PoisonWay
-Alone()
+// Each host decides by itself.
+PoisonPolicy
+IsolatedPolicy()
 {
-    PoisonWay way = Shared();
-    way.words = false;
-    return way;
+    PoisonPolicy policy = GossipPolicy();
+    policy.gossip = false;
+    return policy;
 }
 
-// By the number of ends alone.
-PoisonWay
-Counted()
+// A part is stopped by the number of crashes alone.
+PoisonPolicy
+CountOnlyPolicy()
 {
-    PoisonWay way = Shared();
-    way.rule = {3, 3, 1, 0, 0, false, false, 0};
-    return way;
+    PoisonPolicy policy = GossipPolicy();
+    policy.rule = {3, 3, 1, 0, 0, false, false, 0};
+    return policy;
 }
 
-PoisonPlayed
-Worst(const char *name, const PoisonScene &scene, const PoisonWay &way,
-      unsigned seeds)
+PoisonResult
+RunSeeds(const char *name, const PoisonScenario &scenario,
+         const PoisonPolicy &policy, unsigned seeds)
 {
-    PoisonPlayed worst;
+    PoisonResult worst;
     for (unsigned seed = 1; seed <= seeds; seed++) {
-        PoisonPlayed played = PlayPoison(scene, way, seed);
-        worst.ended = std::max(worst.ended, played.ended);
-        worst.late = std::max(worst.late, played.late);
-        worst.refused += played.refused;
-        worst.refused_late += played.refused_late;
-        worst.sound += played.sound;
-        worst.served += played.served;
+        PoisonResult result = SimulatePoison(scenario, policy, seed);
+        worst.crashes = std::max(worst.crashes, result.crashes);
+        worst.poison_sent_late =
+            std::max(worst.poison_sent_late, result.poison_sent_late);
+        worst.sound_refused += result.sound_refused;
+        worst.sound_refused_late += result.sound_refused_late;
+        worst.sound_requests += result.sound_requests;
+        worst.sound_served += result.sound_served;
     }
-    std::cout << name << ": " << worst.ended << " ended, " << worst.late
-              << " late, " << worst.refused << " sound refused, then "
-              << worst.served << " of " << worst.sound << " served\n";
+    std::cout << name << ": " << worst.crashes << " crashes, "
+              << worst.poison_sent_late << " late, " << worst.sound_refused
+              << " sound refused, then " << worst.sound_served << " of "
+              << worst.sound_requests << " served\n";
     return worst;
 }
 
 void
-ExpectHolds(const char *name, const PoisonScene &scene, unsigned seeds)
+ExpectHolds(const char *name, const PoisonScenario &scenario, unsigned seeds)
 {
-    PoisonPlayed shared = Worst(name, scene, Shared(), seeds);
-    EXPECT_LE(shared.late, kReachMost) << name;
-    EXPECT_GE(shared.served * 2, shared.sound) << name;
-    EXPECT_LE(shared.refused_late * 20, shared.sound) << name;
+    PoisonResult shared = RunSeeds(name, scenario, GossipPolicy(), seeds);
+    EXPECT_LE(shared.poison_sent_late, kSentLateMax) << name;
+    EXPECT_GE(shared.sound_served * 2, shared.sound_requests) << name;
+    EXPECT_LE(shared.sound_refused_late * 20, shared.sound_requests) << name;
 }
 
 const unsigned kSeeds = 3;
 
-TEST(PoisonScenes, APartIsFoundBySharingWhatHostsSee)
+TEST(PoisonSimulation, GossipBetweenHostsFindsThePart)
 {
-    PoisonScene scene;
-    ExpectHolds("part alone", scene, kSeeds);
-    PoisonPlayed alone = Worst("each alone", scene, Alone(), kSeeds);
-    EXPECT_GT(alone.late, kReachMost);
+    PoisonScenario scenario;
+    ExpectHolds("gossip", scenario, kSeeds);
+    PoisonResult isolated =
+        RunSeeds("no gossip", scenario, IsolatedPolicy(), kSeeds);
+    EXPECT_GT(isolated.poison_sent_late, kSentLateMax);
 }
 
-TEST(PoisonScenes, AThirdOfTheTrafficOrVeryRare)
+TEST(PoisonSimulation, PoisonIsAThirdOfTheTrafficOrRare)
 {
-    PoisonScene scene;
-    scene.poisoned = 0.33;
-    ExpectHolds("a third", scene, kSeeds);
-    scene.poisoned = 0.002;
-    scene.seconds = 40;
-    ExpectHolds("rare", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.poison_fraction = 0.33;
+    ExpectHolds("a third", scenario, kSeeds);
+    scenario.poison_fraction = 0.002;
+    scenario.seconds = 40;
+    ExpectHolds("rare", scenario, kSeeds);
 }
 
-TEST(PoisonScenes, TwoPartsOrOneThatStandsFirst)
+TEST(PoisonSimulation, TwoPoisonousPartsOrOneThatIsFirst)
 {
-    PoisonScene scene;
-    scene.parts = 2;
-    ExpectHolds("two parts", scene, kSeeds);
-    scene.parts = 1;
-    scene.first = true;
-    ExpectHolds("first", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.poison_parts = 2;
+    ExpectHolds("two parts", scenario, kSeeds);
+    scenario.poison_parts = 1;
+    scenario.poison_first = true;
+    ExpectHolds("first", scenario, kSeeds);
 }
 
-TEST(PoisonScenes, AllCustomersSendIt)
+TEST(PoisonSimulation, AllCustomersSendPoison)
 {
-    PoisonScene scene;
-    scene.any_customer = true;
-    ExpectHolds("all customers", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.all_customers = true;
+    ExpectHolds("all customers", scenario, kSeeds);
 }
 
-TEST(PoisonScenes, OtherEndpointsEndBesides)
+TEST(PoisonSimulation, OtherEndpointsCrashAsWell)
 {
-    PoisonScene scene;
-    scene.crashes = {6.3, 9};
-    scene.crash_part = 0.33;
-    ExpectHolds("others end", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.crash_times = {6.3, 9};
+    scenario.crash_fraction = 0.33;
+    ExpectHolds("other crashes", scenario, kSeeds);
 }
 
-// Parts are stopped for what ended endpoints without them.
-TEST(PoisonScenes, NoneIsStoppedForOtherEnds)
+// Guards against stopping parts for crashes with other causes.
+TEST(PoisonSimulation, NoPartIsStoppedForOtherCrashes)
 {
-    PoisonScene scene;
-    scene.poisoned = 0;
-    scene.crashes = {6, 9.5, 13, 16.5, 20, 23.5};
-    scene.seconds = 28;
-    scene.crash_part = 1;
-    EXPECT_EQ(Worst("all end, six times", scene, Shared(), kSeeds).refused, 0);
-    EXPECT_GT(Worst("counted", scene, Counted(), kSeeds).refused, 0);
-    scene.crashes.clear();
+    PoisonScenario scenario;
+    scenario.poison_fraction = 0;
+    scenario.crash_times = {6, 9.5, 13, 16.5, 20, 23.5};
+    scenario.seconds = 28;
+    scenario.crash_fraction = 1;
+    EXPECT_EQ(
+        RunSeeds("all crash, six times", scenario, GossipPolicy(), kSeeds)
+            .sound_refused,
+        0);
+    EXPECT_GT(RunSeeds("count only", scenario, CountOnlyPolicy(), kSeeds)
+                  .sound_refused,
+              0);
+    scenario.crash_times.clear();
     for (int i = 0; i < 60; i++) {
-        scene.crashes.push_back(6 + i * 0.4);
+        scenario.crash_times.push_back(6 + i * 0.4);
     }
-    scene.crash_part = 0.15;
-    scene.begin_usec = 300000;
-    scene.seconds = 32;
+    scenario.crash_fraction = 0.15;
+    scenario.first_event_usec = 300000;
+    scenario.seconds = 32;
+    EXPECT_EQ(RunSeeds("one in seven, continuously", scenario, GossipPolicy(),
+                       kSeeds)
+                  .sound_refused,
+              0);
+}
+
+// Guards against stopping parts when living endpoints reset connections, for
+// instance because they have too many.
+TEST(PoisonSimulation, NoPartIsStoppedForResetsByLivingEndpoints)
+{
+    PoisonScenario scenario;
+    scenario.poison_fraction = 0;
+    scenario.reset_fraction = 0.5;
+    scenario.restart_all = 7;
+    scenario.seconds = 16;
     EXPECT_EQ(
-        Worst("one in seven, on and on", scene, Shared(), kSeeds).refused, 0);
-}
-
-// Endpoints that live reset connections, as when they have too many.
-TEST(PoisonScenes, NoneIsStoppedForResetsOfLivingEndpoints)
-{
-    PoisonScene scene;
-    scene.poisoned = 0;
-    scene.resets = 0.5;
-    scene.restart_all = 7;
-    scene.seconds = 16;
-    EXPECT_EQ(Worst("resets", scene, Shared(), kSeeds).refused, 0);
-    scene.hosts = 60;
-    scene.endpoints = 60;
-    scene.per_sec = 400;
-    EXPECT_EQ(Worst("resets, 60 hosts", scene, Shared(), kSeeds).refused, 0);
+        RunSeeds("resets", scenario, GossipPolicy(), kSeeds).sound_refused, 0);
+    scenario.hosts = 60;
+    scenario.endpoints = 60;
+    scenario.per_sec = 400;
+    EXPECT_EQ(RunSeeds("resets, 60 hosts", scenario, GossipPolicy(), kSeeds)
+                  .sound_refused,
+              0);
 }
 
-TEST(PoisonScenes, HostsStartAgain)
+TEST(PoisonSimulation, HostsRestart)
 {
-    PoisonScene scene;
-    scene.restart_every = 0.5;
-    ExpectHolds("one after the other", scene, kSeeds);
-    scene.restart_every = 0;
-    scene.restart_all = 6.3;
-    ExpectHolds("all at once", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.restart_every = 0.5;
+    ExpectHolds("one after the other", scenario, kSeeds);
+    scenario.restart_every = 0;
+    scenario.restart_all = 6.3;
+    ExpectHolds("all at once", scenario, kSeeds);
 }
 
-TEST(PoisonScenes, WordsAreLateAndLost)
+TEST(PoisonSimulation, MessagesAreLateAndLost)
 {
-    PoisonScene scene;
-    scene.lost = 0.3;
-    scene.late = 500 * kMs;
-    ExpectHolds("seven hosts", scene, kSeeds);
+    PoisonScenario scenario;
+    scenario.message_loss = 0.3;
+    scenario.message_delay_max = 500 * kMs;
+    ExpectHolds("seven hosts", scenario, kSeeds);
 }
 
-TEST(PoisonScenes, HundredsOfHosts)
+TEST(PoisonSimulation, HundredsOfHosts)
 {
-    PoisonScene scene;
-    scene.hosts = 300;
-    scene.endpoints = 200;
-    scene.per_sec = 500;
-    scene.poisoned = 0.01;
-    scene.customers = 20;
-    scene.lost = 0.2;
-    scene.late = 300 * kMs;
-    scene.seconds = 15;
-    ExpectHolds("300 hosts", scene, 1);
+    PoisonScenario scenario;
+    scenario.hosts = 300;
+    scenario.endpoints = 200;
+    scenario.per_sec = 500;
+    scenario.poison_fraction = 0.01;
+    scenario.customers = 20;
+    scenario.message_loss = 0.2;
+    scenario.message_delay_max = 300 * kMs;
+    scenario.seconds = 15;
+    ExpectHolds("300 hosts", scenario, 1);
 }
 
 } // namespace
