--- a/packages/policy/move.c
+++ b/packages/policy/move.c
@@ -16,7 +16,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-#define DEFAULT_SPAN_USEC (3600 * Ck_USEC_PER_SEC)
+#define DEFAULT_SPAN_USEC (3600 * Ck_USEC_PER_SEC) /* without a deadline */
 #define DEFAULT_FIRST_SHARE 0.02
 /*
  * Minimum durations of a phase or step: the time from the start of the move
@@ -83,7 +83,7 @@
     }
 }
 
-/* Starts a move; the new version gets no requests in the first phase. */
+/* Starts a move in phase MV_PLANNED, without requests to the new version. */
 enum st_status
 Mv_Begin(struct mv_move *move, const struct mv_plan *plan, int64_t now)
 {
@@ -187,7 +187,7 @@
                                   SMALL_MIN_USEC, SMALL_MAX_USEC);
     int64_t phase_age = now - move->phase_since;
     bool enough = totals->count[MV_NEW] >= SMALL_REQUESTS_MIN;
-    /* With too little traffic for the count, the move goes on later. */
+    /* With too few requests, the move goes on after twice the time. */
     if (phase_age < min_usec || (!enough && phase_age < 2 * min_usec)) {
         return false;
     }
@@ -216,14 +216,14 @@
         move->phase_since != move->step_since) {
         return false;
     }
-    double most = 1 - control_share(view);
-    double next = fmin(move->share * GROWTH_FACTOR, most);
+    double max_share = 1 - control_share(view);
+    double next = fmin(move->share * GROWTH_FACTOR, max_share);
     next = fmin(next, view->new_capacity);
     if (next <= move->share) {
         return false;
     }
-    if (next >= most) {
-        enter_phase(move, MV_PROBATION, most, now);
+    if (next >= max_share) {
+        enter_phase(move, MV_PROBATION, max_share, now);
         return true;
     }
     move->share = next;
@@ -255,7 +255,7 @@
     return true;
 }
 
-/* Rolls the move back for causes that apply to each phase; true if it did. */
+/* Rolls the move back for causes that apply in any phase; true if it did. */
 static bool
 tick_rollback(struct mv_move *move, const struct mv_finding *finding,
               const struct mv_view *view, int64_t now)
@@ -401,13 +401,14 @@
 }
 
 /*
- * One router's allotment in the first phase.  At low request rates a share of
- * the arriving requests does not limit the harm: one hanging request of three
- * in flight is a third of them.  The requests in flight at the new version
- * are therefore capped over all routers at its share of all requests in
- * flight, but at one at least.  Where the cap is below the number of routers,
- * only as many routers, chosen by rendezvous hashing, send to the new version,
- * with a proportionally higher share.
+ * Computes what one router may send to the new version.  In phase MV_SMALL the
+ * requests in flight are limited as well as the share: at low request rates
+ * a share of the arriving requests does not limit the harm, because one
+ * hanging request of three in flight is a third of them.  The requests in
+ * flight at the new version are capped over all routers at its share of all
+ * requests in flight, but at one at least.  Where the cap is below the number
+ * of routers, only as many routers, chosen by rendezvous hashing, send to the
+ * new version, with a proportionally higher share.
  */
 void
 Mv_Allot(const struct mv_move *move, const char *router,
--- a/packages/policy/move.h
+++ b/packages/policy/move.h
@@ -152,8 +152,8 @@
 };
 
 /*
- * The whole state of a move.  It is written to the log, from which the next
- * holder of the lease restores it.
+ * The state of a move.  It is written to the log, without the finding and the
+ * totals, and the next holder of the lease restores it from there.
  */
 struct mv_move {
     struct mv_plan plan;
@@ -164,7 +164,7 @@
     int64_t step_since;
     bool peak_seen; /* the new version has served near the day's peak rate */
     char reason[160];
-    struct mv_finding finding; /* at the latest change of the state */
+    struct mv_finding finding; /* at the last change of state by a tick */
     struct mv_totals totals;   /* the same */
 };
 
--- a/packages/policy/move_trip.c
+++ b/packages/policy/move_trip.c
@@ -38,11 +38,11 @@
     double bad[MV_SIDES];
 };
 
-/* Outcomes of one endpoint of the new version in a suffix. */
+/* One endpoint of the new version. */
 struct endpoint_tally {
     uint64_t endpoint;
-    int outcomes;
-    int failed;
+    int outcomes; /* in the window */
+    int failed;   /* in the suffix */
     bool healthy; /* one of its last two outcomes was good */
 };
 
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -213,7 +213,7 @@
 
 /*
  * Lifts the stop of a part.  The part is recorded as answered, so that hosts
- * which still gossip the stop get a clear in return.
+ * which still gossip a recent stop get a clear in return.
  */
 static void
 clear_and_lift(struct pz_table *table, const struct pz_key *key,
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -145,12 +145,12 @@
 bool Pz_Doubts(const struct pz_table *table, const struct pz_request *request,
                int64_t now);
 /*
- * Decides which parts to stop.  To be called after changes and also
- * periodically, since crashes are counted and stops expire with time.
+ * Decides which parts to stop.  To be called after changes and periodically,
+ * since with time unconfirmed crashes begin to count and stops expire.
  */
 void Pz_Judge(struct pz_table *table, int64_t now);
 
-/* The rows to gossip to other hosts: the newest, at most "most". */
+/* Rows to gossip, at most "most"; crashes and stops with the newest first. */
 size_t Pz_TellCrashes(const struct pz_table *table, struct pz_crash *out,
                       size_t most, int64_t now);
 size_t Pz_TellClears(const struct pz_table *table, struct pz_clear *out,
--- a/packages/policy/poison_internal.h
+++ b/packages/policy/poison_internal.h
@@ -1,4 +1,4 @@
-/* Internal to the poison_*.c files. */
+/* Internal to the poison*.c files. */
 #ifndef POLICY_POISON_INTERNAL_H
 #define POLICY_POISON_INTERNAL_H
 
@@ -68,8 +68,8 @@
 
 struct pz_key pz_all_customers(const struct pz_key *key);
 /*
- * Whether the crash counts: the endpoint is known to have ended, or has shown
- * no sign of life since.
+ * Whether the crash counts: the endpoint is known to have ended, or a sign of
+ * life, which would have removed the entry, is overdue.
  */
 bool pz_is_counted(const struct pz_crash_entry *entry, int64_t now);
 bool pz_same_key(const struct pz_key *a, const struct pz_key *b);
--- a/packages/policy/poison_word.c
+++ b/packages/policy/poison_word.c
@@ -92,7 +92,8 @@
 
 /*
  * A stop is ignored if the part was answered after the decision.  The part is
- * noted as implicated, so the next gossip messages clear it at the peers.
+ * noted as implicated, so that gossip messages clear it at the peers until
+ * Pz_GOSSIP_USEC after the decision.
  */
 void
 Pz_HearStop(struct pz_table *table, const struct pz_stop *stop, int64_t now)
