--- a/packages/edge/demand.c
+++ b/packages/edge/demand.c
@@ -6,38 +6,45 @@
 #include "base/hash.h"
 
 #define De_HASH_SEED 0x64656d61
-/* Rates follow the load with this time constant: a burst of a few seconds
-   shows, a clump of requests does not. */
+/*
+ * Time constant of the rates: a burst of a few seconds shows in them, a
+ * cluster of a few requests does not.
+ */
 #define De_SMOOTH_SEC 4.0
 #define De_SMOOTH_USEC (De_SMOOTH_SEC * (double)Ck_USEC_PER_SEC)
-/* Prompts below this tell more of the engine's step than of its reading. */
-#define De_READ_TOKENS_MIN 1500
 /*
- * The reading rate follows this quantile of what is seen, by small steps: the
- * fastest were prompts that another daemon had already had read there, the
- * slowest waited behind others.
+ * The time to the first byte of shorter prompts depends more on the engine's
+ * batching step than on its prefill rate.
+ */
+#define De_PREFILL_TOKENS_MIN 1500
+/*
+ * The estimated prefill rate follows this quantile of the measured rates in
+ * small steps.  The fastest measurements are of prompts that the endpoint had
+ * already cached for another daemon; in the slowest the prompt waited behind
+ * others.
  */
-#define De_READ_QUANTILE 0.7
-#define De_READ_STEP 0.08
+#define De_PREFILL_QUANTILE 0.7
+#define De_PREFILL_STEP 0.08
 /*
- * Endpoints for a load of "busy" whole endpoints: the load spread over this
- * part of each, and room that grows with its square root, as chance does.  A
- * burst of 1.7 times the load together with the loss of a quarter of the
- * endpoints then still fits; a small service needs more room for its size.
+ * Square-root staffing.  A load that would keep "busy" endpoints fully
+ * occupied is spread at this utilization, and headroom grows with the square
+ * root of the load, as its random variation does.  This covers a burst of 1.7
+ * times the load together with the loss of a quarter of the endpoints; a small
+ * service needs relatively more headroom.
  */
-#define De_READING_USED 0.30
-#define De_READING_ROOM 2.5
-#define De_PLACES_USED 0.55
-#define De_PLACES_ROOM 2.0
+#define De_PREFILL_UTILIZATION 0.30
+#define De_PREFILL_HEADROOM 2.5
+#define De_SLOT_UTILIZATION 0.55
+#define De_SLOT_HEADROOM 2.0
 
 struct service {
     uint32_t hash;
-    double sent;    /* requests in the smoothing window */
-    double reading; /* tokens in it */
-    double in_long; /* of these, in long prompts */
-    double running; /* microseconds of requests in it */
-    double read_rate;
-    int64_t faded_at;
+    double requests;           /* decayed count */
+    double prompt_tokens;      /* decayed count */
+    double long_prompt_tokens; /* portion of prompt_tokens in long prompts */
+    double running_usec;       /* decayed sum of request durations */
+    double prefill_rate;
+    int64_t decayed_at;
 };
 
 struct de_demand {
@@ -69,15 +76,15 @@
 }
 
 static void
-fade(const struct de_demand *demand, struct service *service)
+decay(const struct de_demand *demand, struct service *service)
 {
     int64_t now = Ck_Now(demand->clock);
-    double part = exp(-(double)(now - service->faded_at) / De_SMOOTH_USEC);
-    service->faded_at = now;
-    service->sent *= part;
-    service->reading *= part;
-    service->in_long *= part;
-    service->running *= part;
+    double factor = exp(-(double)(now - service->decayed_at) / De_SMOOTH_USEC);
+    service->decayed_at = now;
+    service->requests *= factor;
+    service->prompt_tokens *= factor;
+    service->long_prompt_tokens *= factor;
+    service->running_usec *= factor;
 }
 
 static struct service *
@@ -86,7 +93,7 @@
     uint32_t hash = De_Hash(name);
     for (size_t i = 0; i < demand->count; i++) {
         if (demand->services[i].hash == hash) {
-            fade(demand, &demand->services[i]);
+            decay(demand, &demand->services[i]);
             return &demand->services[i];
         }
     }
@@ -95,19 +102,19 @@
     }
     struct service *service = &demand->services[demand->count++];
     *service =
-        (struct service){.hash = hash, .faded_at = Ck_Now(demand->clock)};
+        (struct service){.hash = hash, .decayed_at = Ck_Now(demand->clock)};
     return service;
 }
 
 void
-De_Sent(struct de_demand *demand, const char *name, int64_t reading,
+De_Sent(struct de_demand *demand, const char *name, int64_t prompt_tokens,
         bool is_long)
 {
     struct service *service = find(demand, name);
     if (service != NULL) {
-        service->sent += 1;
-        service->reading += (double)reading;
-        service->in_long += is_long ? (double)reading : 0;
+        service->requests += 1;
+        service->prompt_tokens += (double)prompt_tokens;
+        service->long_prompt_tokens += is_long ? (double)prompt_tokens : 0;
     }
 }
 
@@ -116,25 +123,27 @@
 {
     struct service *service = find(demand, name);
     if (service != NULL) {
-        service->running += (double)usec;
+        service->running_usec += (double)usec;
     }
 }
 
 void
-De_First(struct de_demand *demand, const char *name, int64_t reading,
+De_First(struct de_demand *demand, const char *name, int64_t prompt_tokens,
          int64_t usec)
 {
     struct service *service = find(demand, name);
-    if (service == NULL || reading < De_READ_TOKENS_MIN || usec <= 0) {
+    if (service == NULL || prompt_tokens < De_PREFILL_TOKENS_MIN ||
+        usec <= 0) {
         return;
     }
-    double rate = (double)reading * (double)Ck_USEC_PER_SEC / (double)usec;
-    if (service->read_rate <= 0) {
-        service->read_rate = rate;
+    double rate =
+        (double)prompt_tokens * (double)Ck_USEC_PER_SEC / (double)usec;
+    if (service->prefill_rate <= 0) {
+        service->prefill_rate = rate;
     }
-    double weight =
-        rate > service->read_rate ? De_READ_QUANTILE : De_READ_QUANTILE - 1;
-    service->read_rate *= 1 + De_READ_STEP * weight;
+    double weight = rate > service->prefill_rate ? De_PREFILL_QUANTILE
+                                                 : De_PREFILL_QUANTILE - 1;
+    service->prefill_rate *= 1 + De_PREFILL_STEP * weight;
 }
 
 size_t
@@ -142,14 +151,14 @@
 {
     for (size_t i = 0; i < demand->count; i++) {
         struct service *service = &demand->services[i];
-        fade(demand, service);
+        decay(demand, service);
         out[i] = (struct de_rate){
             .service = service->hash,
-            .sent = service->sent / De_SMOOTH_SEC,
-            .reading = service->reading / De_SMOOTH_SEC,
-            .in_long = service->in_long / De_SMOOTH_SEC,
-            .running = service->running / De_SMOOTH_USEC,
-            .read_rate = service->read_rate,
+            .sent = service->requests / De_SMOOTH_SEC,
+            .reading = service->prompt_tokens / De_SMOOTH_SEC,
+            .in_long = service->long_prompt_tokens / De_SMOOTH_SEC,
+            .running = service->running_usec / De_SMOOTH_USEC,
+            .read_rate = service->prefill_rate,
         };
     }
     return demand->count;
@@ -161,30 +170,30 @@
     uint32_t hash = De_Hash(name);
     for (size_t i = 0; i < demand->count; i++) {
         if (demand->services[i].hash == hash) {
-            return demand->services[i].read_rate;
+            return demand->services[i].prefill_rate;
         }
     }
     return 0;
 }
 
 static double
-staffing(double busy, double used, double room)
+staffing(double busy, double utilization, double headroom)
 {
-    return busy / used + room * sqrt(busy);
+    return busy / utilization + headroom * sqrt(busy);
 }
 
 int
-De_Needed(const struct de_load *load)
+De_EndpointsNeeded(const struct de_load *load)
 {
     double needed = 1;
-    if (load->read_rate > 0) {
-        needed = staffing(load->reading / load->read_rate, De_READING_USED,
-                          De_READING_ROOM);
+    if (load->prefill_rate > 0) {
+        needed = staffing(load->prompt_tokens_per_sec / load->prefill_rate,
+                          De_PREFILL_UTILIZATION, De_PREFILL_HEADROOM);
     }
     if (load->slots > 0) {
-        double places = staffing(load->running / load->slots, De_PLACES_USED,
-                                 De_PLACES_ROOM);
-        needed = places > needed ? places : needed;
+        double slots_needed = staffing(load->concurrency / load->slots,
+                                       De_SLOT_UTILIZATION, De_SLOT_HEADROOM);
+        needed = slots_needed > needed ? slots_needed : needed;
     }
     return (int)ceil(needed);
 }
--- a/packages/edge/demand.h
+++ b/packages/edge/demand.h
@@ -1,7 +1,8 @@
 /*
- * How much is asked of each service, by this daemon and by all: prompt tokens
- * to be read a second, requests running, and how fast an endpoint has been
- * seen to read.  What capacity is ordered by.
+ * Measures the load of each service on this daemon: prompt tokens per second,
+ * concurrent requests, and the prefill rate of its endpoints (prompt tokens
+ * that one endpoint processes per second).  The sums over all daemons
+ * determine how many endpoints are ordered.
  */
 #ifndef EDGE_DEMAND_H
 #define EDGE_DEMAND_H
@@ -19,12 +20,12 @@
 #define De_SERVICES_MAX 16
 
 struct de_rate {
-    uint32_t service; /* hash of the name */
-    double sent;      /* requests a second */
-    double reading;   /* prompt tokens a second */
-    double in_long;   /* of these, in long prompts */
-    double running;   /* requests at endpoints, on average */
-    double read_rate; /* of one endpoint, as seen here; 0: not yet */
+    uint32_t service; /* hash of the service's name */
+    double sent;      /* requests per second */
+    double reading;   /* prompt tokens per second that need prefill */
+    double in_long;   /* portion of "reading" in long prompts */
+    double running;   /* mean number of concurrent requests at endpoints */
+    double read_rate; /* measured prefill rate of one endpoint; 0: none yet */
 };
 
 struct de_demand;
@@ -32,26 +33,35 @@
 struct de_demand *De_Create(const struct ck_clock *clock);
 void De_Destroy(struct de_demand *demand);
 uint32_t De_Hash(const char *service);
-/* A request with so many tokens to be read was sent. */
-void De_Sent(struct de_demand *demand, const char *service, int64_t reading,
-             bool is_long);
-/* A request ended that had been at an endpoint for so long. */
+/* Counts a request sent with this many prompt tokens to prefill. */
+void De_Sent(struct de_demand *demand, const char *service,
+             int64_t prompt_tokens, bool is_long);
+/* Counts the end of a request that ran at an endpoint for "usec". */
 void De_Ended(struct de_demand *demand, const char *service, int64_t usec);
-/* The first byte came after so long, where nothing else was being read. */
-void De_First(struct de_demand *demand, const char *service, int64_t reading,
-              int64_t usec);
+/*
+ * Updates the prefill rate from a time to the first byte, measured while the
+ * endpoint had no other prompt of this daemon to prefill.
+ */
+void De_First(struct de_demand *demand, const char *service,
+              int64_t prompt_tokens, int64_t usec);
 size_t De_Own(struct de_demand *demand, struct de_rate out[De_SERVICES_MAX]);
-/* Tokens a second that one endpoint reads; 0: not known yet. */
+/*
+ * Returns the prefill rate of one endpoint in tokens per second; 0: not known
+ * yet.
+ */
 double De_ReadRate(const struct de_demand *demand, const char *service);
 
-/* Endpoints that carry a load with room to spare; pure. */
+/*
+ * Load of a service over all daemons.  De_EndpointsNeeded() returns the
+ * endpoints that carry it with headroom.
+ */
 struct de_load {
-    double reading;
-    double running;
-    double read_rate;
+    double prompt_tokens_per_sec;
+    double concurrency;
+    double prefill_rate;
     int slots;
 };
-int De_Needed(const struct de_load *load);
+int De_EndpointsNeeded(const struct de_load *load);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/orders.c
+++ b/packages/edge/orders.c
@@ -134,8 +134,8 @@
         if (rates[i].service != service) {
             continue;
         }
-        sum->load.reading += rates[i].reading;
-        sum->load.running += rates[i].running;
+        sum->load.prompt_tokens_per_sec += rates[i].reading;
+        sum->load.concurrency += rates[i].running;
         if (rates[i].read_rate > 0) {
             sum->rates += rates[i].read_rate;
             sum->rate_count++;
@@ -172,16 +172,16 @@
             add_rates(&sum, hash, peer->rates, peer->rate_count);
         }
     }
-    sum.load.read_rate = read_rate(work, &sum, hash);
-    if (sum.load.read_rate <= 0) {
+    sum.load.prefill_rate = read_rate(work, &sum, hash);
+    if (sum.load.prefill_rate <= 0) {
         return 0;
     }
-    int needed = De_Needed(&sum.load);
+    int needed = De_EndpointsNeeded(&sum.load);
     Ln_Log(LN_ORDINARY, "load",
            "\"service\":\"%s\",\"reading_per_sec\":%.0f,\"running\":%.1f,"
            "\"read_rate\":%.0f,\"needed\":%d",
-           service->name, sum.load.reading, sum.load.running,
-           sum.load.read_rate, needed);
+           service->name, sum.load.prompt_tokens_per_sec, sum.load.concurrency,
+           sum.load.prefill_rate, needed);
     return needed;
 }
 
@@ -222,8 +222,8 @@
     const struct du_need *need =
         Du_Need(work->gate->duty, De_Hash(service->name));
     base->settled = false;
-    Pn_StartBase(&base->found, need == NULL ? 0 : need->endpoints,
-                 Ga_Now(work->gate));
+    Pn_StartEstimate(&base->found, need == NULL ? 0 : need->endpoints,
+                     Ga_Now(work->gate));
     return base;
 }
 
@@ -254,7 +254,7 @@
 
 static void
 log_plan(const struct pn_service *wants, const struct ec_service *service,
-         const struct look *look, const struct pn_wish *wishes)
+         const struct look *look, const struct pn_target *targets)
 {
     const struct pn_zone *zones = look->zones;
     int lasting = 0;
@@ -264,19 +264,19 @@
     int wish_lasting = 0;
     int wish_spot = 0;
     for (size_t i = 0; i < look->count; i++) {
-        lasting += zones[i].lasting;
+        lasting += zones[i].on_demand;
         spot += zones[i].spot;
-        coming += zones[i].spot_coming;
-        dry += zones[i].dry;
-        wish_lasting += wishes[i].lasting;
-        wish_spot += wishes[i].spot;
+        coming += zones[i].spot_starting;
+        dry += zones[i].spot_unavailable;
+        wish_lasting += targets[i].on_demand;
+        wish_spot += targets[i].spot;
     }
     Ln_Log(LN_ORDINARY, "plan",
            "\"service\":\"%s\",\"wanted\":%d,\"steady\":%d,\"lasting\":%d,"
            "\"spot\":%d,"
            "\"coming\":%d,\"dry_zones\":%d,\"wish_lasting\":%d,"
            "\"wish_spot\":%d",
-           service->name, wants->wanted, wants->steady, lasting, spot, coming,
+           service->name, wants->peak, wants->baseline, lasting, spot, coming,
            dry, wish_lasting, wish_spot);
 }
 
@@ -307,10 +307,10 @@
         return false;
     }
     note_present(order, zone->spot, now);
-    zone->dry = now < order->dry_until;
+    zone->spot_unavailable = now < order->dry_until;
     if (order->confirmed > zone->spot &&
         now - order->raised_at < service->boot_usec + Wo_BOOT_USEC) {
-        zone->spot_coming = order->confirmed - zone->spot;
+        zone->spot_starting = order->confirmed - zone->spot;
     }
     return order->reclaimed_at > 0 &&
            now - order->reclaimed_at < Wo_RECLAIMED_USEC;
@@ -320,8 +320,8 @@
 look_at_lasting(struct order *order, struct pn_zone *zone)
 {
     if (order != NULL) {
-        order->present = zone->lasting;
-        zone->lasting_ordered = more_of(order->confirmed, 0);
+        order->present = zone->on_demand;
+        zone->on_demand_ordered = more_of(order->confirmed, 0);
     }
 }
 
@@ -342,7 +342,7 @@
         struct pn_zone *zone = &look->zones[look->count++];
         strlcpy(zone->zone, service->zones[i].zone, sizeof(zone->zone));
         zone->price = service->zones[i].price;
-        zone->lasting = count_usable(gate, service->name, zone->zone, false);
+        zone->on_demand = count_usable(gate, service->name, zone->zone, false);
         zone->spot = count_usable(gate, service->name, zone->zone, true);
         struct order *spot = find_order(work, service->name, zone->zone, true);
         look->reclaimed += look_at_spot(service, spot, zone, now);
@@ -358,7 +358,7 @@
     int lasting = 0;
     int spot = 0;
     for (size_t i = 0; i < count; i++) {
-        lasting += zones[i].lasting;
+        lasting += zones[i].on_demand;
         spot += zones[i].spot;
     }
     return more_of(lasting, spot);
@@ -366,7 +366,7 @@
 
 static void
 place_orders(struct wo_work *work, const struct ec_service *service,
-             const struct look *look, const struct pn_wish *wishes,
+             const struct look *look, const struct pn_target *targets,
              bool settled)
 {
     const struct pn_zone *zones = look->zones;
@@ -374,9 +374,9 @@
         for (int spot = 0; spot <= 1; spot++) {
             struct order *order =
                 find_order(work, service->name, zones[i].zone, spot);
-            int wish = spot ? wishes[i].spot : wishes[i].lasting;
+            int wish = spot ? targets[i].spot : targets[i].on_demand;
             bool known = order != NULL && order->confirmed >= 0;
-            int have = spot ? zones[i].spot : zones[i].lasting;
+            int have = spot ? zones[i].spot : zones[i].on_demand;
             if (order != NULL && (known || wish != have) &&
                 (spot || settled)) {
                 place_order(work, order, wish, service->boot_usec);
@@ -394,22 +394,22 @@
         return;
     }
     struct look look = {0};
-    struct pn_wish wishes[Ec_ZONES_MAX];
+    struct pn_target targets[Ec_ZONES_MAX];
     look_at_zones(work, service, &look);
-    Pn_NoteBase(&base->found, needed_now(work, service),
-                present_of(look.zones, look.count), Ga_Now(gate));
-    hand_on(work, service, base->found.wanted);
+    Pn_UpdateEstimate(&base->found, needed_now(work, service),
+                      present_of(look.zones, look.count), Ga_Now(gate));
+    hand_on(work, service, base->found.peak);
     struct pn_service wants = {
         .min = service->min,
         .max = service->max,
         .spot_price = service->spot_price,
-        .wanted = base->found.wanted,
-        .steady = (int)ceil(base->found.steady.endpoints),
-        .reclaimed = look.reclaimed,
+        .peak = base->found.peak,
+        .baseline = (int)ceil(base->found.baseline.endpoints),
+        .zones_reclaimed = look.reclaimed,
     };
-    Pn_Plan(&wants, look.zones, look.count, wishes);
-    log_plan(&wants, service, &look, wishes);
-    place_orders(work, service, &look, wishes, is_settled(gate, base));
+    Pn_Plan(&wants, look.zones, look.count, targets);
+    log_plan(&wants, service, &look, targets);
+    place_orders(work, service, &look, targets, is_settled(gate, base));
 }
 
 void
--- a/packages/edge/plan.c
+++ b/packages/edge/plan.c
@@ -3,106 +3,124 @@
 #include <math.h>
 
 /*
- * Demand is planned with room for a burst and the loss of a data centre; at
- * this part of it an engine is used about half, still on time.
+ * De_EndpointsNeeded() adds headroom for a burst and for the loss of a data
+ * centre.  With this fraction of its result, endpoints are about half utilized
+ * and still answer on time.
  */
-#define Pn_LEAST_PART 0.55
+#define Pn_MIN_FRACTION 0.55
 
-/* Steps in which lasting endpoints make room in a data centre that is full:
-   a quarter of what serves there is missing for one start. */
-#define Pn_ROOM_STEPS 4
+/*
+ * Number of steps in which spot endpoints replace on-demand endpoints in data
+ * centres that are at their limit.  In each step a quarter of the serving
+ * endpoints is missing for the duration of one start.
+ */
+#define Pn_REPLACE_STEPS 4
 
-/* Endpoints take seconds to come, and load comes in waves of tens of them. */
-#define Pn_KEEP_USEC (25 * Ck_USEC_PER_SEC)
+/*
+ * How long the estimate holds a peak before it falls.  Endpoints take seconds
+ * to start, and load comes in waves that last tens of seconds.
+ */
+#define Pn_PEAK_HOLD_USEC (25 * Ck_USEC_PER_SEC)
 
-/* Time constant of the load without short peaks. */
-#define Pn_STEADY_USEC (12 * Ck_USEC_PER_SEC)
+/*
+ * Time constant of the moving average that filters short peaks out of the
+ * load.
+ */
+#define Pn_BASELINE_USEC (12 * Ck_USEC_PER_SEC)
 
 /*
- * A successor has seen no load yet, and after a restart of all hosts callers
- * come back one by one: what it sees at first is no measure.
+ * Starts the average at a known value.  A new lease holder has seen no load
+ * yet, and after a restart of all hosts callers come back one by one, so the
+ * first load that the holder sees is too small.
  */
 void
-Pn_StartSteady(struct pn_steady *steady, int endpoints, int64_t now)
+Pn_StartBaseline(struct pn_baseline *baseline, int endpoints, int64_t now)
 {
-    steady->endpoints = endpoints;
-    steady->at = now;
+    baseline->endpoints = endpoints;
+    baseline->updated_at = now;
 }
 
 /*
- * Retries and queues make a load seem larger for the seconds in which it is
- * served badly; lasting endpoints ordered for that come when it is over, and
- * cost the most.
+ * Retries and queues inflate the load for the seconds in which it is served
+ * badly.  On-demand endpoints ordered for such a peak start after it is over
+ * and cost the most, so the average filters it out.
  */
 void
-Pn_NoteSteady(struct pn_steady *steady, int needed, int64_t now)
+Pn_UpdateBaseline(struct pn_baseline *baseline, int needed, int64_t now)
 {
-    if (steady->at == 0) {
-        Pn_StartSteady(steady, needed, now);
+    if (baseline->updated_at == 0) {
+        Pn_StartBaseline(baseline, needed, now);
     }
-    double part = exp(-(double)(now - steady->at) / (double)Pn_STEADY_USEC);
-    steady->at = now;
-    steady->endpoints = part * steady->endpoints + (1 - part) * needed;
+    double decay =
+        exp(-(double)(now - baseline->updated_at) / (double)Pn_BASELINE_USEC);
+    baseline->updated_at = now;
+    baseline->endpoints = decay * baseline->endpoints + (1 - decay) * needed;
 }
 
 void
-Pn_StartBase(struct pn_base *base, int handed_on, int64_t now)
+Pn_StartEstimate(struct pn_estimate *estimate, int inherited, int64_t now)
 {
-    *base = (struct pn_base){.wanted = handed_on, .since = now};
-    if (handed_on > 0) {
-        Pn_StartSteady(&base->steady, handed_on, now);
+    *estimate = (struct pn_estimate){.peak = inherited, .peak_at = now};
+    if (inherited > 0) {
+        Pn_StartBaseline(&estimate->baseline, inherited, now);
     }
 }
 
 /*
- * Until a load has been seen, as many as there are: someone gave the service
- * that many, and while one kind replaces the other both are there.  Then what
- * the load needs, falling only after a while.
+ * While no load is known, the estimate is the number of usable endpoints,
+ * because that many were ordered earlier.  While one kind replaces the other,
+ * both kinds are usable, so only the larger kind counts.  Afterwards the
+ * estimate follows the load up at once and down only after Pn_PEAK_HOLD_USEC.
  */
 void
-Pn_NoteBase(struct pn_base *base, int needed, int present, int64_t now)
+Pn_UpdateEstimate(struct pn_estimate *estimate, int needed, int observed,
+                  int64_t now)
 {
     if (needed == 0) {
-        needed = present > base->wanted ? present : base->wanted;
-        Pn_StartSteady(&base->steady, needed, now);
+        needed = observed > estimate->peak ? observed : estimate->peak;
+        Pn_StartBaseline(&estimate->baseline, needed, now);
     }
-    if (needed >= base->wanted || now - base->since > Pn_KEEP_USEC) {
-        base->wanted = needed;
-        base->since = now;
+    if (needed >= estimate->peak ||
+        now - estimate->peak_at > Pn_PEAK_HOLD_USEC) {
+        estimate->peak = needed;
+        estimate->peak_at = now;
     }
-    Pn_NoteSteady(&base->steady, needed, now);
+    Pn_UpdateBaseline(&estimate->baseline, needed, now);
 }
 
 static int
-at_most(int value, int limit)
+min_int(int value, int limit)
 {
     return value < limit ? value : limit;
 }
 
 static int
-more_of(int a, int b)
+max_int(int a, int b)
 {
     return a > b ? a : b;
 }
 
-/* The data centre with the fewest wished for, the cheapest among equals. */
+/*
+ * Returns the data centre with the fewest target endpoints, and among equals
+ * the cheapest; "count" if none can take another spot endpoint.
+ */
 static size_t
-next_zone(const struct pn_service *service, const struct pn_zone *zones,
-          const struct pn_wish *wishes, size_t count)
+next_spot_zone(const struct pn_service *service, const struct pn_zone *zones,
+               const struct pn_target *targets, size_t count)
 {
     size_t best = count;
     for (size_t i = 0; i < count; i++) {
-        int have = wishes[i].spot + wishes[i].lasting;
-        if (have >= service->max || zones[i].dry) {
+        int current = targets[i].spot + targets[i].on_demand;
+        if (current >= service->max || zones[i].spot_unavailable) {
             continue;
         }
         if (best == count) {
             best = i;
             continue;
         }
-        int other = wishes[best].spot + wishes[best].lasting;
-        if (have < other ||
-            (have == other && zones[i].price < zones[best].price)) {
+        int other = targets[best].spot + targets[best].on_demand;
+        if (current < other ||
+            (current == other && zones[i].price < zones[best].price)) {
             best = i;
         }
     }
@@ -110,190 +128,199 @@
 }
 
 static int
-total(const struct pn_wish *wishes, size_t count)
+total_targets(const struct pn_target *targets, size_t count)
 {
     int sum = 0;
     for (size_t i = 0; i < count; i++) {
-        sum += wishes[i].spot + wishes[i].lasting;
+        sum += targets[i].spot + targets[i].on_demand;
     }
     return sum;
 }
 
-/* Reclaimable ones, evenly: the loss of a data centre is a part of them. */
+/*
+ * Spreads spot endpoints evenly, so that the loss of a data centre costs only
+ * a fraction of them.
+ */
 static void
 spread_spot(const struct pn_service *service, const struct pn_zone *zones,
-            struct pn_wish *wishes, size_t count)
+            struct pn_target *targets, size_t count)
 {
-    while (total(wishes, count) < service->wanted) {
-        size_t zone = next_zone(service, zones, wishes, count);
+    while (total_targets(targets, count) < service->peak) {
+        size_t zone = next_spot_zone(service, zones, targets, count);
         if (zone == count) {
             return;
         }
-        wishes[zone].spot++;
+        targets[zone].spot++;
     }
 }
 
-/* Lasting ones that serve or are on their way. */
+/* On-demand endpoints that are usable or still starting. */
 static int
-lasting_of(const struct pn_zone *zone)
+on_demand_present(const struct pn_zone *zone)
 {
-    return more_of(zone->lasting, zone->lasting_ordered);
+    return max_int(zone->on_demand, zone->on_demand_ordered);
 }
 
 /*
- * Where one more lasting endpoint goes: one that is there or coming stays
- * before another is ordered elsewhere, then the cheapest data centre.
- * "count": there is no room.
+ * Chooses the data centre for one more on-demand endpoint: first where an
+ * existing or starting endpoint can be kept, then the cheapest.  Returns
+ * "count" if no data centre has room.
  */
 static size_t
-next_lasting(const struct pn_service *service, const struct pn_zone *zones,
-             const struct pn_wish *wishes, size_t count, int most)
+next_on_demand_zone(const struct pn_service *service,
+                    const struct pn_zone *zones,
+                    const struct pn_target *targets, size_t count, int largest)
 {
     size_t best = count;
-    bool best_there = false;
+    bool best_existing = false;
     for (size_t i = 0; i < count; i++) {
-        bool there = wishes[i].lasting < lasting_of(&zones[i]);
-        if (wishes[i].spot + wishes[i].lasting >= service->max ||
-            (!there && wishes[i].lasting >= most)) {
+        bool existing = targets[i].on_demand < on_demand_present(&zones[i]);
+        if (targets[i].spot + targets[i].on_demand >= service->max ||
+            (!existing && targets[i].on_demand >= largest)) {
             continue;
         }
-        if (best == count || there > best_there ||
-            (there == best_there && zones[i].price < zones[best].price)) {
+        if (best == count || existing > best_existing ||
+            (existing == best_existing &&
+             zones[i].price < zones[best].price)) {
             best = i;
-            best_there = there;
+            best_existing = existing;
         }
     }
     return best;
 }
 
 /*
- * Lasting ones are not reclaimed, so they go where they are cheap, but at
- * most half of them to one data centre as long as others have room.  That
- * saves 14 in 100 of their price against an even spread over four.
+ * On-demand endpoints are not reclaimed, so they go to the cheapest data
+ * centres, but at most half of them to one as long as others have room.  This
+ * costs 14 % less than an even spread over four data centres.
  */
 static void
-add_lasting(const struct pn_service *service, const struct pn_zone *zones,
-            struct pn_wish *wishes, size_t count, int more)
+add_on_demand(const struct pn_service *service, const struct pn_zone *zones,
+              struct pn_target *targets, size_t count, int extra)
 {
-    int sum = more;
+    int sum = extra;
     for (size_t i = 0; i < count; i++) {
-        sum += wishes[i].lasting;
+        sum += targets[i].on_demand;
     }
-    for (; more > 0; more--) {
+    for (; extra > 0; extra--) {
         size_t zone =
-            next_lasting(service, zones, wishes, count, (sum + 1) / 2);
+            next_on_demand_zone(service, zones, targets, count, (sum + 1) / 2);
         if (zone == count) {
-            zone = next_lasting(service, zones, wishes, count, service->max);
+            zone = next_on_demand_zone(service, zones, targets, count,
+                                       service->max);
         }
         if (zone == count) {
             return;
         }
-        wishes[zone].lasting++;
+        targets[zone].on_demand++;
     }
 }
 
-/* Endpoints below which answers come late. */
+/* The number of endpoints below which answers come late. */
 static int
-least_of(const struct pn_service *service)
+min_on_time(const struct pn_service *service)
 {
-    return (int)ceil(service->steady * Pn_LEAST_PART);
+    return (int)ceil(service->baseline * Pn_MIN_FRACTION);
 }
 
 /*
- * While no reclaimable endpoints are to be had, the next data centre that is
- * reclaimed is not made good, and lasting ones take seconds to start: they
- * are ordered before it goes.  Where several have gone, as many may follow:
- * two and then two more within eight seconds left a service with 5 endpoints
- * of 30 for as long as lasting ones took to start.
+ * Spot endpoints that the next reclaim may take.  While no spot capacity is
+ * available, spot endpoints that are reclaimed cannot be replaced by others,
+ * and on-demand endpoints take seconds to start, so they are ordered before
+ * the reclaim.  If several data centres were reclaimed, as many more may
+ * follow: two, and two more within eight seconds, left a service with 5 of 30
+ * endpoints until on-demand endpoints had started.
  */
 static int
-at_risk(const struct pn_service *service, const struct pn_zone *zones,
-        size_t count)
+spot_at_risk(const struct pn_service *service, const struct pn_zone *zones,
+             size_t count)
 {
-    bool dry = false;
-    bool taken[Ec_ZONES_MAX] = {false};
+    bool unavailable = false;
+    bool counted[Ec_ZONES_MAX] = {false};
     for (size_t i = 0; i < count; i++) {
-        dry |= zones[i].dry;
+        unavailable |= zones[i].spot_unavailable;
     }
     int risk = 0;
-    for (int left = more_of(service->reclaimed, 1); dry && left > 0; left--) {
-        size_t most = count;
+    for (int left = max_int(service->zones_reclaimed, 1);
+         unavailable && left > 0; left--) {
+        size_t largest = count;
         for (size_t i = 0; i < count; i++) {
-            if (!taken[i] &&
-                (most == count || zones[i].spot > zones[most].spot)) {
-                most = i;
+            if (!counted[i] &&
+                (largest == count || zones[i].spot > zones[largest].spot)) {
+                largest = i;
             }
         }
-        if (most == count) {
+        if (largest == count) {
             break;
         }
-        taken[most] = true;
-        risk += zones[most].spot;
+        counted[largest] = true;
+        risk += zones[largest].spot;
     }
     return risk;
 }
 
 /*
- * Lasting endpoints stand in for reclaimable ones that are not there: they
- * cost several times as much, so only up to the part of the load's endpoints
- * below which answers come late.
+ * On-demand endpoints substitute for missing spot endpoints.  They cost
+ * several times as much, so they only fill up to the number below which
+ * answers come late.
  */
 static int
-stand_ins(const struct pn_service *service, const struct pn_zone *zones,
-          size_t count)
+on_demand_substitutes(const struct pn_service *service,
+                      const struct pn_zone *zones, size_t count)
 {
-    int there = -at_risk(service, zones, count);
+    int existing = -spot_at_risk(service, zones, count);
     for (size_t i = 0; i < count; i++) {
-        there += zones[i].spot + zones[i].spot_coming;
+        existing += zones[i].spot + zones[i].spot_starting;
     }
-    int least = least_of(service);
-    return least > there ? least - there : 0;
+    int minimum = min_on_time(service);
+    return minimum > existing ? minimum - existing : 0;
 }
 
 /*
- * What serves, or is on its way, stays until enough of what replaces it is
- * usable: an order taken back while its endpoints start leaves a service
- * without either kind, again and again while reclaimable ones are now
- * offered, now not.
+ * Keeps endpoints that serve or are starting until enough of their
+ * replacements are usable.  If orders were withdrawn while endpoints start, a
+ * service would be left without either kind each time spot capacity comes and
+ * goes.
  */
 static void
 keep_until_replaced(const struct pn_service *service,
-                    const struct pn_zone *zones, struct pn_wish *wishes,
+                    const struct pn_zone *zones, struct pn_target *targets,
                     size_t count)
 {
     int usable = 0;
     for (size_t i = 0; i < count; i++) {
-        usable += at_most(zones[i].spot, wishes[i].spot) +
-                  at_most(zones[i].lasting, wishes[i].lasting);
+        usable += min_int(zones[i].spot, targets[i].spot) +
+                  min_int(zones[i].on_demand, targets[i].on_demand);
     }
-    int short_by = service->wanted - usable;
-    for (size_t i = 0; i < count && short_by > 0; i++) {
-        int room = service->max - wishes[i].lasting - wishes[i].spot;
-        int more = at_most(more_of(zones[i].spot - wishes[i].spot, 0),
-                           at_most(short_by, more_of(room, 0)));
-        wishes[i].spot += more;
-        short_by -= more;
+    int missing = service->peak - usable;
+    for (size_t i = 0; i < count && missing > 0; i++) {
+        int room = service->max - targets[i].on_demand - targets[i].spot;
+        int extra = min_int(max_int(zones[i].spot - targets[i].spot, 0),
+                            min_int(missing, max_int(room, 0)));
+        targets[i].spot += extra;
+        missing -= extra;
     }
-    short_by -= service->wanted - service->steady;
-    for (size_t i = 0; i < count && short_by > 0; i++) {
-        int have = lasting_of(&zones[i]);
-        int keep = at_most(more_of(have - wishes[i].lasting, 0), short_by);
-        wishes[i].lasting += keep;
-        short_by -= keep;
-        if (wishes[i].lasting + wishes[i].spot > service->max) {
-            wishes[i].spot =
-                more_of(service->max - wishes[i].lasting, zones[i].spot);
+    missing -= service->peak - service->baseline;
+    for (size_t i = 0; i < count && missing > 0; i++) {
+        int current = on_demand_present(&zones[i]);
+        int keep =
+            min_int(max_int(current - targets[i].on_demand, 0), missing);
+        targets[i].on_demand += keep;
+        missing -= keep;
+        if (targets[i].on_demand + targets[i].spot > service->max) {
+            targets[i].spot =
+                max_int(service->max - targets[i].on_demand, zones[i].spot);
         }
     }
 }
 
-/* Whether no data centre has room for one more reclaimable endpoint. */
+/* Returns whether no data centre has room for one more spot endpoint. */
 static bool
 all_full(const struct pn_service *service, const struct pn_zone *zones,
-         const struct pn_wish *wishes, size_t count)
+         const struct pn_target *targets, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        if (wishes[i].lasting + zones[i].spot < service->max) {
+        if (targets[i].on_demand + zones[i].spot < service->max) {
             return false;
         }
     }
@@ -301,61 +328,66 @@
 }
 
 /*
- * Lasting endpoints that fill every data centre to its limit would keep out
- * the reclaimable ones that are to replace them, for good.  They make room
- * step by step: what serves falls by no more than a step at a time.
+ * On-demand endpoints that fill every data centre to its limit would block the
+ * spot endpoints that should replace them for good.  They are replaced step by
+ * step, so that the number of serving endpoints falls by at most one step at a
+ * time.
  */
 static void
-make_room(const struct pn_service *service, const struct pn_zone *zones,
-          struct pn_wish *wishes, size_t count)
+make_spot_room(const struct pn_service *service, const struct pn_zone *zones,
+               struct pn_target *targets, size_t count)
 {
-    int step = (service->max + Pn_ROOM_STEPS - 1) / Pn_ROOM_STEPS;
-    if (!all_full(service, zones, wishes, count)) {
+    int step = (service->max + Pn_REPLACE_STEPS - 1) / Pn_REPLACE_STEPS;
+    if (!all_full(service, zones, targets, count)) {
         return;
     }
     for (size_t i = 0; i < count; i++) {
-        if (zones[i].dry || wishes[i].lasting == 0) {
+        if (zones[i].spot_unavailable || targets[i].on_demand == 0) {
             continue;
         }
         int spot = zones[i].spot + step;
-        spot = at_most(spot, service->max);
-        wishes[i].lasting = at_most(wishes[i].lasting, service->max - spot);
-        wishes[i].spot = more_of(wishes[i].spot, spot);
+        spot = min_int(spot, service->max);
+        targets[i].on_demand =
+            min_int(targets[i].on_demand, service->max - spot);
+        targets[i].spot = max_int(targets[i].spot, spot);
     }
 }
 
-/* What all data centres together may have. */
+/* The most endpoints that all data centres together may have. */
 static int
-most_of(const struct pn_service *service, size_t count)
+capacity_limit(const struct pn_service *service, size_t count)
 {
     return service->max * (int)count;
 }
 
 void
-Pn_Plan(const struct pn_service *asked, const struct pn_zone *zones,
-        size_t count, struct pn_wish *wishes)
+Pn_Plan(const struct pn_service *service_in, const struct pn_zone *zones,
+        size_t count, struct pn_target *targets)
 {
-    struct pn_service limited = *asked;
+    struct pn_service limited = *service_in;
     const struct pn_service *service = &limited;
-    limited.wanted = at_most(asked->wanted, most_of(asked, count));
-    limited.steady = at_most(asked->steady, limited.wanted);
+    limited.peak =
+        min_int(service_in->peak, capacity_limit(service_in, count));
+    limited.baseline = min_int(service_in->baseline, limited.peak);
     bool offered = service->spot_price > 0 && service->spot_price < 1;
-    int lasting = offered ? stand_ins(service, zones, count) : service->wanted;
+    int on_demand =
+        offered ? on_demand_substitutes(service, zones, count) : service->peak;
     for (size_t i = 0; i < count; i++) {
-        wishes[i] = (struct pn_wish){0, 0};
+        targets[i] = (struct pn_target){0, 0};
         if (offered) {
-            /* Those that are there stay; an order below them ends them. */
-            wishes[i].spot = zones[i].dry ? zones[i].spot : service->min;
+            /* An order for fewer would end running spot endpoints. */
+            targets[i].spot =
+                zones[i].spot_unavailable ? zones[i].spot : service->min;
         }
-        wishes[i].lasting = more_of(service->min - wishes[i].spot, 0);
-        lasting -= wishes[i].lasting;
+        targets[i].on_demand = max_int(service->min - targets[i].spot, 0);
+        on_demand -= targets[i].on_demand;
     }
     if (offered) {
-        spread_spot(service, zones, wishes, count);
+        spread_spot(service, zones, targets, count);
     }
-    add_lasting(service, zones, wishes, count, lasting);
-    keep_until_replaced(service, zones, wishes, count);
+    add_on_demand(service, zones, targets, count, on_demand);
+    keep_until_replaced(service, zones, targets, count);
     if (offered) {
-        make_room(service, zones, wishes, count);
+        make_spot_room(service, zones, targets, count);
     }
 }
--- a/packages/edge/plan.h
+++ b/packages/edge/plan.h
@@ -1,8 +1,8 @@
 /*
- * How many endpoints of each kind a service should have in each data centre.
- * Pure.  The load it answers: reclaimable endpoints cost a fraction of the
- * others, but all of a data centre may be taken away at once, and none may
- * be to be had for a while after.
+ * Computes how many spot and on-demand endpoints a service should have in each
+ * data centre.  The functions are pure.  Spot endpoints cost a fraction of on-
+ * demand endpoints, but the platform may reclaim all of them in a data centre
+ * at once and may have no spot capacity for a while afterwards.
  */
 #ifndef EDGE_PLAN_H
 #define EDGE_PLAN_H
@@ -19,54 +19,68 @@
 
 struct pn_zone {
     char zone[Ec_NAME_MAX];
-    double price; /* of a lasting endpoint, a second */
-    int lasting;  /* usable now */
+    double price;  /* of an on-demand endpoint per second */
+    int on_demand; /* usable now */
     int spot;
-    int lasting_ordered; /* as last confirmed, usable or still starting */
-    int spot_coming;     /* confirmed lately and still starting */
-    bool dry;            /* no reclaimable ones are to be had at the moment */
+    /* last confirmed order; includes usable and starting endpoints */
+    int on_demand_ordered;
+    int spot_starting;     /* ordered recently and still starting */
+    bool spot_unavailable; /* the platform has no spot capacity now */
 };
 
 struct pn_service {
-    int min; /* a data centre, both kinds together */
+    int min; /* per data centre, both kinds together */
     int max;
-    double spot_price; /* as a part of the zone's; 0: none are offered */
-    int wanted;        /* endpoints that carry the load at its peaks */
-    int steady;        /* endpoints that carry it but for short peaks */
-    int reclaimed;     /* data centres whose reclaimable ones lately went */
+    double spot_price; /* fraction of the zone's price; 0: no spot offered */
+    int peak;          /* endpoints needed at load peaks */
+    int baseline;      /* endpoints needed without short peaks */
+    /* data centres whose spot endpoints were recently reclaimed */
+    int zones_reclaimed;
 };
 
-struct pn_wish {
-    int lasting;
+struct pn_target {
+    int on_demand;
     int spot;
 };
 
-/* Endpoints that a load needs but for short peaks. */
-struct pn_steady {
+/* Moving average of the endpoints needed, without short peaks. */
+struct pn_baseline {
     double endpoints;
-    int64_t at; /* last noted; 0: never */
+    int64_t updated_at; /* time of the last update; 0: never */
 };
 
-/* What a load was found to need, by this daemon or the holder before it. */
-void Pn_StartSteady(struct pn_steady *steady, int endpoints, int64_t now);
-void Pn_NoteSteady(struct pn_steady *steady, int needed, int64_t now);
+/* The value may come from this daemon or from the previous lease holder. */
+void Pn_StartBaseline(struct pn_baseline *baseline, int endpoints,
+                      int64_t now);
+void Pn_UpdateBaseline(struct pn_baseline *baseline, int needed, int64_t now);
 
-/* Endpoints that a service was found to need, the most of the last while. */
-struct pn_base {
-    int wanted;
-    int64_t since; /* when that was last found */
-    struct pn_steady steady;
+/*
+ * Estimate of the endpoints that a service needs: the peak of the recent past
+ * and the baseline.
+ */
+struct pn_estimate {
+    int peak;
+    int64_t peak_at; /* when the peak was last reached */
+    struct pn_baseline baseline;
 };
 
-/* A term of the duty begins; "handed_on": what the last one found, 0: none. */
-void Pn_StartBase(struct pn_base *base, int handed_on, int64_t now);
-/* "needed": by the load that is seen now, 0: not known; "present": endpoints
-   of the more frequent kind that are there. */
-void Pn_NoteBase(struct pn_base *base, int needed, int present, int64_t now);
+/*
+ * Resets the estimate when a lease begins; "inherited" is the need recorded by
+ * the previous lease holder, or 0.
+ */
+void Pn_StartEstimate(struct pn_estimate *estimate, int inherited,
+                      int64_t now);
+/*
+ * "needed" is the number of endpoints for the current load, or 0 if the load
+ * is not known; "observed" is the number of usable endpoints of the larger
+ * kind.
+ */
+void Pn_UpdateEstimate(struct pn_estimate *estimate, int needed, int observed,
+                       int64_t now);
 
-/* Fills one wish a data centre. */
+/* Writes one target per data centre. */
 void Pn_Plan(const struct pn_service *service, const struct pn_zone *zones,
-             size_t count, struct pn_wish *wishes);
+             size_t count, struct pn_target *targets);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/work_internal.h
+++ b/packages/edge/work_internal.h
@@ -29,7 +29,7 @@
 /* What a service was found to need in this term. */
 struct base {
     char service[Ec_NAME_MAX];
-    struct pn_base found;
+    struct pn_estimate found;
     bool settled; /* its endpoints are all known */
 };
 
