--- a/packages/edge/plan.h
+++ b/packages/edge/plan.h
@@ -1,8 +1,8 @@
 /*
  * Computes how many spot and on-demand endpoints a service should have in each
- * data centre.  The functions are pure.  Spot endpoints cost a fraction of on-
- * demand endpoints, but the platform may reclaim all of them in a data centre
- * at once and may have no spot capacity for a while afterwards.
+ * data centre.  The functions are pure.  Spot endpoints cost a fraction of
+ * on-demand endpoints, but the platform may reclaim all of them in a data
+ * centre at once and may have no spot capacity for a while afterwards.
  */
 #ifndef EDGE_PLAN_H
 #define EDGE_PLAN_H
--- a/packages/edge/test/plan_test.cc
+++ b/packages/edge/test/plan_test.cc
@@ -108,8 +108,8 @@
 }
 
 // Guards against late answers when the second of three data centres is
-// reclaimed: there has been no spot capacity since the first reclaim, and on-
-// demand endpoints ordered only then take seconds to start.
+// reclaimed: there has been no spot capacity since the first reclaim, and
+// on-demand endpoints ordered only then take seconds to start.
 TEST(Plan, OnDemandIsOrderedBeforeTheNextReclaim)
 {
     Fixture f;
@@ -335,4 +335,4 @@
     De_Destroy(demand);
 }
 
-} /* namespace */
+} // namespace
