--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -7,31 +7,38 @@
 #include "base/line.h"
 
 #define Ro_HASH_SEED 0x726f6c6c
-/* Several times as long as usual, and more than a hiccup. */
-#define Ro_SLOW_TIMES 3.0
-#define Ro_SLOW_USEC 30000.0
-/* Weight of the newest first byte in what is usual. */
-#define Ro_USUAL_WEIGHT 0.1
 /*
- * The new version's part of the requests in thousandths, by the part of the
- * time that is over.  The bound on what a bad version may get is a tenth of
- * all requests: half of the time at 50, an eighth at 150 and half a second of
- * a short move at all of them stay below it.
+ * A first byte is slow if it takes this many times the average and the margin
+ * on top.  The margin keeps short stalls from counting as slow.
  */
-#define Ro_TRY_SHARE 50
-#define Ro_GROW_SHARE 150
-#define Ro_GROW_AFTER 0.5
-#define Ro_ALL_AFTER 0.625
-/* Answers of the new version without which its share does not grow. */
-#define Ro_GROW_ANSWERS 12
-/* The old endpoints are empty when they have been so for this long: counts of
-   other daemons are some tenths of a second old. */
-#define Ro_EMPTY_USEC (1200 * Ck_USEC_PER_MSEC)
-
-/* A pause of an endpoint or host is over within a window. */
+#define Ro_SLOW_FACTOR 3.0
+#define Ro_SLOW_MARGIN_USEC 30000.0
+/* Weight of the newest sample in the average time to the first byte. */
+#define Ro_TYPICAL_WEIGHT 0.1
+/*
+ * Share of the new version in thousandths, by the elapsed fraction of the
+ * move's duration.  A bad version may get at most a tenth of all requests:
+ * half of the duration at 50, an eighth at 150 and half a second of a short
+ * move at all requests stay below that.
+ */
+#define Ro_CANARY_SHARE 50
+#define Ro_RAISED_SHARE 150
+#define Ro_RAISE_AFTER 0.5
+#define Ro_FULL_AFTER 0.625
+/*
+ * The share is not raised before the new version has given this many answers.
+ */
+#define Ro_RAISE_MIN_ANSWERS 12
+/*
+ * The old endpoints count as drained after they have been idle for this long,
+ * because the counts of other daemons are some tenths of a second old.
+ */
+#define Ro_DRAINED_USEC (1200 * Ck_USEC_PER_MSEC)
+
+/* A pause of an endpoint or host is shorter than a window. */
 #define Ro_WINDOW_USEC (2 * Ck_USEC_PER_SEC)
 
-enum { OLD, NEXT };
+enum { OLD_VERSION, NEW_VERSION };
 
 struct ro_table {
     const struct ck_clock *clock;
@@ -61,15 +68,18 @@
     return (uint32_t)Hash_String(name, Ro_HASH_SEED);
 }
 
-/* Lateness has keys of its own: a row more to those that know of none. */
+/*
+ * The lowest bit tells rows of slow answers from rows of failures.  Daemons
+ * that do not use the bit see one more route.
+ */
 uint32_t
-Ro_RowKey(const char *route, bool late)
+Ro_RowKey(const char *route, bool slow)
 {
-    return (Ro_Hash(route) & ~UINT32_C(1)) | late;
+    return (Ro_Hash(route) & ~UINT32_C(1)) | slow;
 }
 
 bool
-Ro_IsLate(uint32_t key)
+Ro_IsSlowKey(uint32_t key)
 {
     return (key & 1) != 0;
 }
@@ -105,7 +115,7 @@
 }
 
 static struct ro_move *
-find_hash(struct ro_table *table, uint32_t service, int64_t order)
+find_by_hash(struct ro_table *table, uint32_t service, int64_t order)
 {
     for (size_t i = 0; i < table->count; i++) {
         struct ro_move *move = &table->moves[i];
@@ -117,7 +127,7 @@
 }
 
 static struct ro_row *
-row_of(struct ro_move *move, uint32_t key)
+find_or_add_row(struct ro_move *move, uint32_t key)
 {
     for (size_t i = 0; i < move->row_count; i++) {
         if (move->rows[i].key == key) {
@@ -133,16 +143,18 @@
     return added;
 }
 
-/* The counts of a route while its service moves; NULL: it does not. */
+/*
+ * Returns the counts of a route while its service is being moved, else NULL.
+ */
 static struct ro_row *
-judged_row(struct ro_table *table, const char *service, const char *route,
-           bool late)
+active_row(struct ro_table *table, const char *service, const char *route,
+           bool slow)
 {
     struct ro_move *move = Ro_Find(table, service);
     if (move == NULL || move->state != RO_RUNNING) {
         return NULL;
     }
-    return row_of(move, Ro_RowKey(route, late));
+    return find_or_add_row(move, Ro_RowKey(route, slow));
 }
 
 static void
@@ -173,7 +185,7 @@
     move->share = share;
 }
 
-/* A newer order for a service starts anew, whatever became of the last. */
+/* A newer order for a service replaces the move in any state. */
 void
 Ro_Order(struct ro_table *table, const struct ro_order *order)
 {
@@ -192,8 +204,8 @@
     memset(move, 0, sizeof(*move));
     move->order = *order;
     move->hash = Ro_Hash(order->service);
-    move->seen_at = Ck_Now(table->clock);
-    move->window_at = move->seen_at;
+    move->started_at = Ck_Now(table->clock);
+    move->window_since = move->started_at;
     Ln_Log(LN_STATE, "move.ordered",
            "\"service\":\"%s\",\"target\":\"%s\",\"order\":%lld,"
            "\"seconds\":%lld",
@@ -203,36 +215,37 @@
 
 bool
 Ro_First(struct ro_table *table, const char *service, const char *route,
-         bool next, int64_t usec)
+         bool is_new, int64_t usec)
 {
-    struct ro_row *row = judged_row(table, service, route, true);
+    struct ro_row *row = active_row(table, service, route, true);
     if (row == NULL) {
         return false;
     }
-    bool slow = row->usual_usec > 0 &&
-                (double)usec > Ro_SLOW_TIMES * row->usual_usec + Ro_SLOW_USEC;
-    if (!next) {
-        double weight = row->usual_usec > 0 ? Ro_USUAL_WEIGHT : 1;
-        row->usual_usec += weight * ((double)usec - row->usual_usec);
+    bool is_slow = row->typical_usec > 0 &&
+                   (double)usec > Ro_SLOW_FACTOR * row->typical_usec +
+                                      Ro_SLOW_MARGIN_USEC;
+    if (!is_new) {
+        double weight = row->typical_usec > 0 ? Ro_TYPICAL_WEIGHT : 1;
+        row->typical_usec += weight * ((double)usec - row->typical_usec);
     }
-    return slow;
+    return is_slow;
 }
 
 static void
-count_answer(struct ro_row *row, bool next, bool bad)
+count_answer(struct ro_row *row, bool is_new, bool bad)
 {
     if (row != NULL) {
-        row->own[next ? NEXT : OLD].answers++;
-        row->own[next ? NEXT : OLD].bad += bad;
+        row->own[is_new ? NEW_VERSION : OLD_VERSION].answers++;
+        row->own[is_new ? NEW_VERSION : OLD_VERSION].bad += bad;
     }
 }
 
 void
 Ro_Answered(struct ro_table *table, const char *service, const char *route,
-            bool next, bool failed, bool late)
+            bool is_new, bool failed, bool slow)
 {
-    count_answer(judged_row(table, service, route, false), next, failed);
-    count_answer(judged_row(table, service, route, true), next, late);
+    count_answer(active_row(table, service, route, false), is_new, failed);
+    count_answer(active_row(table, service, route, true), is_new, slow);
 }
 
 void
@@ -247,10 +260,10 @@
 }
 
 static void
-add(struct ro_count *to, const struct ro_count *more)
+add_count(struct ro_count *to, const struct ro_count *addend)
 {
-    to->answers += more->answers;
-    to->bad += more->bad;
+    to->answers += addend->answers;
+    to->bad += addend->bad;
 }
 
 void
@@ -259,11 +272,12 @@
 {
     for (size_t i = 0; i < count; i++) {
         struct ro_move *move =
-            find_hash(table, rows[i].service, rows[i].order);
-        struct ro_row *row = move == NULL ? NULL : row_of(move, rows[i].route);
+            find_by_hash(table, rows[i].service, rows[i].order);
+        struct ro_row *row =
+            move == NULL ? NULL : find_or_add_row(move, rows[i].route);
         if (row != NULL) {
-            add(&row->others[OLD], &rows[i].old);
-            add(&row->others[NEXT], &rows[i].next);
+            add_count(&row->others[OLD_VERSION], &rows[i].old);
+            add_count(&row->others[NEW_VERSION], &rows[i].next);
         }
     }
 }
@@ -273,7 +287,7 @@
          bool from_holder)
 {
     struct ro_move *move =
-        find_hash(table, standing->service, standing->order);
+        find_by_hash(table, standing->service, standing->order);
     if (move == NULL) {
         return;
     }
@@ -286,78 +300,84 @@
 static void
 sum_row(const struct ro_row *row, struct ro_count sums[2])
 {
-    for (int version = OLD; version <= NEXT; version++) {
-        add(&sums[version], &row->own[version]);
-        add(&sums[version], &row->others[version]);
+    for (int version = OLD_VERSION; version <= NEW_VERSION; version++) {
+        add_count(&sums[version], &row->own[version]);
+        add_count(&sums[version], &row->others[version]);
     }
 }
 
 static void
-trip(struct ro_move *move, const struct ro_count sums[2])
+roll_back(struct ro_move *move, const struct ro_count sums[2])
 {
     Ln_Log(LN_FAILURE, "move.tripped",
            "\"service\":\"%s\",\"target\":\"%s\",\"order\":%lld,"
            "\"answers\":%u,\"bad\":%u,\"old_answers\":%u,\"old_bad\":%u",
            move->order.service, move->order.target,
-           (long long)move->order.number, sums[NEXT].answers, sums[NEXT].bad,
-           sums[OLD].answers, sums[OLD].bad);
+           (long long)move->order.number, sums[NEW_VERSION].answers,
+           sums[NEW_VERSION].bad, sums[OLD_VERSION].answers,
+           sums[OLD_VERSION].bad);
     set_state(move, RO_ROLLED_BACK, "worse than the version in use");
 }
 
 /*
- * Each route by itself, for a fault that only one of them meets; all
- * together, for one that is rare on each.
+ * Compares the failures on each route, to detect a fault on one route, and on
+ * all routes together, to detect a fault that is rare on each.
  */
 static void
-judge_failures(struct ro_move *move)
+check_failures(struct ro_move *move)
 {
     struct ro_count all[2] = {{0, 0}, {0, 0}};
     for (size_t i = 0; i < move->row_count; i++) {
-        if (Ro_IsLate(move->rows[i].key)) {
+        if (Ro_IsSlowKey(move->rows[i].key)) {
             continue;
         }
         struct ro_count sums[2] = {{0, 0}, {0, 0}};
         sum_row(&move->rows[i], sums);
         sum_row(&move->rows[i], all);
-        if (Ro_IsWorse(&sums[OLD], &sums[NEXT])) {
-            trip(move, sums);
+        if (Ro_IsWorse(&sums[OLD_VERSION], &sums[NEW_VERSION])) {
+            roll_back(move, sums);
             return;
         }
     }
-    if (Ro_IsWorse(&all[OLD], &all[NEXT])) {
-        trip(move, all);
+    if (Ro_IsWorse(&all[OLD_VERSION], &all[NEW_VERSION])) {
+        roll_back(move, all);
     }
 }
 
 static void
-add_weight(struct ro_weight *to, const struct ro_weight *more)
+add_weight(struct ro_weighted_count *to,
+           const struct ro_weighted_count *addend)
 {
-    to->answers += more->answers;
-    to->bad += more->bad;
+    to->answers += addend->answers;
+    to->bad += addend->bad;
 }
 
-/* The same of what is late, at the end of a window. */
+/* Compares the slow answers in the same way at the end of a window. */
 static void
-judge_lateness(struct ro_move *move)
+check_slowness(struct ro_move *move)
 {
     struct ro_count all[2] = {{0, 0}, {0, 0}};
-    struct ro_weight judged[2] = {{0, 0}, {0, 0}};
-    bool later = false;
+    struct ro_weighted_count weighted[2] = {{0, 0}, {0, 0}};
+    bool worse = false;
     for (size_t i = 0; i < move->row_count; i++) {
         struct ro_row *row = &move->rows[i];
-        if (!Ro_IsLate(row->key)) {
+        if (!Ro_IsSlowKey(row->key)) {
             continue;
         }
         struct ro_count sums[2] = {{0, 0}, {0, 0}};
         sum_row(row, sums);
         sum_row(row, all);
-        Ro_CloseWindow(&row->late, sums);
-        add_weight(&judged[OLD], &row->late.judged[OLD]);
-        add_weight(&judged[NEXT], &row->late.judged[NEXT]);
-        later |= Ro_IsLater(&row->late.judged[OLD], &row->late.judged[NEXT]);
+        Ro_CloseWindow(&row->slow_counts, sums);
+        add_weight(&weighted[OLD_VERSION],
+                   &row->slow_counts.weighted[OLD_VERSION]);
+        add_weight(&weighted[NEW_VERSION],
+                   &row->slow_counts.weighted[NEW_VERSION]);
+        worse |= Ro_IsWorseWeighted(&row->slow_counts.weighted[OLD_VERSION],
+                                    &row->slow_counts.weighted[NEW_VERSION]);
     }
-    if (later || Ro_IsLater(&judged[OLD], &judged[NEXT])) {
-        trip(move, all);
+    if (worse ||
+        Ro_IsWorseWeighted(&weighted[OLD_VERSION], &weighted[NEW_VERSION])) {
+        roll_back(move, all);
     }
 }
 
@@ -370,78 +390,81 @@
         if (move->state != RO_RUNNING) {
             continue;
         }
-        judge_failures(move);
-        if (now - move->window_at >= Ro_WINDOW_USEC) {
-            move->window_at = now;
-            judge_lateness(move);
+        check_failures(move);
+        if (now - move->window_since >= Ro_WINDOW_USEC) {
+            move->window_since = now;
+            check_slowness(move);
         }
     }
 }
 
 static uint32_t
-answers_of(const struct ro_move *move)
+new_version_answers(const struct ro_move *move)
 {
     struct ro_count all[2] = {{0, 0}, {0, 0}};
     for (size_t i = 0; i < move->row_count; i++) {
-        if (!Ro_IsLate(move->rows[i].key)) {
+        if (!Ro_IsSlowKey(move->rows[i].key)) {
             sum_row(&move->rows[i], all);
         }
     }
-    return all[NEXT].answers;
+    return all[NEW_VERSION].answers;
 }
 
 /*
- * Requests are moved no faster than there are endpoints for them, but where
- * there are half as many as before they are enough.
+ * Limits the share by the usable endpoints of the new version; half as many as
+ * of the old version are enough for all requests.
  */
 static int
-share_now(const struct ro_table *table, const struct ro_move *move,
-          const struct ro_scene *scene)
+next_share(const struct ro_table *table, const struct ro_move *move,
+           const struct ro_endpoint_counts *counts)
 {
-    if (scene->next_usable == 0) {
+    if (counts->next_usable == 0) {
         return 0;
     }
-    double over = (double)(Ck_Now(table->clock) - move->seen_at) /
-                  (double)move->order.duration_usec;
-    int share = Ro_TRY_SHARE;
-    if (over >= Ro_GROW_AFTER && answers_of(move) >= Ro_GROW_ANSWERS) {
-        share = Ro_GROW_SHARE;
+    double elapsed = (double)(Ck_Now(table->clock) - move->started_at) /
+                     (double)move->order.duration_usec;
+    int share = Ro_CANARY_SHARE;
+    if (elapsed >= Ro_RAISE_AFTER &&
+        new_version_answers(move) >= Ro_RAISE_MIN_ANSWERS) {
+        share = Ro_RAISED_SHARE;
     }
-    if (over >= Ro_ALL_AFTER) {
-        share = Ro_ALL;
+    if (elapsed >= Ro_FULL_AFTER) {
+        share = Ro_FULL_SHARE;
     }
-    int most = scene->old_usable == 0
-                   ? Ro_ALL
-                   : 2 * Ro_ALL * scene->next_usable / scene->old_usable;
-    return share < most ? share : most;
+    int limit =
+        counts->old_usable == 0
+            ? Ro_FULL_SHARE
+            : 2 * Ro_FULL_SHARE * counts->next_usable / counts->old_usable;
+    return share < limit ? share : limit;
 }
 
 void
-Ro_Lead(struct ro_table *table, struct ro_move *move,
-        const struct ro_scene *scene)
+Ro_Advance(struct ro_table *table, struct ro_move *move,
+           const struct ro_endpoint_counts *counts)
 {
     int64_t now = Ck_Now(table->clock);
     if (move->state != RO_RUNNING) {
         return;
     }
-    set_share(move, share_now(table, move, scene));
-    if (move->share < Ro_ALL) {
-        move->all_at = 0;
+    set_share(move, next_share(table, move, counts));
+    if (move->share < Ro_FULL_SHARE) {
+        move->full_since = 0;
     }
-    else if (move->all_at == 0) {
-        move->all_at = now;
+    else if (move->full_since == 0) {
+        move->full_since = now;
     }
-    if (move->all_at == 0 || scene->old_running > 0) {
-        move->empty_at = 0;
+    if (move->full_since == 0 || counts->old_running > 0) {
+        move->drained_since = 0;
     }
-    else if (move->empty_at == 0) {
-        move->empty_at = now;
+    else if (move->drained_since == 0) {
+        move->drained_since = now;
     }
-    bool over = now - move->seen_at > move->order.duration_usec;
-    if (move->empty_at != 0 && now - move->empty_at > Ro_EMPTY_USEC) {
+    bool deadline_passed = now - move->started_at > move->order.duration_usec;
+    if (move->drained_since != 0 &&
+        now - move->drained_since > Ro_DRAINED_USEC) {
         set_state(move, RO_SUCCEEDED, "nothing runs at the old version");
     }
-    else if (over && scene->next_usable == 0) {
+    else if (deadline_passed && counts->next_usable == 0) {
         set_state(move, RO_ROLLED_BACK, "no endpoint of it by the deadline");
     }
 }
@@ -460,11 +483,15 @@
     default:
         break;
     }
-    if (move->share >= Ro_ALL) {
+    if (move->share >= Ro_FULL_SHARE) {
         return repeat ? RO_OLD_FIRST : RO_NEXT_FIRST;
     }
-    /* A repeat is to be served; it proves nothing. */
-    return !repeat && unit * Ro_ALL < move->share ? RO_NEXT_FIRST : RO_OLD;
+    /*
+     * A retry goes to the old version: it must succeed and is not used to test
+     * the new version.
+     */
+    return !repeat && unit * Ro_FULL_SHARE < move->share ? RO_NEXT_FIRST
+                                                         : RO_OLD;
 }
 
 size_t
@@ -482,8 +509,8 @@
                 .service = move->hash,
                 .route = row->key,
                 .order = move->order.number,
-                .old = row->own[OLD],
-                .next = row->own[NEXT],
+                .old = row->own[OLD_VERSION],
+                .next = row->own[NEW_VERSION],
             };
         }
     }
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -1,14 +1,15 @@
 /*
- * Version moves: an operator orders that a service's requests go to another
- * version of its endpoints by a deadline.  The version gets a small part of
- * the requests while it is judged against the one in use, then all, and the
- * move is done when nothing runs at the old endpoints any more: they are
- * stopped without draining.  Pure but for the clock.
+ * Version moves.  An operator orders that the requests of a service move to
+ * another version of its endpoints by a deadline.  The new version first gets
+ * a small share of the requests while its answers are compared with those of
+ * the old version, then all of them.  The move has succeeded when no request
+ * runs at the old endpoints any more; these are then stopped without draining.
+ * The functions depend on nothing but their arguments and the clock.
  *
- * Every daemon counts answers, and the counts of all are summed; any daemon
- * that finds the version bad says so, and all stop at once, without the
- * store.  The holder of the duty decides how much the version gets and when
- * the move is done.
+ * Each daemon counts answers and sends its counts to its peers, which add them
+ * up.  Any daemon that finds the new version worse rolls the move back and
+ * tells its peers, which roll back at once without the store.  The lease
+ * holder alone sets the share and decides that the move has succeeded.
  */
 #ifndef EDGE_ROLLOUT_H
 #define EDGE_ROLLOUT_H
@@ -26,77 +27,80 @@
 
 #define Ro_MOVES_MAX 16
 #define Ro_ROUTES_MAX 16
-#define Ro_ROWS_MAX (2 * Ro_ROUTES_MAX) /* failures and lateness of each */
-#define Ro_ALL 1000                     /* a share, in thousandths */
+/* one for failures and one for slow answers per route */
+#define Ro_ROWS_MAX (2 * Ro_ROUTES_MAX)
+#define Ro_FULL_SHARE 1000 /* all requests; shares are in thousandths */
 
-/* Ordered by finality: a later one replaces an earlier one, never back. */
+/* A later state replaces an earlier one and is never replaced by it. */
 enum ro_state {
     RO_RUNNING,
     RO_ROLLED_BACK,
     RO_SUCCEEDED,
 };
 
-/* What the operator wrote. */
+/* An operator's order. */
 struct ro_order {
     char service[Ec_NAME_MAX];
-    char target[Ec_NAME_MAX]; /* the version */
+    char target[Ec_NAME_MAX]; /* version */
     int64_t duration_usec;
-    int64_t number; /* rises with each order */
+    int64_t number; /* increases with each order */
 };
 
 struct ro_count {
     uint32_t answers;
-    uint32_t bad; /* failed, or late: several times as long as usual */
+    uint32_t bad; /* failed, or slow to the first byte, depending on the row */
 };
 
 /*
- * Answers of both versions on a route, counted by one daemon: how many of
- * them failed, or how many were late.
+ * Answers of both versions on one route, counted by one daemon: how many
+ * failed, or how many were slow.
  */
 struct ro_evidence {
-    uint32_t service; /* hashes of the names */
-    uint32_t route;   /* with what is counted, see Ro_RowKey() */
+    uint32_t service; /* hash of the name */
+    /* see Ro_RowKey(); hash of the route and what is counted */
+    uint32_t route;
     int64_t order;
     struct ro_count old;
     struct ro_count next;
 };
 
-/* Where a move stands; told to peers and recorded by the holder. */
+/* Status of a move, sent to peers and recorded by the lease holder. */
 struct ro_standing {
     uint32_t service;
     int64_t order;
     enum ro_state state;
-    int share; /* of the requests, in thousandths; told by the holder */
+    int share; /* thousandths of the requests; set by the lease holder */
 };
 
-/* Which endpoints a request may go to. */
+/* Which versions a request may go to. */
 enum ro_pick {
     RO_ANY,
-    RO_OLD,       /* the new version only where there is no other */
+    RO_OLD,       /* the new version only if there is no old endpoint */
     RO_OLD_ONLY,  /* never the new version */
-    RO_OLD_FIRST, /* the old version, the new one when it has no room */
-    RO_NEXT_FIRST /* the new version, others when it has no room */
+    RO_OLD_FIRST, /* the new version only if the old one has no free slot */
+    RO_NEXT_FIRST /* other versions only if the new one has no free slot */
 };
 
-/* Answers as they are judged: those of one pause are one. */
-struct ro_weight {
+/* Answers with the weights of Ro_CloseWindow(). */
+struct ro_weighted_count {
     double answers;
     double bad;
 };
 
-/* What was late of both versions, taken in a window at a time. */
-struct ro_late {
-    struct ro_count seen[2]; /* up to the last window */
-    struct ro_weight judged[2];
+/* Slow answers of both versions, weighted window by window. */
+struct ro_slow_counts {
+    struct ro_count counted[2]; /* totals at the end of the last window */
+    struct ro_weighted_count weighted[2];
 };
 
-/* A row of evidence: a route's failures, or what was late on it. */
+/* Counts of one route: either its failures or its slow answers. */
 struct ro_row {
     uint32_t key;
-    double usual_usec; /* first byte from the old version, here */
+    /* average time to the first byte of the old version on this daemon */
+    double typical_usec;
     struct ro_count own[2];
     struct ro_count others[2];
-    struct ro_late late;
+    struct ro_slow_counts slow_counts;
 };
 
 struct ro_move {
@@ -104,10 +108,12 @@
     uint32_t hash; /* of the service's name */
     enum ro_state state;
     int share;
-    int64_t seen_at;
-    int64_t all_at;    /* since when all requests go to the new version */
-    int64_t empty_at;  /* since when nothing runs at the old one */
-    int64_t window_at; /* when the window of what is late began */
+    int64_t started_at;
+    /* when the share became Ro_FULL_SHARE; 0: it is lower */
+    int64_t full_since;
+    /* when the old endpoints became idle; 0: they are not */
+    int64_t drained_since;
+    int64_t window_since; /* start of the current window of slow answers */
     size_t row_count;
     struct ro_row rows[Ro_ROWS_MAX];
 };
@@ -118,39 +124,45 @@
 void Ro_Destroy(struct ro_table *table);
 uint32_t Ro_Hash(const char *name);
 
-/* Changes. */
+/* Updates. */
 void Ro_Order(struct ro_table *table, const struct ro_order *order);
-uint32_t Ro_RowKey(const char *route, bool late);
-bool Ro_IsLate(uint32_t key);
+uint32_t Ro_RowKey(const char *route, bool slow);
+bool Ro_IsSlowKey(uint32_t key);
 
-/* A first byte came; true when it took several times as long as usual. */
+/*
+ * Records the time to a first byte; returns whether it is slow, that is,
+ * several times the average of the old version.
+ */
 bool Ro_First(struct ro_table *table, const char *service, const char *route,
-              bool next, int64_t usec);
+              bool is_new, int64_t usec);
 void Ro_Answered(struct ro_table *table, const char *service,
-                 const char *route, bool next, bool failed, bool late);
+                 const char *route, bool is_new, bool failed, bool slow);
 void Ro_ClearOthers(struct ro_table *table);
 void Ro_AddOthers(struct ro_table *table, const struct ro_evidence *rows,
                   size_t count);
-/* Takes what a peer, or the record of the last holder, says; a share only
-   from who holds the duty. */
+/*
+ * Applies a status from a peer or from the previous lease holder's record.
+ * The share is taken only from the lease holder.
+ */
 void Ro_Heard(struct ro_table *table, const struct ro_standing *standing,
               bool from_holder);
-/* Judges all moves; to be called several times a second. */
+/* Compares the versions of all moves; called several times a second. */
 void Ro_Tick(struct ro_table *table);
 
-/* What the holder knows of a service's endpoints. */
-struct ro_scene {
+/* Endpoints of a service by version, as the lease holder sees them. */
+struct ro_endpoint_counts {
     int old_usable;
     int next_usable;
-    int old_running; /* requests, of all daemons */
+    int old_running; /* requests of all daemons at the old version */
 };
-/* Decides share and end of a move; for the holder alone. */
-void Ro_Lead(struct ro_table *table, struct ro_move *move,
-             const struct ro_scene *scene);
+/* Sets the share of a move and ends it; called by the lease holder only. */
+void Ro_Advance(struct ro_table *table, struct ro_move *move,
+                const struct ro_endpoint_counts *counts);
 
 /* Queries. */
 struct ro_move *Ro_Find(struct ro_table *table, const char *service);
-struct ro_move *Ro_At(struct ro_table *table, size_t index); /* NULL: end */
+/* NULL past the last move */
+struct ro_move *Ro_At(struct ro_table *table, size_t index);
 enum ro_pick Ro_Pick(const struct ro_move *move, bool repeat, double unit);
 size_t Ro_Own(const struct ro_table *table, struct ro_evidence *out,
               size_t size);
@@ -159,11 +171,13 @@
                     size_t size);
 const char *Ro_StateName(enum ro_state state);
 
-/* Whether the new version is worse beyond chance. */
+/* Returns whether the new version is worse beyond chance. */
 bool Ro_IsWorse(const struct ro_count *old, const struct ro_count *next);
-/* Takes in what has come since the last window. */
-void Ro_CloseWindow(struct ro_late *late, const struct ro_count sums[2]);
-bool Ro_IsLater(const struct ro_weight *old, const struct ro_weight *next);
+/* Adds the answers since the last window, with bounded weight. */
+void Ro_CloseWindow(struct ro_slow_counts *slow_counts,
+                    const struct ro_count sums[2]);
+bool Ro_IsWorseWeighted(const struct ro_weighted_count *old,
+                        const struct ro_weighted_count *next);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -14,9 +14,9 @@
 
 constexpr int64_t kTickUsec = 100 * Ck_USEC_PER_MSEC;
 
-// A version move before daemons that share their counts as gossip does, one
-// of them the holder.  Requests come at a steady rate; the new version fails
-// or slows down as the test says.
+// Simulates a version move on daemons that exchange their counts as by gossip;
+// the first daemon holds the lease.  Requests come at a steady rate, and the
+// new version fails or is slow at rates that the test sets.
 class Move : public testing::Test {
   protected:
     void
@@ -30,7 +30,7 @@
             tables_.push_back(Ro_Create(&clock_.clock));
             Ro_Order(tables_.back(), &order_);
         }
-        scene_ = {4, 4, 3};
+        counts_ = {4, 4, 3};
     }
 
     void
@@ -55,27 +55,29 @@
         enum ro_pick pick = Ro_Pick(move, false, unit_(random_));
         bool next = pick == RO_NEXT_FIRST;
         requests_++;
-        exposed_ += next;
-        bool is_bad = next && (!bad_route_ || strcmp(route, bad_route_) == 0);
-        bool failed = unit_(random_) < (is_bad ? fails_ : usual_fails_);
-        int64_t usec = is_bad && unit_(random_) < slow_ ? 500000 : 40000;
-        usec += PauseLeft(next);
-        bool slow = Ro_First(table, "llm", route, next, usec);
-        Ro_Answered(table, "llm", route, next, failed, slow);
+        new_version_requests_ += next;
+        bool is_bad =
+            next && (!faulty_route_ || strcmp(route, faulty_route_) == 0);
+        bool failed =
+            unit_(random_) < (is_bad ? failure_rate_ : base_failure_rate_);
+        int64_t usec = is_bad && unit_(random_) < slow_rate_ ? 500000 : 40000;
+        usec += PauseRemaining(next);
+        bool is_slow = Ro_First(table, "llm", route, next, usec);
+        Ro_Answered(table, "llm", route, next, failed, is_slow);
     }
 
-    // What is left of the pause of the endpoint that a request has come to.
+    // Returns the remaining pause of a randomly chosen endpoint.
     int64_t
-    PauseLeft(bool next)
+    PauseRemaining(bool next)
     {
         size_t endpoint = static_cast<size_t>(unit_(random_) * kEndpoints);
         int64_t left = paused_until_[next][endpoint] - Ck_Now(&clock_.clock);
         return left > 0 ? left : 0;
     }
 
-    // Draws the pauses of this tick, alike for both versions.
+    // Starts pauses for this tick, equally likely for both versions.
     void
-    Pause()
+    DrawPauses()
     {
         for (auto &version : paused_until_) {
             for (auto &until : version) {
@@ -117,7 +119,7 @@
     {
         for (int64_t passed = 0; passed < seconds * Ck_USEC_PER_SEC;
              passed += kTickUsec) {
-            Pause();
+            DrawPauses();
             for (int i = 0; i < per_tick; i++) {
                 Request(tables_[static_cast<size_t>(i) % tables_.size()], i);
             }
@@ -125,41 +127,41 @@
             for (auto *table : tables_) {
                 Ro_Tick(table);
             }
-            if (At(0)->share == Ro_ALL) {
-                scene_.old_running = 0;
+            if (At(0)->share == Ro_FULL_SHARE) {
+                counts_.old_running = 0;
             }
-            Ro_Lead(tables_[0], At(0), &scene_);
+            Ro_Advance(tables_[0], At(0), &counts_);
             clock_.Advance(kTickUsec);
         }
     }
 
-    // What a bad version may get of all requests, a tenth and fifty.
+    // A bad version may get at most a tenth of all requests plus fifty.
     bool
-    WithinExposure() const
+    WithinExposureLimit() const
     {
-        return exposed_ <= requests_ / 10 + 50;
+        return new_version_requests_ <= requests_ / 10 + 50;
     }
 
     FakeClock clock_;
     struct ro_order order_ = {};
-    struct ro_scene scene_ = {};
+    struct ro_endpoint_counts counts_ = {};
     std::vector<struct ro_table *> tables_;
     std::mt19937 random_{11};
     std::uniform_real_distribution<double> unit_{0, 1};
-    double usual_fails_ = 0.02;
-    double fails_ = 0.02;
-    double slow_ = 0;
+    double base_failure_rate_ = 0.02;
+    double failure_rate_ = 0.02;
+    double slow_rate_ = 0;
     double pauses_per_min_ = 0;
     static const size_t kEndpoints = 3; // of each version
     int64_t paused_until_[2][kEndpoints] = {};
-    const char *bad_route_ = nullptr;
+    const char *faulty_route_ = nullptr;
     int requests_ = 0;
-    int exposed_ = 0;
+    int new_version_requests_ = 0;
 };
 
-// A good version is never said to be in use, although nothing speaks against
-// it, and the operator waits past the deadline.
-TEST_F(Move, AGoodVersionIsInUseByItsDeadline)
+// Guards against a good version that never reaches "succeeded", so that the
+// operator waits past the deadline.
+TEST_F(Move, AGoodVersionSucceedsByTheDeadline)
 {
     Start(7, 12);
     Run(12, 11);
@@ -169,12 +171,12 @@
     }
 }
 
-// Guards against a bad version that carries all: what it has failed is sent to
-// it again while endpoints of the old one stand idle.
-TEST_F(Move, WhatFailedIsSentToTheOldVersionAlsoWhenTheNewOneCarriesAll)
+// Guards against sending a retry to a bad version at full share while
+// endpoints of the old version are idle.
+TEST_F(Move, RetriesPreferTheOldVersionAtFullShare)
 {
     Start(7, 12);
-    int whole = 0;
+    int at_full_share = 0;
     for (int i = 0; i < 11; i++) {
         Run(1, 11);
         struct ro_move *move = At(0);
@@ -182,68 +184,72 @@
             break;
         }
         bool all = Ro_Pick(move, false, 0.9999) == RO_NEXT_FIRST;
-        whole += all;
+        at_full_share += all;
         EXPECT_EQ(Ro_Pick(move, true, 0), all ? RO_OLD_FIRST : RO_OLD);
     }
-    EXPECT_GT(whole, 0);
+    EXPECT_GT(at_full_share, 0);
 }
 
-// Callers fail for the whole time of a move: the version's answers were
-// counted by each host alone, and no host saw enough of them.
-TEST_F(Move, ABadVersionIsTakenBackByAllHostsTogether)
+// Guards against counting answers on each host alone: no host saw enough of
+// them to detect the fault, and callers failed for the whole move.
+TEST_F(Move, ABadVersionIsRolledBackOnSummedCounts)
 {
     Start(80, 12);
-    fails_ = 0.4;
+    failure_rate_ = 0.4;
     Run(12, 80);
     for (size_t i = 0; i < tables_.size(); i++) {
         ASSERT_EQ(At(i)->state, RO_ROLLED_BACK) << i;
         EXPECT_EQ(Ro_Pick(At(i), false, 0), RO_OLD_ONLY);
     }
-    EXPECT_TRUE(WithinExposure()) << exposed_ << " of " << requests_;
+    EXPECT_TRUE(WithinExposureLimit())
+        << new_version_requests_ << " of " << requests_;
 }
 
-// The version answers well, but several times slower.
-TEST_F(Move, ASlowVersionIsTakenBack)
+// The version answers correctly but several times slower.
+TEST_F(Move, ASlowVersionIsRolledBack)
 {
     Start(7, 12);
-    slow_ = 0.5;
+    slow_rate_ = 0.5;
     Run(12, 11);
     EXPECT_EQ(At(3)->state, RO_ROLLED_BACK);
-    EXPECT_TRUE(WithinExposure()) << exposed_ << " of " << requests_;
+    EXPECT_TRUE(WithinExposureLimit())
+        << new_version_requests_ << " of " << requests_;
 }
 
-// One kind of request fails with the new version, too few to show among all.
-TEST_F(Move, AFaultOnOneRouteIsSeen)
+// One route fails with the new version, too rarely to show in the totals.
+TEST_F(Move, AFaultOnOneRouteIsDetected)
 {
     Start(7, 20);
-    bad_route_ = "digest";
-    fails_ = 0.3;
+    faulty_route_ = "digest";
+    failure_rate_ = 0.3;
     Run(20, 11);
     EXPECT_EQ(At(0)->state, RO_ROLLED_BACK);
-    EXPECT_TRUE(WithinExposure()) << exposed_ << " of " << requests_;
+    EXPECT_TRUE(WithinExposureLimit())
+        << new_version_requests_ << " of " << requests_;
 }
 
-// The version fails only once it has all requests: by then most of its time
-// has passed, and what it gets until it is stopped must fit the bound.
-TEST_F(Move, AFaultUnderLoadOnlyStaysWithinTheBound)
+// The version fails only once it has all requests.  Most of the duration has
+// passed by then, and the requests until the rollback must fit the limit.
+TEST_F(Move, AFaultAtFullShareStaysWithinTheBound)
 {
     Start(7, 12);
     Run(8, 11);
-    ASSERT_EQ(At(0)->share, Ro_ALL);
-    scene_.old_running = 5;
-    fails_ = 0.5;
+    ASSERT_EQ(At(0)->share, Ro_FULL_SHARE);
+    counts_.old_running = 5;
+    failure_rate_ = 0.5;
     Run(4, 11);
     EXPECT_EQ(At(0)->state, RO_ROLLED_BACK);
-    EXPECT_TRUE(WithinExposure()) << exposed_ << " of " << requests_;
+    EXPECT_TRUE(WithinExposureLimit())
+        << new_version_requests_ << " of " << requests_;
 }
 
-// A lookup that fails one time in seven whoever answers it makes every new
-// version look bad.
-TEST_F(Move, WhatFailsAnywayIsNotHeldAgainstTheVersion)
+// Guards against rolling back a good version because of a route on which one
+// in seven requests fails with either version.
+TEST_F(Move, CommonFailuresDoNotRollBack)
 {
     for (unsigned seed = 1; seed <= 40; seed++) {
         random_.seed(seed);
-        usual_fails_ = fails_ = 0.14;
+        base_failure_rate_ = failure_rate_ = 0.14;
         Start(3, 12);
         Run(12, 11);
         ASSERT_EQ(At(0)->state, RO_SUCCEEDED) << "seed " << seed;
@@ -252,67 +258,68 @@
     }
 }
 
-// Guards against a good version taken back since endpoints of either version
-// paused for a moment: the answers of one pause are late together.
-TEST_F(Move, PausesOfEndpointsTakeNoGoodVersionBack)
+// Guards against rolling back a good version because endpoints of either
+// version paused for a moment: the answers of one pause are slow together.
+TEST_F(Move, EndpointPausesDoNotRollBack)
 {
     const int kMoves = 100;
-    const int kMost = 1;
+    const int kMaxRolledBack = 1;
     pauses_per_min_ = 12;
     for (int per_tick : {4, 11, 40}) {
-        int back = 0;
+        int rolled_back = 0;
         for (int i = 0; i < kMoves; i++) {
             memset(paused_until_, 0, sizeof(paused_until_));
             Start(7, 12);
             Run(12, per_tick);
-            back += At(0)->state == RO_ROLLED_BACK;
+            rolled_back += At(0)->state == RO_ROLLED_BACK;
             TearDown();
             tables_.clear();
         }
-        EXPECT_LE(back, kMost) << per_tick;
+        EXPECT_LE(rolled_back, kMaxRolledBack) << per_tick;
     }
 }
 
-// Answers are cut: the old endpoints are stopped without draining as soon as
-// the move is said to be done, and streams still ran there.
-TEST_F(Move, IsNotDoneWhileTheOldEndpointsWork)
+// Guards against ending a move while requests run at the old endpoints: these
+// are stopped without draining, and their streams are cut.
+TEST_F(Move, DoesNotSucceedWhileOldEndpointsServe)
 {
     Start(2, 10);
     for (int i = 0; i < 100; i++) {
         clock_.Advance(kTickUsec);
-        scene_.old_running = 1;
-        Ro_Lead(tables_[0], At(0), &scene_);
+        counts_.old_running = 1;
+        Ro_Advance(tables_[0], At(0), &counts_);
     }
-    EXPECT_EQ(At(0)->share, Ro_ALL);
+    EXPECT_EQ(At(0)->share, Ro_FULL_SHARE);
     EXPECT_EQ(At(0)->state, RO_RUNNING);
-    scene_.old_running = 0;
+    counts_.old_running = 0;
     for (int i = 0; i < 20; i++) {
         clock_.Advance(kTickUsec);
-        Ro_Lead(tables_[0], At(0), &scene_);
+        Ro_Advance(tables_[0], At(0), &counts_);
     }
     EXPECT_EQ(At(0)->state, RO_SUCCEEDED);
 }
 
-// Requests pile up at one new endpoint that takes the place of four.
-TEST_F(Move, RequestsAreMovedNoFasterThanEndpointsCome)
+// Guards against queues at one new endpoint that replaces four old ones.
+TEST_F(Move, ShareIsLimitedByReadyEndpoints)
 {
     Start(1, 10);
-    scene_ = {4, 1, 0};
+    counts_ = {4, 1, 0};
     clock_.Advance(9 * Ck_USEC_PER_SEC);
-    Ro_Lead(tables_[0], At(0), &scene_);
-    EXPECT_LE(At(0)->share, Ro_ALL / 2);
-    scene_ = {4, 0, 0};
-    Ro_Lead(tables_[0], At(0), &scene_);
+    Ro_Advance(tables_[0], At(0), &counts_);
+    EXPECT_LE(At(0)->share, Ro_FULL_SHARE / 2);
+    counts_ = {4, 0, 0};
+    Ro_Advance(tables_[0], At(0), &counts_);
     EXPECT_EQ(At(0)->share, 0);
 }
 
-// A host that starts late, or hears an old word, sends to a version that was
-// taken back; an order that was replaced goes on beside the new one.
-TEST_F(Move, StatesAndOrdersNeverGoBack)
+// Guards against a host that starts late or receives an outdated status and
+// sends requests to a version that was rolled back, and against an order that
+// goes on after a newer one replaced it.
+TEST_F(Move, FinalStatesAndNewerOrdersStand)
 {
     Start(1, 10);
-    struct ro_standing back = {Ro_Hash("llm"), 7, RO_ROLLED_BACK, 0};
-    Ro_Heard(tables_[0], &back, false);
+    struct ro_standing rolled_back = {Ro_Hash("llm"), 7, RO_ROLLED_BACK, 0};
+    Ro_Heard(tables_[0], &rolled_back, false);
     struct ro_standing running = {Ro_Hash("llm"), 7, RO_RUNNING, 1000};
     Ro_Heard(tables_[0], &running, true);
     EXPECT_EQ(Ro_Pick(At(0), false, 0), RO_OLD_ONLY);
@@ -328,12 +335,13 @@
     EXPECT_STREQ(At(0)->order.target, "v3");
     EXPECT_EQ(At(0)->state, RO_RUNNING);
     EXPECT_EQ(At(0)->share, 0);
-    Ro_Heard(tables_[0], &back, false);
+    Ro_Heard(tables_[0], &rolled_back, false);
     EXPECT_EQ(At(0)->state, RO_RUNNING);
 }
 
-// A successor repeats a move that was done: its record had no room for it.
-TEST(MoveRecord, WhatIsWrittenIsRead)
+// Guards against a lease record without the move: the next lease holder would
+// repeat a move that has succeeded.
+TEST(MoveRecord, EncodesAndDecodes)
 {
     static struct dr_record record = {};
     record.run = 5;
--- a/packages/edge/work_moves.c
+++ b/packages/edge/work_moves.c
@@ -3,10 +3,10 @@
 
 #include "edge/work_internal.h"
 
-static struct ro_scene
+static struct ro_endpoint_counts
 look(const struct ga_gate *gate, const struct ro_move *move)
 {
-    struct ro_scene scene = {0, 0, 0};
+    struct ro_endpoint_counts scene = {0, 0, 0};
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (strcmp(endpoint->entry.service, move->order.service) != 0) {
@@ -92,8 +92,8 @@
     struct ga_gate *gate = work->gate;
     struct ro_move *move;
     for (size_t i = 0; (move = Ro_At(gate->moves, i)) != NULL; i++) {
-        struct ro_scene scene = look(gate, move);
-        Ro_Lead(gate->moves, move, &scene);
+        struct ro_endpoint_counts scene = look(gate, move);
+        Ro_Advance(gate->moves, move, &scene);
         struct ro_standing standing = Ro_Standing(move);
         if (!Du_SetMove(gate->duty, &standing)) {
             continue;
