--- a/packages/edge/duty.c
+++ b/packages/edge/duty.c
@@ -6,18 +6,24 @@
 #include "edge/duty_internal.h"
 #include "edge/duty_record.h"
 
-/* Renewed this often in a term, so that one lost answer does not end it. */
-#define Du_RENEWALS 3
+/* Renewals per lease; one lost answer must not end it. */
+#define Du_RENEWALS_PER_LEASE 3
 /*
- * Part of a term at its end in which the holder no longer acts: what it sends
- * has to arrive before a successor can.
+ * The holder stops acting 1/Du_MARGIN_DIVISOR of the lease before its end, so
+ * that what it sent arrives before the next holder can act.
  */
 #define Du_MARGIN_DIVISOR 6
-/* Daemons further back wait this much longer each, so that few collide. */
-#define Du_RANK_USEC (300 * Ck_USEC_PER_MSEC)
+/*
+ * Each daemon waits this much longer than the one ranked before it, so that
+ * few appends collide.
+ */
+#define Du_RANK_DELAY_USEC (300 * Ck_USEC_PER_MSEC)
 #define Du_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
-/* Daemons that start know of each other, and their order, after this. */
-#define Du_MEET_USEC (500 * Ck_USEC_PER_MSEC)
+/*
+ * After this time, daemons that start together have discovered each other and
+ * know their ranks.
+ */
+#define Du_DISCOVERY_USEC (500 * Ck_USEC_PER_MSEC)
 
 struct du_duty *
 Du_Create(const struct du_options *options)
@@ -31,7 +37,7 @@
     return duty;
 }
 
-/* Answers of the store must not come any more. */
+/* The store must not deliver any answer after this call. */
 void
 Du_Destroy(struct du_duty *duty)
 {
@@ -48,7 +54,7 @@
 Du_Holds(const struct du_duty *duty)
 {
     return duty->fence != 0 &&
-           now_of(duty) < duty->valid_until -
+           now_of(duty) < duty->lease_until -
                               duty->options.lease_usec / Du_MARGIN_DIVISOR;
 }
 
@@ -59,7 +65,7 @@
 }
 
 static void
-lose(struct du_duty *duty)
+end_lease(struct du_duty *duty)
 {
     if (duty->fence != 0) {
         duty->fence = 0;
@@ -68,11 +74,12 @@
 }
 
 static void
-win(struct du_duty *duty, int64_t offset, int64_t sent_at)
+confirm_lease(struct du_duty *duty, int64_t offset, int64_t sent_at)
 {
-    duty->valid_until = sent_at + duty->options.lease_usec;
+    duty->lease_until = sent_at + duty->options.lease_usec;
     if (duty->fence == 0) {
-        duty->fence = offset + 1; /* the first offset is 0 */
+        /* offsets start at 0, which means no fence */
+        duty->fence = offset + 1;
         duty->options.changed(duty->options.arg, true, duty->fence);
     }
 }
@@ -85,11 +92,11 @@
 }
 
 static void
-keep_usage(struct du_duty *duty, const struct du_usage *usage)
+store_usage(struct du_duty *duty, const struct du_usage *usage)
 {
     struct du_usage *slot =
         &duty->usages[(uint64_t)usage->window % Du_WINDOWS];
-    /* The first record of a window stands. */
+    /* The first record of a window is final. */
     if (slot->window < usage->window) {
         *slot = *usage;
         slot->reported = false;
@@ -97,11 +104,11 @@
 }
 
 static void
-take(struct du_duty *duty, const struct ag_record *record)
+apply_record(struct du_duty *duty, const struct ag_record *record)
 {
     static struct dr_record decoded;
     duty->end = record->offset + 1;
-    duty->moved_at = now_of(duty);
+    duty->end_changed_at = now_of(duty);
     if (!Dr_Decode(record->value, record->len, &decoded)) {
         return;
     }
@@ -110,21 +117,24 @@
         memcpy(duty->needs, decoded.needs, sizeof(duty->needs));
     }
     if (decoded.run != duty->options.run) {
-        duty->before_count = decoded.recent_count;
-        memcpy(duty->before, decoded.recent, sizeof(duty->before));
+        duty->inherited_count = decoded.recent_count;
+        memcpy(duty->inherited, decoded.recent, sizeof(duty->inherited));
         duty->move_count = decoded.move_count;
         memcpy(duty->moves, decoded.moves, sizeof(duty->moves));
     }
     if (decoded.has_usage) {
-        keep_usage(duty, &decoded.usage);
+        store_usage(duty, &decoded.usage);
     }
     if (decoded.run != duty->options.run) {
-        lose(duty);
+        end_lease(duty);
     }
-    else if (duty->doubtful) {
-        /* The append whose answer was lost was done, no earlier than sent. */
-        duty->doubtful = false;
-        win(duty, record->offset, duty->doubtful_sent_at);
+    else if (duty->append_unknown) {
+        /*
+         * The append whose answer was lost took effect, but not before it was
+         * sent.
+         */
+        duty->append_unknown = false;
+        confirm_lease(duty, record->offset, duty->unknown_sent_at);
     }
 }
 
@@ -132,11 +142,11 @@
 on_read(void *arg, const struct ag_result *result)
 {
     struct du_duty *duty = arg;
-    duty->busy = false;
+    duty->in_flight = false;
     duty->at_end = false;
     if (result->status == AG_EXPIRED) {
         duty->end = result->offset;
-        duty->moved_at = now_of(duty);
+        duty->end_changed_at = now_of(duty);
         return;
     }
     if (result->status != AG_OK) {
@@ -144,7 +154,7 @@
         return;
     }
     for (size_t i = 0; i < result->count; i++) {
-        take(duty, &result->records[i]);
+        apply_record(duty, &result->records[i]);
     }
     if (duty->end < 0) {
         duty->end = 0;
@@ -152,14 +162,14 @@
     duty->at_end = duty->end >= result->end;
     if (!duty->at_end && result->count == 0) {
         duty->end = result->end;
-        duty->moved_at = now_of(duty);
+        duty->end_changed_at = now_of(duty);
     }
 }
 
 static void
 start_read(struct du_duty *duty)
 {
-    duty->busy = true;
+    duty->in_flight = true;
     duty->sent_at = now_of(duty);
     Ag_Read(duty->options.store, AG_DUTY, duty->end < 0 ? 0 : duty->end, 0,
             on_read, duty);
@@ -169,29 +179,35 @@
 on_append(void *arg, const struct ag_result *result)
 {
     struct du_duty *duty = arg;
-    duty->busy = false;
+    duty->in_flight = false;
     switch (result->status) {
     case AG_OK:
-        duty->doubtful = false;
+        duty->append_unknown = false;
         duty->end = result->offset + 1;
-        duty->moved_at = now_of(duty);
+        duty->end_changed_at = now_of(duty);
         duty->at_end = true;
         duty->moves_recorded |= duty->moves_sent;
         if (duty->pending.window != 0) {
-            keep_usage(duty, &duty->pending);
+            store_usage(duty, &duty->pending);
         }
-        win(duty, result->offset, duty->sent_at);
+        confirm_lease(duty, result->offset, duty->sent_at);
         break;
     case AG_CONFLICT:
     case AG_EXPIRED:
-        /* Another record is there, maybe our own of before: read it. */
+        /*
+         * Another record is at this offset, possibly an earlier one of this
+         * daemon: read the log.
+         */
         duty->at_end = false;
         break;
     case AG_UNKNOWN:
-        /* Of several, the first: the term must not seem longer than it is. */
-        if (!duty->doubtful) {
-            duty->doubtful = true;
-            duty->doubtful_sent_at = duty->sent_at;
+        /*
+         * The first of several unknown appends counts, so that the lease is
+         * not overestimated.
+         */
+        if (!duty->append_unknown) {
+            duty->append_unknown = true;
+            duty->unknown_sent_at = duty->sent_at;
         }
         duty->at_end = false;
         break;
@@ -223,7 +239,7 @@
     duty->pending = record.usage;
     char *data;
     size_t len = Dr_Encode(&record, &data);
-    duty->busy = true;
+    duty->in_flight = true;
     duty->sent_at = now_of(duty);
     Ag_Append(duty->options.store, AG_DUTY, duty->end, NULL, data, len,
               on_append, duty);
@@ -231,8 +247,8 @@
 }
 
 /*
- * After its term a holder does not act, but renews: that the log still ends
- * at its own record shows that nobody has acted since.
+ * A holder whose lease has run out does not act but still tries to renew: if
+ * the log still ends at its own record, no other daemon has acted since.
  */
 static void
 tick_holder(struct du_duty *duty)
@@ -242,50 +258,55 @@
         start_read(duty);
         return;
     }
-    int64_t renew_at = duty->valid_until - duty->options.lease_usec +
-                       duty->options.lease_usec / Du_RENEWALS;
-    if (now >= renew_at || du_recent_grew(duty)) {
+    int64_t renew_at = duty->lease_until - duty->options.lease_usec +
+                       duty->options.lease_usec / Du_RENEWALS_PER_LEASE;
+    if (now >= renew_at || du_recent_increased(duty)) {
         start_append(duty, NULL);
     }
 }
 
 /*
- * A term counts from before its renewal was sent; we saw the renewal later.
- * So a log that has stood still for a whole term, as we saw it, is free.  So
- * is one that still ends at the record of a term whose holder told when it
- * ends: a later renewal would have moved the end, and ours is appended only
- * where it has not moved.
+ * A lease counts from before its renewal was sent, and this daemon sees the
+ * renewal later.  So the lease is free once the log has not changed for a
+ * whole lease, as seen here.  If the log still ends at the record for which
+ * the holder announced the lease's end, the lease is free at that end: a later
+ * renewal would have moved the log's end, and the append succeeds only if it
+ * has not moved.
  */
 static bool
-is_free(const struct du_duty *duty, int64_t patience)
+is_lease_free(const struct du_duty *duty, int64_t rank_delay)
 {
     int64_t now = now_of(duty);
     if (duty->end == 0) {
-        /* All start at once, and each takes itself for the first. */
-        return now >= duty->started_at + Du_MEET_USEC + patience;
+        /*
+         * All daemons start at once, and each ranks itself first until it
+         * discovers the others.
+         */
+        return now >= duty->started_at + Du_DISCOVERY_USEC + rank_delay;
     }
-    if (duty->heard_fence != 0 && duty->end == duty->heard_end) {
-        return now >= duty->heard_until + patience;
+    if (duty->peer_fence != 0 && duty->end == duty->peer_end) {
+        return now >= duty->peer_until + rank_delay;
     }
-    return now - duty->moved_at > duty->options.lease_usec + patience;
+    return now - duty->end_changed_at > duty->options.lease_usec + rank_delay;
 }
 
 static void
-tick_other(struct du_duty *duty)
+tick_standby(struct du_duty *duty)
 {
     int64_t now = now_of(duty);
-    int64_t patience =
-        (int64_t)duty->options.rank(duty->options.arg) * Du_RANK_USEC;
-    if (duty->heard_fence != 0 && now < duty->heard_until + patience) {
+    int64_t rank_delay =
+        (int64_t)duty->options.rank(duty->options.arg) * Du_RANK_DELAY_USEC;
+    if (duty->peer_fence != 0 && now < duty->peer_until + rank_delay) {
         return;
     }
-    bool free_now = is_free(duty, patience);
-    if (duty->end >= 0 && duty->at_end && !free_now) {
+    bool is_free = is_lease_free(duty, rank_delay);
+    if (duty->end >= 0 && duty->at_end && !is_free) {
         return;
     }
-    if (duty->at_end && free_now &&
-        now - duty->sent_at < duty->options.lease_usec / Du_RENEWALS) {
-        /* The end was confirmed a moment ago. */
+    if (duty->at_end && is_free &&
+        now - duty->sent_at <
+            duty->options.lease_usec / Du_RENEWALS_PER_LEASE) {
+        /* The log's end was confirmed recently. */
         duty->at_end = false;
         start_append(duty, NULL);
         return;
@@ -297,35 +318,38 @@
 Du_Tick(struct du_duty *duty)
 {
     int64_t now = now_of(duty);
-    if (duty->left || duty->busy || now < duty->retry_at) {
+    if (duty->stopped || duty->in_flight || now < duty->retry_at) {
         return;
     }
     if (duty->fence != 0) {
         tick_holder(duty);
     }
     else {
-        tick_other(duty);
+        tick_standby(duty);
     }
 }
 
 void
-Du_Heard(struct du_duty *duty, const struct du_told *told)
+Du_Heard(struct du_duty *duty, const struct du_told *notice)
 {
-    if (duty->fence != 0 && told->fence > duty->fence) {
-        lose(duty);
+    if (duty->fence != 0 && notice->fence > duty->fence) {
+        end_lease(duty);
         duty->at_end = false;
     }
-    if (told->fence < duty->heard_fence) {
+    if (notice->fence < duty->peer_fence) {
         return;
     }
-    /* Each word bounds the end of the same term; the earliest bound holds. */
-    int64_t until = now_of(duty) + told->left_usec;
-    if (told->fence != duty->heard_fence || told->end != duty->heard_end ||
-        until < duty->heard_until) {
-        duty->heard_until = until;
-    }
-    duty->heard_fence = told->fence;
-    duty->heard_end = told->end;
+    /*
+     * Each notice gives an upper bound for the end of the same lease; the
+     * lowest bound counts.
+     */
+    int64_t until = now_of(duty) + notice->left_usec;
+    if (notice->fence != duty->peer_fence || notice->end != duty->peer_end ||
+        until < duty->peer_until) {
+        duty->peer_until = until;
+    }
+    duty->peer_fence = notice->fence;
+    duty->peer_end = notice->end;
 }
 
 struct du_told
@@ -337,14 +361,14 @@
     return (struct du_told){
         .fence = duty->fence,
         .end = duty->end,
-        .left_usec = duty->valid_until - now_of(duty),
+        .left_usec = duty->lease_until - now_of(duty),
     };
 }
 
 bool
-Du_Agree(struct du_duty *duty, const struct du_usage *usage)
+Du_RecordUsage(struct du_duty *duty, const struct du_usage *usage)
 {
-    if (duty->busy || !Du_Holds(duty) || !duty->at_end) {
+    if (duty->in_flight || !Du_Holds(duty) || !duty->at_end) {
         return false;
     }
     struct du_usage *slot =
@@ -357,25 +381,28 @@
 }
 
 void
-Du_Refused(struct du_duty *duty)
+Du_FenceRefused(struct du_duty *duty)
 {
-    lose(duty);
+    end_lease(duty);
     duty->at_end = false;
-    duty->moved_at = now_of(duty);
+    duty->end_changed_at = now_of(duty);
 }
 
-/* To be called again while it still holds: an append may be under way. */
+/*
+ * The caller repeats the call while the lease is held: an append may be in
+ * progress.
+ */
 void
 Du_Resign(struct du_duty *duty)
 {
     bool holds = Du_Holds(duty);
-    if (holds && (duty->busy || !duty->at_end)) {
+    if (holds && (duty->in_flight || !duty->at_end)) {
         return;
     }
     if (holds) {
         duty->resigned = Du_Told(duty);
         duty->resigned.left_usec = 0;
     }
-    duty->left = true;
-    lose(duty);
+    duty->stopped = true;
+    end_lease(duty);
 }
--- a/packages/edge/duty.h
+++ b/packages/edge/duty.h
@@ -1,10 +1,11 @@
 /*
- * Who acts for the whole system, and what was agreed on its behalf.  One log
- * carries both: a record of a daemon appended at the log's end makes it the
- * holder, and each later one renews that.  The offset of the first is the
- * fence: it rises, and no two holders have the same.  What a window's usage
- * was is a record of the same log before it is reported, so that a successor
- * repeats the report to the digit.
+ * Leader lease.  One daemon, the lease holder, acts for the whole system: it
+ * reports usage and orders endpoints.  The lease is kept in a log: a daemon
+ * acquires it by appending a record at the log's end and renews it with each
+ * later record.  The offset of its first record gives the fencing token
+ * ("fence"), which increases and is never used by two holders.  The usage of a
+ * window is recorded in the same log before it is reported, so that the next
+ * holder repeats the report with the same numbers.
  */
 #ifndef EDGE_DUTY_H
 #define EDGE_DUTY_H
@@ -32,7 +33,7 @@
     uint32_t count;
 };
 
-/* The agreed usage of a window. */
+/* Recorded usage of a window. */
 struct du_usage {
     int64_t window;
     size_t count;
@@ -40,18 +41,22 @@
     bool reported;
 };
 
-/* What the holder found a service to need; a successor starts from it. */
+/*
+ * Endpoints that the lease holder found a service to need; the next holder
+ * starts from this.
+ */
 struct du_need {
     uint32_t service; /* hash of the name */
     int endpoints;
-    double read_rate; /* prompt tokens a second that one endpoint reads */
+    double read_rate; /* prompt tokens per second of one endpoint */
 };
 
-/* What a holder tells its peers of its term. */
+/* Lease notice that a holder sends to its peers. */
 struct du_told {
-    int64_t fence;     /* 0: nothing to tell */
-    int64_t end;       /* of the log, behind the record that the term is of */
-    int64_t left_usec; /* of the term; 0: it was given up */
+    int64_t fence; /* 0: no notice */
+    /* of the log, after the record that began or renewed the lease */
+    int64_t end;
+    int64_t left_usec; /* until the lease ends; 0: it was released */
 };
 
 struct du_duty;
@@ -60,9 +65,11 @@
     const struct ck_clock *clock;
     struct ag_store *store;
     const char *name; /* of this daemon */
-    uint64_t run;     /* of this process */
+    uint64_t run;     /* identifies this process */
     int64_t lease_usec;
-    /* Position among the daemons alive: the first one tries first. */
+    /*
+     * Position of this daemon among the reachable ones; the first tries first.
+     */
     unsigned (*rank)(void *arg);
     void (*changed)(void *arg, bool holder, int64_t fence);
     void *arg;
@@ -71,36 +78,46 @@
 struct du_duty *Du_Create(const struct du_options *options);
 void Du_Destroy(struct du_duty *duty);
 
-/* To be called several times a second. */
+/* Called several times a second. */
 void Du_Tick(struct du_duty *duty);
-/* A peer tells of the term that it holds or held. */
+/* Handles a peer's notice of its current or released lease. */
 void Du_Heard(struct du_duty *duty, const struct du_told *told);
-/* What to tell of a term of our own. */
+/* Returns the notice of this daemon's current or released lease. */
 struct du_told Du_Told(const struct du_duty *duty);
-/* Records a window's usage; false when that cannot be begun now. */
-bool Du_Agree(struct du_duty *duty, const struct du_usage *usage);
-/* The platform refused our fence: another has acted by a higher one. */
-void Du_Refused(struct du_duty *duty);
-/* Gives the duty up before its end; peers that are told take over at once. */
+/* Records the usage of a window; returns false if that cannot begin now. */
+bool Du_RecordUsage(struct du_duty *duty, const struct du_usage *usage);
+/* The platform rejected this daemon's fence: it has seen a higher one. */
+void Du_FenceRefused(struct du_duty *duty);
+/*
+ * Releases the lease early; peers that receive the notice may take over at
+ * once.
+ */
 void Du_Resign(struct du_duty *duty);
 
-/* What is to be handed on with the next renewals. */
+/* Sets a need to be recorded with the next renewals. */
 void Du_SetNeed(struct du_duty *duty, const struct du_need *need);
-/* What was last handed on; NULL: nothing. */
-const struct du_need *Du_Need(const struct du_duty *duty, uint32_t service);
-/* The same for what tenants lately spent; a large change is recorded soon. */
+/* Returns the need recorded last, or NULL. */
+const struct du_need *Du_FindNeed(const struct du_duty *duty,
+                                  uint32_t service);
+/*
+ * Sets what tenants recently spent, to be recorded with the next renewals; a
+ * large increase brings the renewal forward.
+ */
 void Du_SetRecent(struct du_duty *duty, const struct qt_recent *rows,
                   size_t count);
-/* What another daemon last recorded of that. */
-size_t Du_Recent(const struct du_duty *duty, const struct qt_recent **out);
-/* The same for where moves stand; false: it is recorded only with the next
-   renewal, and nobody is to be told before. */
+/* Returns what tenants had spent by the last record of another daemon. */
+size_t Du_InheritedRecent(const struct du_duty *duty,
+                          const struct qt_recent **out);
+/*
+ * Sets a move's status to be recorded with the next renewal.  Returns whether
+ * it is recorded; operators must not be told of it before.
+ */
 bool Du_SetMove(struct du_duty *duty, const struct ro_standing *standing);
 size_t Du_Moves(const struct du_duty *duty, const struct ro_standing **out);
 
 bool Du_Holds(const struct du_duty *duty);
 int64_t Du_Fence(const struct du_duty *duty);
-/* The agreed usage; NULL while there is none. */
+/* Returns the recorded usage, or NULL if there is none. */
 struct du_usage *Du_Usage(struct du_duty *duty, int64_t window);
 
 #ifdef __cplusplus
--- a/packages/edge/duty_handover.c
+++ b/packages/edge/duty_handover.c
@@ -1,27 +1,30 @@
-/* What a holder hands on with its renewals to whoever holds the duty next. */
+/*
+ * State that the lease holder records with its renewals for the next holder.
+ */
 #include <string.h>
 
 #include "edge/duty_internal.h"
 
 /*
- * A renewal is brought forward when a tenant has spent so many times what the
- * last one says: all daemons may die at any moment, and what is not recorded
- * could be handed out again.
+ * A renewal is brought forward when a tenant's spending exceeds this multiple
+ * of the recorded value: all daemons may die at any moment, and quota whose
+ * use is not recorded could be spent again.
  */
-#define Du_RECENT_GROWTH 1.2
+#define Du_RECENT_MIN_GROWTH 1.2
 
 bool
-du_recent_grew(const struct du_duty *duty)
+du_recent_increased(const struct du_duty *duty)
 {
     for (size_t i = 0; i < duty->recent_count; i++) {
-        double before = 0;
+        double recorded_spend = 0;
         for (size_t j = 0; j < duty->recorded_count; j++) {
             if (duty->recorded[j].tenant == duty->recent[i].tenant) {
-                before = duty->recorded[j].past.newer;
+                recorded_spend = duty->recorded[j].past.newer;
             }
         }
         if (duty->recent[i].heavy &&
-            duty->recent[i].past.newer > before * Du_RECENT_GROWTH) {
+            duty->recent[i].past.newer >
+                recorded_spend * Du_RECENT_MIN_GROWTH) {
             return true;
         }
     }
@@ -43,7 +46,7 @@
 }
 
 const struct du_need *
-Du_Need(const struct du_duty *duty, uint32_t service)
+Du_FindNeed(const struct du_duty *duty, uint32_t service)
 {
     for (size_t i = 0; i < duty->need_count; i++) {
         if (duty->needs[i].service == service) {
@@ -61,10 +64,10 @@
 }
 
 size_t
-Du_Recent(const struct du_duty *duty, const struct qt_recent **out)
+Du_InheritedRecent(const struct du_duty *duty, const struct qt_recent **out)
 {
-    *out = duty->before;
-    return duty->before_count;
+    *out = duty->inherited;
+    return duty->inherited_count;
 }
 
 bool
--- a/packages/edge/duty_record.c
+++ b/packages/edge/duty_record.c
@@ -59,9 +59,11 @@
     }
 }
 
-/* [run, [[service, endpoints, read rate]...], window, [[tenant, count]...],
-   [[service, order, state]...], [[tenant, spent in the older and the newer
-   half of a window]...]]; window 0: no usage. */
+/*
+ * Layout: [run, [[service, endpoints, prefill rate]...], window, [[tenant,
+ * count]...], [[service, order, state]...], [[tenant, spent in the older and
+ * the newer half of a window]...]].  Window 0 means no usage.
+ */
 size_t
 Dr_Encode(const struct dr_record *record, char **out)
 {
@@ -83,9 +85,9 @@
     return len;
 }
 
-/* The fields of a row of a list; NULL: it is not one of so many. */
+/* Returns the fields of a row of a list, or NULL if it has another size. */
 static const msgpack_object *
-fields_of(const msgpack_object *list, size_t at, uint32_t size)
+row_fields(const msgpack_object *list, size_t at, uint32_t size)
 {
     const msgpack_object *row = &list->via.array.ptr[at];
     if (row->type != MSGPACK_OBJECT_ARRAY || row->via.array.size != size) {
@@ -102,14 +104,14 @@
         return false;
     }
     for (size_t i = 0; i < list->via.array.size; i++) {
-        const msgpack_object *part = fields_of(list, i, 2);
+        const msgpack_object *fields = row_fields(list, i, 2);
         struct du_tenant *tenant = &usage->tenants[usage->count];
-        if (part == NULL ||
-            !Pk_Text(&part[0], tenant->name, sizeof(tenant->name)) ||
-            part[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+        if (fields == NULL ||
+            !Pk_Text(&fields[0], tenant->name, sizeof(tenant->name)) ||
+            fields[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
             return false;
         }
-        tenant->count = (uint32_t)part[1].via.u64;
+        tenant->count = (uint32_t)fields[1].via.u64;
         usage->count++;
     }
     return true;
@@ -123,14 +125,14 @@
     }
     for (size_t i = 0;
          i < list->via.array.size && out->need_count < Du_NEEDS_MAX; i++) {
-        const msgpack_object *part = fields_of(list, i, 3);
-        if (part == NULL) {
+        const msgpack_object *fields = row_fields(list, i, 3);
+        if (fields == NULL) {
             continue;
         }
         out->needs[out->need_count++] = (struct du_need){
-            .service = (uint32_t)part[0].via.u64,
-            .endpoints = (int)part[1].via.i64,
-            .read_rate = (double)part[2].via.i64,
+            .service = (uint32_t)fields[0].via.u64,
+            .endpoints = (int)fields[1].via.i64,
+            .read_rate = (double)fields[2].via.i64,
         };
     }
 }
@@ -143,21 +145,21 @@
     }
     for (size_t i = 0;
          i < list->via.array.size && out->move_count < Du_MOVES_MAX; i++) {
-        const msgpack_object *part = fields_of(list, i, 3);
-        if (part == NULL || part[2].via.u64 > RO_SUCCEEDED) {
+        const msgpack_object *fields = row_fields(list, i, 3);
+        if (fields == NULL || fields[2].via.u64 > RO_SUCCEEDED) {
             continue;
         }
         out->moves[out->move_count++] = (struct ro_standing){
-            .service = (uint32_t)part[0].via.u64,
-            .order = part[1].via.i64,
-            .state = (enum ro_state)part[2].via.u64,
+            .service = (uint32_t)fields[0].via.u64,
+            .order = fields[1].via.i64,
+            .state = (enum ro_state)fields[2].via.u64,
         };
     }
 }
 
-/* A negative number means that more was given back than spent. */
+/* A negative value means that more was refunded than spent; it counts as 0. */
 static double
-spent_of(const msgpack_object *object)
+clamp_spent(const msgpack_object *object)
 {
     return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER
                ? (double)object->via.u64
@@ -172,11 +174,12 @@
     }
     for (size_t i = 0;
          i < list->via.array.size && out->recent_count < Qt_RECENT_MAX; i++) {
-        const msgpack_object *part = fields_of(list, i, 3);
-        if (part != NULL && part[0].type == MSGPACK_OBJECT_POSITIVE_INTEGER) {
+        const msgpack_object *fields = row_fields(list, i, 3);
+        if (fields != NULL &&
+            fields[0].type == MSGPACK_OBJECT_POSITIVE_INTEGER) {
             out->recent[out->recent_count++] = (struct qt_recent){
-                .tenant = (uint32_t)part[0].via.u64,
-                .past = {spent_of(&part[1]), spent_of(&part[2])},
+                .tenant = (uint32_t)fields[0].via.u64,
+                .past = {clamp_spent(&fields[1]), clamp_spent(&fields[2])},
             };
         }
     }
@@ -217,10 +220,10 @@
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool fine = Mp_CountsFit((const uint8_t *)data, len) &&
-                msgpack_unpack_next(&unpacked, data, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                decode(&unpacked.data, out);
+    bool valid = Mp_CountsFit((const uint8_t *)data, len) &&
+                 msgpack_unpack_next(&unpacked, data, len, NULL) ==
+                     MSGPACK_UNPACK_SUCCESS &&
+                 decode(&unpacked.data, out);
     msgpack_unpacked_destroy(&unpacked);
-    return fine;
+    return valid;
 }
--- a/packages/edge/duty_record.h
+++ b/packages/edge/duty_record.h
@@ -1,4 +1,4 @@
-/* Records of the duty log, as bytes. */
+/* Encoding of the lease log's records. */
 #ifndef EDGE_DUTY_RECORD_H
 #define EDGE_DUTY_RECORD_H
 
@@ -9,7 +9,7 @@
 #endif
 
 struct dr_record {
-    uint64_t run; /* of the process that wrote it */
+    uint64_t run; /* of the process that wrote the record */
     bool has_usage;
     struct du_usage usage;
     size_t need_count;
--- a/packages/edge/fleet.c
+++ b/packages/edge/fleet.c
@@ -15,7 +15,7 @@
     const struct ck_clock *clock;
     struct fl_list endpoints;
     struct fl_tree by_hash;
-    int64_t doubt_until;
+    int64_t hold_removals_until;
     size_t evacuated_count;
     char evacuated[Fl_EVACUATED_MAX][Ec_NAME_MAX];
 };
@@ -83,17 +83,17 @@
 }
 
 static void
-log_change(const struct fl_endpoint *endpoint, const char *what)
+log_change(const struct fl_endpoint *endpoint, const char *state)
 {
     Ln_Log(LN_STATE, "endpoint.changed",
            "\"id\":\"%s\",\"to\":\"%s\",\"service\":\"%s\",\"zone\":\"%s\","
            "\"spot\":%d,\"running\":%d",
-           endpoint->entry.id, what, endpoint->entry.service,
+           endpoint->entry.id, state, endpoint->entry.service,
            endpoint->entry.zone, endpoint->entry.spot, endpoint->running);
 }
 
 static void
-remove_now(struct fl_fleet *fleet, struct fl_endpoint *endpoint)
+remove_endpoint(struct fl_fleet *fleet, struct fl_endpoint *endpoint)
 {
     log_change(endpoint, "gone");
     endpoint->gone = true;
@@ -112,13 +112,13 @@
     struct fl_endpoint *endpoint;
     struct fl_endpoint *next;
     TAILQ_FOREACH_SAFE (endpoint, &fleet->endpoints, link, next) {
-        remove_now(fleet, endpoint);
+        remove_endpoint(fleet, endpoint);
     }
     free(fleet);
 }
 
 static uint32_t
-hash_of(const char *id)
+hash_id(const char *id)
 {
     return (uint32_t)Hash_String(id, Fl_HASH_SEED);
 }
@@ -133,24 +133,24 @@
 struct fl_endpoint *
 Fl_Find(const struct fl_fleet *fleet, const char *id)
 {
-    struct fl_endpoint *endpoint = Fl_ByHash(fleet, hash_of(id));
+    struct fl_endpoint *endpoint = Fl_ByHash(fleet, hash_id(id));
     return endpoint != NULL && strcmp(endpoint->entry.id, id) == 0 ? endpoint
                                                                    : NULL;
 }
 
 static struct fl_endpoint *
-add(struct fl_fleet *fleet, const struct fl_entry *entry)
+add_endpoint(struct fl_fleet *fleet, const struct fl_entry *entry)
 {
     struct fl_endpoint *endpoint = calloc(1, sizeof(*endpoint));
     if (endpoint == NULL) {
         return NULL;
     }
     endpoint->refs = 1;
-    endpoint->hash = hash_of(entry->id);
+    endpoint->hash = hash_id(entry->id);
     endpoint->since = Ck_Now(fleet->clock);
     TAILQ_INIT(&endpoint->idle);
     if (RB_INSERT(fl_tree, &fleet->by_hash, endpoint) != NULL) {
-        /* Daemons name endpoints to each other by this. */
+        /* Daemons identify endpoints to each other by this hash. */
         Ln_Log(LN_FAILURE, "endpoint.unnamable", "\"id\":\"%s\"", entry->id);
         free(endpoint);
         return NULL;
@@ -159,7 +159,7 @@
     return endpoint;
 }
 
-/* Takes an entry that an endpoint wrote. */
+/* Applies an entry that an endpoint wrote to the store. */
 void
 Fl_Apply(struct fl_fleet *fleet, const struct fl_entry *entry)
 {
@@ -167,27 +167,29 @@
     if (endpoint != NULL &&
         (endpoint->entry.born != entry->born ||
          strcmp(endpoint->entry.address, entry->address) != 0)) {
-        /* Started again: another engine under the same name. */
-        remove_now(fleet, endpoint);
+        /*
+         * The endpoint was restarted: this is another engine with the same ID.
+         */
+        remove_endpoint(fleet, endpoint);
         endpoint = NULL;
     }
     if (endpoint == NULL) {
-        endpoint = add(fleet, entry);
+        endpoint = add_endpoint(fleet, entry);
         if (endpoint == NULL) {
             return;
         }
     }
-    /* One that leaves does not come back under the same start. */
+    /* An endpoint that is draining stays so until it restarts. */
     bool was_draining = endpoint->entry.draining;
     bool draining = was_draining || entry->draining;
-    bool fresh = endpoint->entry.id[0] == '\0';
+    bool is_first = endpoint->entry.id[0] == '\0';
     endpoint->entry = *entry;
     endpoint->entry.draining = draining;
     endpoint->vanished_at = 0;
     endpoint->refreshed_at = Ck_Now(fleet->clock);
     endpoint->evacuated = Fl_IsEvacuated(fleet, entry->zone);
     Wu_Told(&endpoint->warmup, entry->cold_usec, endpoint->refreshed_at);
-    if (fresh || was_draining != draining) {
+    if (is_first || was_draining != draining) {
         log_change(endpoint, draining ? "draining" : "ready");
     }
     if (draining) {
@@ -195,7 +197,7 @@
     }
 }
 
-/* Takes the removal of an entry. */
+/* Applies the removal of an entry. */
 void
 Fl_Remove(struct fl_fleet *fleet, const char *id)
 {
@@ -204,27 +206,28 @@
         return;
     }
     int64_t now = Ck_Now(fleet->clock);
-    if (now < fleet->doubt_until && !endpoint->entry.draining) {
+    if (now < fleet->hold_removals_until && !endpoint->entry.draining) {
         if (endpoint->vanished_at == 0) {
             endpoint->vanished_at = now;
             log_change(endpoint, "doubted");
         }
         return;
     }
-    remove_now(fleet, endpoint);
+    remove_endpoint(fleet, endpoint);
 }
 
 void
 Fl_Doubt(struct fl_fleet *fleet, int64_t usec)
 {
-    fleet->doubt_until = Ck_Now(fleet->clock) + usec;
+    fleet->hold_removals_until = Ck_Now(fleet->clock) + usec;
 }
 
 /*
- * While the store was away entries lapse though their endpoints live; they
- * are written again within two seconds of its return.  A removal told in that
- * time is believed at its end, also one told late in it: an endpoint that did
- * leave must not be sent anything past the drain bound.
+ * While the store is unreachable, entries expire although their endpoints are
+ * alive; these write them again within two seconds of its return.  All
+ * removals read in that time take effect at its end, even one read shortly
+ * before: an endpoint that did leave must not get requests beyond the drain
+ * limit.
  */
 void
 Fl_Tick(struct fl_fleet *fleet)
@@ -233,8 +236,8 @@
     struct fl_endpoint *endpoint;
     struct fl_endpoint *next;
     TAILQ_FOREACH_SAFE (endpoint, &fleet->endpoints, link, next) {
-        if (endpoint->vanished_at != 0 && now >= fleet->doubt_until) {
-            remove_now(fleet, endpoint);
+        if (endpoint->vanished_at != 0 && now >= fleet->hold_removals_until) {
+            remove_endpoint(fleet, endpoint);
         }
     }
 }
@@ -251,7 +254,7 @@
     }
 }
 
-/* Its index; the count where it is none of them. */
+/* Returns the data centre's index, or the count if it is not evacuated. */
 static size_t
 find_evacuated(const struct fl_fleet *fleet, const char *zone)
 {
@@ -269,19 +272,19 @@
     return find_evacuated(fleet, zone) < fleet->evacuated_count;
 }
 
-/* False: it was so before, or there are too many. */
+/* Returns false if nothing changes or the list is full. */
 static bool
-note_evacuated(struct fl_fleet *fleet, const char *zone, bool asked)
+set_evacuated(struct fl_fleet *fleet, const char *zone, bool begin)
 {
-    size_t at = find_evacuated(fleet, zone);
+    size_t index = find_evacuated(fleet, zone);
     size_t count = fleet->evacuated_count;
-    if (asked == (at < count) || zone[0] == '\0') {
+    if (begin == (index < count) || zone[0] == '\0') {
         return false;
     }
-    if (!asked) {
+    if (!begin) {
         fleet->evacuated_count--;
-        memmove(fleet->evacuated[at], fleet->evacuated[count - 1],
-                sizeof(fleet->evacuated[at]));
+        memmove(fleet->evacuated[index], fleet->evacuated[count - 1],
+                sizeof(fleet->evacuated[index]));
         return true;
     }
     if (count == Fl_EVACUATED_MAX) {
@@ -289,13 +292,13 @@
         return false;
     }
     fleet->evacuated_count++;
-    return strlcpy(fleet->evacuated[at], zone, Ec_NAME_MAX) < Ec_NAME_MAX;
+    return strlcpy(fleet->evacuated[index], zone, Ec_NAME_MAX) < Ec_NAME_MAX;
 }
 
 bool
-Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool asked)
+Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool begin)
 {
-    if (!note_evacuated(fleet, zone, asked)) {
+    if (!set_evacuated(fleet, zone, begin)) {
         return false;
     }
     int running = 0;
@@ -307,13 +310,13 @@
         }
         count++;
         running += endpoint->running;
-        endpoint->evacuated = asked;
-        if (asked) {
+        endpoint->evacuated = begin;
+        if (begin) {
             close_idle(endpoint);
         }
-        endpoint->returned_at = asked ? 0 : Ck_Now(fleet->clock);
+        endpoint->returned_at = begin ? 0 : Ck_Now(fleet->clock);
     }
-    Ln_Log(LN_STATE, asked ? "zone.evacuated" : "zone.returned",
+    Ln_Log(LN_STATE, begin ? "zone.evacuated" : "zone.returned",
            "\"zone\":\"%s\",\"endpoints\":%zu,\"running\":%d", zone, count,
            running);
     return true;
@@ -336,7 +339,9 @@
     return &fleet->endpoints;
 }
 
-/* Whether new requests may go there, its health aside. */
+/*
+ * Returns whether new requests may go to the endpoint, apart from its health.
+ */
 bool
 Fl_Usable(const struct fl_endpoint *endpoint)
 {
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -1,8 +1,9 @@
 /*
- * The endpoints of all services as their entries in the store tell, with
- * what this daemon has seen of them.  An endpoint is known by its identity:
- * an address may be given to another service once it is free, and the same
- * identity with another start time knows nothing of what was before.
+ * The endpoints of all services, from their entries in the store, with what
+ * this daemon has observed of them.  An endpoint is identified by its ID and
+ * start time, since its address may be given to another service once it is
+ * free.  After a restart it has a new start time, and the earlier observations
+ * are dropped.
  */
 #ifndef EDGE_FLEET_H
 #define EDGE_FLEET_H
@@ -24,18 +25,18 @@
 extern "C" {
 #endif
 
-/* An entry of the store, decoded. */
+/* A decoded store entry. */
 struct fl_entry {
     char id[Ec_NAME_MAX];
     char service[Ec_NAME_MAX];
     char address[Ec_NAME_MAX];
     char zone[Ec_NAME_MAX];
-    char version[Ec_NAME_MAX]; /* of its software */
+    char version[Ec_NAME_MAX]; /* software version */
     int slots;
     bool draining;
-    bool spot;         /* may be taken away at short notice */
-    int64_t born;      /* start, milliseconds since 1970 */
-    int64_t cold_usec; /* how much longer it is slow after its start */
+    bool spot;         /* may be reclaimed at short notice */
+    int64_t born;      /* start time, milliseconds since 1970 */
+    int64_t cold_usec; /* remaining time of its warm-up */
 };
 
 /* Data centres that can be evacuated at the same time. */
@@ -47,47 +48,51 @@
     TAILQ_ENTRY(fl_endpoint) link;
     RB_ENTRY(fl_endpoint) by_hash;
     int refs;
-    uint32_t hash; /* of the identity; names it between daemons */
+    uint32_t hash; /* of the ID; identifies the endpoint between daemons */
     struct fl_entry entry;
-    bool gone;            /* the entry was removed */
-    bool evacuated;       /* its data centre is to be sent nothing */
-    int64_t vanished_at;  /* removed while that may be false; 0: no */
-    int64_t refreshed_at; /* last entry seen */
-    int64_t since;        /* first entry seen */
-    int64_t returned_at;  /* its data centre was taken back; 0: never */
+    bool gone;            /* its entry was removed */
+    bool evacuated;       /* its data centre is evacuated: no new requests */
+    int64_t vanished_at;  /* removal on hold since then; 0: none */
+    int64_t refreshed_at; /* when the last entry came */
+    int64_t since;        /* when the first entry came */
+    /* when its data centre's evacuation ended; 0: never */
+    int64_t returned_at;
     struct wu_warmup warmup;
     struct br_room room;
 
-    /* What this daemon has sent and not yet seen the end of. */
+    /* Requests that this daemon has sent and that have not ended. */
     int running;
     int connections;
-    int64_t reading; /* prompt tokens sent whose first event is awaited */
+    int64_t reading; /* prompt tokens sent and awaiting their first event */
     struct fl_idle_list idle;
-    /* The same of all other daemons, as they last told, and of those of this
-       data centre among them. */
+    /*
+     * The same numbers for all other daemons, from their last reports; the
+     * "near" numbers are of the daemons in this data centre only.
+     */
     int others_running;
     int near_running;
     int64_t others_reading;
     int64_t near_reading;
 
-    /* How it has answered; see health.h. */
-    double failing;    /* share of recent answers that failed, 0 to 1 */
+    /* Health, see health.h. */
+    double failing;    /* fraction of recent answers that failed, 0 to 1 */
     double first_usec; /* recent time to the first byte */
     int64_t shunned_until;
-    int64_t silent_at; /* when its silence was counted last; 0: never */
+    int64_t silent_at; /* when its current silence was first counted */
     int64_t answered_at;
-    int64_t noted_at; /* last end of a request, good or bad */
-    int64_t first_at; /* last first byte; 0: never */
-    int strikes;      /* breaks in a row */
-    int64_t ended_at; /* a request lost it before its first event; 0: no */
+    int64_t noted_at; /* end of the last request, successful or not */
+    int64_t first_at; /* time of the last first byte; 0: none */
+    int strikes;      /* consecutive broken connections */
+    /* when it last failed before the first event of a request; 0: never */
+    int64_t ended_at;
 
-    /* This host's link to it; see paths.h. */
+    /* The link from this host to the endpoint, see paths.h. */
     bool test_wanted;
     struct wy_link way;
-    int64_t heard_at; /* last bytes that came directly */
+    int64_t heard_at; /* when bytes last arrived on a direct connection */
 };
 
-/* A kept connection. */
+/* An idle connection kept for reuse. */
 struct fl_idle {
     TAILQ_ENTRY(fl_idle) link;
     struct fl_endpoint *endpoint;
@@ -102,22 +107,25 @@
 void Fl_Destroy(struct fl_fleet *fleet);
 
 /*
- * Whether an entry says the same as the one before it.  A warm-up that goes on
- * is no news, but one that has begun anew is.
+ * Returns whether an entry changes nothing.  An unchanged or shorter remaining
+ * warm-up is no change; a longer one means that the endpoint warms up again.
  */
 bool Fl_SameEntry(const struct fl_entry *before, const struct fl_entry *now);
 
-/* Changes. */
+/* Updates. */
 void Fl_Apply(struct fl_fleet *fleet, const struct fl_entry *entry);
 void Fl_Remove(struct fl_fleet *fleet, const char *id);
-/* Removals told from now on may be false for "usec" (the store was away). */
+/*
+ * For the next "usec", removals may be false, because the store was
+ * unreachable.  They are put on hold until then.
+ */
 void Fl_Doubt(struct fl_fleet *fleet, int64_t usec);
 void Fl_Tick(struct fl_fleet *fleet);
 /*
- * An operator wants nothing more to be sent to a data centre, or takes that
- * back; true when that is new.
+ * Begins ("begin") or ends an operator's evacuation of a data centre; returns
+ * whether that changes anything.
  */
-bool Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool asked);
+bool Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool begin);
 void Fl_ClearOthers(struct fl_fleet *fleet);
 
 /* Queries. */
@@ -127,7 +135,7 @@
 bool Fl_Usable(const struct fl_endpoint *endpoint);
 bool Fl_Any(const struct fl_fleet *fleet);
 bool Fl_IsEvacuated(const struct fl_fleet *fleet, const char *zone);
-/* Requests under way in evacuated data centres. */
+/* Returns the requests running in evacuated data centres. */
 int Fl_CountEvacuated(const struct fl_fleet *fleet);
 
 struct fl_endpoint *Fl_Hold(struct fl_endpoint *endpoint);
--- a/packages/edge/orders.c
+++ b/packages/edge/orders.c
@@ -1,4 +1,4 @@
-/* Endpoints: what each service should have, and the orders for it. */
+/* Decides how many endpoints each service should have and orders them. */
 #include <bsd/string.h>
 #include <math.h>
 #include <string.h>
@@ -6,26 +6,33 @@
 #include "edge/plan.h"
 #include "edge/work_internal.h"
 
-/* Heartbeats without a new endpoint after which none is missing. */
-#define Wo_SETTLE_BEATS 2
-#define Wo_PLAN_EVERY_USEC (500 * Ck_USEC_PER_MSEC)
-/* An endpoint that has started says so some time later. */
-#define Wo_BOOT_USEC (2 * Ck_USEC_PER_SEC)
-/* A kind refused in a data centre is asked for again after this. */
-#define Wo_DRY_USEC (3 * Ck_USEC_PER_SEC)
-/* An order that was answered is repeated, should it have been undone. */
+/*
+ * All endpoints of a service count as discovered after this many heartbeats
+ * without a new one.
+ */
+#define Wo_DISCOVERY_HEARTBEATS 2
+#define Wo_PLAN_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
+/* Time from the end of an endpoint's start to its first entry in the store. */
+#define Wo_READY_MARGIN_USEC (2 * Ck_USEC_PER_SEC)
+/*
+ * Delay before spot endpoints are ordered again in a data centre that had none
+ * available.
+ */
+#define Wo_UNAVAILABLE_USEC (3 * Ck_USEC_PER_SEC)
+/* A confirmed order is repeated after this time, in case it was undone. */
 #define Wo_REPEAT_USEC (10 * Ck_USEC_PER_SEC)
 /*
- * Data centres are reclaimed one after the other: those seen followed each
- * other within ten seconds.
+ * How long a reclaimed data centre counts as recently reclaimed.  Data centres
+ * are reclaimed one after another; those observed followed each other within
+ * ten seconds.
  */
-#define Wo_RECLAIMED_USEC (30 * Ck_USEC_PER_SEC)
+#define Wo_RECLAIM_MEMORY_USEC (30 * Ck_USEC_PER_SEC)
 
-/* What is there in each data centre that is not evacuated. */
-struct look {
+/* Endpoints in each data centre that is not evacuated. */
+struct zone_survey {
     struct pn_zone zones[Ec_ZONES_MAX];
     size_t count;
-    int reclaimed; /* data centres */
+    int reclaimed; /* data centres recently reclaimed */
 };
 
 static struct order *
@@ -57,26 +64,29 @@
     struct order *order = arg;
     struct ga_gate *gate = order->work->gate;
     int64_t now = Ga_Now(gate);
-    order->busy = false;
+    order->in_flight = false;
     Ln_Log(LN_STATE, "order.answered",
            "\"service\":\"%s\",\"zone\":\"%s\",\"spot\":%d,\"count\":%d,"
            "\"status\":%d",
-           order->service, order->zone, order->spot, order->wanted,
+           order->service, order->zone, order->spot, order->requested,
            (int)status);
     if (status == CL_DONE) {
-        if (order->wanted > order->confirmed) {
-            order->raised_at = now;
+        if (order->requested > order->confirmed) {
+            order->increased_at = now;
         }
-        order->confirmed = order->wanted;
+        order->confirmed = order->requested;
     }
     else if (status == CL_FENCED && order->spot) {
-        /* None to be had, most likely: a lost fence shows elsewhere too. */
-        order->dry_until = now + Wo_DRY_USEC;
-        /* What stands in for them takes seconds to start. */
+        /*
+         * The platform most likely has no spot capacity.  If the fence was
+         * rejected, the other calls will show it too.
+         */
+        order->unavailable_until = now + Wo_UNAVAILABLE_USEC;
+        /* Plan at once: on-demand substitutes take seconds to start. */
         order->work->planned_at = 0;
     }
     else if (status == CL_FENCED) {
-        Du_Refused(gate->duty);
+        Du_FenceRefused(gate->duty);
     }
 }
 
@@ -86,25 +96,26 @@
 {
     struct ga_gate *gate = work->gate;
     int64_t now = Ga_Now(gate);
-    int64_t patience =
-        order->present < wanted ? boot_usec + Wo_BOOT_USEC : Wo_REPEAT_USEC;
-    if (order->busy || now - order->asked_at < Wo_RETRY_USEC ||
-        (order->confirmed == wanted && now - order->asked_at < patience)) {
+    int64_t repeat_after = order->usable < wanted
+                               ? boot_usec + Wo_READY_MARGIN_USEC
+                               : Wo_REPEAT_USEC;
+    if (order->in_flight || now - order->sent_at < Wo_RETRY_USEC ||
+        (order->confirmed == wanted && now - order->sent_at < repeat_after)) {
         return;
     }
-    if (order->spot && now < order->dry_until && wanted > 0) {
+    if (order->spot && now < order->unavailable_until && wanted > 0) {
         return;
     }
-    order->wanted = wanted;
-    order->asked_at = now;
-    order->busy = true;
+    order->requested = wanted;
+    order->sent_at = now;
+    order->in_flight = true;
     struct cl_order request = {order->service, order->zone, order->spot,
                                wanted};
     gate->options.cloud->ops->order(gate->options.cloud, Du_Fence(gate->duty),
                                     &request, on_ordered, order);
 }
 
-/* Usable endpoints of a kind in a data centre. */
+/* Counts the usable endpoints of a kind in a data centre. */
 static int
 count_usable(const struct ga_gate *gate, const char *service, const char *zone,
              bool spot)
@@ -119,15 +130,15 @@
     return count;
 }
 
-/* The load of all daemons, and the reading rates that they have seen. */
-struct sum {
+/* Load and measured prefill rates, summed over all daemons. */
+struct load_sum {
     struct de_load load;
-    double rates;
+    double rate_sum;
     int rate_count;
 };
 
 static void
-add_rates(struct sum *sum, uint32_t service, const struct de_rate *rates,
+add_rates(struct load_sum *sum, uint32_t service, const struct de_rate *rates,
           size_t count)
 {
     for (size_t i = 0; i < count; i++) {
@@ -137,33 +148,35 @@
         sum->load.prompt_tokens_per_sec += rates[i].reading;
         sum->load.concurrency += rates[i].running;
         if (rates[i].read_rate > 0) {
-            sum->rates += rates[i].read_rate;
+            sum->rate_sum += rates[i].read_rate;
             sum->rate_count++;
         }
     }
 }
 
 /*
- * The mean of what daemons see; what the last holder saw where none has seen
- * any, as after a restart of all under a load that leaves no endpoint idle.
+ * Returns the mean prefill rate measured by the daemons.  If none has measured
+ * it, as after a restart of all under a load that leaves no endpoint idle,
+ * returns the rate that the previous lease holder recorded.
  */
 static double
-read_rate(const struct wo_work *work, const struct sum *sum, uint32_t service)
+read_rate(const struct wo_work *work, const struct load_sum *sum,
+          uint32_t service)
 {
-    const struct du_need *need = Du_Need(work->gate->duty, service);
+    const struct du_need *need = Du_FindNeed(work->gate->duty, service);
     if (sum->rate_count > 0) {
-        return sum->rates / sum->rate_count;
+        return sum->rate_sum / sum->rate_count;
     }
     return need == NULL ? 0 : need->read_rate;
 }
 
-/* Endpoints that the load of all daemons needs; 0: not known. */
+/* Returns the endpoints needed for the load of all daemons; 0: not known. */
 static int
-needed_now(const struct wo_work *work, const struct ec_service *service)
+endpoints_needed(const struct wo_work *work, const struct ec_service *service)
 {
     struct ga_gate *gate = work->gate;
     uint32_t hash = De_Hash(service->name);
-    struct sum sum = {.load.slots = service->slots};
+    struct load_sum sum = {.load.slots = service->slots};
     struct de_rate own[De_SERVICES_MAX];
     add_rates(&sum, hash, own, De_Own(gate->demand, own));
     const struct ms_peer *peer;
@@ -185,153 +198,163 @@
     return needed;
 }
 
-/* A successor that has seen no load yet starts from what was needed. */
+/*
+ * Records the need, from which the next lease holder starts while it has seen
+ * no load.
+ */
 static void
-hand_on(struct wo_work *work, const struct ec_service *service, int wanted)
+record_need(struct wo_work *work, const struct ec_service *service, int wanted)
 {
     uint32_t hash = De_Hash(service->name);
-    const struct du_need *before = Du_Need(work->gate->duty, hash);
+    const struct du_need *recorded = Du_FindNeed(work->gate->duty, hash);
     struct du_need need = {hash, wanted,
-                           before == NULL ? 0 : before->read_rate};
-    double seen = De_ReadRate(work->gate->demand, service->name);
-    if (seen > 0) {
-        need.read_rate = seen;
+                           recorded == NULL ? 0 : recorded->read_rate};
+    double measured = De_ReadRate(work->gate->demand, service->name);
+    if (measured > 0) {
+        need.read_rate = measured;
     }
     Du_SetNeed(work->gate->duty, &need);
 }
 
 static int
-more_of(int a, int b)
+max_int(int a, int b)
 {
     return a > b ? a : b;
 }
 
-static struct base *
-find_base(struct wo_work *work, const struct ec_service *service)
+static struct service_estimate *
+find_estimate(struct wo_work *work, const struct ec_service *service)
 {
-    for (size_t i = 0; i < work->base_count; i++) {
-        if (strcmp(work->bases[i].service, service->name) == 0) {
-            return &work->bases[i];
+    for (size_t i = 0; i < work->estimate_count; i++) {
+        if (strcmp(work->estimates[i].service, service->name) == 0) {
+            return &work->estimates[i];
         }
     }
-    if (work->base_count == Wo_SERVICES_MAX) {
+    if (work->estimate_count == Wo_SERVICES_MAX) {
         return NULL;
     }
-    struct base *base = &work->bases[work->base_count++];
-    strlcpy(base->service, service->name, sizeof(base->service));
+    struct service_estimate *estimate =
+        &work->estimates[work->estimate_count++];
+    strlcpy(estimate->service, service->name, sizeof(estimate->service));
     const struct du_need *need =
-        Du_Need(work->gate->duty, De_Hash(service->name));
-    base->settled = false;
-    Pn_StartEstimate(&base->found, need == NULL ? 0 : need->endpoints,
+        Du_FindNeed(work->gate->duty, De_Hash(service->name));
+    estimate->complete = false;
+    Pn_StartEstimate(&estimate->estimate, need == NULL ? 0 : need->endpoints,
                      Ga_Now(work->gate));
-    return base;
+    return estimate;
 }
 
 /*
- * Whether all endpoints of a service are known.  Each writes its entry about
- * every heartbeat, so just after their start, or ours, some are missing; an
- * order for the number that is seen would end those that are not.
+ * Returns whether all endpoints of a service have been discovered.  Each
+ * writes its entry about once per heartbeat, so some are missing just after
+ * they or this daemon started; an order for the number seen would end the
+ * endpoints that are still missing.
  */
 static bool
-is_settled(const struct ga_gate *gate, struct base *base)
+is_complete(const struct ga_gate *gate, struct service_estimate *estimate)
 {
-    if (base->settled) {
+    if (estimate->complete) {
         return true;
     }
     int64_t now = Ga_Now(gate);
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (!endpoint->entry.spot &&
-            strcmp(endpoint->entry.service, base->service) == 0 &&
+            strcmp(endpoint->entry.service, estimate->service) == 0 &&
             now - endpoint->since <
-                Wo_SETTLE_BEATS * gate->options.node->heartbeat_usec) {
+                Wo_DISCOVERY_HEARTBEATS * gate->options.node->heartbeat_usec) {
             return false;
         }
     }
-    base->settled = true;
+    estimate->complete = true;
     return true;
 }
 
 static void
-log_plan(const struct pn_service *wants, const struct ec_service *service,
-         const struct look *look, const struct pn_target *targets)
+log_plan(const struct pn_service *need, const struct ec_service *service,
+         const struct zone_survey *survey, const struct pn_target *targets)
 {
-    const struct pn_zone *zones = look->zones;
-    int lasting = 0;
+    const struct pn_zone *zones = survey->zones;
+    int on_demand = 0;
     int spot = 0;
-    int coming = 0;
-    int dry = 0;
-    int wish_lasting = 0;
-    int wish_spot = 0;
-    for (size_t i = 0; i < look->count; i++) {
-        lasting += zones[i].on_demand;
+    int starting = 0;
+    int unavailable = 0;
+    int target_on_demand = 0;
+    int target_spot = 0;
+    for (size_t i = 0; i < survey->count; i++) {
+        on_demand += zones[i].on_demand;
         spot += zones[i].spot;
-        coming += zones[i].spot_starting;
-        dry += zones[i].spot_unavailable;
-        wish_lasting += targets[i].on_demand;
-        wish_spot += targets[i].spot;
+        starting += zones[i].spot_starting;
+        unavailable += zones[i].spot_unavailable;
+        target_on_demand += targets[i].on_demand;
+        target_spot += targets[i].spot;
     }
     Ln_Log(LN_ORDINARY, "plan",
            "\"service\":\"%s\",\"wanted\":%d,\"steady\":%d,\"lasting\":%d,"
            "\"spot\":%d,"
            "\"coming\":%d,\"dry_zones\":%d,\"wish_lasting\":%d,"
            "\"wish_spot\":%d",
-           service->name, wants->peak, wants->baseline, lasting, spot, coming,
-           dry, wish_lasting, wish_spot);
+           service->name, need->peak, need->baseline, on_demand, spot,
+           starting, unavailable, target_on_demand, target_spot);
 }
 
 /*
- * Fewer than before although none were given back: they are reclaimed, and
- * what was ordered there is not coming.  Asking again tells whether others
- * are to be had.
+ * If endpoints disappeared although no smaller number was ordered, they were
+ * reclaimed, and the confirmed order will not bring them back.  Clearing the
+ * confirmation makes the order go out again, which shows whether others are
+ * available.
  */
 static void
-note_present(struct order *order, int present, int64_t now)
+update_usable(struct order *order, int usable, int64_t now)
 {
-    if (present == 0 && order->most > 1 && order->wanted > 0) {
+    if (usable == 0 && order->max_usable > 1 && order->requested > 0) {
         order->reclaimed_at = now;
     }
-    order->most = present == 0 ? 0 : more_of(order->most, present);
-    if (present < order->present && order->confirmed >= order->present) {
+    order->max_usable = usable == 0 ? 0 : max_int(order->max_usable, usable);
+    if (usable < order->usable && order->confirmed >= order->usable) {
         order->confirmed = -1;
     }
-    order->present = present;
+    order->usable = usable;
 }
 
-/* Reclaimable endpoints of a data centre; whether they were just reclaimed. */
+/*
+ * Fills in the spot endpoints of a data centre; returns whether it was
+ * recently reclaimed.
+ */
 static bool
-look_at_spot(const struct ec_service *service, struct order *order,
-             struct pn_zone *zone, int64_t now)
+survey_spot(const struct ec_service *service, struct order *order,
+            struct pn_zone *zone, int64_t now)
 {
     if (order == NULL) {
         return false;
     }
-    note_present(order, zone->spot, now);
-    zone->spot_unavailable = now < order->dry_until;
+    update_usable(order, zone->spot, now);
+    zone->spot_unavailable = now < order->unavailable_until;
     if (order->confirmed > zone->spot &&
-        now - order->raised_at < service->boot_usec + Wo_BOOT_USEC) {
+        now - order->increased_at <
+            service->boot_usec + Wo_READY_MARGIN_USEC) {
         zone->spot_starting = order->confirmed - zone->spot;
     }
     return order->reclaimed_at > 0 &&
-           now - order->reclaimed_at < Wo_RECLAIMED_USEC;
+           now - order->reclaimed_at < Wo_RECLAIM_MEMORY_USEC;
 }
 
 static void
-look_at_lasting(struct order *order, struct pn_zone *zone)
+survey_on_demand(struct order *order, struct pn_zone *zone)
 {
     if (order != NULL) {
-        order->present = zone->on_demand;
-        zone->on_demand_ordered = more_of(order->confirmed, 0);
+        order->usable = zone->on_demand;
+        zone->on_demand_ordered = max_int(order->confirmed, 0);
     }
 }
 
 /*
- * An evacuated data centre is left as it is: what serves there comes back
- * with it, sooner than what would have to be ordered.
+ * An evacuated data centre is skipped: its endpoints can serve again when the
+ * evacuation ends, sooner than newly ordered ones could start.
  */
 static void
-look_at_zones(struct wo_work *work, const struct ec_service *service,
-              struct look *look)
+survey_zones(struct wo_work *work, const struct ec_service *service,
+             struct zone_survey *survey)
 {
     struct ga_gate *gate = work->gate;
     int64_t now = Ga_Now(gate);
@@ -339,47 +362,47 @@
         if (Fl_IsEvacuated(gate->fleet, service->zones[i].zone)) {
             continue;
         }
-        struct pn_zone *zone = &look->zones[look->count++];
+        struct pn_zone *zone = &survey->zones[survey->count++];
         strlcpy(zone->zone, service->zones[i].zone, sizeof(zone->zone));
         zone->price = service->zones[i].price;
         zone->on_demand = count_usable(gate, service->name, zone->zone, false);
         zone->spot = count_usable(gate, service->name, zone->zone, true);
         struct order *spot = find_order(work, service->name, zone->zone, true);
-        look->reclaimed += look_at_spot(service, spot, zone, now);
-        look_at_lasting(find_order(work, service->name, zone->zone, false),
-                        zone);
+        survey->reclaimed += survey_spot(service, spot, zone, now);
+        survey_on_demand(find_order(work, service->name, zone->zone, false),
+                         zone);
     }
 }
 
-/* All that are there, of the kind of which there are more. */
+/* Returns the usable endpoints of the kind of which there are more. */
 static int
-present_of(const struct pn_zone *zones, size_t count)
+usable_of_larger_kind(const struct pn_zone *zones, size_t count)
 {
-    int lasting = 0;
+    int on_demand = 0;
     int spot = 0;
     for (size_t i = 0; i < count; i++) {
-        lasting += zones[i].on_demand;
+        on_demand += zones[i].on_demand;
         spot += zones[i].spot;
     }
-    return more_of(lasting, spot);
+    return max_int(on_demand, spot);
 }
 
 static void
 place_orders(struct wo_work *work, const struct ec_service *service,
-             const struct look *look, const struct pn_target *targets,
-             bool settled)
+             const struct zone_survey *survey, const struct pn_target *targets,
+             bool complete)
 {
-    const struct pn_zone *zones = look->zones;
-    for (size_t i = 0; i < look->count; i++) {
+    const struct pn_zone *zones = survey->zones;
+    for (size_t i = 0; i < survey->count; i++) {
         for (int spot = 0; spot <= 1; spot++) {
             struct order *order =
                 find_order(work, service->name, zones[i].zone, spot);
-            int wish = spot ? targets[i].spot : targets[i].on_demand;
-            bool known = order != NULL && order->confirmed >= 0;
-            int have = spot ? zones[i].spot : zones[i].on_demand;
-            if (order != NULL && (known || wish != have) &&
-                (spot || settled)) {
-                place_order(work, order, wish, service->boot_usec);
+            int target = spot ? targets[i].spot : targets[i].on_demand;
+            bool confirmed = order != NULL && order->confirmed >= 0;
+            int usable = spot ? zones[i].spot : zones[i].on_demand;
+            if (order != NULL && (confirmed || target != usable) &&
+                (spot || complete)) {
+                place_order(work, order, target, service->boot_usec);
             }
         }
     }
@@ -389,27 +412,28 @@
 plan_service(struct wo_work *work, const struct ec_service *service)
 {
     struct ga_gate *gate = work->gate;
-    struct base *base = find_base(work, service);
-    if (base == NULL) {
+    struct service_estimate *estimate = find_estimate(work, service);
+    if (estimate == NULL) {
         return;
     }
-    struct look look = {0};
+    struct zone_survey survey = {0};
     struct pn_target targets[Ec_ZONES_MAX];
-    look_at_zones(work, service, &look);
-    Pn_UpdateEstimate(&base->found, needed_now(work, service),
-                      present_of(look.zones, look.count), Ga_Now(gate));
-    hand_on(work, service, base->found.peak);
-    struct pn_service wants = {
+    survey_zones(work, service, &survey);
+    Pn_UpdateEstimate(&estimate->estimate, endpoints_needed(work, service),
+                      usable_of_larger_kind(survey.zones, survey.count),
+                      Ga_Now(gate));
+    record_need(work, service, estimate->estimate.peak);
+    struct pn_service need = {
         .min = service->min,
         .max = service->max,
         .spot_price = service->spot_price,
-        .peak = base->found.peak,
-        .baseline = (int)ceil(base->found.baseline.endpoints),
-        .zones_reclaimed = look.reclaimed,
+        .peak = estimate->estimate.peak,
+        .baseline = (int)ceil(estimate->estimate.baseline.endpoints),
+        .zones_reclaimed = survey.reclaimed,
     };
-    Pn_Plan(&wants, look.zones, look.count, targets);
-    log_plan(&wants, service, &look, targets);
-    place_orders(work, service, &look, targets, is_settled(gate, base));
+    Pn_Plan(&need, survey.zones, survey.count, targets);
+    log_plan(&need, service, &survey, targets);
+    place_orders(work, service, &survey, targets, is_complete(gate, estimate));
 }
 
 void
@@ -427,14 +451,14 @@
     int64_t now = Ga_Now(gate);
     const struct ec_config *config = Fe_Config(gate->feed);
     if (config == NULL || !Fl_Any(gate->fleet) ||
-        now - work->planned_at < Wo_PLAN_EVERY_USEC) {
+        now - work->planned_at < Wo_PLAN_INTERVAL_USEC) {
         return;
     }
     work->planned_at = now;
     for (size_t i = 0; i < config->service_count; i++) {
         const struct ro_move *move =
             Ro_Find(gate->moves, config->services[i].name);
-        /* Endpoints of two versions cannot be told apart in an order. */
+        /* An order cannot name the version of the endpoints. */
         bool moving = move != NULL && move->state == RO_RUNNING;
         if (config->services[i].ordered && !moving) {
             plan_service(work, &config->services[i]);
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -418,7 +418,7 @@
 next_share(const struct ro_table *table, const struct ro_move *move,
            const struct ro_endpoint_counts *counts)
 {
-    if (counts->next_usable == 0) {
+    if (counts->new_usable == 0) {
         return 0;
     }
     double elapsed = (double)(Ck_Now(table->clock) - move->started_at) /
@@ -434,7 +434,7 @@
     int limit =
         counts->old_usable == 0
             ? Ro_FULL_SHARE
-            : 2 * Ro_FULL_SHARE * counts->next_usable / counts->old_usable;
+            : 2 * Ro_FULL_SHARE * counts->new_usable / counts->old_usable;
     return share < limit ? share : limit;
 }
 
@@ -464,7 +464,7 @@
         now - move->drained_since > Ro_DRAINED_USEC) {
         set_state(move, RO_SUCCEEDED, "nothing runs at the old version");
     }
-    else if (deadline_passed && counts->next_usable == 0) {
+    else if (deadline_passed && counts->new_usable == 0) {
         set_state(move, RO_ROLLED_BACK, "no endpoint of it by the deadline");
     }
 }
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -152,7 +152,7 @@
 /* Endpoints of a service by version, as the lease holder sees them. */
 struct ro_endpoint_counts {
     int old_usable;
-    int next_usable;
+    int new_usable;
     int old_running; /* requests of all daemons at the old version */
 };
 /* Sets the share of a move and ends it; called by the lease holder only. */
--- a/packages/edge/test/duty_test.cc
+++ b/packages/edge/test/duty_test.cc
@@ -80,11 +80,11 @@
     {
         for (int64_t passed = 0; passed < usec; passed += kTickUsec) {
             for (auto &daemon : daemons_) {
-                bool still = false;
+                bool is_frozen = false;
                 for (auto *other : frozen) {
-                    still |= other == daemon.get();
+                    is_frozen |= other == daemon.get();
                 }
-                if (!still) {
+                if (!is_frozen) {
                     Du_Tick(daemon->duty);
                 }
             }
@@ -94,21 +94,21 @@
         }
     }
 
-    // The same, and what each daemon tells of its term reaches the others.
+    // Like Run(), but each daemon's lease notices reach the others.
     void
-    RunTelling(int64_t usec, const std::vector<Daemon *> &frozen = {})
+    RunWithNotices(int64_t usec, const std::vector<Daemon *> &frozen = {})
     {
         for (int64_t passed = 0; passed < usec; passed += kTickUsec) {
             Run(kTickUsec, frozen);
             for (auto &from : daemons_) {
-                struct du_told told = Du_Told(from->duty);
-                bool still = false;
+                struct du_told notice = Du_Told(from->duty);
+                bool is_frozen = false;
                 for (auto *other : frozen) {
-                    still |= other == from.get();
+                    is_frozen |= other == from.get();
                 }
                 for (auto &to : daemons_) {
-                    if (to != from && told.fence > 0 && !still) {
-                        Du_Heard(to->duty, &told);
+                    if (to != from && notice.fence > 0 && !is_frozen) {
+                        Du_Heard(to->duty, &notice);
                     }
                 }
             }
@@ -120,10 +120,11 @@
     std::vector<std::unique_ptr<Daemon>> daemons_;
 };
 
-// Two daemons report the same window with different counts: both believe to
-// hold the duty after the first was cut off from the store.  The second may
-// take over only when the first one's term, as the first counts it, is over.
-TEST_F(Duty, ATermEndsBeforeAnotherBegins)
+// Guards against two daemons that report the same window with different
+// counts: the first was cut off from the store, and both believed that they
+// held the lease.  The second may acquire it only after the first one's lease
+// has ended by the first one's clock.
+TEST_F(Duty, ALeaseEndsBeforeTheNextBegins)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
@@ -137,10 +138,10 @@
     EXPECT_GT(Du_Fence(second->duty), fence);
 }
 
-// A holder whose renewal is done but not answered gives its duty away, or
-// believes in a longer term than the log shows.  It finds its own record and
-// counts the term from when it sent it.
-TEST_F(Duty, ALostAnswerIsFoundInTheLog)
+// Guards against a holder that gives up the lease, or overestimates it, after
+// a renewal took effect whose answer was lost.  It finds its own record in the
+// log and counts the lease from when it sent it.
+TEST_F(Duty, ALostAppendAnswerIsFoundInTheLog)
 {
     Daemon *first = Start(0);
     Run(1 * Ck_USEC_PER_SEC);
@@ -152,9 +153,9 @@
     EXPECT_EQ(Du_Fence(first->duty), fence);
 }
 
-// A frozen holder wakes after its term and still acts: another one has long
-// taken over, and the platform sees the old fence after the new one.
-TEST_F(Duty, AFrozenHolderWakesWithoutTheDuty)
+// Guards against a holder that was frozen and acts after its lease has ended,
+// so that the platform sees the old fence after a new holder's.
+TEST_F(Duty, AFrozenHolderWakesWithoutTheLease)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
@@ -167,54 +168,54 @@
     EXPECT_TRUE(Du_Holds(second->duty));
 }
 
-// For six seconds nobody orders endpoints after the holder has died: its
-// successor counted a whole term from the moment when it first looked at the
-// log, although the holder had told when its term ends.
-TEST_F(Duty, ADeadHoldersTermEndsWhenItSaid)
+// Guards against a successor that waits for a whole lease from its first look
+// at the log although the holder had announced the lease's end: for six
+// seconds after the holder's death no daemon ordered endpoints.
+TEST_F(Duty, ADeadHoldersLeaseEndsAtItsAnnouncedTime)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
-    RunTelling(2 * Ck_USEC_PER_SEC);
+    RunWithNotices(2 * Ck_USEC_PER_SEC);
     ASSERT_TRUE(Du_Holds(first->duty));
-    RunTelling(kLeaseUsec + 800 * Ck_USEC_PER_MSEC, {first});
+    RunWithNotices(kLeaseUsec + 800 * Ck_USEC_PER_MSEC, {first});
     EXPECT_TRUE(Du_Holds(second->duty));
 }
 
-// The same for three seconds after a planned stop: the holder was gone before
-// its term was over.
-TEST_F(Duty, AStoppingHolderHandsItsDutyOver)
+// Guards against the same gap for three seconds after a planned stop: the
+// holder stopped without releasing its lease.
+TEST_F(Duty, AStoppingHolderReleasesItsLease)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
-    RunTelling(2 * Ck_USEC_PER_SEC);
+    RunWithNotices(2 * Ck_USEC_PER_SEC);
     ASSERT_TRUE(Du_Holds(first->duty));
     for (int tries = 0; Du_Holds(first->duty); tries++) {
         ASSERT_LT(tries, 10);
         Du_Resign(first->duty);
-        RunTelling(kTickUsec);
+        RunWithNotices(kTickUsec);
     }
-    RunTelling(800 * Ck_USEC_PER_MSEC);
+    RunWithNotices(800 * Ck_USEC_PER_MSEC);
     EXPECT_TRUE(Du_Holds(second->duty));
-    RunTelling(5 * Ck_USEC_PER_SEC);
+    RunWithNotices(5 * Ck_USEC_PER_SEC);
     EXPECT_FALSE(Du_Holds(first->duty));
 }
 
-// Two daemons hold the duty: a peer believed a term over that had been renewed
-// after the last word of it came.
-TEST_F(Duty, ARenewalAfterTheLastWordCounts)
+// Guards against two lease holders: a peer took a lease for ended that had
+// been renewed after the last notice arrived.
+TEST_F(Duty, ARenewalAfterTheLastNoticeCounts)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
-    RunTelling(2 * Ck_USEC_PER_SEC);
+    RunWithNotices(2 * Ck_USEC_PER_SEC);
     ASSERT_TRUE(Du_Holds(first->duty));
     Run(10 * Ck_USEC_PER_SEC);
     EXPECT_TRUE(Du_Holds(first->duty));
     EXPECT_FALSE(Du_Holds(second->duty));
 }
 
-// A renewal that is executed seconds late, after a successor has written,
-// must not make the old holder's record the last one.
-TEST_F(Duty, ALateRenewalFailsItsCondition)
+// A renewal that is executed seconds late, after a successor's record, must
+// not make the old holder's record the last one.
+TEST_F(Duty, ALateRenewalIsRejected)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
@@ -230,10 +231,10 @@
     EXPECT_EQ(store_.Topic(AG_DUTY).size(), records);
 }
 
-// Usage of a window is reported twice with different counts: a holder dies
-// after its report, and its successor adds up what it has heard itself.  The
-// record in the log is what both report.
-TEST_F(Duty, ASuccessorFindsTheAgreedUsage)
+// Guards against reporting a window's usage twice with different counts: a
+// holder died after its report, and its successor added up the counts that it
+// had received itself.  Both must report what the log records.
+TEST_F(Duty, ASuccessorFindsTheRecordedUsage)
 {
     Daemon *first = Start(0);
     Daemon *second = Start(1);
@@ -243,7 +244,7 @@
     usage.count = 1;
     strcpy(usage.tenants[0].name, "acme");
     usage.tenants[0].count = 41;
-    while (!Du_Agree(first->duty, &usage)) {
+    while (!Du_RecordUsage(first->duty, &usage)) {
         Run(kTickUsec);
     }
     Run(1 * Ck_USEC_PER_SEC);
@@ -257,12 +258,12 @@
     EXPECT_STREQ(found->tenants[0].name, "acme");
     EXPECT_EQ(found->tenants[0].count, 41u);
     usage.tenants[0].count = 43;
-    EXPECT_FALSE(Du_Agree(second->duty, &usage));
+    EXPECT_FALSE(Du_RecordUsage(second->duty, &usage));
 }
 
-// After a restart of all hosts under load the successor believes that the
-// endpoints that happen to be left are all that is needed.
-TEST_F(Duty, ASuccessorFindsWhatWasNeeded)
+// Guards against a new holder that takes the endpoints left after a restart of
+// all hosts under load for all that the service needs.
+TEST_F(Duty, ASuccessorFindsTheRecordedNeed)
 {
     Daemon *first = Start(0);
     Run(2 * Ck_USEC_PER_SEC);
@@ -273,31 +274,31 @@
     Daemon *second = Start(1);
     Run(10 * Ck_USEC_PER_SEC);
     ASSERT_TRUE(Du_Holds(second->duty));
-    const struct du_need *found = Du_Need(second->duty, 5);
+    const struct du_need *found = Du_FindNeed(second->duty, 5);
     ASSERT_NE(found, nullptr);
     EXPECT_EQ(found->endpoints, 18);
     EXPECT_DOUBLE_EQ(found->read_rate, 70000);
 }
 
-// Guards against hundreds of daemons that start together and all try to take
-// the duty, three calls each.
-TEST_F(Duty, ThoseThatStartTogetherDoNotAllAppend)
+// Guards against hundreds of daemons that start together and all try to
+// acquire the lease with three calls each.
+TEST_F(Duty, FewDaemonsAppendWhenAllStartTogether)
 {
     std::vector<Daemon *> all;
     for (unsigned rank = 0; rank < 20; rank++) {
         all.push_back(Start(rank));
     }
-    RunTelling(2 * Ck_USEC_PER_SEC);
+    RunWithNotices(2 * Ck_USEC_PER_SEC);
     EXPECT_EQ(Holders(), 1);
     for (unsigned rank = 1; rank < 20; rank++) {
         EXPECT_LE(all[rank]->client->calls, 2) << rank;
     }
 }
 
-// One of the faults is chosen at each step, in every order of four steps, for
-// two daemons whose words of their terms come at once, late or not at all: at
-// no time do both hold the duty, and no fence is used by two.
-TEST_F(Duty, NoOrderOfFaultsMakesTwoHolders)
+// Applies one of the faults at each step, in all sequences of four steps, to
+// two daemons whose notices arrive at once, late or not at all.  At no time
+// may both hold the lease, and no fence may be used by both.
+TEST_F(Duty, NoSequenceOfFaultsMakesTwoHolders)
 {
     enum { kFaults = 10, kSteps = 4, kLateTicks = 7 };
     int orders = 1;
@@ -323,11 +324,11 @@
             options.arg = &pair[i];
             pair[i].duty = Du_Create(&options);
         }
-        std::vector<struct du_told> words[2];
-        int left = order;
+        std::vector<struct du_told> notices[2];
+        int remaining = order;
         for (int step = 0; step < kSteps; step++) {
-            int fault = left % kFaults;
-            left /= kFaults;
+            int fault = remaining % kFaults;
+            remaining /= kFaults;
             Daemon &victim = pair[fault % 2];
             pair[0].client->down = false;
             pair[1].client->down = false;
@@ -345,7 +346,7 @@
                 Du_Resign(victim.duty);
                 break;
             default:
-                break; // its words alone are lost
+                break; // only its notices are lost
             }
             for (int tick = 0; tick < 40; tick++) {
                 for (auto &daemon : pair) {
@@ -356,13 +357,14 @@
                 }
                 for (int i = 0; i < 2; i++) {
                     bool is_victim = &victim == &pair[i];
-                    words[i].push_back(Du_Told(pair[i].duty));
-                    size_t late = is_victim ? kLateTicks : 1;
-                    bool lost = is_victim && fault / 2 == 4;
-                    if (words[i].size() >= late && !lost) {
-                        struct du_told told = words[i][words[i].size() - late];
-                        if (told.fence > 0) {
-                            Du_Heard(pair[1 - i].duty, &told);
+                    notices[i].push_back(Du_Told(pair[i].duty));
+                    size_t delay = is_victim ? kLateTicks : 1;
+                    bool is_lost = is_victim && fault / 2 == 4;
+                    if (notices[i].size() >= delay && !is_lost) {
+                        struct du_told notice =
+                            notices[i][notices[i].size() - delay];
+                        if (notice.fence > 0) {
+                            Du_Heard(pair[1 - i].duty, &notice);
                         }
                     }
                 }
--- a/packages/edge/test/fleet_test.cc
+++ b/packages/edge/test/fleet_test.cc
@@ -58,9 +58,10 @@
     struct fl_fleet *fleet_;
 };
 
-// Every request is refused after an outage of the store: the entries lapsed
-// meanwhile, and their removals are read before the endpoints are back.
-TEST_F(Fleet, ARemovalAfterAnOutageIsDoubted)
+// Guards against refusing every request after a store outage: the entries
+// expired meanwhile, and their removals are read before the endpoints have
+// written them again.
+TEST_F(Fleet, RemovalsAfterAnOutageAreHeld)
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
@@ -74,10 +75,10 @@
     EXPECT_TRUE(Usable("a"));
 }
 
-// A request reaches an endpoint 2.05 s after it had left: a host that had
-// regained the store 1.4 s before doubted the removal for 1.5 s of its own.
-// The doubt ends at its set time however late a removal is told in it.
-TEST_F(Fleet, TheDoubtIsNotProlonged)
+// Guards against a request to an endpoint 2.05 s after it left: a host that
+// had reconnected to the store 1.4 s before held the removal for another 1.5
+// s.  The hold must end at its set time, however late a removal is read.
+TEST_F(Fleet, TheHoldIsNotExtended)
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
@@ -89,8 +90,8 @@
     EXPECT_FALSE(Usable("a"));
 }
 
-// A late heartbeat brings an endpoint back that had said that it leaves.
-TEST_F(Fleet, LeavingIsFinalForOneStart)
+// Guards against a late heartbeat that makes a draining endpoint usable again.
+TEST_F(Fleet, DrainingEndsOnlyWithARestart)
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
@@ -104,8 +105,9 @@
     EXPECT_TRUE(Usable("a"));
 }
 
-// A restarted endpoint keeps the suspicion, and the counts, of the one before.
-TEST_F(Fleet, AnotherStartIsAnotherEndpoint)
+// Guards against a restarted endpoint that keeps the health and counters of
+// the one before.
+TEST_F(Fleet, ARestartedEndpointStartsAfresh)
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
@@ -115,8 +117,9 @@
     EXPECT_EQ(Fl_Find(fleet_, "a")->running, 0);
 }
 
-// One request finds a crashed endpoint; the next hundred must not.
-TEST_F(Fleet, ABrokenEndpointIsShunnedLongerEachTime)
+// After one request fails at a crashed endpoint, the next hundred must avoid
+// it, for longer after each failure.
+TEST_F(Fleet, ABrokenEndpointIsEjectedLongerEachTime)
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
@@ -132,20 +135,22 @@
     EXPECT_FALSE(He_Shunned(endpoint, 401 * Ck_USEC_PER_MSEC));
 }
 
-// A full endpoint that refuses again and again is never forgiven.
-TEST(Health, ARefusalKeepsNoFailureInMind)
+// Guards against a full endpoint whose refusals keep its failure rate from
+// decaying.
+TEST(Health, RefusalsLetTheFailureRateDecay)
 {
-    const int64_t half = 10 * Ck_USEC_PER_SEC;
+    const int64_t half_life = 10 * Ck_USEC_PER_SEC;
     struct fl_endpoint endpoint = {};
     He_Note(&endpoint, HE_FAILED, Ck_USEC_PER_SEC);
     double failing = He_Failing(&endpoint, Ck_USEC_PER_SEC);
-    He_Note(&endpoint, HE_REFUSED, half);
-    EXPECT_DOUBLE_EQ(He_Failing(&endpoint, Ck_USEC_PER_SEC + half),
+    He_Note(&endpoint, HE_REFUSED, half_life);
+    EXPECT_DOUBLE_EQ(He_Failing(&endpoint, Ck_USEC_PER_SEC + half_life),
                      failing / 2);
 }
 
-// Guards against requests to an evacuated data centre, also at an endpoint
-// that comes there later, and against one that stays unused when it is back.
+// Guards against requests to an evacuated data centre, even at an endpoint
+// added later, and against endpoints that stay unused after the evacuation
+// ends.
 TEST_F(Fleet, AnEvacuatedDataCentreIsNotUsed)
 {
     struct fl_entry a = Entry("a");
@@ -172,8 +177,8 @@
     EXPECT_EQ(Fl_CountEvacuated(fleet_), 0);
 }
 
-// Guards against a word for data centres that do not exist taking up room
-// without end, or pushing out one that does.
+// Guards against evacuations of data centres that do not exist: they must not
+// use memory without limit or displace an existing one.
 TEST_F(Fleet, EvacuationsAreBounded)
 {
     EXPECT_TRUE(Fl_Evacuate(fleet_, "east", true));
@@ -189,9 +194,9 @@
     EXPECT_TRUE(Fl_IsEvacuated(fleet_, "nowhere-2"));
 }
 
-// Guards against requests at their usual rate to an endpoint that says that it
-// is cold again without having started again.
-TEST_F(Fleet, AWarmUpThatBeginsAnewIsNews)
+// Guards against requests at the usual rate to an endpoint that reports a new
+// warm-up without a restart.
+TEST_F(Fleet, ANewWarmUpIsAChange)
 {
     struct fl_entry before = Entry("a");
     struct fl_entry now = Entry("a");
--- a/packages/edge/work.c
+++ b/packages/edge/work.c
@@ -1,7 +1,7 @@
 /*
- * What one daemon does for all: it reports usage and orders endpoints.  Both
- * go out under its fence, and both can be repeated: a report is agreed on
- * before it is sent, an order names a state and not a step.
+ * Work of the lease holder: it reports usage and orders endpoints.  Both calls
+ * carry its fence, and both can be repeated: a report is recorded before it is
+ * sent, and an order names the number of endpoints and not a change.
  */
 #include <bsd/string.h>
 #include <stdlib.h>
@@ -10,10 +10,10 @@
 #include "edge/work_internal.h"
 
 /*
- * Counts of a window travel between daemons for a while after its end; a
- * report is due only many seconds later.
+ * Daemons exchange the counts of a window for a while after its end.  The
+ * report is due many seconds later, so waiting for the last counts is safe.
  */
-#define Wo_SETTLE_USEC (2500 * Ck_USEC_PER_MSEC)
+#define Wo_COUNTS_SETTLE_USEC (2500 * Ck_USEC_PER_MSEC)
 
 struct wo_work *
 Wo_Create(struct ga_gate *gate)
@@ -25,14 +25,14 @@
     return work;
 }
 
-/* Answers of the cloud must not come any more. */
+/* The platform must not deliver any answer after this call. */
 void
 Wo_Destroy(struct wo_work *work)
 {
     free(work);
 }
 
-/* Number of the usage window of a moment in true time. */
+/* Returns the number of the usage window that contains a true time. */
 int64_t
 Wo_Window(const struct ga_gate *gate, int64_t true_usec)
 {
@@ -47,12 +47,13 @@
            (long long)fence);
     if (holder && gate->work != NULL) {
         /*
-         * What an earlier term of this daemon found is older than what was
-         * handed on: 25 endpoints were ordered down to 6 after a restart of
-         * most hosts, since the little load that was seen counted at once.
+         * The estimates of an earlier lease of this daemon are older than the
+         * recorded needs.  With old estimates, 25 endpoints were scaled down
+         * to 6 after a restart of most hosts, because the low load seen at
+         * first took effect at once.
          */
-        gate->work->base_count = 0;
-        wo_begin_moves(gate->work);
+        gate->work->estimate_count = 0;
+        wo_restore_moves(gate->work);
     }
     for (size_t i = 0; gate->work != NULL && i < gate->work->order_count;
          i++) {
@@ -75,9 +76,9 @@
         usage->reported = true;
         return;
     }
-    work->retry_at = Ga_Now(gate) + Wo_RETRY_USEC;
+    work->report_retry_at = Ga_Now(gate) + Wo_RETRY_USEC;
     if (status == CL_FENCED) {
-        Du_Refused(gate->duty);
+        Du_FenceRefused(gate->duty);
     }
 }
 
@@ -102,7 +103,7 @@
 }
 
 static void
-agree(struct wo_work *work, int64_t window)
+record_usage(struct wo_work *work, int64_t window)
 {
     struct ga_gate *gate = work->gate;
     const struct ec_config *config = Fe_Config(gate->feed);
@@ -122,28 +123,28 @@
             tenant->count = counts[i].count;
         }
     }
-    if (Du_Agree(gate->duty, &usage)) {
+    if (Du_RecordUsage(gate->duty, &usage)) {
         Ln_Log(LN_STATE, "usage.agreed", "\"window\":%lld,\"tenants\":%zu",
                (long long)window, usage.count);
     }
 }
 
-/* Windows that are over, oldest first. */
+/* Handles one completed window at a time, oldest first. */
 static void
 tick_usage(struct wo_work *work)
 {
     struct ga_gate *gate = work->gate;
     const struct nd_node *node = gate->options.node;
-    if (work->report_window != 0 || Ga_Now(gate) < work->retry_at) {
+    if (work->report_window != 0 || Ga_Now(gate) < work->report_retry_at) {
         return;
     }
     int64_t now = Tt_Now(gate->time);
-    int64_t newest = Wo_Window(gate, now - Wo_SETTLE_USEC) - 1;
+    int64_t newest = Wo_Window(gate, now - Wo_COUNTS_SETTLE_USEC) - 1;
     int64_t oldest = newest - node->usage_late_usec / node->usage_window_usec;
     for (int64_t window = oldest; window <= newest; window++) {
         struct du_usage *usage = Du_Usage(gate->duty, window);
         if (usage == NULL) {
-            agree(work, window);
+            record_usage(work, window);
             return;
         }
         if (!usage->reported) {
@@ -153,13 +154,16 @@
     }
 }
 
-/* What tenants lately spent, from the holder before and for the next. */
+/*
+ * Takes over what tenants spent by the previous holder's record, and sets what
+ * the next renewal records.
+ */
 static void
-hand_on_recent(struct ga_gate *gate)
+exchange_recent(struct ga_gate *gate)
 {
-    const struct qt_recent *before;
-    size_t count = Du_Recent(gate->duty, &before);
-    Qt_Recall(gate->quota, before, count);
+    const struct qt_recent *inherited;
+    size_t count = Du_InheritedRecent(gate->duty, &inherited);
+    Qt_Recall(gate->quota, inherited, count);
     if (Du_Holds(gate->duty)) {
         struct qt_recent recent[Qt_RECENT_MAX];
         count = Qt_Recent(gate->quota, recent);
@@ -171,7 +175,7 @@
 Wo_Tick(struct wo_work *work)
 {
     struct ga_gate *gate = work->gate;
-    hand_on_recent(gate);
+    exchange_recent(gate);
     if (!Du_Holds(gate->duty)) {
         return;
     }
--- a/packages/edge/work_internal.h
+++ b/packages/edge/work_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the holder's work only. */
+/* Declarations shared by work.c, orders.c and work_moves.c. */
 #ifndef EDGE_WORK_INTERNAL_H
 #define EDGE_WORK_INTERNAL_H
 
@@ -7,60 +7,64 @@
 
 #define Wo_ORDERS_MAX 64
 #define Wo_SERVICES_MAX 16
-/* A call that was not taken is made again after this. */
+/* delay before a failed call to the platform or the store is repeated */
 #define Wo_RETRY_USEC (700 * Ck_USEC_PER_MSEC)
 
 struct order {
     char service[Ec_NAME_MAX];
     char zone[Ec_NAME_MAX];
     bool spot;
-    int wanted;
-    int confirmed;        /* -1: none under this fence */
-    int present;          /* usable when last planned */
-    int most;             /* the most usable since there were none */
-    int64_t reclaimed_at; /* when all were gone that had been ordered */
-    int64_t asked_at;
-    int64_t raised_at; /* when a larger number was last confirmed */
-    int64_t dry_until;
-    bool busy;
+    int requested;
+    int confirmed;  /* -1: no order confirmed under this fence */
+    int usable;     /* usable endpoints when last planned */
+    int max_usable; /* maximum since no endpoint was usable */
+    /* when all endpoints that had been ordered were gone */
+    int64_t reclaimed_at;
+    int64_t sent_at;
+    int64_t increased_at; /* when a larger order was last confirmed */
+    int64_t unavailable_until;
+    bool in_flight;
     struct wo_work *work;
 };
 
-/* What a service was found to need in this term. */
-struct base {
+/* Endpoints that a service was found to need during this lease. */
+struct service_estimate {
     char service[Ec_NAME_MAX];
-    struct pn_estimate found;
-    bool settled; /* its endpoints are all known */
+    struct pn_estimate estimate;
+    bool complete; /* all endpoints of the service have been discovered */
 };
 
-/* What operators were last told of a move. */
-struct told_move {
-    bool known;
+/* State of a move that operators were last told of. */
+struct reported_move {
+    bool published;
     int64_t order;
     enum ro_state state;
 };
 
 struct wo_work {
     struct ga_gate *gate;
-    struct told_move told[Ro_MOVES_MAX];
-    int64_t status_end; /* of the operators' topic; -1: not known */
-    int64_t tell_at;
-    bool telling;
-    size_t telling_move;
-    int64_t telling_order;
-    enum ro_state telling_state;
-    int64_t report_window; /* under way; 0: none */
-    int64_t retry_at;
+    struct reported_move reported[Ro_MOVES_MAX];
+    int64_t status_end; /* end of the operators' topic; -1: not known */
+    int64_t publish_at;
+    bool publishing;
+    size_t publishing_index;
+    int64_t publishing_order;
+    enum ro_state publishing_state;
+    int64_t report_window; /* window of the usage report in flight; 0: none */
+    int64_t report_retry_at;
     int64_t planned_at;
     size_t order_count;
     struct order orders[Wo_ORDERS_MAX];
-    size_t base_count;
-    struct base bases[Wo_SERVICES_MAX];
+    size_t estimate_count;
+    struct service_estimate estimates[Wo_SERVICES_MAX];
 };
 
-/* Plans every service that may be ordered, and orders what differs. */
+/*
+ * Plans every service whose endpoints may be ordered and sends an order
+ * wherever the plan differs from what is there.
+ */
 void wo_tick_orders(struct wo_work *work);
 void wo_tick_moves(struct wo_work *work);
-void wo_begin_moves(struct wo_work *work);
+void wo_restore_moves(struct wo_work *work);
 
 #endif
--- a/packages/edge/work_moves.c
+++ b/packages/edge/work_moves.c
@@ -1,90 +1,94 @@
-/* Version moves: how far each may go, and what operators are told of it. */
+/*
+ * Version moves as driven by the lease holder: it sets their shares and
+ * publishes their states to operators.
+ */
 #include <string.h>
 
 #include "edge/work_internal.h"
 
 static struct ro_endpoint_counts
-look(const struct ga_gate *gate, const struct ro_move *move)
+count_endpoints(const struct ga_gate *gate, const struct ro_move *move)
 {
-    struct ro_endpoint_counts scene = {0, 0, 0};
+    struct ro_endpoint_counts counts = {0, 0, 0};
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (strcmp(endpoint->entry.service, move->order.service) != 0) {
             continue;
         }
         if (Ga_IsNext(move, endpoint)) {
-            scene.next_usable += Fl_Usable(endpoint);
+            counts.new_usable += Fl_Usable(endpoint);
             continue;
         }
-        scene.old_usable += Fl_Usable(endpoint);
-        scene.old_running += endpoint->running + endpoint->others_running;
+        counts.old_usable += Fl_Usable(endpoint);
+        counts.old_running += endpoint->running + endpoint->others_running;
     }
-    return scene;
+    return counts;
 }
 
 /*
- * The record says where it must stand, so that one of an earlier holder that
- * comes late cannot replace it.
+ * The append names the offset at which the record must stand, so that a late
+ * append of an earlier holder cannot replace it.
  */
 static void
-on_told(void *arg, const struct ag_result *result)
+on_published(void *arg, const struct ag_result *result)
 {
     struct wo_work *work = arg;
-    work->telling = false;
-    struct told_move *told = &work->told[work->telling_move];
+    work->publishing = false;
+    struct reported_move *reported = &work->reported[work->publishing_index];
     if (result->status == AG_OK) {
-        told->order = work->telling_order;
-        told->state = work->telling_state;
-        told->known = true;
+        reported->order = work->publishing_order;
+        reported->state = work->publishing_state;
+        reported->published = true;
         work->status_end = result->offset + 1;
         Ln_Log(LN_STATE, "move.told", "\"order\":%lld,\"state\":\"%s\"",
-               (long long)told->order, Ro_StateName(told->state));
+               (long long)reported->order, Ro_StateName(reported->state));
         return;
     }
     work->status_end = -1;
-    work->tell_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
+    work->publish_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
 }
 
 static void
 on_status_end(void *arg, const struct ag_result *result)
 {
     struct wo_work *work = arg;
-    work->telling = false;
+    work->publishing = false;
     if (result->status == AG_OK) {
         work->status_end = result->end;
     }
     else {
-        work->tell_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
+        work->publish_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
     }
 }
 
 static void
-tell(struct wo_work *work, size_t index, const struct ro_move *move)
+publish_state(struct wo_work *work, size_t index, const struct ro_move *move)
 {
     struct ag_store *store = work->gate->options.store;
-    struct ag_told told;
-    if (work->telling || Ga_Now(work->gate) < work->tell_at) {
+    struct ag_told record;
+    if (work->publishing || Ga_Now(work->gate) < work->publish_at) {
         return;
     }
     if (work->status_end < 0) {
-        work->telling = true;
+        work->publishing = true;
         Ag_Newest(store, AG_STATUS, NULL, on_status_end, work);
         return;
     }
-    if (!work->gate->options.codec->tell_move(move, &told)) {
+    if (!work->gate->options.codec->tell_move(move, &record)) {
         return;
     }
-    work->telling = true;
-    work->telling_move = index;
-    work->telling_order = move->order.number;
-    work->telling_state = move->state;
-    Ag_Append(store, AG_STATUS, work->status_end, told.key, told.value,
-              strlen(told.value), on_told, work);
+    work->publishing = true;
+    work->publishing_index = index;
+    work->publishing_order = move->order.number;
+    work->publishing_state = move->state;
+    Ag_Append(store, AG_STATUS, work->status_end, record.key, record.value,
+              strlen(record.value), on_published, work);
 }
 
 /*
- * A state is recorded before operators are told of it: at the word "succeeded"
- * the old endpoints are stopped, and a successor must not take it back.
+ * A state is recorded in the lease log before operators are told of it: when
+ * they read "succeeded", they stop the old endpoints, and the next holder must
+ * not revert that state.
  */
 void
 wo_tick_moves(struct wo_work *work)
@@ -92,23 +96,26 @@
     struct ga_gate *gate = work->gate;
     struct ro_move *move;
     for (size_t i = 0; (move = Ro_At(gate->moves, i)) != NULL; i++) {
-        struct ro_endpoint_counts scene = look(gate, move);
-        Ro_Advance(gate->moves, move, &scene);
+        struct ro_endpoint_counts counts = count_endpoints(gate, move);
+        Ro_Advance(gate->moves, move, &counts);
         struct ro_standing standing = Ro_Standing(move);
         if (!Du_SetMove(gate->duty, &standing)) {
             continue;
         }
-        const struct told_move *told = &work->told[i];
-        if (!told->known || told->order != move->order.number ||
-            told->state != move->state) {
-            tell(work, i, move);
+        const struct reported_move *reported = &work->reported[i];
+        if (!reported->published || reported->order != move->order.number ||
+            reported->state != move->state) {
+            publish_state(work, i, move);
         }
     }
 }
 
-/* What the last holder recorded, and nothing told yet. */
+/*
+ * Restores the states that the previous holder recorded.  All of them are
+ * published again.
+ */
 void
-wo_begin_moves(struct wo_work *work)
+wo_restore_moves(struct wo_work *work)
 {
     struct ga_gate *gate = work->gate;
     const struct ro_standing *standings;
@@ -116,6 +123,6 @@
     for (size_t i = 0; i < count; i++) {
         Ro_Heard(gate->moves, &standings[i], false);
     }
-    memset(work->told, 0, sizeof(work->told));
+    memset(work->reported, 0, sizeof(work->reported));
     work->status_end = -1;
 }
