--- a/packages/edge/duty.h
+++ b/packages/edge/duty.h
@@ -68,7 +68,7 @@
     uint64_t run;     /* identifies this process */
     int64_t lease_usec;
     /*
-     * Position of this daemon among the reachable ones; the first tries first.
+     * Rank of this daemon among the reachable ones; rank 0 tries first.
      */
     unsigned (*rank)(void *arg);
     void (*changed)(void *arg, bool holder, int64_t fence);
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -78,7 +78,7 @@
     double failing;    /* fraction of recent answers that failed, 0 to 1 */
     double first_usec; /* recent time to the first byte */
     int64_t shunned_until;
-    int64_t silent_at; /* when its current silence was first counted */
+    int64_t silent_at; /* start of its latest silence; 0: never */
     int64_t answered_at;
     int64_t noted_at; /* end of the last request, successful or not */
     int64_t first_at; /* time of the last first byte; 0: none */
--- a/packages/edge/orders.c
+++ b/packages/edge/orders.c
@@ -91,26 +91,26 @@
 }
 
 static void
-place_order(struct wo_work *work, struct order *order, int wanted,
+place_order(struct wo_work *work, struct order *order, int target,
             int64_t boot_usec)
 {
     struct ga_gate *gate = work->gate;
     int64_t now = Ga_Now(gate);
-    int64_t repeat_after = order->usable < wanted
+    int64_t repeat_after = order->usable < target
                                ? boot_usec + Wo_READY_MARGIN_USEC
                                : Wo_REPEAT_USEC;
     if (order->in_flight || now - order->sent_at < Wo_RETRY_USEC ||
-        (order->confirmed == wanted && now - order->sent_at < repeat_after)) {
+        (order->confirmed == target && now - order->sent_at < repeat_after)) {
         return;
     }
-    if (order->spot && now < order->unavailable_until && wanted > 0) {
+    if (order->spot && now < order->unavailable_until && target > 0) {
         return;
     }
-    order->requested = wanted;
+    order->requested = target;
     order->sent_at = now;
     order->in_flight = true;
     struct cl_order request = {order->service, order->zone, order->spot,
-                               wanted};
+                               target};
     gate->options.cloud->ops->order(gate->options.cloud, Du_Fence(gate->duty),
                                     &request, on_ordered, order);
 }
@@ -160,8 +160,8 @@
  * returns the rate that the previous lease holder recorded.
  */
 static double
-read_rate(const struct wo_work *work, const struct load_sum *sum,
-          uint32_t service)
+prefill_rate(const struct wo_work *work, const struct load_sum *sum,
+             uint32_t service)
 {
     const struct du_need *need = Du_FindNeed(work->gate->duty, service);
     if (sum->rate_count > 0) {
@@ -185,7 +185,7 @@
             add_rates(&sum, hash, peer->rates, peer->rate_count);
         }
     }
-    sum.load.prefill_rate = read_rate(work, &sum, hash);
+    sum.load.prefill_rate = prefill_rate(work, &sum, hash);
     if (sum.load.prefill_rate <= 0) {
         return 0;
     }
@@ -203,11 +203,12 @@
  * no load.
  */
 static void
-record_need(struct wo_work *work, const struct ec_service *service, int wanted)
+record_need(struct wo_work *work, const struct ec_service *service,
+            int endpoints)
 {
     uint32_t hash = De_Hash(service->name);
     const struct du_need *recorded = Du_FindNeed(work->gate->duty, hash);
-    struct du_need need = {hash, wanted,
+    struct du_need need = {hash, endpoints,
                            recorded == NULL ? 0 : recorded->read_rate};
     double measured = De_ReadRate(work->gate->demand, service->name);
     if (measured > 0) {
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -254,7 +254,7 @@
     for (size_t i = 0; i < table->count; i++) {
         for (size_t j = 0; j < table->moves[i].row_count; j++) {
             struct ro_row *row = &table->moves[i].rows[j];
-            memset(row->others, 0, sizeof(row->others));
+            memset(row->peers, 0, sizeof(row->peers));
         }
     }
 }
@@ -276,8 +276,8 @@
         struct ro_row *row =
             move == NULL ? NULL : find_or_add_row(move, rows[i].route);
         if (row != NULL) {
-            add_count(&row->others[OLD_VERSION], &rows[i].old);
-            add_count(&row->others[NEW_VERSION], &rows[i].next);
+            add_count(&row->peers[OLD_VERSION], &rows[i].old);
+            add_count(&row->peers[NEW_VERSION], &rows[i].next);
         }
     }
 }
@@ -302,7 +302,7 @@
 {
     for (int version = OLD_VERSION; version <= NEW_VERSION; version++) {
         add_count(&sums[version], &row->own[version]);
-        add_count(&sums[version], &row->others[version]);
+        add_count(&sums[version], &row->peers[version]);
     }
 }
 
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -99,7 +99,7 @@
     /* average time to the first byte of the old version on this daemon */
     double typical_usec;
     struct ro_count own[2];
-    struct ro_count others[2];
+    struct ro_count peers[2];
     struct ro_slow_counts slow_counts;
 };
 
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -53,26 +53,27 @@
         struct ro_move *move = Ro_Find(table, "llm");
         const char *route = number % 3 == 0 ? "digest" : "chat";
         enum ro_pick pick = Ro_Pick(move, false, unit_(random_));
-        bool next = pick == RO_NEXT_FIRST;
+        bool is_new = pick == RO_NEXT_FIRST;
         requests_++;
-        new_version_requests_ += next;
+        new_version_requests_ += is_new;
         bool is_bad =
-            next && (!faulty_route_ || strcmp(route, faulty_route_) == 0);
+            is_new && (!faulty_route_ || strcmp(route, faulty_route_) == 0);
         bool failed =
             unit_(random_) < (is_bad ? failure_rate_ : base_failure_rate_);
         int64_t usec = is_bad && unit_(random_) < slow_rate_ ? 500000 : 40000;
-        usec += PauseRemaining(next);
-        bool is_slow = Ro_First(table, "llm", route, next, usec);
-        Ro_Answered(table, "llm", route, next, failed, is_slow);
+        usec += PauseRemaining(is_new);
+        bool is_slow = Ro_First(table, "llm", route, is_new, usec);
+        Ro_Answered(table, "llm", route, is_new, failed, is_slow);
     }
 
     // Returns the remaining pause of a randomly chosen endpoint.
     int64_t
-    PauseRemaining(bool next)
+    PauseRemaining(bool is_new)
     {
         size_t endpoint = static_cast<size_t>(unit_(random_) * kEndpoints);
-        int64_t left = paused_until_[next][endpoint] - Ck_Now(&clock_.clock);
-        return left > 0 ? left : 0;
+        int64_t remaining =
+            paused_until_[is_new][endpoint] - Ck_Now(&clock_.clock);
+        return remaining > 0 ? remaining : 0;
     }
 
     // Starts pauses for this tick, equally likely for both versions.
@@ -349,29 +350,29 @@
     record.moves[0] = {9, 70, RO_SUCCEEDED, 0};
     char *bytes;
     size_t len = Dr_Encode(&record, &bytes);
-    static struct dr_record read;
-    ASSERT_TRUE(Dr_Decode(bytes, len, &read));
+    static struct dr_record decoded_record;
+    ASSERT_TRUE(Dr_Decode(bytes, len, &decoded_record));
     free(bytes);
-    EXPECT_FALSE(read.has_usage);
-    ASSERT_EQ(read.move_count, 1u);
-    EXPECT_EQ(read.moves[0].state, RO_SUCCEEDED);
-    EXPECT_EQ(read.moves[0].order, 70);
+    EXPECT_FALSE(decoded_record.has_usage);
+    ASSERT_EQ(decoded_record.move_count, 1u);
+    EXPECT_EQ(decoded_record.moves[0].state, RO_SUCCEEDED);
+    EXPECT_EQ(decoded_record.moves[0].order, 70);
 
-    static struct ms_word word = {};
-    strcpy(word.name, "front-1");
-    strcpy(word.ip, "10.0.0.1");
-    word.run = 1;
-    word.evidence_count = 1;
-    word.evidence[0] = {1, 2, 70, {30, 1}, {12, 4}};
-    word.standing_count = 1;
-    word.standings[0] = {1, 70, RO_ROLLED_BACK, 50};
+    static struct ms_word message = {};
+    strcpy(message.name, "front-1");
+    strcpy(message.ip, "10.0.0.1");
+    message.run = 1;
+    message.evidence_count = 1;
+    message.evidence[0] = {1, 2, 70, {30, 1}, {12, 4}};
+    message.standing_count = 1;
+    message.standings[0] = {1, 70, RO_ROLLED_BACK, 50};
     char datagram[4096];
-    len = Ms_Encode(&word, datagram, sizeof(datagram));
-    static struct ms_word heard;
-    ASSERT_TRUE(Ms_Decode(datagram, len, &heard));
-    EXPECT_EQ(heard.evidence[0].next.bad, 4u);
-    EXPECT_EQ(heard.standings[0].state, RO_ROLLED_BACK);
-    EXPECT_EQ(heard.standings[0].share, 50);
+    len = Ms_Encode(&message, datagram, sizeof(datagram));
+    static struct ms_word decoded;
+    ASSERT_TRUE(Ms_Decode(datagram, len, &decoded));
+    EXPECT_EQ(decoded.evidence[0].next.bad, 4u);
+    EXPECT_EQ(decoded.standings[0].state, RO_ROLLED_BACK);
+    EXPECT_EQ(decoded.standings[0].share, 50);
 }
 
 } // namespace
--- a/packages/edge/work_internal.h
+++ b/packages/edge/work_internal.h
@@ -61,7 +61,7 @@
 
 /*
  * Plans every service whose endpoints may be ordered and sends an order
- * wherever the plan differs from what is there.
+ * wherever the plan differs from the usable endpoints.
  */
 void wo_tick_orders(struct wo_work *work);
 void wo_tick_moves(struct wo_work *work);
