--- a/packages/edge/orders.c
+++ b/packages/edge/orders.c
@@ -12,7 +12,7 @@
  */
 #define Wo_DISCOVERY_HEARTBEATS 2
 #define Wo_PLAN_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
-/* Time from the end of an endpoint's start to its first entry in the store. */
+/* Allows for the time from an endpoint's start to its first store entry. */
 #define Wo_READY_MARGIN_USEC (2 * Ck_USEC_PER_SEC)
 /*
  * Delay before spot endpoints are ordered again in a data centre that had none
@@ -459,7 +459,7 @@
     for (size_t i = 0; i < config->service_count; i++) {
         const struct ro_move *move =
             Ro_Find(gate->moves, config->services[i].name);
-        /* An order cannot name the version of the endpoints. */
+        /* An order cannot name a version, so none is sent during a move. */
         bool moving = move != NULL && move->state == RO_RUNNING;
         if (config->services[i].ordered && !moving) {
             plan_service(work, &config->services[i]);
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -470,7 +470,7 @@
 }
 
 enum ro_pick
-Ro_Pick(const struct ro_move *move, bool repeat, double unit)
+Ro_Pick(const struct ro_move *move, bool retry, double random)
 {
     if (move == NULL) {
         return RO_ANY;
@@ -484,14 +484,14 @@
         break;
     }
     if (move->share >= Ro_FULL_SHARE) {
-        return repeat ? RO_OLD_FIRST : RO_NEXT_FIRST;
+        return retry ? RO_OLD_FIRST : RO_NEXT_FIRST;
     }
     /*
      * A retry goes to the old version: it must succeed and is not used to test
      * the new version.
      */
-    return !repeat && unit * Ro_FULL_SHARE < move->share ? RO_NEXT_FIRST
-                                                         : RO_OLD;
+    return !retry && random * Ro_FULL_SHARE < move->share ? RO_NEXT_FIRST
+                                                          : RO_OLD;
 }
 
 size_t
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -163,7 +163,8 @@
 struct ro_move *Ro_Find(struct ro_table *table, const char *service);
 /* NULL past the last move */
 struct ro_move *Ro_At(struct ro_table *table, size_t index);
-enum ro_pick Ro_Pick(const struct ro_move *move, bool repeat, double unit);
+/* Chooses for a request by a random number from 0 to below 1. */
+enum ro_pick Ro_Pick(const struct ro_move *move, bool retry, double random);
 size_t Ro_Own(const struct ro_table *table, struct ro_evidence *out,
               size_t size);
 struct ro_standing Ro_Standing(const struct ro_move *move);
--- a/packages/edge/work.c
+++ b/packages/edge/work.c
@@ -155,8 +155,8 @@
 }
 
 /*
- * Takes over what tenants spent by the previous holder's record, and sets what
- * the next renewal records.
+ * Passes the previous holder's record of what tenants spent to the quotas, and
+ * sets what the next renewal records.
  */
 static void
 exchange_recent(struct ga_gate *gate)
