--- a/packages/policy/choose.c
+++ b/packages/policy/choose.c
@@ -1,5 +1,5 @@
 /*
- * The choice of an endpoint for a request.
+ * Chooses the endpoint for a request.
  */
 #include "policy/choose.h"
 
@@ -9,9 +9,9 @@
 #include "base/clock.h"
 #include "policy/choose_internal.h"
 
-#define SLACK_USEC (5 * Ck_USEC_PER_MSEC) /* closer predictions are a tie */
+#define TIE_USEC (5 * Ck_USEC_PER_MSEC) /* closer predictions tie */
 
-/* Work of the whole prompt on an idle endpoint of usual speed. */
+/* Time to process the whole prompt on an idle endpoint of usual speed. */
 static double
 prompt_work(const struct ch_table *table, const struct ch_request *request)
 {
@@ -20,11 +20,12 @@
 }
 
 /*
- * Predicted time to the first token: the wait for a slot, one of which comes
- * free every service time over slots, and the prompt's work, which shares
- * the accelerator with what runs beside it.  The load is not known exactly,
- * as other routers have sent work since the report, so the wait sets in
- * softly before the last slot is taken.
+ * Predicts the time to the first token: the wait for a slot plus the time to
+ * process the prompt.  On average a slot becomes free every mean service time
+ * divided by the number of slots.  The prompt shares the accelerator with the
+ * running requests, so its time grows with the utilisation.  The load is only
+ * an estimate, as other routers have sent requests since the report, so the
+ * predicted wait rises smoothly before the last slot is taken.
  */
 static int64_t
 predict(const struct ch_endpoint *endpoint, const struct ch_request *request,
@@ -32,11 +33,11 @@
 {
     const struct ch_table *table = endpoint->table;
     double slots = endpoint->info.slots;
-    double beside = load < slots ? load / slots : 1;
+    double utilisation = load < slots ? load / slots : 1;
     double spread = sqrt(load + 1) / 2;
-    double over = spread * log1p(exp((load + 1 - slots) / spread));
-    double work = prompt_work(table, request) * (1 + beside);
-    double wait = over * table->service / slots;
+    double excess = spread * log1p(exp((load + 1 - slots) / spread));
+    double work = prompt_work(table, request) * (1 + utilisation);
+    double wait = excess * table->mean_service_usec / slots;
     double slowness =
         ch_slowness(endpoint, now) * ch_reported_slowness(endpoint);
     return (int64_t)((work + wait) * slowness);
@@ -53,13 +54,13 @@
     return false;
 }
 
-/* What keeps candidates out. */
+/* The conditions that a candidate must meet. */
 struct filter {
     const struct ch_request *request;
-    const char *version;       /* NULL: any that is trusted */
-    enum ch_standing standing; /* the worst that is let in */
+    const char *version;         /* NULL: any trusted one */
+    enum ch_health worst_health; /* of the candidates let in */
     int64_t now;
-    bool full; /* set: one of them was left out only for its limit */
+    bool at_limit; /* set: one was left out only for its load */
 };
 
 static bool
@@ -82,10 +83,14 @@
     return false;
 }
 
-/* Whether others serve an endpoint that is cold, or may be, at the moment. */
+/*
+ * Whether this host must not send to a cold, or possibly cold, endpoint now:
+ * other hosts serve the endpoint, or the gap since the last request of this
+ * host is too short.
+ */
 static bool
-is_left_to_others(const struct ch_table *table, struct ch_endpoint *endpoint,
-                  int64_t now)
+must_skip_cold(const struct ch_table *table, struct ch_endpoint *endpoint,
+               int64_t now)
 {
     struct wu_warmup *warmup = &endpoint->warmup;
     if (table->cold_per_sec <= 0) {
@@ -99,8 +104,8 @@
 }
 
 static bool
-may_take(const struct ch_table *table, struct ch_endpoint *endpoint,
-         struct filter *filter)
+is_candidate(const struct ch_table *table, struct ch_endpoint *endpoint,
+             struct filter *filter)
 {
     if (!is_allowed(filter->request, endpoint) ||
         endpoint->state == CH_LEAVING ||
@@ -112,30 +117,31 @@
         strcmp(filter->version, endpoint->info.version) != 0) {
         return false;
     }
-    if (ch_standing(endpoint, filter->now) > filter->standing) {
+    if (ch_health(endpoint, filter->now) > filter->worst_health) {
         return false;
     }
-    if (filter->standing < CH_SHUNNED &&
+    if (filter->worst_health < CH_UNREACHABLE &&
         Wu_IsDoubted(&endpoint->warmup, filter->now) &&
-        is_left_to_others(table, endpoint, filter->now)) {
+        must_skip_cold(table, endpoint, filter->now)) {
         return false;
     }
     if (Wu_IsCold(&endpoint->warmup, filter->now) &&
-        is_left_to_others(table, endpoint, filter->now)) {
-        filter->full = true;
+        must_skip_cold(table, endpoint, filter->now)) {
+        filter->at_limit = true;
         return false;
     }
     if (endpoint->in_flight >= (int)endpoint->limit ||
-        ch_is_closed(endpoint, filter->now)) {
-        filter->full = true;
+        ch_is_brittle_blocked(endpoint, filter->now)) {
+        filter->at_limit = true;
         return false;
     }
     return true;
 }
 
 /*
- * Whether so many endpoints look bad that the fault is more likely in what
- * the router sees than in them; then work does not wait for the rest.
+ * Whether so many endpoints look bad that the fault is more likely in the
+ * router's own view than in the endpoints.  Requests then do not wait for the
+ * remaining good endpoints.
  */
 bool
 ch_is_panic(const struct ch_table *table, const char *version, int64_t now)
@@ -150,7 +156,7 @@
             continue;
         }
         all++;
-        bad += ch_standing(endpoint, now) >= CH_DOUBTED;
+        bad += ch_health(endpoint, now) >= CH_DOUBTFUL;
     }
     return bad > table->settings.panic_share * all;
 }
@@ -172,7 +178,7 @@
     struct ch_endpoint *endpoint;
     ch_refresh_means(table);
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
-        if (!may_take(table, endpoint, filter)) {
+        if (!is_candidate(table, endpoint, filter)) {
             continue;
         }
         struct ch_candidate *candidate = &table->candidates[count++];
@@ -186,22 +192,24 @@
 }
 
 /*
- * The endpoints that may take the request: those in the best standing that any
- * has, so that one that fails is asked only where no other is left.  Work
- * waits for a place at a better one, unless so many look bad that too few
- * would carry all.  What the others cannot take never goes to one that fails.
+ * Collects the endpoints that may take the request: those of the best health
+ * that any of them has, so that a failing endpoint is used only if no other is
+ * left.  While endpoints of better health are at their limit, the request
+ * waits for them, except in panic, where too few endpoints would carry all
+ * requests.  Even in panic the overflow never goes to failing endpoints.
  */
 static size_t
 collect(struct ch_table *table, struct filter *filter)
 {
     bool panic = ch_is_panic(table, filter->version, filter->now);
     size_t count = 0;
-    filter->full = false;
-    for (int standing = CH_SOUND; standing <= CH_FAILING && count == 0;
-         standing++) {
-        bool should_wait = filter->full && (!panic || standing == CH_FAILING);
+    filter->at_limit = false;
+    for (int health = CH_HEALTHY; health <= CH_FAILING && count == 0;
+         health++) {
+        bool should_wait =
+            filter->at_limit && (!panic || health == CH_FAILING);
         if (!should_wait) {
-            filter->standing = (enum ch_standing)standing;
+            filter->worst_health = (enum ch_health)health;
             count = collect_usable(table, filter);
         }
     }
@@ -243,7 +251,7 @@
     return best == NULL || share->share > best->share ? share : best;
 }
 
-/* The trusted version with the largest share; NULL when none has any. */
+/* The trusted version with the largest share; NULL if none has a share. */
 static const struct ch_share *
 main_version(const struct ch_table *table)
 {
@@ -258,11 +266,12 @@
 }
 
 /*
- * The version for what has failed once: beside one on trial the other, even
- * with no share left, as its endpoints are kept until the trial is over.
+ * The version for a request that has failed once.  During a trial this is the
+ * version not on trial, even if it has no share left: its endpoints are kept
+ * until the trial is over.
  */
 static const struct ch_share *
-settled_version(const struct ch_table *table)
+stable_version(const struct ch_table *table)
 {
     const struct ch_share *best = NULL;
     for (size_t i = 0; i < table->share_count; i++) {
@@ -276,10 +285,10 @@
 }
 
 /*
- * Draws a version by share among the trusted.  A version at its cap passes
- * the request to the main one, never the other way round: a hanging new
- * version piles up requests in flight, and a fallback onto it would raise
- * its share just when the old version is short.
+ * Draws a trusted version at random, weighted by share.  If that version is at
+ * its cap, the request goes to the main version.  There is no fallback in the
+ * other direction: a hanging new version accumulates requests in flight, and a
+ * fallback would raise its share just when the old version lacks capacity.
  */
 static const struct ch_share *
 draw_version(const struct ch_table *table, struct rn_random *random)
@@ -304,9 +313,9 @@
     return main_version(table);
 }
 
-/* With no version left that has a share, any listed and trusted one. */
+/* Any listed and trusted version, for when none of them has a share. */
 static const struct ch_share *
-warm_version(const struct ch_table *table)
+any_trusted_version(const struct ch_table *table)
 {
     for (size_t i = 0; i < table->share_count; i++) {
         if (Ch_Trusted(table, table->shares[i].version)) {
@@ -316,13 +325,13 @@
     return NULL;
 }
 
-/* What has failed once is not tried on a version that is on trial. */
+/* A request that has failed once is not sent to a version on trial. */
 static const struct ch_share *
-first_asked(const struct ch_table *table, const struct ch_request *request,
-            struct rn_random *random)
+first_version(const struct ch_table *table, const struct ch_request *request,
+              struct rn_random *random)
 {
     if (request->failed) {
-        return settled_version(table);
+        return stable_version(table);
     }
     return request->again ? main_version(table) : draw_version(table, random);
 }
@@ -335,12 +344,13 @@
         return collect(table, filter);
     }
     const struct ch_share *main = main_version(table);
-    const struct ch_share *share = first_asked(table, filter->request, random);
+    const struct ch_share *share =
+        first_version(table, filter->request, random);
     if (share == NULL) {
         share = main;
     }
     if (share == NULL) {
-        share = warm_version(table);
+        share = any_trusted_version(table);
     }
     if (share == NULL) {
         return 0;
@@ -348,10 +358,10 @@
     filter->version = share->version;
     size_t count = collect(table, filter);
     if (count == 0 && main != NULL && main != share) {
-        bool full = filter->full;
+        bool full = filter->at_limit;
         filter->version = main->version;
         count = collect(table, filter);
-        filter->full |= full;
+        filter->at_limit |= full;
     }
     return count;
 }
@@ -369,10 +379,10 @@
 }
 
 /*
- * Chooses the endpoint for a request and fills in the flight.
- * ST_UNAVAILABLE: none is there; ST_OVERLOAD: all are at their limit, the
- * request should wait; ST_TIMEOUT: the first token cannot come within the
- * budget.  In each case nothing was sent.
+ * Chooses the endpoint for a request and fills in the flight.  Errors:
+ * ST_UNAVAILABLE if no endpoint may take the request, ST_OVERLOAD if all that
+ * may take it are at their limit and the request should wait, and ST_TIMEOUT
+ * if the first token cannot arrive within the budget.  Sends nothing.
  */
 enum st_status
 Ch_Choose(struct ch_table *table, const struct ch_request *request,
@@ -381,7 +391,7 @@
     struct filter filter = {.request = request, .now = now};
     size_t count = collect_by_share(table, &filter, random);
     memset(out, 0, sizeof(*out));
-    if (count == 0 && filter.full) {
+    if (count == 0 && filter.at_limit) {
         return St_Fail(ST_OVERLOAD, "every endpoint is at its limit; wait for "
                                     "a place or add replicas");
     }
@@ -408,20 +418,21 @@
 }
 
 /*
- * Whether one is the better choice; near, then cheap, then the less filled
- * decides a tie.  Predictions of a service with many slots are all but equal
- * until they are taken; drawn by chance alone, calls placed at once can all go
- * to one endpoint.
+ * Whether "one" is the better choice.  Ties go to an endpoint in the router's
+ * own data centre, then to the cheaper one, then to the one with the lower
+ * load per slot.  The last rule matters for endpoints with many slots: their
+ * predictions hardly differ while slots are free, and by random draws alone
+ * simultaneous requests could all go to one endpoint.
  */
 static bool
 is_better(const struct ch_candidate *one, const struct ch_candidate *other)
 {
     int64_t sooner = other->predicted - one->predicted;
-    if (sooner > SLACK_USEC || sooner < -SLACK_USEC) {
+    if (sooner > TIE_USEC || sooner < -TIE_USEC) {
         return sooner > 0;
     }
-    if (one->endpoint->near != other->endpoint->near) {
-        return one->endpoint->near;
+    if (one->endpoint->same_data_centre != other->endpoint->same_data_centre) {
+        return one->endpoint->same_data_centre;
     }
     if (one->endpoint->info.price != other->endpoint->info.price) {
         return one->endpoint->info.price < other->endpoint->info.price;
@@ -432,8 +443,8 @@
 
 /* The better of two candidates drawn at random. */
 static size_t
-pick_two(const struct ch_candidate *candidates, size_t count,
-         struct rn_random *random)
+pick_of_two(const struct ch_candidate *candidates, size_t count,
+            struct rn_random *random)
 {
     if (count == 1) {
         return 0;
@@ -446,7 +457,7 @@
     return is_better(&candidates[one], &candidates[other]) ? one : other;
 }
 
-/* The first two of the rendezvous order; the same one twice if alone. */
+/* The first two in rendezvous order; a single candidate is given twice. */
 static void
 rank_two(const struct ch_candidate *candidates, size_t count, size_t order[2])
 {
@@ -464,7 +475,7 @@
     }
 }
 
-/* The load up to which affinity may fill the endpoint. */
+/* The load up to which requests are sent to the endpoint for affinity. */
 static double
 affine_bound(const struct ch_table *table, const struct ch_candidate *all,
              size_t count, const struct ch_endpoint *endpoint)
@@ -477,23 +488,24 @@
     }
     double own = endpoint->info.slots;
     double bound = table->settings.bound * load * own / slots;
-    /* Engines less than half full need no bound. */
+    /* Endpoints with fewer than half of their slots in use need no bound. */
     return bound > own / 2 ? bound : own / 2;
 }
 
 /*
- * Rendezvous order of the prefix, bounded: the first or second endpoint of
- * the order takes the request unless it holds more than its bounded share of
- * the load, or would be later than the better of two others even with the
- * whole prompt in its cache.  One popular prefix would otherwise queue
- * behind one endpoint while the others idle.
+ * Rendezvous hashing on the prefix, with bounded load: the first or second
+ * endpoint in rendezvous order gets the request, unless its load is over its
+ * bound, or it would answer later than the better of two random candidates
+ * even with the whole prompt in its cache.  Without these conditions the
+ * requests of one popular prefix would queue at one endpoint while others are
+ * idle.
  */
 static size_t
 predictive(struct ch_table *table, const struct ch_request *request,
            const struct ch_candidate *candidates, size_t count,
            struct rn_random *random, bool *affine)
 {
-    size_t other = pick_two(candidates, count, random);
+    size_t other = pick_of_two(candidates, count, random);
     size_t order[2];
     *affine = false;
     if (request->prefix == 0) {
@@ -502,10 +514,11 @@
     rank_two(candidates, count, order);
     double saved = prompt_work(table, request);
     for (size_t i = 0; i < 2; i++) {
-        const struct ch_candidate *home = &candidates[order[i]];
-        double later = (double)(home->predicted - candidates[other].predicted);
-        if (home->load <
-                affine_bound(table, candidates, count, home->endpoint) &&
+        const struct ch_candidate *preferred = &candidates[order[i]];
+        double later =
+            (double)(preferred->predicted - candidates[other].predicted);
+        if (preferred->load <
+                affine_bound(table, candidates, count, preferred->endpoint) &&
             later <= saved) {
             *affine = true;
             return order[i];
@@ -519,20 +532,20 @@
             const struct ch_candidate *candidates, size_t count,
             struct rn_random *random, bool *affine)
 {
-    return pick_two(candidates, count, random);
+    return pick_of_two(candidates, count, random);
 }
 
 static const struct ch_ops predictive_ops = {"predictive", predictive};
 static const struct ch_ops no_affinity_ops = {"no-affinity", no_affinity};
 
-/* Prefix affinity with bounded load, else two choices by prediction. */
+/* Prefix affinity with bounded load; else the better of two, as predicted. */
 const struct ch_ops *
 Ch_Predictive(void)
 {
     return &predictive_ops;
 }
 
-/* Two choices by prediction alone. */
+/* The better of two random candidates, as predicted. */
 const struct ch_ops *
 Ch_NoAffinity(void)
 {
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -1,12 +1,14 @@
 /*
- * Which endpoint of a service runs a request.  A table holds the endpoints
- * of one service as this router knows them: what the watchers report, which
- * lags, and what the router itself has in flight, which does not.
+ * Load balancing: the choice of the endpoint that runs a request.  A table
+ * holds the endpoints of one service as this router, the daemon of one host,
+ * knows them: their state as other hosts report it, which lags, and the
+ * router's own requests in flight, which are exact.
  *
- * A request goes through Ch_Choose(), Ch_Start(), Ch_FirstToken() when the
- * first byte of the answer is there, and Ch_End().  The caller owns the
- * struct ch_flight in between; an endpoint removed meanwhile stays valid
- * until its last flight has ended.  Times are microseconds.
+ * The caller dispatches a request with Ch_Choose() and Ch_Start(), calls
+ * Ch_FirstToken() when the first byte of the answer arrives, and Ch_End() when
+ * the answer is complete or has failed.  The caller owns the struct ch_flight
+ * in between; an endpoint that is removed meanwhile stays valid until its last
+ * flight has ended.  Times are microseconds.
  */
 #ifndef POLICY_CHOOSE_H
 #define POLICY_CHOOSE_H
@@ -28,11 +30,11 @@
 
 enum ch_state {
     CH_LIVE,
-    CH_SUSPECT, /* its watchers do not reach it */
-    CH_LEAVING, /* reclaimed or stopping: gets no new work */
+    CH_SUSPECT, /* the hosts that probe it cannot reach it */
+    CH_LEAVING, /* reclaimed or stopping: gets no new requests */
 };
 
-/* What is fixed about an endpoint, but for its version. */
+/* The static description of an endpoint, and the version that it runs. */
 struct ch_info {
     char id[Ch_NAME_MAX];
     char address[Ch_NAME_MAX];
@@ -46,7 +48,7 @@
     bool reclaimable;
 };
 
-/* A load report; "taken" is on this router's clock. */
+/* A load report; "taken" is when it was measured, on this router's clock. */
 struct ch_sample {
     int running;
     int waiting;
@@ -55,27 +57,27 @@
 };
 
 /*
- * The share of new requests a version may carry.  Versions not listed carry
- * nothing; a listed one with share 0 is kept warm and carries requests only
- * when every version with a share is distrusted.
+ * The share of new requests that a version gets.  A version that is not listed
+ * gets none.  A listed version with share 0 is kept as a standby: it gets
+ * requests only when every version with a share is distrusted.
  */
 struct ch_share {
     char version[Ch_NAME_MAX];
     double share;
-    int max_in_flight; /* of this router; 0: no cap; negative: none at all */
+    int max_in_flight; /* of this router; 0: no cap; negative: no requests */
 };
 
 struct ch_request {
     uint64_t prefix;     /* hash of the prompt's head; 0: none */
     int prompt_tokens;   /* 0 for a plain service */
     int expected_tokens; /* of the answer */
-    int64_t budget;      /* until the first token is of use; 0: none */
-    bool again;          /* it was sent before */
-    bool failed;         /* an endpoint has failed it */
+    int64_t budget;      /* time left for the first token; 0: no limit */
+    bool again;          /* a retry: it was sent before */
+    bool failed;         /* an attempt at it failed at an endpoint */
     /* Whether the request may run there; NULL: anywhere. */
     bool (*allowed)(const void *arg, const struct ch_info *info);
     const void *allowed_arg;
-    const char *const *tried; /* ids already tried */
+    const char *const *tried; /* ids of endpoints not to choose again */
     size_t tried_count;
 };
 
@@ -87,35 +89,35 @@
     struct ch_endpoint *endpoint;
     int64_t predicted; /* time to the first token */
     int64_t started;
-    bool affine;      /* chosen for its prefix cache */
+    bool affine;      /* endpoint chosen for its prefix cache */
     bool on_trial;    /* its version is on trial */
     bool first_token; /* the first token has been seen */
 };
 
 enum ch_outcome {
     CH_GOOD,
-    CH_FAILED,     /* connection lost, 5xx, cut stream, timed out */
-    CH_UNREACHED,  /* no connection: no byte of the request left */
-    CH_OVERLOADED, /* the endpoint refused for load */
-    CH_CANCELLED,  /* nobody waits any more; says nothing about it */
+    CH_FAILED,     /* connection lost, 5xx, truncated stream, time-out */
+    CH_UNREACHED,  /* no connection: no byte of the request was sent */
+    CH_OVERLOADED, /* the endpoint refused the request for load */
+    CH_CANCELLED,  /* the caller gave up; no evidence on the endpoint */
 };
 
 struct ch_candidate {
     struct ch_endpoint *endpoint;
     int64_t predicted;
-    double load;   /* requests there, as far as known */
+    double load;   /* estimated requests of all routers there */
     uint64_t rank; /* rendezvous rank for the request's prefix */
 };
 
 struct ch_settings {
-    int64_t first_token; /* target for 95 in 100 */
-    int64_t base;        /* work of any request */
-    int64_t per_token;   /* work of a prompt token not in the cache */
-    double bound;        /* load over the mean that affinity may cause */
-    double panic_share;  /* share out of use from which none is out */
+    int64_t first_token; /* target time for 95 % of first tokens */
+    int64_t base;        /* fixed processing time of a request */
+    int64_t per_token;   /* time for a prompt token that is not cached */
+    double bound;        /* cap on load with affinity, times the mean */
+    double panic_share;  /* ejects at most this share; more bad ones: panic */
 };
 
-/* How one of several candidates is taken; returns its index. */
+/* A balancing policy; "pick" returns the index of one candidate. */
 struct ch_ops {
     const char *name;
     size_t (*pick)(struct ch_table *table, const struct ch_request *request,
@@ -134,7 +136,7 @@
                            const struct ch_settings *settings);
 void Ch_Destroy(struct ch_table *table);
 
-/* Commands on the table. */
+/* Changes to the table. */
 enum st_status Ch_Put(struct ch_table *table, const struct ch_info *info);
 enum st_status Ch_Remove(struct ch_table *table, const char *id);
 enum st_status Ch_SetState(struct ch_table *table, const char *id,
@@ -144,30 +146,34 @@
 enum st_status Ch_SetShares(struct ch_table *table,
                             const struct ch_share *shares, size_t count);
 /*
- * The version on trial, or NULL.  What has failed is sent to a version that is
- * not on trial, whichever has the larger share, while that has an endpoint
- * that has not failed it.
+ * Sets the version on trial; NULL: none.  A request that failed is sent to the
+ * version not on trial, even if the version on trial has the larger share, as
+ * long as that version has an endpoint that has not failed the request.
  */
 void Ch_SetTrial(struct ch_table *table, const char *version);
 /*
- * What endpoints bear while they are cold, 0: as much as others; and how long
- * that lasts after a start.  "hosts" stays the caller's.
+ * Sets how many requests a second a cold endpoint handles, where 0 means no
+ * limit, and how long an endpoint is cold after its start.  "hosts" remains
+ * owned by the caller.
  */
 void Ch_SetWarmup(struct ch_table *table, double per_sec, int64_t cold_usec,
                   const struct wu_hosts *hosts);
-/* At "now" an endpoint was cold for so much longer; older words are dropped.
+/*
+ * Records a report, taken at "now", that the endpoint stays cold for another
+ * "left"; a report older than the last one is dropped.
  */
 void Ch_Cold(struct ch_table *table, const char *id, int64_t left,
              int64_t now);
 /*
- * A report taken at "at" says how many refusals in a second the endpoint, as
- * all of the table, bears; "most" below 0: it says nothing of it.
+ * Records the refusal limit in a report of the endpoint taken at "at": if it
+ * refuses more than "most" requests in a second, it fails.  The limit holds
+ * for all endpoints of the table.  "most" below 0: the report names no limit.
  */
 enum st_status Ch_Brittle(struct ch_table *table, const char *id, int most,
                           int64_t at);
 enum st_status Ch_Distrust(struct ch_table *table, const char *version);
 
-/* Commands on a request. */
+/* Steps of a request. */
 void Ch_Start(struct ch_table *table, struct ch_flight *flight, int64_t now);
 void Ch_FirstToken(struct ch_table *table, struct ch_flight *flight,
                    int64_t now);
@@ -192,8 +198,8 @@
 bool Ch_Ejected(const struct ch_endpoint *endpoint, int64_t now);
 bool Ch_Trusted(const struct ch_table *table, const char *version);
 /*
- * What would keep a request from an endpoint, in a word for log lines; "ok":
- * nothing.  Shares of versions and what requests ask for are not looked at.
+ * Why the endpoint would get no request now, as a keyword for log lines; "ok"
+ * if it would.  Version shares and the demands of a request are not checked.
  */
 const char *Ch_Obstacle(const struct ch_endpoint *endpoint, int64_t now);
 struct ch_endpoint *Ch_Find(const struct ch_table *table, const char *id);
@@ -201,8 +207,8 @@
 struct ch_endpoint *Ch_Next(const struct ch_endpoint *endpoint);
 
 /*
- * What the table can still take: the sum of the free places of endpoints in
- * use, and how many requests a second it has lately finished.
+ * The spare capacity of the table: how many more requests the limits of its
+ * usable endpoints admit, and the recent rate of finished requests.
  */
 struct ch_capacity {
     int endpoints;
--- a/packages/policy/choose_baseline.c
+++ b/packages/policy/choose_baseline.c
@@ -1,5 +1,5 @@
 /*
- * The usual ways to choose, to measure against.
+ * Common balancing policies, as baselines for measurements.
  */
 #include "policy/choose.h"
 #include "policy/choose_internal.h"
@@ -30,7 +30,7 @@
             const struct ch_candidate *candidates, size_t count,
             struct rn_random *random, bool *affine)
 {
-    return (size_t)(table->turn++ % count);
+    return (size_t)(table->round_robin_next++ % count);
 }
 
 static size_t
@@ -45,21 +45,19 @@
 static const struct ch_ops round_ops = {"round-robin", round_robin};
 static const struct ch_ops random_ops = {"random", at_random};
 
-/* The endpoint with the fewest requests of this router. */
+/* The endpoint with the fewest requests of this router in flight. */
 const struct ch_ops *
 Ch_LeastInFlight(void)
 {
     return &least_ops;
 }
 
-/* Each endpoint in turn. */
 const struct ch_ops *
 Ch_RoundRobin(void)
 {
     return &round_ops;
 }
 
-/* Any endpoint. */
 const struct ch_ops *
 Ch_Random(void)
 {
--- a/packages/policy/choose_brittle.c
+++ b/packages/policy/choose_brittle.c
@@ -10,31 +10,31 @@
 enum st_status
 Ch_Brittle(struct ch_table *table, const char *id, int most, int64_t at)
 {
-    struct ch_endpoint *told = Ch_Find(table, id);
-    if (told == NULL) {
+    struct ch_endpoint *reporter = Ch_Find(table, id);
+    if (reporter == NULL) {
         return St_Fail(ST_NOT_FOUND, "endpoint %s is not in the table", id);
     }
-    bool over = most < 0 && Br_IsOver(&told->room, at);
+    bool over = most < 0 && Br_IsOver(&reporter->brittle, at);
     if (most < 0 && !over) {
         return ST_OK;
     }
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
         if (over) {
-            Br_End(&endpoint->room);
+            Br_End(&endpoint->brittle);
         }
         else {
-            Br_Told(&endpoint->room, most, at);
+            Br_Told(&endpoint->brittle, most, at);
         }
     }
-    told->room.said = !over;
+    reporter->brittle.said = !over;
     return ST_OK;
 }
 
 bool
 Ch_IsBrittle(const struct ch_endpoint *endpoint, int64_t now)
 {
-    return Br_IsBrittle(&endpoint->room, now);
+    return Br_IsBrittle(&endpoint->brittle, now);
 }
 
 static size_t
@@ -50,27 +50,27 @@
     struct ch_endpoint *best = NULL;
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
-        struct br_room *room = &endpoint->room;
+        struct br_room *room = &endpoint->brittle;
         room->rank = table->hosts == NULL
                          ? 0
                          : Wu_Rank(table->hosts, endpoint->id_hash);
         room->rank_at = now;
         room->best = false;
         room->endpoints = table->count;
-        if (best == NULL || room->rank < best->room.rank) {
+        if (best == NULL || room->rank < best->brittle.rank) {
             best = endpoint;
         }
     }
     if (best != NULL) {
-        best->room.best = true;
+        best->brittle.best = true;
     }
 }
 
 bool
-ch_is_closed(const struct ch_endpoint *endpoint, int64_t now)
+ch_is_brittle_blocked(const struct ch_endpoint *endpoint, int64_t now)
 {
     struct ch_table *table = endpoint->table;
-    const struct br_room *room = &endpoint->room;
+    const struct br_room *room = &endpoint->brittle;
     if (!Br_IsBrittle(room, now)) {
         return false;
     }
--- a/packages/policy/choose_flight.c
+++ b/packages/policy/choose_flight.c
@@ -1,6 +1,6 @@
 /*
- * Commands on one dispatch: what is in flight at an endpoint, and what its
- * course says about the endpoint.
+ * The steps of one dispatched request: counts the requests in flight and
+ * judges the endpoint by their outcome.
  */
 #include <math.h>
 #include <stdlib.h>
@@ -10,75 +10,75 @@
 #include "policy/choose.h"
 #include "policy/choose_internal.h"
 
-#define CONSECUTIVE_MAX 5       /* failures in a row that eject */
-#define JUDGED_MIN 20           /* requests before a rate says anything */
-#define FAILED_SHARE_MARGIN 0.2 /* over the peers' share, ejects */
-#define SLOW_FACTOR 3.0         /* over the peers' slowness, ejects */
-#define SLOW_MIN 10             /* first tokens before slowness is judged */
+#define CONSECUTIVE_FAILURES_MAX 5 /* an endpoint with so many is ejected */
+#define SAMPLES_MIN 20             /* requests before the rate is judged */
+#define FAILURE_MARGIN 0.2 /* failure rate over the siblings' that ejects */
+#define SLOW_FACTOR 3.0    /* slowness over the siblings' that ejects */
+#define SLOW_MIN 10        /* first tokens before slowness is judged */
 #define EJECT_USEC (5 * Ck_USEC_PER_SEC)
 #define EJECT_DOUBLINGS 6
 #define FAILING_USEC (100 * Ck_USEC_PER_MSEC)
 #define FAILING_DOUBLINGS 5
-#define SHUN_USEC Ck_USEC_PER_SEC
+#define UNREACHABLE_USEC Ck_USEC_PER_SEC
 #define SLOWNESS_GAIN 0.2
 #define SLOWNESS_LOW 0.25
 #define SLOWNESS_HIGH 16.0
-#define SLOWNESS_HALF_LIFE 30e6
+#define SLOWNESS_HALF_LIFE_USEC 30e6
 #define LIMIT_CUT 0.8
 #define LIMIT_MIN 1.0
-#define LIMIT_OF_SLOTS 2.0 /* highest limit, in slots */
-#define LIMIT_CUT_PAUSE Ck_USEC_PER_SEC
+#define LIMIT_MAX_PER_SLOT 2.0
+#define LIMIT_CUT_PAUSE_USEC Ck_USEC_PER_SEC
 #define SERVICE_GAIN 0.02
 
-/* Opens a new window when the last is over. */
+/* Opens a new window if the current one has ended. */
 void
 ch_window_roll(struct ch_window *window, int64_t now)
 {
-    if (now - window->begun < CH_WINDOW_USEC) {
+    if (now - window->begun_at < CH_WINDOW_USEC) {
         return;
     }
-    bool adjoins = now - window->begun < 2 * CH_WINDOW_USEC;
-    window->last_good = adjoins ? window->good : 0;
-    window->last_failed = adjoins ? window->failed : 0;
+    bool is_adjacent = now - window->begun_at < 2 * CH_WINDOW_USEC;
+    window->last_good = is_adjacent ? window->good : 0;
+    window->last_failed = is_adjacent ? window->failed : 0;
     window->good = 0;
     window->failed = 0;
-    window->begun = now;
+    window->begun_at = now;
 }
 
 static void
-net_add(struct ch_endpoint *endpoint, int64_t now, int amount)
+add_net_starts(struct ch_endpoint *endpoint, int64_t now, int amount)
 {
-    int64_t bucket = now / CH_NET_USEC;
-    int64_t fresh = bucket - endpoint->net_bucket;
-    if (fresh > CH_NET_BUCKETS) {
-        fresh = CH_NET_BUCKETS;
+    int64_t bucket = now / CH_BUCKET_USEC;
+    int64_t fresh = bucket - endpoint->newest_bucket;
+    if (fresh > CH_BUCKETS) {
+        fresh = CH_BUCKETS;
     }
     for (int64_t i = 0; i < fresh; i++) {
-        endpoint->net[(bucket - i) % CH_NET_BUCKETS] = 0;
+        endpoint->net_starts[(bucket - i) % CH_BUCKETS] = 0;
     }
-    if (bucket > endpoint->net_bucket) {
-        endpoint->net_bucket = bucket;
+    if (bucket > endpoint->newest_bucket) {
+        endpoint->newest_bucket = bucket;
     }
-    endpoint->net[endpoint->net_bucket % CH_NET_BUCKETS] += amount;
+    endpoint->net_starts[endpoint->newest_bucket % CH_BUCKETS] += amount;
 }
 
-/* Own starts less own ends since the last report was taken. */
+/* Own starts minus own ends since the last report was taken. */
 static int
 net_since_report(const struct ch_endpoint *endpoint)
 {
-    int64_t first = endpoint->sample.taken / CH_NET_USEC;
+    int64_t first = endpoint->sample.taken / CH_BUCKET_USEC;
     int net = 0;
-    for (int i = 0; i < CH_NET_BUCKETS; i++) {
-        int64_t bucket = endpoint->net_bucket - i;
+    for (int i = 0; i < CH_BUCKETS; i++) {
+        int64_t bucket = endpoint->newest_bucket - i;
         if (bucket < first || bucket < 0) {
             break;
         }
-        net += endpoint->net[bucket % CH_NET_BUCKETS];
+        net += endpoint->net_starts[bucket % CH_BUCKETS];
     }
     return net;
 }
 
-/* What other routers had at the endpoint when the report was taken. */
+/* Requests of other routers at the endpoint when the report was taken. */
 static double
 reported_others(const struct ch_endpoint *endpoint)
 {
@@ -88,8 +88,9 @@
 }
 
 /*
- * Renews the means over all endpoints that reports are judged against: the
- * others' load per slot, and the tokens a second per running request.
+ * Recomputes the means over all endpoints with which a report is compared: the
+ * load from other routers per slot, and the tokens per second of a running
+ * request.
  */
 void
 ch_refresh_means(struct ch_table *table)
@@ -107,14 +108,15 @@
             running += endpoint->sample.running;
         }
     }
-    table->others_per_slot = slots > 0 ? others / slots : 0;
-    table->token_rate = running > 0 ? tokens / running : 0;
+    table->other_load_per_slot = slots > 0 ? others / slots : 0;
+    table->tokens_per_request = running > 0 ? tokens / running : 0;
 }
 
 /*
- * How much slower than the mean the endpoint decodes, by its own report: at
- * least 1, so that it can only warn.  A router of many sends an endpoint too
- * little to learn that it is slow before its callers do.
+ * How many times slower than the mean the endpoint decodes, by its own report.
+ * At least 1, so that a report never makes an endpoint more attractive.  One
+ * of many routers sends an endpoint too few requests to notice from them that
+ * it is slow before callers do.
  */
 double
 ch_reported_slowness(const struct ch_endpoint *endpoint)
@@ -125,44 +127,46 @@
         return 1;
     }
     double own = sample->tokens_per_s / sample->running;
-    return fmin(fmax(endpoint->table->token_rate / own, 1), SLOWNESS_HIGH);
+    return fmin(fmax(endpoint->table->tokens_per_request / own, 1),
+                SLOWNESS_HIGH);
 }
 
 /*
- * Requests at the endpoint as far as can be known: this router's own, which
- * it knows exactly, and those of others, from the last report.  Taken as it
- * is, the report makes herds: every router sends to the endpoint that looked
- * idle until the next report.  So the own requests since it are counted in,
- * and what the report says of the others fades into the mean of all
- * endpoints as fast as requests come and go.
+ * Estimates the requests at the endpoint: this router's own, which are exact,
+ * and those of other routers, from the last report.  Used unchanged, a report
+ * causes herding: until the next report, every router sends to the endpoint
+ * that looked idle.  So own requests since the report are added, and the
+ * reported load of other routers decays towards the mean of all endpoints,
+ * with the mean service time as its time constant.
  */
 double
 ch_load(const struct ch_endpoint *endpoint, int64_t now)
 {
     const struct ch_table *table = endpoint->table;
-    double usual = table->others_per_slot * endpoint->info.slots;
+    double usual = table->other_load_per_slot * endpoint->info.slots;
     if (!endpoint->reported) {
         return endpoint->in_flight + usual;
     }
     double age = (double)(now - endpoint->sample.taken);
-    double fresh = age > 0 ? exp(-age / table->service) : 1;
+    double fresh = age > 0 ? exp(-age / table->mean_service_usec) : 1;
     double others = reported_others(endpoint);
     return endpoint->in_flight + usual + (others - usual) * fresh;
 }
 
 /*
- * Observed over predicted time to the first token.  It falls back towards 1
- * with time, or else an endpoint once slow would never be tried again.
+ * Ratio of observed to predicted time to the first token.  It decays towards 1
+ * with time; otherwise an endpoint that was slow once would never be tried
+ * again.
  */
 double
 ch_slowness(const struct ch_endpoint *endpoint, int64_t now)
 {
     double age = (double)(now - endpoint->slowness_at);
-    double rest = age > 0 ? exp2(-age / SLOWNESS_HALF_LIFE) : 1;
+    double rest = age > 0 ? exp2(-age / SLOWNESS_HALF_LIFE_USEC) : 1;
     return 1 + (endpoint->slowness - 1) * rest;
 }
 
-/* Counts a request as sent to the endpoint of the flight. */
+/* Records that the request was sent to the endpoint of the flight. */
 void
 Ch_Start(struct ch_table *table, struct ch_flight *flight, int64_t now)
 {
@@ -175,14 +179,14 @@
             Wu_Part(table->cold_per_sec, table->hosts->count + 1);
         Wu_Sent(&flight->endpoint->warmup, &part, now);
     }
-    Br_Sent(&flight->endpoint->room, now);
-    net_add(flight->endpoint, now, 1);
+    Br_Sent(&flight->endpoint->brittle, now);
+    add_net_starts(flight->endpoint, now, 1);
 }
 
 static void
 limit_cut(struct ch_endpoint *endpoint, int64_t now)
 {
-    if (now - endpoint->limit_cut_at < LIMIT_CUT_PAUSE &&
+    if (now - endpoint->limit_cut_at < LIMIT_CUT_PAUSE_USEC &&
         endpoint->limit_cut_at > 0) {
         return;
     }
@@ -193,7 +197,7 @@
 static void
 limit_raise(struct ch_endpoint *endpoint)
 {
-    double most = endpoint->info.slots * LIMIT_OF_SLOTS;
+    double most = endpoint->info.slots * LIMIT_MAX_PER_SLOT;
     if (endpoint->in_flight * 2 >= endpoint->limit) {
         endpoint->limit += 1 / endpoint->limit;
     }
@@ -201,7 +205,7 @@
 }
 
 /*
- * Records the first byte of an answer: it sets the endpoint's slowness and
+ * Records the first byte of an answer, and updates the endpoint's slowness and
  * its adaptive limit.
  */
 void
@@ -230,20 +234,21 @@
 }
 
 /*
- * Whether two endpoints can stand in for each other.  Where versions have
- * shares only those of one version can: a bad new version must not keep the
- * old one's bad endpoints in use.
+ * Whether two endpoints can replace each other.  If versions have shares, only
+ * endpoints of the same version can: ejected endpoints of a bad new version
+ * must not keep bad endpoints of the old version in use.
  */
 static bool
-is_peer(const struct ch_endpoint *one, const struct ch_endpoint *other)
+is_sibling(const struct ch_endpoint *one, const struct ch_endpoint *other)
 {
     return one->table->share_count == 0 ||
            strcmp(one->info.version, other->info.version) == 0;
 }
 
 /*
- * A fault of the network or of a dependency makes all endpoints fail at
- * once; ejecting them all would turn a degraded service into none.
+ * Limits the share of ejected endpoints.  A fault of the network or of a
+ * dependency makes all endpoints fail at once; ejecting all of them would turn
+ * a degraded service into an outage.
  */
 static bool
 may_eject(const struct ch_endpoint *endpoint, int64_t now)
@@ -251,30 +256,31 @@
     struct ch_table *table = endpoint->table;
     int out = 0;
     int all = 0;
-    struct ch_endpoint *peer;
-    TAILQ_FOREACH (peer, &table->endpoints, entry) {
-        if (is_peer(endpoint, peer)) {
+    struct ch_endpoint *sibling;
+    TAILQ_FOREACH (sibling, &table->endpoints, entry) {
+        if (is_sibling(endpoint, sibling)) {
             all++;
-            out += Ch_Ejected(peer, now);
+            out += Ch_Ejected(sibling, now);
         }
     }
     return out + 1 <= table->settings.panic_share * all;
 }
 
-enum judgement {
-    SOUND,
-    TOO_SLOW,
-    FAILS,
+enum verdict {
+    VERDICT_GOOD,
+    VERDICT_SLOW,
+    VERDICT_FAILING,
 };
 
 /*
- * Sets an endpoint that fails behind all others, at first for so short that
- * one that is well again is soon found to be, then for longer each time.
+ * Puts a failing endpoint behind all others in the order of choice.  The first
+ * interval is short, so that a recovered endpoint is soon found; it doubles
+ * with each further failure.
  */
 static void
-set_behind(struct ch_endpoint *endpoint, int64_t now)
+mark_failing(struct ch_endpoint *endpoint, int64_t now)
 {
-    int doublings = endpoint->fail_streak - CONSECUTIVE_MAX;
+    int doublings = endpoint->fail_streak - CONSECUTIVE_FAILURES_MAX;
     if (doublings < 0) {
         doublings = 0;
     }
@@ -294,100 +300,102 @@
                                                           : EJECT_DOUBLINGS;
     endpoint->ejected_until = now + (EJECT_USEC << doublings);
     endpoint->ejections++;
-    /* One more failure after the return ejects again, for twice as long. */
-    endpoint->consecutive = CONSECUTIVE_MAX - 1;
+    /* After its return one failure ejects it again, for twice as long. */
+    endpoint->consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1;
     endpoint->slowness = 1;
     endpoint->slowness_count = 0;
-    endpoint->window = (struct ch_window){.begun = now};
+    endpoint->window = (struct ch_window){.begun_at = now};
 }
 
-struct peers {
+struct siblings {
     int good;
     int failed;
     double slowness;
-    int slowness_of;
+    int slowness_count;
 };
 
-static struct peers
-sum_peers(const struct ch_endpoint *endpoint, int64_t now)
+static struct siblings
+sum_siblings(const struct ch_endpoint *endpoint, int64_t now)
 {
-    struct peers sum = {0};
-    struct ch_endpoint *peer;
-    TAILQ_FOREACH (peer, &endpoint->table->endpoints, entry) {
-        if (peer == endpoint || !is_peer(endpoint, peer)) {
+    struct siblings sum = {0};
+    struct ch_endpoint *sibling;
+    TAILQ_FOREACH (sibling, &endpoint->table->endpoints, entry) {
+        if (sibling == endpoint || !is_sibling(endpoint, sibling)) {
             continue;
         }
-        ch_window_roll(&peer->window, now);
-        sum.good += peer->window.good + peer->window.last_good;
-        sum.failed += peer->window.failed + peer->window.last_failed;
-        if (peer->slowness_count >= SLOW_MIN) {
-            sum.slowness += ch_slowness(peer, now);
-            sum.slowness_of++;
+        ch_window_roll(&sibling->window, now);
+        sum.good += sibling->window.good + sibling->window.last_good;
+        sum.failed += sibling->window.failed + sibling->window.last_failed;
+        if (sibling->slowness_count >= SLOW_MIN) {
+            sum.slowness += ch_slowness(sibling, now);
+            sum.slowness_count++;
         }
     }
     return sum;
 }
 
-static enum judgement
-judge(const struct ch_endpoint *endpoint, int64_t now)
+static enum verdict
+assess(const struct ch_endpoint *endpoint, int64_t now)
 {
     const struct ch_window *window = &endpoint->window;
-    if (endpoint->consecutive >= CONSECUTIVE_MAX) {
-        return FAILS;
+    if (endpoint->consecutive_failures >= CONSECUTIVE_FAILURES_MAX) {
+        return VERDICT_FAILING;
     }
-    struct peers peers = sum_peers(endpoint, now);
+    struct siblings siblings = sum_siblings(endpoint, now);
     int failed = window->failed + window->last_failed;
     int all = failed + window->good + window->last_good;
-    int peers_all = peers.good + peers.failed;
-    if (all >= JUDGED_MIN && peers_all >= JUDGED_MIN &&
+    int siblings_all = siblings.good + siblings.failed;
+    if (all >= SAMPLES_MIN && siblings_all >= SAMPLES_MIN &&
         (double)failed / all >
-            (double)peers.failed / peers_all + FAILED_SHARE_MARGIN) {
-        return FAILS;
+            (double)siblings.failed / siblings_all + FAILURE_MARGIN) {
+        return VERDICT_FAILING;
     }
-    if (endpoint->slowness_count < SLOW_MIN || peers.slowness_of == 0) {
-        return SOUND;
+    if (endpoint->slowness_count < SLOW_MIN || siblings.slowness_count == 0) {
+        return VERDICT_GOOD;
     }
-    /* Peers that answer from their caches must not make this one look slow. */
-    double usual = fmax(1, peers.slowness / peers.slowness_of);
-    return ch_slowness(endpoint, now) > SLOW_FACTOR * usual ? TOO_SLOW : SOUND;
+    /* Siblings with cache hits must not make this endpoint look slow. */
+    double usual = fmax(1, siblings.slowness / siblings.slowness_count);
+    return ch_slowness(endpoint, now) > SLOW_FACTOR * usual ? VERDICT_SLOW
+                                                            : VERDICT_GOOD;
 }
 
-/* Enters an outcome and ejects the endpoint if it stands out by it. */
+/* Records an outcome, and ejects the endpoint if it fails or is slow. */
 void
-ch_judge(struct ch_endpoint *endpoint, enum ch_outcome outcome, int64_t now)
+ch_record_outcome(struct ch_endpoint *endpoint, enum ch_outcome outcome,
+                  int64_t now)
 {
     ch_window_roll(&endpoint->window, now);
     if (outcome == CH_FAILED) {
         endpoint->window.failed++;
-        endpoint->consecutive++;
+        endpoint->consecutive_failures++;
         endpoint->fail_streak++;
     }
     else {
         endpoint->window.good++;
-        endpoint->consecutive = 0;
+        endpoint->consecutive_failures = 0;
         endpoint->fail_streak = 0;
         endpoint->failing_until = 0;
-        int64_t calm = EJECT_USEC << EJECT_DOUBLINGS;
-        if (now - endpoint->ejected_until > calm) {
+        int64_t ejections_reset_usec = EJECT_USEC << EJECT_DOUBLINGS;
+        if (now - endpoint->ejected_until > ejections_reset_usec) {
             endpoint->ejections = 0;
         }
     }
     if (endpoint->removed) {
         return;
     }
-    enum judgement judgement = judge(endpoint, now);
-    if (judgement == FAILS && outcome == CH_FAILED) {
-        set_behind(endpoint, now);
+    enum verdict verdict = assess(endpoint, now);
+    if (verdict == VERDICT_FAILING && outcome == CH_FAILED) {
+        mark_failing(endpoint, now);
     }
-    if (judgement != SOUND && !Ch_Ejected(endpoint, now)) {
+    if (verdict != VERDICT_GOOD && !Ch_Ejected(endpoint, now)) {
         eject(endpoint, now);
     }
 }
 
 /*
- * Counts a flight as over.  A cancelled one frees its place and says nothing
- * about the endpoint; an overload is no fault of the endpoint, but shrinks
- * the limit.
+ * Ends a flight.  A cancelled request is no evidence for or against the
+ * endpoint.  A refusal for overload is not counted as a failure, but lowers
+ * the adaptive limit.
  */
 void
 Ch_End(struct ch_table *table, struct ch_flight *flight,
@@ -400,23 +408,24 @@
     flight->endpoint = NULL;
     endpoint->in_flight--;
     table->in_flight--;
-    net_add(endpoint, now, -1);
-    ch_window_roll(&table->rate, now);
-    table->rate.good++;
+    add_net_starts(endpoint, now, -1);
+    ch_window_roll(&table->completions, now);
+    table->completions.good++;
     if (outcome == CH_OVERLOADED) {
         limit_cut(endpoint, now);
-        Br_Refused(&endpoint->room, now);
+        Br_Refused(&endpoint->brittle, now);
     }
     if (outcome == CH_UNREACHED) {
-        endpoint->shunned_at = now;
-        endpoint->shunned_until = now + SHUN_USEC;
+        endpoint->unreached_at = now;
+        endpoint->unreachable_until = now + UNREACHABLE_USEC;
         Wu_Doubt(&endpoint->warmup, table->cold_usec, now);
-        ch_judge(endpoint, CH_FAILED, now);
+        ch_record_outcome(endpoint, CH_FAILED, now);
     }
     if (outcome == CH_GOOD || outcome == CH_FAILED) {
         double took = (double)(now - flight->started);
-        table->service += (took - table->service) * SERVICE_GAIN;
-        ch_judge(endpoint, outcome, now);
+        table->mean_service_usec +=
+            (took - table->mean_service_usec) * SERVICE_GAIN;
+        ch_record_outcome(endpoint, outcome, now);
     }
     if (endpoint->removed && endpoint->in_flight == 0) {
         TAILQ_REMOVE(&table->removed, endpoint, entry);
--- a/packages/policy/choose_query.c
+++ b/packages/policy/choose_query.c
@@ -1,36 +1,36 @@
 /*
- * Queries of the endpoint table beside the choice.
+ * Queries on the endpoint table other than the choice.
  */
 #include <string.h>
 
 #include "policy/choose.h"
 #include "policy/choose_internal.h"
 
-/* Whether the endpoint is out of use for failing or being slow. */
+/* Whether the endpoint is out of use because it failed or was slow. */
 bool
 Ch_Ejected(const struct ch_endpoint *endpoint, int64_t now)
 {
     return now < endpoint->ejected_until;
 }
 
-/* How far an endpoint that is not leaving may be relied on. */
-enum ch_standing
-ch_standing(const struct ch_endpoint *endpoint, int64_t now)
+/* The health of an endpoint that is not leaving. */
+enum ch_health
+ch_health(const struct ch_endpoint *endpoint, int64_t now)
 {
     if (endpoint->failing_until > now) {
         return CH_FAILING;
     }
     if (endpoint->state == CH_SUSPECT &&
         endpoint->answered_at <= endpoint->suspect_since) {
-        return CH_SILENT;
+        return CH_UNRESPONSIVE;
     }
     if (endpoint->state == CH_SUSPECT || Ch_Ejected(endpoint, now)) {
-        return CH_DOUBTED;
+        return CH_DOUBTFUL;
     }
-    return endpoint->shunned_until > now ? CH_SHUNNED : CH_SOUND;
+    return endpoint->unreachable_until > now ? CH_UNREACHABLE : CH_HEALTHY;
 }
 
-/* Whether the version may get new work. */
+/* Whether the version may get new requests. */
 bool
 Ch_Trusted(const struct ch_table *table, const char *version)
 {
@@ -42,46 +42,45 @@
     return true;
 }
 
-/* What is fixed about an endpoint. */
 const struct ch_info *
 Ch_Info(const struct ch_endpoint *endpoint)
 {
     return &endpoint->info;
 }
 
-/* The state an endpoint was last reported in. */
+/* The last reported state of the endpoint. */
 enum ch_state
 Ch_State(const struct ch_endpoint *endpoint)
 {
     return endpoint->state;
 }
 
-/* Time until a leaving endpoint is gone, at least 0; -1 when not leaving. */
+/* Time until a leaving endpoint stops, at least 0; -1 if not leaving. */
 int64_t
 Ch_TimeLeft(const struct ch_endpoint *endpoint, int64_t now)
 {
     if (endpoint->state != CH_LEAVING) {
         return -1;
     }
-    int64_t left = endpoint->leaves_at - now;
+    int64_t left = endpoint->gone_at - now;
     return left > 0 ? left : 0;
 }
 
-/* Requests of this router at the endpoint. */
+/* Requests of this router in flight at the endpoint. */
 int
 Ch_InFlight(const struct ch_endpoint *endpoint)
 {
     return endpoint->in_flight;
 }
 
-/* Requests of this router at all endpoints, removed ones included. */
+/* Requests of this router in flight at all endpoints, even removed ones. */
 int
 Ch_AllInFlight(const struct ch_table *table)
 {
     return table->in_flight;
 }
 
-/* The most requests this router may have there now. */
+/* The limit of this router's requests in flight at the endpoint. */
 int
 Ch_Limit(const struct ch_endpoint *endpoint)
 {
@@ -102,16 +101,16 @@
     return TAILQ_NEXT(endpoint, entry);
 }
 
-/* Adds up the places of endpoints in this standing or a better one. */
+/* Sums the free places of endpoints of this health or a better one. */
 static void
-count_places(const struct ch_table *table, enum ch_standing worst, int64_t now,
+count_places(const struct ch_table *table, enum ch_health worst, int64_t now,
              struct ch_capacity *out)
 {
     memset(out, 0, sizeof(*out));
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
         if (endpoint->state == CH_LEAVING ||
-            ch_standing(endpoint, now) > worst ||
+            ch_health(endpoint, now) > worst ||
             !Ch_Trusted(table, endpoint->info.version)) {
             continue;
         }
@@ -122,22 +121,23 @@
 }
 
 /*
- * Tells the free places and the drain rate; for the queue in front.  Those
- * count that the choice would take: the sound ones, and in panic, or where
- * there are none, others as well.
+ * Reports the free places and the drain rate to the queue in front of the
+ * table.  Counts the endpoints that Ch_Choose() would use: the healthy and the
+ * unreachable ones, and worse ones too in panic or if there are no others.
  */
 void
 Ch_Capacity(const struct ch_table *table, int64_t now, struct ch_capacity *out)
 {
-    int worst = ch_is_panic(table, NULL, now) ? CH_SILENT : CH_SHUNNED;
-    count_places(table, (enum ch_standing)worst, now, out);
+    int worst =
+        ch_is_panic(table, NULL, now) ? CH_UNRESPONSIVE : CH_UNREACHABLE;
+    count_places(table, (enum ch_health)worst, now, out);
     while (out->endpoints == 0 && worst < CH_FAILING) {
         worst++;
-        count_places(table, (enum ch_standing)worst, now, out);
+        count_places(table, (enum ch_health)worst, now, out);
     }
-    struct ch_window rate = table->rate;
+    struct ch_window rate = table->completions;
     ch_window_roll(&rate, now);
-    int64_t span = now - rate.begun;
+    int64_t span = now - rate.begun_at;
     if (rate.last_good > 0) {
         span += CH_WINDOW_USEC;
     }
@@ -146,14 +146,14 @@
     }
 }
 
-/* Whether the endpoint says that it is still warming up. */
+/* Whether the endpoint reports that it is still warming up. */
 bool
 Ch_IsCold(const struct ch_endpoint *endpoint, int64_t now)
 {
     return Wu_IsCold(&endpoint->warmup, now);
 }
 
-/* The first of the obstacles, as the choice looks for them. */
+/* Returns the first obstacle if there are several. */
 const char *
 Ch_Obstacle(const struct ch_endpoint *endpoint, int64_t now)
 {
@@ -175,7 +175,7 @@
     if (Ch_Ejected(endpoint, now)) {
         return "ejected";
     }
-    if (endpoint->shunned_until > now) {
+    if (endpoint->unreachable_until > now) {
         return "shunned";
     }
     if (left_to_others && Wu_IsDoubted(warmup, now)) {
@@ -187,5 +187,5 @@
     if (endpoint->in_flight >= (int)endpoint->limit) {
         return "full";
     }
-    return ch_is_closed(endpoint, now) ? "brittle" : "ok";
+    return ch_is_brittle_blocked(endpoint, now) ? "brittle" : "ok";
 }
--- a/packages/policy/choose_table.c
+++ b/packages/policy/choose_table.c
@@ -1,6 +1,6 @@
 /*
- * Commands on the endpoint table: what the watchers, the version moves and
- * the platform's list tell about endpoints.
+ * Changes to the endpoint table, from the hosts that probe endpoints, from
+ * version rollouts and from the platform's list of endpoints.
  */
 #include <bsd/string.h>
 #include <stdlib.h>
@@ -11,27 +11,27 @@
 #include "policy/choose.h"
 #include "policy/choose_internal.h"
 
-#define DEFAULT_FIRST_TOKEN (300 * Ck_USEC_PER_MSEC)
-#define DEFAULT_BASE (5 * Ck_USEC_PER_MSEC)
-#define DEFAULT_PER_TOKEN INT64_C(100)
+#define DEFAULT_FIRST_TOKEN_USEC (300 * Ck_USEC_PER_MSEC)
+#define DEFAULT_BASE_USEC (5 * Ck_USEC_PER_MSEC)
+#define DEFAULT_PER_TOKEN_USEC INT64_C(100)
 #define DEFAULT_BOUND 1.25
 #define DEFAULT_PANIC_SHARE 0.5
-#define FIRST_SERVICE 1e6 /* guess of a request's time before any ended */
+#define INITIAL_SERVICE_USEC 1e6 /* until a request has ended */
 
-/* Fills in settings that suit an engine of which nothing is known yet. */
+/* Fills in default settings, for endpoints of unknown performance. */
 void
 Ch_Defaults(struct ch_settings *settings)
 {
-    settings->first_token = DEFAULT_FIRST_TOKEN;
-    settings->base = DEFAULT_BASE;
-    settings->per_token = DEFAULT_PER_TOKEN;
+    settings->first_token = DEFAULT_FIRST_TOKEN_USEC;
+    settings->base = DEFAULT_BASE_USEC;
+    settings->per_token = DEFAULT_PER_TOKEN_USEC;
     settings->bound = DEFAULT_BOUND;
     settings->panic_share = DEFAULT_PANIC_SHARE;
 }
 
 /*
- * Makes an empty table for a router in the data centre named; NULL when
- * there is no memory.
+ * Creates an empty table for a router in the given data centre; NULL if out of
+ * memory.
  */
 struct ch_table *
 Ch_Create(const char *data_centre, const struct ch_ops *ops,
@@ -44,7 +44,7 @@
     strlcpy(table->data_centre, data_centre, sizeof(table->data_centre));
     table->ops = ops;
     table->settings = *settings;
-    table->service = FIRST_SERVICE;
+    table->mean_service_usec = INITIAL_SERVICE_USEC;
     TAILQ_INIT(&table->endpoints);
     TAILQ_INIT(&table->removed);
     return table;
@@ -60,7 +60,7 @@
     }
 }
 
-/* Frees the table; no flight of it may be used afterwards. */
+/* Frees the table; its flights must not be used afterwards. */
 void
 Ch_Destroy(struct ch_table *table)
 {
@@ -96,10 +96,10 @@
 static enum st_status
 grow_candidates(struct ch_table *table)
 {
-    if (table->count < table->candidates_size) {
+    if (table->count < table->candidates_capacity) {
         return ST_OK;
     }
-    size_t size = table->candidates_size * 2 + 8;
+    size_t size = table->candidates_capacity * 2 + 8;
     struct ch_candidate *wider =
         reallocarray(table->candidates, size, sizeof(*wider));
     if (wider == NULL) {
@@ -107,17 +107,17 @@
                                      "daemon on a larger host");
     }
     table->candidates = wider;
-    table->candidates_size = size;
+    table->candidates_capacity = size;
     return ST_OK;
 }
 
 static void
-forget_evidence(struct ch_endpoint *endpoint)
+reset_record(struct ch_endpoint *endpoint)
 {
     memset(&endpoint->window, 0, sizeof(endpoint->window));
     endpoint->slowness = 1;
     endpoint->slowness_count = 0;
-    endpoint->consecutive = 0;
+    endpoint->consecutive_failures = 0;
     endpoint->ejections = 0;
     endpoint->ejected_until = 0;
     endpoint->fail_streak = 0;
@@ -126,9 +126,8 @@
 }
 
 /*
- * Adds an endpoint or renews what is known of it.  A new version or a new
- * address starts with a clean record: what the process before did says
- * nothing about this one.
+ * Adds an endpoint or updates its description.  With a new version or address
+ * the record of outcomes is reset, as it belongs to the previous process.
  */
 enum st_status
 Ch_Put(struct ch_table *table, const struct ch_info *info)
@@ -147,25 +146,26 @@
         endpoint->table = table;
         endpoint->id_hash = Hash_String(info->id, 0);
         endpoint->limit = info->slots > 0 ? info->slots : 1;
-        forget_evidence(endpoint);
+        reset_record(endpoint);
         TAILQ_INSERT_TAIL(&table->endpoints, endpoint, entry);
         table->count++;
     }
     else if (strcmp(endpoint->info.version, info->version) != 0 ||
              strcmp(endpoint->info.address, info->address) != 0 ||
              endpoint->info.port != info->port) {
-        forget_evidence(endpoint);
+        reset_record(endpoint);
     }
     endpoint->info = *info;
     if (endpoint->info.slots < 1) {
         endpoint->info.slots = 1;
     }
-    endpoint->near = strcmp(info->data_centre, table->data_centre) == 0;
+    endpoint->same_data_centre =
+        strcmp(info->data_centre, table->data_centre) == 0;
     return ST_OK;
 }
 
 /*
- * Takes an endpoint out.  Its flights end as usual; its memory goes with the
+ * Removes an endpoint.  Its flights end as usual; its memory is freed with the
  * last of them.
  */
 enum st_status
@@ -188,9 +188,9 @@
 
 /*
  * Records the state of an endpoint; "left" is the time until a leaving one
- * is gone.  Leaving is final for an id: the platform's list lags, so an
- * older "live" heard after the notice must not bring new work back to a host
- * that is about to disappear.
+ * stops.  Leaving is final for an id: the platform's list lags, so an older
+ * "live" that arrives after the notice must not direct new requests to a host
+ * that is about to stop.
  */
 enum st_status
 Ch_SetState(struct ch_table *table, const char *id, enum ch_state state,
@@ -201,9 +201,9 @@
         return not_found(id);
     }
     if (state == CH_LEAVING) {
-        int64_t leaves_at = now + left;
-        if (endpoint->state != CH_LEAVING || leaves_at < endpoint->leaves_at) {
-            endpoint->leaves_at = leaves_at;
+        int64_t gone_at = now + left;
+        if (endpoint->state != CH_LEAVING || gone_at < endpoint->gone_at) {
+            endpoint->gone_at = gone_at;
         }
         endpoint->state = CH_LEAVING;
     }
@@ -216,7 +216,7 @@
     return ST_OK;
 }
 
-/* Records a load report; one older than the last is dropped. */
+/* Records a load report, unless it is older than the last one. */
 enum st_status
 Ch_Report(struct ch_table *table, const char *id,
           const struct ch_sample *sample)
@@ -228,14 +228,14 @@
     if (!endpoint->reported || sample->taken > endpoint->sample.taken) {
         endpoint->sample = *sample;
         endpoint->reported = true;
-        if (sample->taken > endpoint->shunned_at) {
-            endpoint->shunned_until = 0;
+        if (sample->taken > endpoint->unreached_at) {
+            endpoint->unreachable_until = 0;
         }
     }
     return ST_OK;
 }
 
-/* Replaces the shares of versions; with none every trusted version is used. */
+/* Replaces the version shares; without any, all trusted versions are used. */
 enum st_status
 Ch_SetShares(struct ch_table *table, const struct ch_share *shares,
              size_t count)
@@ -272,9 +272,9 @@
 }
 
 /*
- * Stops new work for a version, for good.  When the list of distrusted
- * versions is full the oldest that carries no share is dropped: it gets no
- * work in any case.
+ * Stops new requests to a version permanently.  If the list of distrusted
+ * versions is full, the oldest one that is not in the list of shares is
+ * dropped: it gets no requests anyway.
  */
 enum st_status
 Ch_Distrust(struct ch_table *table, const char *version)
@@ -311,8 +311,8 @@
 Ch_Cold(struct ch_table *table, const char *id, int64_t left, int64_t now)
 {
     struct ch_endpoint *endpoint = Ch_Find(table, id);
-    if (endpoint != NULL && now >= endpoint->cold_told_at) {
-        endpoint->cold_told_at = now;
+    if (endpoint != NULL && now >= endpoint->cold_report_at) {
+        endpoint->cold_report_at = now;
         Wu_Told(&endpoint->warmup, left, now);
     }
 }
