--- a/packages/policy/test/choose_test.cc
+++ b/packages/policy/test/choose_test.cc
@@ -53,7 +53,7 @@
         return Ch_Choose(table, &request, now, &random, flight);
     }
 
-    /* One whole request; returns the endpoint that ran it. */
+    /* Runs one request to its end; returns the id of its endpoint. */
     std::string
     run(enum ch_outcome outcome = CH_GOOD, uint64_t prefix = 0)
     {
@@ -73,9 +73,9 @@
 };
 
 /*
- * A caller's request dies with a reclaimed host.  The notice came first, then
- * the platform's lagging list said "live" once more, and the router believed
- * the later message.
+ * Guards against requests lost with a reclaimed host: the notice arrived
+ * first, then the platform's lagging list reported "live" again, and the
+ * router accepted the later message.
  */
 TEST(Choose, LeavingIsFinalAgainstALaggingList)
 {
@@ -94,10 +94,11 @@
 }
 
 /*
- * First tokens get late in waves.  Every router sends to the one endpoint
- * whose last report was low until the next report arrives a second later.
+ * Guards against herding, which delays first tokens in waves: every router
+ * sends to the one endpoint whose last report was low, until the next report
+ * arrives a second later.
  */
-TEST(Choose, OwnStartsSinceTheReportPreventAHerd)
+TEST(Choose, OwnStartsSinceTheReportPreventHerding)
 {
     Table t(Ch_NoAffinity());
     for (int i = 0; i < 2; i++) {
@@ -117,9 +118,9 @@
     }
 }
 
-// Guards against calls placed at once that all go to one endpoint while
-// another, just as good, stands idle.
-TEST(Choose, CallsPlacedAtOnceUseEveryIdleEndpoint)
+// Guards against simultaneous requests that all go to one endpoint while an
+// equally good one is idle.
+TEST(Choose, SimultaneousRequestsUseEveryIdleEndpoint)
 {
     const int kCalls = 8;
     const uint64_t kSeeds = 2000;
@@ -166,21 +167,21 @@
     }
 }
 
-TEST(Choose, TiesGoNearThenCheap)
+TEST(Choose, TiesGoToOwnDataCentreThenToLowerPrice)
 {
     Table t(Ch_NoAffinity());
     t.put("far", "v1", "b", 1);
     t.put("near", "v1", "a", 9);
     EXPECT_EQ("near", t.run());
     Table u(Ch_NoAffinity());
-    u.put("dear", "v1", "a", 9);
+    u.put("costly", "v1", "a", 9);
     u.put("cheap", "v1", "a", 1);
     EXPECT_EQ("cheap", u.run());
 }
 
 /*
- * One in six answers is an error for minutes.  An endpoint's process fails
- * every request at once, which makes it look idle, so it gets even more.
+ * Guards against one in six answers being an error for minutes: an endpoint
+ * that fails every request at once looks idle, and so gets even more requests.
  */
 TEST(Choose, FailingEndpointIsEjectedForLongerEachTime)
 {
@@ -203,8 +204,9 @@
     EXPECT_LE(failures, 12);
 }
 
-// Guards against retries spent on an endpoint that has just refused one.
-TEST(Choose, OneRefusedConnectionShunsUntilAReport)
+// Guards against retries spent on an endpoint that has just refused a
+// connection.
+TEST(Choose, AfterARefusedConnectionAnEndpointIsAvoidedUntilAReport)
 {
     Table t;
     t.put("gone");
@@ -232,8 +234,8 @@
     }
 }
 
-// Guards against a refusal while the only endpoint left is back already.
-TEST(Choose, ShunnedEndpointsAreUsedWhereThereIsNoOther)
+// Guards against a refusal when the only endpoint left has recovered.
+TEST(Choose, AnUnreachableEndpointIsUsedIfThereIsNoOther)
 {
     Table t;
     t.put("e0");
@@ -242,8 +244,9 @@
 }
 
 /*
- * The whole service is refused although its endpoints run.  A fault of the
- * router's own network made all of them fail, and each was ejected in turn.
+ * Guards against refusing all requests of a service while its endpoints run: a
+ * fault of the router's own network made all of them fail, and each was
+ * ejected in turn.
  */
 TEST(Choose, PanicRuleKeepsHalfInUse)
 {
@@ -293,9 +296,9 @@
 }
 
 /*
- * A hanging new version collects most of the requests in flight.  Its share
- * of new requests is small, but none of them ends, and at small traffic a
- * share by count says little.
+ * Guards against a hanging new version that accumulates most of the requests
+ * in flight: its share of new requests is small, but none of them ends.  At
+ * low traffic a share by count alone does not prevent this.
  */
 TEST(Choose, SmallShareIsCappedInFlightAndByCount)
 {
@@ -306,12 +309,12 @@
     }
     struct ch_share shares[2] = {{"v1", 0.95, 0}, {"v2", 0.05, 2}};
     Ch_SetShares(t.table, shares, 2);
-    int fresh = 0;
+    int to_new = 0;
     for (int i = 0; i < 2000; i++) {
-        fresh += t.run().substr(0, 3) == "new";
+        to_new += t.run().substr(0, 3) == "new";
     }
-    EXPECT_GE(fresh, 60);
-    EXPECT_LE(fresh, 140);
+    EXPECT_GE(to_new, 60);
+    EXPECT_LE(to_new, 140);
     struct ch_flight hung[2];
     int held = 0;
     for (int i = 0; i < 2000; i++) {
@@ -330,7 +333,8 @@
     }
 }
 
-// Guards against all attempts being spent on a bad version on trial.
+// Guards against spending all attempts of a request on a bad version on
+// trial.
 TEST(Choose, RetriesGoToTheMainVersion)
 {
     Table t;
@@ -348,8 +352,9 @@
     }
 }
 
-// Guards against all attempts being spent on a bad version that carries most.
-TEST(Choose, RetriesGoToTheSettledVersionWhateverItsShare)
+// Guards against spending all attempts of a request on a bad version on trial
+// that has the largest share.
+TEST(Choose, RetriesGoToTheStableVersionWhateverItsShare)
 {
     Table t;
     t.put("old", "v1");
@@ -377,9 +382,9 @@
     EXPECT_TRUE(flight.on_trial);
 }
 
-// Guards against a refusal while the main version has places, since the one
-// on trial has none.
-TEST(Choose, AFullVersionOnTrialDoesNotRefuseForTheOther)
+// Guards against refusing a request because the version on trial is full while
+// the main version has capacity.
+TEST(Choose, RequestsGoToTheMainVersionIfTheVersionOnTrialIsFull)
 {
     Table t;
     t.put("old", "v1", "a", 1, 64);
@@ -398,7 +403,7 @@
     Ch_End(t.table, &held, CH_CANCELLED, t.now);
 }
 
-/* Sends a request that is slow, fails or ends well to one endpoint. */
+/* Sends a request with the given outcome and duration to one endpoint. */
 static void
 send_to(Table &t, const char *id, enum ch_outcome outcome, int64_t took)
 {
@@ -427,9 +432,9 @@
                : "";
 }
 
-// Guards against a request told "unknown" while a good endpoint that is only
-// slow, or out of its watchers' reach, was never asked.
-TEST(Choose, ADoubtfulEndpointIsAskedBeforeOneThatFailedTheRequest)
+// Guards against a request that ends as "unknown" although a good endpoint,
+// which is only slow or suspect, was never tried.
+TEST(Choose, ADoubtfulEndpointIsTriedBeforeOneThatFailedTheRequest)
 {
     Table slow;
     slow.put("fails");
@@ -453,8 +458,8 @@
 }
 
 // Guards against retries spent on an endpoint that fails at once, and so looks
-// idle, while as many as may be are ejected already.
-TEST(Choose, AnEndpointThatFailsIsAskedAfterAllOthers)
+// idle, when no further endpoint may be ejected.
+TEST(Choose, AFailingEndpointIsTriedAfterAllOthers)
 {
     Table t;
     for (const char *id : {"a", "b", "c"}) {
@@ -473,12 +478,12 @@
         failures += fails;
         send_to(t, id.c_str(), fails ? CH_FAILED : CH_GOOD, 10000);
     }
-    /* Each is let in after 0.1 s, then after twice as long; 4 s pass. */
+    /* Each is used again after 0.1 s, then after twice that; 4 s pass. */
     EXPECT_LE(failures, 2 * 6);
 }
 
-// Guards against a bad new version whose ejected endpoint keeps one of the
-// old version in use that fails.
+// Guards against a bad new version whose ejected endpoint uses up the share
+// that may be ejected, so that a failing endpoint of the old version stays.
 TEST(Choose, EndpointsAreEjectedWithinTheirVersion)
 {
     Table t;
@@ -497,8 +502,9 @@
     EXPECT_EQ("old1", choose_after(t, "new"));
 }
 
-// Guards against refusals after a blip of most endpoints: half are in use.
-TEST(Choose, EndpointsThatAreWellAgainTakeWhatTheSoundOneCannot)
+// Guards against refusals after a short failure of most endpoints, when only
+// half of them are in use.
+TEST(Choose, RecoveredEndpointsTakeWhatTheHealthyOneCannot)
 {
     Table t;
     std::vector<std::string> ids = {"a", "b", "c", "d", "e", "sound"};
@@ -527,9 +533,9 @@
     EXPECT_NE("", choose_after(t, nullptr));
 }
 
-// Guards against an endpoint left unused that answers this router while its
-// watchers do not reach it.
-TEST(Choose, ASuspectThatAnswersIsPreferredToOneThatFails)
+// Guards against leaving an endpoint unused that answers this router, although
+// the hosts that probe it cannot reach it.
+TEST(Choose, ASuspectEndpointThatAnswersIsPreferredToAFailingOne)
 {
     Table t;
     t.put("fails");
@@ -545,10 +551,11 @@
 }
 
 /*
- * Callers go on failing after a version was found bad.  The old version had
- * no share left, so the router kept to the only one listed with a share.
+ * Guards against requests that keep failing after a version was distrusted:
+ * the old version had no share left, so the router stayed with the only
+ * version that had a share.
  */
-TEST(Choose, DistrustedVersionGetsNothingAndTheWarmOneCarries)
+TEST(Choose, RequestsGoToTheStandbyVersionInsteadOfADistrustedOne)
 {
     Table t;
     t.put("old", "v1");
@@ -560,20 +567,20 @@
     for (int i = 0; i < 100; i++) {
         EXPECT_EQ("old", t.run());
     }
-    /* Never the other way: the small share is no fallback for the old. */
+    /* No fallback the other way: the new version gets only its own share. */
     struct ch_share back[2] = {{"v1", 0.95, 0}, {"v3", 0.05, 0}};
     Table u;
     u.put("new", "v3");
     Ch_SetShares(u.table, back, 2);
-    int fresh = 0;
+    int to_new = 0;
     for (int i = 0; i < 1000; i++) {
-        fresh += u.run() == "new";
+        to_new += u.run() == "new";
     }
-    EXPECT_LE(fresh, 80);
+    EXPECT_LE(to_new, 80);
 }
 
-// Guards against a log that does not say why an idle endpoint was passed by.
-TEST(Choose, TellsWhatKeepsRequestsFromAnEndpoint)
+// Guards against a log that does not state why an idle endpoint was skipped.
+TEST(Choose, NamesTheObstacleOfAnEndpoint)
 {
     Table t;
     for (const char *id : {"a", "b", "c", "d", "e"}) {
@@ -591,16 +598,16 @@
     EXPECT_EQ("ok", obstacle("f"));
     Ch_Distrust(t.table, "v2");
     EXPECT_EQ("distrusted", obstacle("f"));
-    auto fly = [&](const char *id, enum ch_outcome outcome) {
+    auto dispatch = [&](const char *id, enum ch_outcome outcome) {
         struct ch_flight flight = {};
         flight.endpoint = Ch_Find(t.table, id);
         Ch_Start(t.table, &flight, t.now);
         Ch_End(t.table, &flight, outcome, t.now);
     };
-    fly("c", CH_UNREACHED);
+    dispatch("c", CH_UNREACHED);
     EXPECT_EQ("shunned", obstacle("c"));
     for (int i = 0; i < 5; i++) {
-        fly("d", CH_FAILED);
+        dispatch("d", CH_FAILED);
     }
     EXPECT_EQ("failing", obstacle("d"));
     t.now += kSec;
@@ -614,8 +621,8 @@
 }
 
 /*
- * The daemon crashes on an answer's end: the endpoint was taken off the list
- * while a request was in flight to it.
+ * Guards against a crash at the end of an answer: the endpoint was removed
+ * from the list while a request to it was in flight.
  */
 TEST(Choose, RemovedEndpointLivesUntilItsLastFlightEnds)
 {
@@ -631,7 +638,7 @@
     EXPECT_EQ(ST_UNAVAILABLE, t.choose(&flight));
 }
 
-TEST(Choose, RefusesWhatCannotBeInTimeAndSkipsTriedOnes)
+TEST(Choose, RefusesRequestsThatWouldBeLateAndSkipsTriedEndpoints)
 {
     Table t;
     t.put("e0");
@@ -656,9 +663,9 @@
               Ch_Choose(t.table, &request, t.now, &t.random, &flight));
 }
 
-// Guards against a cold endpoint that is sent what a warm one bears, and
-// against a refusal where it may be sent to.
-TEST(Choose, AColdEndpointIsSentToNowAndThen)
+// Guards against sending a cold endpoint as many requests as a warm one, and
+// against refusing a request that the cold endpoint may get.
+TEST(Choose, AColdEndpointGetsFewRequests)
 {
     static struct wu_hosts hosts;
     hosts.own = 1;
@@ -686,15 +693,16 @@
         ASSERT_EQ(ST_OK, t.choose(&flight));
         EXPECT_STREQ("warm", Ch_Info(flight.endpoint)->id);
     }
-    // An older word does not make it warm.
+    // An older report does not make the endpoint warm.
     Ch_Cold(t.table, "cold", 0, t.now - 2 * kSec);
     EXPECT_TRUE(Ch_IsCold(Ch_Find(t.table, "cold"), t.now));
     t.now += 31 * kSec;
     EXPECT_FALSE(Ch_IsCold(Ch_Find(t.table, "cold"), t.now));
 }
 
-// A brittle endpoint that is sent more than it runs falls over.
-TEST(Choose, ABrittleEndpointIsGivenNoMoreThanItRuns)
+// Guards against sending a brittle endpoint more requests than it has slots,
+// which makes it fail.
+TEST(Choose, ABrittleEndpointGetsNoMoreRequestsThanSlots)
 {
     Table t;
     t.put("a1");
@@ -712,8 +720,9 @@
     EXPECT_STREQ("brittle", Ch_Obstacle(Ch_Find(t.table, "a1"), t.now));
 }
 
-// A host that was turned away comes back within the second that counts.
-TEST(Choose, ABrittleEndpointIsLeftAloneAfterARefusal)
+// Guards against sending to a brittle endpoint again within the second over
+// which it counts refusals.
+TEST(Choose, ABrittleEndpointGetsNothingForASecondAfterARefusal)
 {
     Table t;
     t.put("a1");
@@ -725,8 +734,9 @@
     EXPECT_EQ("a1", t.run());
 }
 
-// A report from before, or of another endpoint, ends it for all.
-TEST(Choose, BrittlenessEndsWithALaterReportOfTheSameEndpoint)
+// Guards against a refusal limit that an older report, or one of another
+// endpoint, withdraws for all endpoints.
+TEST(Choose, TheRefusalLimitEndsWithALaterReportOfTheSameEndpoint)
 {
     Table t;
     t.put("a1");
@@ -741,8 +751,8 @@
 }
 
 /*
- * Whatever comes in whatever order, a leaving endpoint, one already tried or
- * a distrusted version gets no request, and no endpoint more than its limit.
+ * In any order of events, a leaving endpoint, an endpoint already tried and a
+ * distrusted version get no request, and no endpoint exceeds its limit.
  */
 TEST(Choose, InvariantsHoldInAnyOrderOfEvents)
 {
@@ -750,7 +760,7 @@
     for (uint64_t seed = 1; seed <= 100; seed++) {
         Table t;
         Rn_Seed(&t.random, seed);
-        std::map<std::string, bool> left;
+        std::map<std::string, bool> leaving;
         std::map<std::string, bool> distrusted;
         std::vector<struct ch_flight> flights;
         struct ch_share shares[3] = {
@@ -759,27 +769,27 @@
             Ch_SetShares(t.table, shares, 3);
         }
         for (int step = 0; step < 2000; step++) {
-            uint32_t what = Rn_Below(&t.random, 100);
+            uint32_t event = Rn_Below(&t.random, 100);
             std::string id = "e" + std::to_string(Rn_Below(&t.random, 12));
             t.now += Rn_Below(&t.random, 50000);
-            if (what < 12 && Ch_Find(t.table, id.c_str()) == nullptr) {
-                left[id] = false;
+            if (event < 12 && Ch_Find(t.table, id.c_str()) == nullptr) {
+                leaving[id] = false;
                 t.put(id, versions[Rn_Below(&t.random, 3)]);
             }
-            else if (what < 14) {
+            else if (event < 14) {
                 Ch_Remove(t.table, id.c_str());
             }
-            else if (what < 20) {
+            else if (event < 20) {
                 auto state = (enum ch_state)Rn_Below(&t.random, 3);
                 Ch_SetState(t.table, id.c_str(), state, kSec, t.now);
-                left[id] = left[id] || state == CH_LEAVING;
+                leaving[id] = leaving[id] || state == CH_LEAVING;
             }
-            else if (what == 20 && step > 1000) {
+            else if (event == 20 && step > 1000) {
                 const char *version = versions[Rn_Below(&t.random, 2)];
                 Ch_Distrust(t.table, version);
                 distrusted[version] = true;
             }
-            else if (what < 60) {
+            else if (event < 60) {
                 const char *tried[] = {"e1", "e2"};
                 struct ch_request request = {};
                 struct ch_flight flight;
@@ -791,7 +801,7 @@
                     continue;
                 }
                 const struct ch_info *info = Ch_Info(flight.endpoint);
-                ASSERT_FALSE(left[info->id]);
+                ASSERT_FALSE(leaving[info->id]);
                 ASSERT_FALSE(distrusted[info->version]);
                 ASSERT_STRNE("e1", info->id);
                 ASSERT_STRNE("e2", info->id);
