--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -148,8 +148,8 @@
     }
     char why[Qn_WHY_MAX];
     struct pz_request asked =
-        Qn_Asked(admitted.service, admitted.tenant, &ask);
-    if (Qn_Refuses(gate->quarantine, &asked, why)) {
+        Qn_MakeRequest(admitted.service, admitted.tenant, &ask);
+    if (Qn_IsStopped(gate->quarantine, &asked, why)) {
         refusal = (struct refusal){503, Qn_RETRY_USEC, why};
         refuse(gate, request, &admitted, &refusal);
         return;
--- a/packages/edge/breaks.c
+++ b/packages/edge/breaks.c
@@ -4,9 +4,9 @@
 #include <bsd/sys/queue.h>
 #include <stdlib.h>
 
-/* By then the link was tested: tests are 250 ms apart, and take 300 ms. */
+/* Time for the link test to finish: tests start 250 ms apart, take 300 ms. */
 #define Bk_WAIT_USEC (1 * Ck_USEC_PER_SEC)
-#define Bk_MOST 1024
+#define Bk_LIST_MAX 1024
 
 struct broken {
     STAILQ_ENTRY(broken) link;
@@ -18,7 +18,7 @@
 
 struct bk_breaks {
     struct ga_gate *gate;
-    STAILQ_HEAD(broken_list, broken) list; /* the oldest first */
+    STAILQ_HEAD(break_list, broken) list; /* oldest first */
     size_t count;
 };
 
@@ -34,7 +34,7 @@
 }
 
 static void
-forget_oldest(struct bk_breaks *breaks)
+drop_oldest(struct bk_breaks *breaks)
 {
     struct broken *oldest = STAILQ_FIRST(&breaks->list);
     STAILQ_REMOVE_HEAD(&breaks->list, link);
@@ -44,7 +44,7 @@
 }
 
 static void
-judge_oldest(struct bk_breaks *breaks)
+count_oldest(struct bk_breaks *breaks)
 {
     struct ga_gate *gate = breaks->gate;
     const struct broken *oldest = STAILQ_FIRST(&breaks->list);
@@ -54,7 +54,7 @@
         Ro_Answered(gate->moves, endpoint->entry.service, oldest->route,
                     Ga_IsNext(move, endpoint), true, oldest->slow);
     }
-    forget_oldest(breaks);
+    drop_oldest(breaks);
 }
 
 void
@@ -63,13 +63,13 @@
     struct ga_gate *gate = breaks->gate;
     const struct xc_attempt *attempt = &exchange->attempt;
     struct fl_endpoint *endpoint = attempt->endpoint;
-    /* One that led through a peer may have broken at the peer. */
+    /* A connection that a peer relays may have broken at the peer. */
     if (Ro_Find(gate->moves, endpoint->entry.service) == NULL ||
         Cn_Peer(attempt->channel) != 0) {
         return;
     }
-    if (breaks->count == Bk_MOST) {
-        judge_oldest(breaks);
+    if (breaks->count == Bk_LIST_MAX) {
+        count_oldest(breaks);
     }
     struct broken *broken = calloc(1, sizeof(*broken));
     if (broken == NULL) {
@@ -91,7 +91,7 @@
 {
     int64_t due = Ga_Now(breaks->gate) - Bk_WAIT_USEC;
     while (breaks->count > 0 && STAILQ_FIRST(&breaks->list)->at <= due) {
-        judge_oldest(breaks);
+        count_oldest(breaks);
     }
 }
 
@@ -99,7 +99,7 @@
 Bk_Destroy(struct bk_breaks *breaks)
 {
     while (breaks != NULL && breaks->count > 0) {
-        forget_oldest(breaks);
+        drop_oldest(breaks);
     }
     free(breaks);
 }
--- a/packages/edge/breaks.h
+++ b/packages/edge/breaks.h
@@ -1,7 +1,7 @@
 /*
- * Connections to endpoints that broke.  They count against the version of
- * the endpoint only once its link has been tested: what a cut link breaks off
- * says nothing of a version.
+ * Broken connections to endpoints.  A broken connection counts as a failure
+ * of the endpoint's version only after the link to the endpoint has been
+ * tested: connections over a cut link break whatever the version.
  */
 #ifndef EDGE_BREAKS_H
 #define EDGE_BREAKS_H
@@ -16,9 +16,12 @@
 
 struct bk_breaks *Bk_Create(struct ga_gate *gate);
 void Bk_Destroy(struct bk_breaks *breaks);
-/* The connection of the attempt under way broke. */
+/* The connection of the current attempt broke. */
 void Bk_Note(struct bk_breaks *breaks, const struct xc_exchange *exchange);
-/* Counts those whose links were found sound; every Ga_TICK_USEC. */
+/*
+ * Counts the broken connections whose link is not cut; to be called every
+ * Ga_TICK_USEC.
+ */
 void Bk_Tick(struct bk_breaks *breaks);
 
 #ifdef __cplusplus
--- a/packages/edge/brittle.c
+++ b/packages/edge/brittle.c
@@ -3,64 +3,66 @@
 #include <string.h>
 
 static bool
-serves_same(const struct fl_endpoint *a, const struct fl_endpoint *b)
+same_service(const struct fl_endpoint *a, const struct fl_endpoint *b)
 {
     return strcmp(a->entry.service, b->entry.service) == 0;
 }
 
 static void
-log_change(const struct fl_endpoint *endpoint, int most, const char *by)
+log_change(const struct fl_endpoint *endpoint, int max_refusals,
+           const char *by)
 {
     Ln_Log(LN_STATE, "service.brittle",
            "\"service\":\"%s\",\"most\":%d,\"by\":\"%s\"",
-           endpoint->entry.service, most, by);
+           endpoint->entry.service, max_refusals, by);
 }
 
 static void
-tell_service(struct ga_gate *gate, struct fl_endpoint *endpoint, int most)
+mark_service(struct ga_gate *gate, struct fl_endpoint *endpoint,
+             int max_refusals)
 {
     int64_t now = Ga_Now(gate);
     if (!Br_IsBrittle(&endpoint->room, now)) {
-        log_change(endpoint, most, "answer");
+        log_change(endpoint, max_refusals, "answer");
     }
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (serves_same(other, endpoint)) {
-            Br_Told(&other->room, most, now);
+        if (same_service(other, endpoint)) {
+            Br_Told(&other->room, max_refusals, now);
         }
     }
     endpoint->room.said = true;
 }
 
 static void
-end_service(struct ga_gate *gate, const struct fl_endpoint *endpoint)
+clear_service(struct ga_gate *gate, const struct fl_endpoint *endpoint)
 {
     log_change(endpoint, -1, "answer");
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (serves_same(other, endpoint)) {
+        if (same_service(other, endpoint)) {
             Br_End(&other->room);
         }
     }
 }
 
 void
-Bt_Answered(struct ga_gate *gate, struct fl_endpoint *endpoint, int most,
-            int64_t sent_at)
+Bt_NoteAnswer(struct ga_gate *gate, struct fl_endpoint *endpoint,
+              int max_refusals, int64_t sent_at)
 {
-    if (most >= 0) {
-        tell_service(gate, endpoint, most);
+    if (max_refusals >= 0) {
+        mark_service(gate, endpoint, max_refusals);
     }
     else if (Br_IsOver(&endpoint->room, sent_at)) {
-        end_service(gate, endpoint);
+        clear_service(gate, endpoint);
     }
 }
 
 static bool
-is_listed(const struct ms_word *word, uint32_t service)
+is_listed(const struct ms_word *message, uint32_t service)
 {
-    for (size_t i = 0; i < word->brittle_count; i++) {
-        if (word->brittle[i].service == service) {
+    for (size_t i = 0; i < message->brittle_count; i++) {
+        if (message->brittle[i].service == service) {
             return true;
         }
     }
@@ -68,33 +70,38 @@
 }
 
 void
-Bt_Fill(const struct ga_gate *gate, struct ms_word *word)
+Bt_Fill(const struct ga_gate *gate, struct ms_word *message)
 {
     int64_t now = Ga_Now(gate);
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (word->brittle_count == Ms_BRITTLE_MAX) {
+        if (message->brittle_count == Ms_BRITTLE_MAX) {
             break;
         }
         if (!Br_IsTold(&endpoint->room, now)) {
             continue;
         }
         uint32_t service = De_Hash(endpoint->entry.service);
-        if (!is_listed(word, service)) {
-            word->brittle[word->brittle_count++] =
+        if (!is_listed(message, service)) {
+            message->brittle[message->brittle_count++] =
                 (struct ms_brittle){service, endpoint->room.most};
         }
     }
 }
 
-/* Peers by the hundred say the same several times a second. */
+/*
+ * Applies a peer's report to all endpoints of the service, but returns early
+ * when one was applied recently: hundreds of peers repeat the same report
+ * several times a second.
+ */
 static void
-hear(struct ga_gate *gate, const struct ms_brittle *row, int64_t now)
+apply_report(struct ga_gate *gate, const struct ms_brittle *report,
+             int64_t now)
 {
     const struct fl_endpoint *first = NULL;
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (De_Hash(endpoint->entry.service) != row->service) {
+        if (De_Hash(endpoint->entry.service) != report->service) {
             continue;
         }
         if (first == NULL) {
@@ -103,24 +110,24 @@
                 return;
             }
             if (!Br_IsBrittle(&endpoint->room, now)) {
-                log_change(endpoint, row->most, "peer");
+                log_change(endpoint, report->most, "peer");
             }
         }
-        Br_Heard(&endpoint->room, row->most, now);
+        Br_Heard(&endpoint->room, report->most, now);
     }
 }
 
 void
-Bt_Take(struct ga_gate *gate, const struct ms_word *word)
+Bt_Take(struct ga_gate *gate, const struct ms_word *message)
 {
-    for (size_t i = 0; i < word->brittle_count; i++) {
-        hear(gate, &word->brittle[i], Ga_Now(gate));
+    for (size_t i = 0; i < message->brittle_count; i++) {
+        apply_report(gate, &message->brittle[i], Ga_Now(gate));
     }
 }
 
-/* This host's claims on all endpoints of a service. */
+/* Updates this host's claim rank on all usable endpoints of a service. */
 static void
-find_ranks(const struct ga_gate *gate, const struct fl_endpoint *endpoint)
+update_ranks(const struct ga_gate *gate, const struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
     struct wu_hosts hosts;
@@ -129,10 +136,10 @@
     struct fl_endpoint *other;
     size_t count = 0;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        count += serves_same(other, endpoint) && Fl_Usable(other);
+        count += same_service(other, endpoint) && Fl_Usable(other);
     }
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (!serves_same(other, endpoint) || !Fl_Usable(other)) {
+        if (!same_service(other, endpoint) || !Fl_Usable(other)) {
             continue;
         }
         other->room.rank = Wu_Rank(&hosts, other->hash);
@@ -149,7 +156,7 @@
 }
 
 bool
-Bt_Closed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
     const struct br_room *room = &endpoint->room;
@@ -157,7 +164,7 @@
         return false;
     }
     if (Br_RankIsOld(room, now)) {
-        find_ranks(gate, endpoint);
+        update_ranks(gate, endpoint);
     }
     struct br_part part =
         Br_Part(room->most, Ms_CountAll(gate->mesh), room->endpoints);
@@ -167,13 +174,13 @@
 }
 
 void
-Bt_Sent(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     Br_Sent(&endpoint->room, Ga_Now(gate));
 }
 
 void
-Bt_Refused(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_NoteRefused(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     Br_Refused(&endpoint->room, Ga_Now(gate));
 }
--- a/packages/edge/brittle.h
+++ b/packages/edge/brittle.h
@@ -1,4 +1,7 @@
-/* Endpoints that say that they are brittle; see policy/brittle.h. */
+/*
+ * Brittle endpoints: they report that they fall over when they refuse more
+ * than a given number of requests in a second; see policy/brittle.h.
+ */
 #ifndef EDGE_BRITTLE_H
 #define EDGE_BRITTLE_H
 
@@ -10,19 +13,20 @@
 #endif
 
 /*
- * An answer to a request sent at "sent_at" says what refusals its endpoint
- * bears; "most" below 0: it says nothing of it.
+ * Takes the number of refusals in a second that the endpoint tolerates, as
+ * reported by its answer to a request sent at "sent_at"; "most" below 0: the
+ * answer does not report it.
  */
-void Bt_Answered(struct ga_gate *gate, struct fl_endpoint *endpoint, int most,
-                 int64_t sent_at);
-/* What other daemons are told, and what they say. */
-void Bt_Fill(const struct ga_gate *gate, struct ms_word *word);
-void Bt_Take(struct ga_gate *gate, const struct ms_word *word);
-/* Whether a brittle endpoint may not be sent a request now. */
-bool Bt_Closed(const struct ga_gate *gate, struct fl_endpoint *endpoint);
-void Bt_Sent(const struct ga_gate *gate, struct fl_endpoint *endpoint);
-/* It turned a request away for want of room. */
-void Bt_Refused(const struct ga_gate *gate, struct fl_endpoint *endpoint);
+void Bt_NoteAnswer(struct ga_gate *gate, struct fl_endpoint *endpoint,
+                   int max_refusals, int64_t sent_at);
+/* Write to, and read from, the gossip messages between hosts. */
+void Bt_Fill(const struct ga_gate *gate, struct ms_word *message);
+void Bt_Take(struct ga_gate *gate, const struct ms_word *message);
+/* Whether the endpoint is brittle and must get no request now. */
+bool Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint);
+void Bt_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint);
+/* The endpoint refused a request because it was full. */
+void Bt_NoteRefused(const struct ga_gate *gate, struct fl_endpoint *endpoint);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/budget.c
+++ b/packages/edge/budget.c
@@ -7,18 +7,19 @@
 #include "edge/config.h"
 
 #define Bu_SERVICES_MAX 64
-#define Bu_STEPS 20 /* the window slides in steps of a twentieth */
+#define Bu_STEPS 20 /* the window slides in steps of 1/20 of its length */
 /*
- * Part of the bound that is used.  Windows slide, requests may be few at the
- * start of one, and hosts may come and go unseen.
+ * Fraction of the bound that hosts spend.  The rest is a margin: windows
+ * slide, there may be few requests at the start of a window, and hosts may
+ * join or leave unnoticed.
  */
-#define Bu_PART 0.6
+#define Bu_USED_FRACTION 0.6
 
 struct service {
     char name[Ec_NAME_MAX];
     int64_t step; /* number of the newest step */
-    int firsts[Bu_STEPS];
-    int repeats[Bu_STEPS];
+    int first_attempts[Bu_STEPS];
+    int retries[Bu_STEPS];
 };
 
 struct bu_budget {
@@ -26,7 +27,7 @@
     double ratio;
     double extra;
     int64_t step_usec;
-    size_t daemons;
+    size_t hosts;
     size_t count;
     struct service services[Bu_SERVICES_MAX];
 };
@@ -41,7 +42,7 @@
         budget->ratio = ratio;
         budget->extra = extra;
         budget->step_usec = window_usec / Bu_STEPS;
-        budget->daemons = 1;
+        budget->hosts = 1;
     }
     return budget;
 }
@@ -53,9 +54,9 @@
 }
 
 void
-Bu_SetDaemons(struct bu_budget *budget, size_t daemons)
+Bu_SetDaemons(struct bu_budget *budget, size_t hosts)
 {
-    budget->daemons = daemons > 0 ? daemons : 1;
+    budget->hosts = hosts > 0 ? hosts : 1;
 }
 
 static struct service *
@@ -87,35 +88,36 @@
         from = step - Bu_STEPS + 1;
     }
     for (; from <= step; from++) {
-        service->firsts[from % Bu_STEPS] = 0;
-        service->repeats[from % Bu_STEPS] = 0;
+        service->first_attempts[from % Bu_STEPS] = 0;
+        service->retries[from % Bu_STEPS] = 0;
     }
     service->step = step;
     return service;
 }
 
-/* Counts a request that goes to its first endpoint. */
+/* Counts the first attempt of a request. */
 void
 Bu_First(struct bu_budget *budget, const char *service)
 {
     struct service *found = advance(budget, service);
     if (found != NULL) {
-        found->firsts[found->step % Bu_STEPS]++;
+        found->first_attempts[found->step % Bu_STEPS]++;
     }
 }
 
 static bool
 has_room(const struct bu_budget *budget, const struct service *service)
 {
-    int firsts = 0;
-    int repeats = 0;
+    int first_attempts = 0;
+    int retries = 0;
     for (size_t i = 0; i < Bu_STEPS; i++) {
-        firsts += service->firsts[i];
-        repeats += service->repeats[i];
+        first_attempts += service->first_attempts[i];
+        retries += service->retries[i];
     }
-    double allowed = Bu_PART * (budget->ratio * firsts +
-                                budget->extra / (double)budget->daemons);
-    return repeats + 1 <= allowed;
+    double allowed =
+        Bu_USED_FRACTION * (budget->ratio * first_attempts +
+                            budget->extra / (double)budget->hosts);
+    return retries + 1 <= allowed;
 }
 
 bool
@@ -125,7 +127,7 @@
     return found != NULL && has_room(budget, found);
 }
 
-/* Takes one repeat; false when the budget is spent. */
+/* Takes one retry from the budget; returns false when it is spent. */
 bool
 Bu_Repeat(struct bu_budget *budget, const char *service)
 {
@@ -133,6 +135,6 @@
     if (found == NULL || !has_room(budget, found)) {
         return false;
     }
-    found->repeats[found->step % Bu_STEPS]++;
+    found->retries[found->step % Bu_STEPS]++;
     return true;
 }
--- a/packages/edge/budget.h
+++ b/packages/edge/budget.h
@@ -1,7 +1,7 @@
 /*
- * The budget for sending a request to a further endpoint.  The bound is one
- * for all daemons; each spends its own part of it without asking: a share of
- * its own recent requests, and an even part of the fixed allowance.
+ * The retry budget.  The bound holds for all hosts together; each host spends
+ * its own fraction without coordination: a ratio of its own recent requests,
+ * and an equal fraction of the fixed allowance.
  */
 #ifndef EDGE_BUDGET_H
 #define EDGE_BUDGET_H
@@ -20,9 +20,9 @@
 struct bu_budget *Bu_Create(const struct ck_clock *clock, double ratio,
                             double extra, int64_t window_usec);
 void Bu_Destroy(struct bu_budget *budget);
-void Bu_SetDaemons(struct bu_budget *budget, size_t daemons);
+void Bu_SetDaemons(struct bu_budget *budget, size_t hosts);
 void Bu_First(struct bu_budget *budget, const char *service);
-/* Whether a repeat would be granted now. */
+/* Whether a retry would be granted now. */
 bool Bu_CanRepeat(struct bu_budget *budget, const char *service);
 bool Bu_Repeat(struct bu_budget *budget, const char *service);
 
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -319,7 +319,7 @@
     endpoint->running++;
     endpoint->reading += attempt->reading;
     Wa_Sent(gate, endpoint, exchange->service, now);
-    Bt_Sent(gate, endpoint);
+    Bt_NoteSent(gate, endpoint);
     /*
      * Once for a request: while endpoints crash each is sent several times,
      * and endpoints would be ordered for a load several times as large.
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -78,7 +78,7 @@
         .near = strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
         .shunned = He_Shunned(endpoint, scene->now) || warming == WA_DOUBTED,
         .tried = was_tried(exchange, endpoint->hash),
-        .full = warming == WA_CLOSED || Bt_Closed(gate, endpoint) ||
+        .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
                 Po_Full(gate, endpoint, exchange->service),
         .failing = He_Failing(endpoint, scene->now),
         .draw = Hash_Bytes(both, sizeof(both), 0),
@@ -88,7 +88,7 @@
     };
     if (scene->mean_first > Xc_SLOWNESS_FLOOR_USEC) {
         candidate.slowness =
-            He_FirstUsec(endpoint, scene->mean_first, scene->now) /
+            He_FirstByteUsec(endpoint, scene->mean_first, scene->now) /
             scene->mean_first;
     }
     return candidate;
--- a/packages/edge/health.c
+++ b/packages/edge/health.c
@@ -2,23 +2,23 @@
 
 #include <math.h>
 
-/* Weight of the newest answer; about the last eight count. */
+/* Weight of the newest answer in the moving average: 1/8. */
 #define He_WEIGHT 0.125
 /*
- * A broken connection keeps new requests away for this long, twice as long
- * for each further one in a row: a crashed endpoint is back or struck from
- * the list within a few seconds, and one request finds out.
+ * After a broken connection the endpoint is shunned for this long, doubled
+ * for each further break in a row: a crashed endpoint restarts or is removed
+ * from the list within a few seconds, and one request detects that.
  */
 #define He_SHUN_FIRST_USEC (400 * Ck_USEC_PER_MSEC)
 #define He_SHUN_DOUBLINGS 4
-/* A full endpoint is left alone until about a tenth of its queue has gone. */
+/* A full endpoint is shunned until about 1/10 of its queue has drained. */
 #define He_FULL_USEC (100 * Ck_USEC_PER_MSEC)
 
-/* Half of what was seen is forgotten in so long without another answer. */
-#define He_FAILING_HALF_USEC (10.0 * Ck_USEC_PER_SEC)
-#define He_FIRST_HALF_USEC (5.0 * Ck_USEC_PER_SEC)
+/* Half-lives of the averages while no answers arrive. */
+#define He_FAILURE_HALF_LIFE_USEC (10.0 * Ck_USEC_PER_SEC)
+#define He_FIRST_BYTE_HALF_LIFE_USEC (5.0 * Ck_USEC_PER_SEC)
 
-/* A sound endpoint may be silent for so long. */
+/* Requests that time out within this time count as one failure. */
 #define He_SILENCE_USEC (1 * Ck_USEC_PER_SEC)
 
 static void
@@ -29,14 +29,17 @@
     }
 }
 
-/* What is left after so long without another answer. */
+/* Weight that an average keeps after "usec" without an answer. */
 static double
-left_of(int64_t usec, double half_usec)
+decay(int64_t usec, double half_usec)
 {
     return exp2(-(double)usec / half_usec);
 }
 
-/* One silence meets all requests that are there, and is one failure. */
+/*
+ * Whether a timeout belongs to the same unresponsive period as the one before.
+ * One such period hits all requests at the endpoint, and is one failure.
+ */
 static bool
 same_silence(struct fl_endpoint *endpoint, enum he_outcome outcome,
              int64_t now)
@@ -50,7 +53,7 @@
     return same;
 }
 
-/* Takes the end of a request. */
+/* Takes the outcome of a request. */
 void
 He_Note(struct fl_endpoint *endpoint, enum he_outcome outcome, int64_t now)
 {
@@ -78,15 +81,16 @@
     }
 }
 
-/* Takes the time that the first byte of an answer took. */
+/* Takes the time to the first byte of an answer. */
 void
-He_First(struct fl_endpoint *endpoint, int64_t usec, int64_t now)
+He_NoteFirstByte(struct fl_endpoint *endpoint, int64_t usec, int64_t now)
 {
     double weight = He_WEIGHT;
     if (endpoint->first_at != 0 && (double)usec < endpoint->first_usec) {
-        /* Quick again: what was seen before it was passed by is old. */
-        double old = 1 - left_of(now - endpoint->first_at, He_FIRST_HALF_USEC);
-        weight = old > weight ? old : weight;
+        /* The endpoint is faster again: the old average has decayed. */
+        double decayed =
+            1 - decay(now - endpoint->first_at, He_FIRST_BYTE_HALF_LIFE_USEC);
+        weight = decayed > weight ? decayed : weight;
     }
     endpoint->answered_at = now;
     endpoint->first_at = now;
@@ -97,15 +101,15 @@
 He_Failing(const struct fl_endpoint *endpoint, int64_t now)
 {
     return endpoint->failing *
-           left_of(now - endpoint->noted_at, He_FAILING_HALF_USEC);
+           decay(now - endpoint->noted_at, He_FAILURE_HALF_LIFE_USEC);
 }
 
 double
-He_FirstUsec(const struct fl_endpoint *endpoint, double mean, int64_t now)
+He_FirstByteUsec(const struct fl_endpoint *endpoint, double mean, int64_t now)
 {
     double above = endpoint->first_usec - mean;
-    return mean +
-           above * left_of(now - endpoint->first_at, He_FIRST_HALF_USEC);
+    return mean + above * decay(now - endpoint->first_at,
+                                He_FIRST_BYTE_HALF_LIFE_USEC);
 }
 
 bool
--- a/packages/edge/health.h
+++ b/packages/edge/health.h
@@ -1,6 +1,7 @@
 /*
- * What an endpoint's own answers say of it.  Health checks are not asked:
- * they pass at endpoints that fail requests, and cost a request each.
+ * Passive health tracking: an endpoint's health follows from its answers to
+ * callers' requests.  Active health checks are not used: they pass at
+ * endpoints that fail requests, and each costs a request.
  */
 #ifndef EDGE_HEALTH_H
 #define EDGE_HEALTH_H
@@ -12,24 +13,24 @@
 #endif
 
 enum he_outcome {
-    HE_SERVED,  /* answered as it should */
-    HE_FAILED,  /* an error of its own, or bytes that are no answer */
-    HE_REFUSED, /* said that it did not run the request */
-    HE_BROKE,   /* closed, reset or could not be reached */
-    HE_SILENT,  /* nothing in the time that others need many times over */
+    HE_SERVED,  /* a valid answer */
+    HE_FAILED,  /* a server error, or bytes that are no valid answer */
+    HE_REFUSED, /* the endpoint answered that it did not run the request */
+    HE_BROKE,   /* connection closed or reset, or endpoint unreachable */
+    HE_SILENT,  /* no answer within a multiple of the usual time */
 };
 
 void He_Note(struct fl_endpoint *endpoint, enum he_outcome outcome,
              int64_t now);
-void He_First(struct fl_endpoint *endpoint, int64_t usec, int64_t now);
+void He_NoteFirstByte(struct fl_endpoint *endpoint, int64_t usec, int64_t now);
 /*
- * The share of recent answers that failed, and the time to the first byte, as
- * far as they still say something: an endpoint that is passed by for what it
- * was could not show what it is.
+ * The fraction of recent answers that failed, and the time to the first byte.
+ * Both decay with time (the time towards "mean"): an endpoint that gets no
+ * requests because of past failures cannot show that it has recovered.
  */
 double He_Failing(const struct fl_endpoint *endpoint, int64_t now);
-double He_FirstUsec(const struct fl_endpoint *endpoint, double mean,
-                    int64_t now);
+double He_FirstByteUsec(const struct fl_endpoint *endpoint, double mean,
+                        int64_t now);
 bool He_Shunned(const struct fl_endpoint *endpoint, int64_t now);
 
 #ifdef __cplusplus
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -221,8 +221,8 @@
     bool refused =
         direct == WY_FAILED && (peer == WY_FAILED || peer == WY_NOT_TRIED);
     if (came || refused) {
-        Qn_Tested(making->paths->gate->quarantine, making->endpoint, came,
-                  making->since);
+        Qn_NoteConnect(making->paths->gate->quarantine, making->endpoint, came,
+                       making->since);
     }
 }
 
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -6,12 +6,12 @@
 
 #include "edge/quarantine_record.h"
 
-#define Qn_VERSIONS_EVERY_USEC (1 * Ck_USEC_PER_SEC)
+#define Qn_VERSION_CHECK_USEC (1 * Ck_USEC_PER_SEC)
 #define Qn_SERVICES_MAX 16
-/* Requests without a customer are those of one. */
-#define Qn_NOBODY 1
+/* Customer hash of requests without a customer; 0 means "all customers". */
+#define Qn_NO_CUSTOMER 1
 
-/* The version that all endpoints of a service have. */
+/* The last version that all endpoints of a service had in common. */
 struct service_version {
     uint32_t service;
     uint32_t version;
@@ -21,10 +21,10 @@
     struct ga_gate *gate;
     struct pz_table *table;
     struct qr_records *records;
-    struct lp_timer *close_timer;
+    struct lp_timer *refuse_timer;
     struct mt_metric *stopped;
     struct mt_metric *refused;
-    int64_t versions_at;
+    int64_t version_check_at;
     size_t service_count;
     struct service_version versions[Qn_SERVICES_MAX];
 };
@@ -35,60 +35,64 @@
     return Tt_Now(quarantine->gate->time);
 }
 
-/* A time of this host's steady clock as all hosts count it. */
+/* Converts a time of this host's monotonic clock to true time. */
 static int64_t
-true_of(const struct qn_quarantine *quarantine, int64_t at)
+to_true_time(const struct qn_quarantine *quarantine, int64_t at)
 {
     return true_now(quarantine) - (Ga_Now(quarantine->gate) - at);
 }
 
 struct pz_request
-Qn_Asked(const struct ec_service *service, const struct ec_tenant *tenant,
-         const struct ak_ask *ask)
+Qn_MakeRequest(const struct ec_service *service,
+               const struct ec_tenant *tenant, const struct ak_ask *ask)
 {
-    struct pz_request asked = {
+    struct pz_request request = {
         .service = De_Hash(service->name),
-        .customer = tenant == NULL ? Qn_NOBODY : Qt_Hash(tenant->name),
+        .customer = tenant == NULL ? Qn_NO_CUSTOMER : Qt_Hash(tenant->name),
     };
     if (ask->part_count > 0) {
-        asked.id = Px_Name(&ask->parts[ask->part_count - 1]);
+        request.id = Px_Name(&ask->parts[ask->part_count - 1]);
     }
-    asked.customer = asked.customer == 0 ? Qn_NOBODY : asked.customer;
-    while (asked.count + 1 < ask->part_count && asked.count < Pz_PARTS_MAX) {
-        asked.parts[asked.count] = Px_Name(&ask->parts[asked.count]);
-        asked.count++;
+    request.customer =
+        request.customer == 0 ? Qn_NO_CUSTOMER : request.customer;
+    while (request.count + 1 < ask->part_count &&
+           request.count < Pz_PARTS_MAX) {
+        request.parts[request.count] = Px_Name(&ask->parts[request.count]);
+        request.count++;
     }
-    return asked;
+    return request;
 }
 
 static struct pz_request
-asked_of(const struct xc_exchange *exchange)
+request_of(const struct xc_exchange *exchange)
 {
-    return Qn_Asked(exchange->service, exchange->tenant, &exchange->ask);
+    return Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
 }
 
-/* One start of an endpoint: it may come back under its identity. */
+/*
+ * Identifies one run of an endpoint: it may restart under the same identity.
+ */
 static uint32_t
-run_of(const struct fl_endpoint *endpoint)
+incarnation_of(const struct fl_endpoint *endpoint)
 {
     uint64_t both[2] = {endpoint->hash, (uint64_t)endpoint->entry.born};
     return (uint32_t)Hash_Bytes(both, sizeof(both), 0);
 }
 
 static void
-on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool heard)
+on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool from_peer)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.stopped",
            "\"part\":\"%08x\",\"service\":\"%08x\",\"customer\":\"%08x\","
            "\"crashes\":%d,\"by\":\"%s\"",
            stop->key.part, stop->key.service, stop->key.customer, crashes,
-           heard ? "peer" : "own");
+           from_peer ? "peer" : "own");
     Mt_Add(quarantine->stopped, 1);
-    if (!heard) {
+    if (!from_peer) {
         Qr_Keep(quarantine->records, stop);
     }
-    Lp_TimerSet(quarantine->close_timer, 0);
+    Lp_TimerSet(quarantine->refuse_timer, 0);
 }
 
 static void
@@ -109,18 +113,21 @@
     .lifted = on_lifted,
 };
 
-/* What waits for its first event would end the endpoints where it is. */
+/*
+ * Refuses requests with a quarantined part that still wait for their first
+ * event: they would crash the endpoints that have them.
+ */
 static void
-on_close(void *arg)
+on_refuse_waiting(void *arg)
 {
     struct qn_quarantine *quarantine = arg;
     struct xc_exchange *exchange;
     struct xc_exchange *next;
     TAILQ_FOREACH_SAFE (exchange, &quarantine->gate->exchanges, link, next) {
         char why[Qn_WHY_MAX];
-        struct pz_request asked = asked_of(exchange);
+        struct pz_request request = request_of(exchange);
         if (exchange->began || exchange->attempt.event_at != 0 ||
-            !Qn_Refuses(quarantine, &asked, why)) {
+            !Qn_IsStopped(quarantine, &request, why)) {
             continue;
         }
         if (exchange->attempt.endpoint != NULL &&
@@ -132,7 +139,7 @@
 }
 
 static void
-hear_stop(void *arg, const struct pz_stop *stop)
+apply_stop(void *arg, const struct pz_stop *stop)
 {
     struct qn_quarantine *quarantine = arg;
     Pz_HearStop(quarantine->table, stop, true_now(quarantine));
@@ -154,11 +161,11 @@
     quarantine->table =
         Pz_Create(&rule, &table_ops, quarantine, true_now(quarantine));
     quarantine->records = Qr_Create(gate->options.store, gate->options.clock,
-                                    hear_stop, quarantine);
-    quarantine->close_timer =
-        Lp_TimerCreate(gate->options.loop, on_close, quarantine);
+                                    apply_stop, quarantine);
+    quarantine->refuse_timer =
+        Lp_TimerCreate(gate->options.loop, on_refuse_waiting, quarantine);
     if (quarantine->table == NULL || quarantine->records == NULL ||
-        quarantine->close_timer == NULL) {
+        quarantine->refuse_timer == NULL) {
         Qn_Destroy(quarantine);
         return NULL;
     }
@@ -169,8 +176,8 @@
 Qn_Destroy(struct qn_quarantine *quarantine)
 {
     if (quarantine != NULL) {
-        if (quarantine->close_timer != NULL) {
-            Lp_TimerDestroy(quarantine->close_timer);
+        if (quarantine->refuse_timer != NULL) {
+            Lp_TimerDestroy(quarantine->refuse_timer);
         }
         Qr_Destroy(quarantine->records);
         Pz_Destroy(quarantine->table);
@@ -179,66 +186,69 @@
 }
 
 void
-Qn_Began(struct qn_quarantine *quarantine, const struct xc_exchange *exchange)
+Qn_NoteBegun(struct qn_quarantine *quarantine,
+             const struct xc_exchange *exchange)
 {
-    struct pz_request asked = asked_of(exchange);
-    Pz_Began(quarantine->table, &asked, true_now(quarantine));
+    struct pz_request request = request_of(exchange);
+    Pz_Began(quarantine->table, &request, true_now(quarantine));
 }
 
 void
-Qn_Broke(struct qn_quarantine *quarantine, const struct xc_exchange *exchange)
+Qn_NoteBroken(struct qn_quarantine *quarantine,
+              const struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     struct fl_endpoint *endpoint = attempt->endpoint;
-    struct pz_request asked = asked_of(exchange);
-    /* What broke may be the link, or the peer that it led through. */
-    if (asked.count == 0 || endpoint->way.cut ||
+    struct pz_request request = request_of(exchange);
+    /* The link, or the peer that relays the connection, may have failed. */
+    if (request.count == 0 || endpoint->way.cut ||
         Cn_Peer(attempt->channel) != 0) {
         return;
     }
     struct pz_crash crash = {
-        .endpoint = run_of(endpoint),
+        .endpoint = incarnation_of(endpoint),
         .begun = attempt->head_at != 0,
-        .sent_at = true_of(quarantine, attempt->sent_at),
+        .sent_at = to_true_time(quarantine, attempt->sent_at),
         .ended_at = true_now(quarantine),
     };
     endpoint->ended_at = Ga_Now(quarantine->gate);
     endpoint->test_wanted = true;
-    Pz_Ended(quarantine->table, &asked, &crash);
+    Pz_Ended(quarantine->table, &request, &crash);
     Pz_Judge(quarantine->table, crash.ended_at);
 }
 
 void
-Qn_Heard(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint)
+Qn_NoteAlive(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint)
 {
     if (endpoint->ended_at == 0) {
         return;
     }
-    Pz_Lives(quarantine->table, run_of(endpoint), true_now(quarantine));
+    Pz_Lives(quarantine->table, incarnation_of(endpoint),
+             true_now(quarantine));
     if (Ga_Now(quarantine->gate) - endpoint->ended_at >= Pz_BACK_USEC) {
         endpoint->ended_at = 0;
     }
 }
 
 void
-Qn_Tested(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
-          bool came, int64_t since)
+Qn_NoteConnect(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
+               bool connected, int64_t since)
 {
     if (endpoint->ended_at == 0 || since < endpoint->ended_at) {
         return;
     }
-    if (came) {
-        Qn_Heard(quarantine, endpoint);
+    if (connected) {
+        Qn_NoteAlive(quarantine, endpoint);
     }
     else {
-        Pz_Dead(quarantine->table, run_of(endpoint));
+        Pz_Dead(quarantine->table, incarnation_of(endpoint));
         Pz_Judge(quarantine->table, true_now(quarantine));
     }
 }
 
 bool
-Qn_Refuses(struct qn_quarantine *quarantine, const struct pz_request *request,
-           char why[Qn_WHY_MAX])
+Qn_IsStopped(struct qn_quarantine *quarantine,
+             const struct pz_request *request, char why[Qn_WHY_MAX])
 {
     const struct pz_stop *stop =
         Pz_Refuses(quarantine->table, request, true_now(quarantine));
@@ -252,46 +262,50 @@
 }
 
 bool
-Qn_Doubts(struct qn_quarantine *quarantine, const struct pz_request *request)
+Qn_ForbidsRetry(struct qn_quarantine *quarantine,
+                const struct pz_request *request)
 {
     return Pz_Doubts(quarantine->table, request, true_now(quarantine));
 }
 
 void
-Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *word)
+Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *message)
 {
     int64_t now = true_now(quarantine);
-    word->crash_count =
-        Pz_TellCrashes(quarantine->table, word->crashes, Ms_CRASHES_MAX, now);
-    word->clear_count =
-        Pz_TellClears(quarantine->table, word->clears, Ms_CLEARS_MAX, now);
-    word->stop_count =
-        Pz_TellStops(quarantine->table, word->stops, Ms_STOPS_MAX);
+    message->crash_count = Pz_TellCrashes(quarantine->table, message->crashes,
+                                          Ms_CRASHES_MAX, now);
+    message->clear_count =
+        Pz_TellClears(quarantine->table, message->clears, Ms_CLEARS_MAX, now);
+    message->stop_count =
+        Pz_TellStops(quarantine->table, message->stops, Ms_STOPS_MAX);
 }
 
 void
-Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *word)
+Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *message)
 {
-    for (size_t i = 0; i < word->clear_count; i++) {
-        Pz_HearClear(quarantine->table, &word->clears[i]);
+    for (size_t i = 0; i < message->clear_count; i++) {
+        Pz_HearClear(quarantine->table, &message->clears[i]);
     }
-    for (size_t i = 0; i < word->stop_count; i++) {
-        hear_stop(quarantine, &word->stops[i]);
+    for (size_t i = 0; i < message->stop_count; i++) {
+        apply_stop(quarantine, &message->stops[i]);
     }
-    for (size_t i = 0; i < word->crash_count; i++) {
-        Pz_HearCrash(quarantine->table, &word->crashes[i]);
+    for (size_t i = 0; i < message->crash_count; i++) {
+        Pz_HearCrash(quarantine->table, &message->crashes[i]);
     }
 }
 
-/* A link that turned out to be cut ended no endpoint. */
+/*
+ * Discards suspected crashes of endpoints whose link turned out to be cut:
+ * the endpoint itself did not crash.
+ */
 static void
-forget_cuts(struct qn_quarantine *quarantine)
+discard_cut_links(struct qn_quarantine *quarantine)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(quarantine->gate->fleet), link) {
         if (endpoint->ended_at != 0 && endpoint->way.cut) {
             endpoint->ended_at = 0;
-            Pz_Forget(quarantine->table, run_of(endpoint));
+            Pz_Forget(quarantine->table, incarnation_of(endpoint));
         }
     }
 }
@@ -313,9 +327,9 @@
     return added;
 }
 
-/* Whether all endpoints of a service have one version. */
+/* Whether all usable endpoints of the service have this version. */
 static bool
-have_one_version(const struct fl_fleet *fleet, const char *service,
+all_have_version(const struct fl_fleet *fleet, const char *service,
                  const char *version)
 {
     const struct fl_endpoint *endpoint;
@@ -329,9 +343,12 @@
     return true;
 }
 
-/* What one version does not bear another may. */
+/*
+ * Lifts the stops of a service once all its endpoints have a new version: the
+ * new version may handle the parts that crashed the old one.
+ */
 static void
-note_versions(struct qn_quarantine *quarantine)
+lift_on_new_version(struct qn_quarantine *quarantine)
 {
     const struct fl_fleet *fleet = quarantine->gate->fleet;
     const struct fl_endpoint *endpoint;
@@ -339,17 +356,16 @@
         const struct fl_entry *entry = &endpoint->entry;
         uint32_t service = De_Hash(entry->service);
         uint32_t version = De_Hash(entry->version);
-        struct service_version *known = find_version(quarantine, service);
-        if (known == NULL || known->version == version ||
-            !Fl_Usable(endpoint) ||
-            !have_one_version(fleet, entry->service, entry->version)) {
+        struct service_version *last = find_version(quarantine, service);
+        if (last == NULL || last->version == version || !Fl_Usable(endpoint) ||
+            !all_have_version(fleet, entry->service, entry->version)) {
             continue;
         }
-        if (known->version != 0) {
+        if (last->version != 0) {
             Pz_LiftService(quarantine->table, service, "another version",
                            true_now(quarantine));
         }
-        known->version = version;
+        last->version = version;
     }
 }
 
@@ -357,10 +373,10 @@
 Qn_Tick(struct qn_quarantine *quarantine)
 {
     int64_t now = Ga_Now(quarantine->gate);
-    forget_cuts(quarantine);
-    if (now - quarantine->versions_at >= Qn_VERSIONS_EVERY_USEC) {
-        quarantine->versions_at = now;
-        note_versions(quarantine);
+    discard_cut_links(quarantine);
+    if (now - quarantine->version_check_at >= Qn_VERSION_CHECK_USEC) {
+        quarantine->version_check_at = now;
+        lift_on_new_version(quarantine);
     }
     Pz_Judge(quarantine->table, true_now(quarantine));
     struct pz_stop stops[Pz_STOPS_MAX];
--- a/packages/edge/quarantine.h
+++ b/packages/edge/quarantine.h
@@ -1,7 +1,8 @@
 /*
- * Parts of prompts that end endpoints (see policy/poison.h): what this
- * daemon's requests show of them, what daemons tell each other, and the
- * record in the store that outlasts them all.
+ * Quarantine of prompt parts that crash endpoints (see policy/poison.h).
+ * Feeds the table with the outcomes of this host's requests and with gossip
+ * from peers, and keeps a record in the store, from which hosts that all
+ * restart at once learn of the quarantined parts.
  */
 #ifndef EDGE_QUARANTINE_H
 #define EDGE_QUARANTINE_H
@@ -15,41 +16,46 @@
 
 struct qn_quarantine;
 
-/* Returns NULL without memory. */
+/* Returns NULL when out of memory. */
 struct qn_quarantine *Qn_Create(struct ga_gate *gate);
 void Qn_Destroy(struct qn_quarantine *quarantine);
-/* Every Ga_TICK_USEC. */
+/* To be called every Ga_TICK_USEC. */
 void Qn_Tick(struct qn_quarantine *quarantine);
 
-/* The attempt under way had its first event, or the whole answer. */
-void Qn_Began(struct qn_quarantine *quarantine,
-              const struct xc_exchange *exchange);
-/* Its connection broke before that. */
-void Qn_Broke(struct qn_quarantine *quarantine,
-              const struct xc_exchange *exchange);
-/* Bytes came from an endpoint. */
-void Qn_Heard(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint);
-/* A connection to it that was begun at "since" came, or was refused. */
-void Qn_Tested(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
-               bool came, int64_t since);
-
-/* Whether a request is not to be sent. */
+/* The current attempt received its first event or its whole answer. */
+void Qn_NoteBegun(struct qn_quarantine *quarantine,
+                  const struct xc_exchange *exchange);
+/* The attempt's connection broke before the first event. */
+void Qn_NoteBroken(struct qn_quarantine *quarantine,
+                   const struct xc_exchange *exchange);
+/* This host received bytes from the endpoint. */
+void Qn_NoteAlive(struct qn_quarantine *quarantine,
+                  struct fl_endpoint *endpoint);
+/* A connect that was started at "since" succeeded or was refused. */
+void Qn_NoteConnect(struct qn_quarantine *quarantine,
+                    struct fl_endpoint *endpoint, bool connected,
+                    int64_t since);
+
+/*
+ * Whether the request contains a quarantined part and must not be sent;
+ * "why" then holds the text for the caller.
+ */
 #define Qn_WHY_MAX 64
-bool Qn_Refuses(struct qn_quarantine *quarantine,
-                const struct pz_request *request, char why[Qn_WHY_MAX]);
-/* Whether it is to be sent to no further endpoint. */
-bool Qn_Doubts(struct qn_quarantine *quarantine,
-               const struct pz_request *request);
-/* A caller who comes back sooner is refused again. */
+bool Qn_IsStopped(struct qn_quarantine *quarantine,
+                  const struct pz_request *request, char why[Qn_WHY_MAX]);
+/* Whether the request must not be retried at another endpoint. */
+bool Qn_ForbidsRetry(struct qn_quarantine *quarantine,
+                     const struct pz_request *request);
+/* Retry-after for refused callers: an earlier retry would be refused too. */
 #define Qn_RETRY_USEC Pz_STOP_LASTS_USEC
 
-struct pz_request Qn_Asked(const struct ec_service *service,
-                           const struct ec_tenant *tenant,
-                           const struct ak_ask *ask);
+struct pz_request Qn_MakeRequest(const struct ec_service *service,
+                                 const struct ec_tenant *tenant,
+                                 const struct ak_ask *ask);
 
-/* What other daemons are told, and what they say. */
-void Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *word);
-void Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *word);
+/* Write to, and read from, the gossip messages between hosts. */
+void Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *message);
+void Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *message);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -6,35 +6,35 @@
 
 #include "base/line.h"
 
-/* A call that came to nothing is made again after so long. */
-#define Qr_AGAIN_USEC (1 * Ck_USEC_PER_SEC)
-/* A record that stays says again when the part was last asked for. */
+/* Delay before the records are read again after a failed read. */
+#define Qr_RETRY_USEC (1 * Ck_USEC_PER_SEC)
+/* A record is rewritten when its time of the last request is this old. */
 #define Qr_RENEW_USEC (120 * Ck_USEC_PER_SEC)
 #define Qr_TEXT_MAX 96
-/* "SERVICE-CUSTOMER-PART", and "DECIDED SEEN" in microseconds. */
+/* "SERVICE-CUSTOMER-PART", and "DECIDED SEEN" in microseconds since 1970. */
 #define Qr_KEY_FORMAT "%08x-%08x-%08x"
 #define Qr_VALUE_FORMAT "%lld %lld"
 
-/* A record as it stands in the store, or shall stand there. */
+/* A record as it is in the store or is to be written there. */
 struct record {
     struct pz_stop stop;
-    int64_t written_seen; /* what it says there of the last request */
-    bool written;
-    bool gone; /* to be removed */
+    int64_t written_seen; /* stop.seen_at as last written */
+    bool written;         /* the store is up to date */
+    bool removed;         /* the record is to be removed from the store */
 };
 
 struct qr_records {
     struct ag_store *store;
     const struct ck_clock *clock;
-    qr_fn heard;
+    qr_fn loaded;
     void *arg;
     bool listing;
     bool listed;
-    int64_t tried_at;
+    int64_t list_tried_at;
     bool writing;
-    struct pz_key under_way; /* being written */
-    bool under_way_gone;
-    int64_t under_way_seen;
+    struct pz_key writing_key; /* key of the write in progress */
+    bool writing_removal;      /* the write removes the record */
+    int64_t writing_seen;
     size_t count;
     struct record records[Pz_STOPS_MAX];
 };
@@ -47,7 +47,7 @@
     if (records != NULL) {
         records->store = store;
         records->clock = clock;
-        records->heard = heard;
+        records->loaded = heard;
         records->arg = arg;
     }
     return records;
@@ -71,7 +71,7 @@
 }
 
 static struct record *
-add(struct qr_records *records, const struct pz_stop *stop)
+find_or_add(struct qr_records *records, const struct pz_stop *stop)
 {
     struct record *record = find(records, &stop->key);
     if (record == NULL && records->count < Pz_STOPS_MAX) {
@@ -84,14 +84,14 @@
 void
 Qr_Keep(struct qr_records *records, const struct pz_stop *stop)
 {
-    struct record *record = add(records, stop);
+    struct record *record = find_or_add(records, stop);
     if (record == NULL) {
         Ln_Log(LN_FAILURE, "part.unrecorded", "\"part\":\"%08x\"",
                stop->key.part);
         return;
     }
     record->stop = *stop;
-    record->gone = false;
+    record->removed = false;
     record->written = false;
 }
 
@@ -99,14 +99,14 @@
 Qr_Remove(struct qr_records *records, const struct pz_key *key)
 {
     struct pz_stop stop = {.key = *key};
-    struct record *record = add(records, &stop);
+    struct record *record = find_or_add(records, &stop);
     if (record != NULL) {
-        record->gone = true;
+        record->removed = true;
         record->written = false;
     }
 }
 
-/* False: not a record of ours. */
+/* Returns false when key or value is not in the format of these records. */
 static bool
 decode(const struct ag_record *record, struct pz_stop *out)
 {
@@ -138,12 +138,12 @@
         struct pz_stop stop;
         if (result->records[i].value != NULL &&
             decode(&result->records[i], &stop)) {
-            struct record *record = add(records, &stop);
+            struct record *record = find_or_add(records, &stop);
             if (record != NULL) {
                 record->written = true;
                 record->written_seen = stop.seen_at;
             }
-            records->heard(records->arg, &stop);
+            records->loaded(records->arg, &stop);
         }
     }
 }
@@ -153,14 +153,14 @@
 {
     struct qr_records *records = arg;
     records->writing = false;
-    struct record *record = find(records, &records->under_way);
-    if (record == NULL || record->gone != records->under_way_gone ||
+    struct record *record = find(records, &records->writing_key);
+    if (record == NULL || record->removed != records->writing_removal ||
         result->status != AG_OK) {
         return;
     }
     record->written = true;
-    record->written_seen = records->under_way_seen;
-    if (record->gone) {
+    record->written_seen = records->writing_seen;
+    if (record->removed) {
         *record = records->records[--records->count];
     }
 }
@@ -173,23 +173,23 @@
     char value[Qr_TEXT_MAX];
     snprintf(key, sizeof(key), Qr_KEY_FORMAT, stop->key.service,
              stop->key.customer, stop->key.part);
-    int len = record->gone ? 0
-                           : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
-                                      (long long)stop->decided_at,
-                                      (long long)stop->seen_at);
+    int len = record->removed ? 0
+                              : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
+                                         (long long)stop->decided_at,
+                                         (long long)stop->seen_at);
     records->writing = true;
-    records->under_way = stop->key;
-    records->under_way_gone = record->gone;
-    records->under_way_seen = stop->seen_at;
+    records->writing_key = stop->key;
+    records->writing_removal = record->removed;
+    records->writing_seen = stop->seen_at;
     Ag_Append(records->store, AG_STOPS, -1, key, value, (size_t)len,
               on_written, records);
 }
 
 static void
-renew(struct qr_records *records, const struct pz_stop *stop)
+update_seen(struct qr_records *records, const struct pz_stop *stop)
 {
-    struct record *record = add(records, stop);
-    if (record != NULL && !record->gone) {
+    struct record *record = find_or_add(records, stop);
+    if (record != NULL && !record->removed) {
         record->stop.seen_at = stop->seen_at;
         if (stop->seen_at - record->written_seen > Qr_RENEW_USEC) {
             record->written = false;
@@ -197,7 +197,7 @@
     }
 }
 
-/* One write at a time. */
+/* Writes the first outdated record; only one write is in progress at once. */
 static void
 write_next(struct qr_records *records)
 {
@@ -212,13 +212,13 @@
 Qr_Tick(struct qr_records *records, const struct pz_stop *stops, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        renew(records, &stops[i]);
+        update_seen(records, &stops[i]);
     }
     int64_t now = Ck_Now(records->clock);
-    bool waits =
-        records->tried_at != 0 && now - records->tried_at < Qr_AGAIN_USEC;
-    if (!records->listed && !records->listing && !waits) {
-        records->tried_at = now;
+    bool backing_off = records->list_tried_at != 0 &&
+                       now - records->list_tried_at < Qr_RETRY_USEC;
+    if (!records->listed && !records->listing && !backing_off) {
+        records->list_tried_at = now;
         records->listing = true;
         Ag_Newest(records->store, AG_STOPS, NULL, on_listed, records);
     }
--- a/packages/edge/quarantine_record.h
+++ b/packages/edge/quarantine_record.h
@@ -1,6 +1,6 @@
 /*
- * The record in the store of a part that is stopped, by which hosts that all
- * start again at once know of it.
+ * Records of quarantined prompt parts in the store.  Hosts that all restart
+ * at once, so that no peer remembers the parts, read them from there.
  */
 #ifndef EDGE_QUARANTINE_RECORD_H
 #define EDGE_QUARANTINE_RECORD_H
@@ -14,16 +14,16 @@
 
 struct qr_records;
 
-/* "heard" is called for each record that is there at the start. */
+/* Called for each record that the store holds at the start. */
 typedef void (*qr_fn)(void *arg, const struct pz_stop *stop);
 
-/* Returns NULL without memory. */
+/* Returns NULL when out of memory. */
 struct qr_records *Qr_Create(struct ag_store *store,
-                             const struct ck_clock *clock, qr_fn heard,
+                             const struct ck_clock *clock, qr_fn loaded,
                              void *arg);
-/* The store must not answer any more. */
+/* The store must make no more callbacks. */
 void Qr_Destroy(struct qr_records *records);
-/* Reads and writes what is due; "stops" are kept current. */
+/* Starts due reads and writes; updates the records of "stops". */
 void Qr_Tick(struct qr_records *records, const struct pz_stop *stops,
              size_t count);
 void Qr_Keep(struct qr_records *records, const struct pz_stop *stop);
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -95,7 +95,7 @@
     const struct xc_attempt *attempt = &exchange->attempt;
     if (Cn_Peer(attempt->channel) == 0) {
         attempt->endpoint->heard_at = Ga_Now(exchange->gate);
-        Qn_Heard(exchange->gate->quarantine, attempt->endpoint);
+        Qn_NoteAlive(exchange->gate->quarantine, attempt->endpoint);
     }
 }
 
@@ -113,8 +113,8 @@
                attempt->endpoint->entry.id);
         return false;
     }
-    Bt_Answered(exchange->gate, attempt->endpoint,
-                attempt->answer.refusals_borne, attempt->sent_at);
+    Bt_NoteAnswer(exchange->gate, attempt->endpoint,
+                  attempt->answer.refusals_borne, attempt->sent_at);
     int64_t now = Ga_Now(exchange->gate);
     attempt->head_at = now;
     attempt->status = head->status;
@@ -130,7 +130,7 @@
         Xc_CountRun(exchange);
     }
     if (head->status == 200 && genuine(&attempt->answer)) {
-        He_First(attempt->endpoint, now - attempt->sent_at, now);
+        He_NoteFirstByte(attempt->endpoint, now - attempt->sent_at, now);
         note_version_first(exchange, now - attempt->sent_at);
         exchange->first_at =
             exchange->first_at == 0 ? now : exchange->first_at;
@@ -192,7 +192,7 @@
     struct xc_attempt *attempt = &exchange->attempt;
     if (attempt->event_at == 0) {
         attempt->event_at = Ga_Now(exchange->gate);
-        Qn_Began(exchange->gate->quarantine, exchange);
+        Qn_NoteBegun(exchange->gate->quarantine, exchange);
     }
     if (attempt->gap) {
         return;
@@ -275,12 +275,12 @@
     char poison[Qn_WHY_MAX];
     struct qn_quarantine *quarantine = exchange->gate->quarantine;
     struct pz_request asked =
-        Qn_Asked(exchange->service, exchange->tenant, &exchange->ask);
-    if (!exchange->began && Qn_Refuses(quarantine, &asked, poison)) {
+        Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
+    if (!exchange->began && Qn_IsStopped(quarantine, &asked, poison)) {
         Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC, poison);
         return;
     }
-    if (Xc_MayRepeat(exchange, ran) && !Qn_Doubts(quarantine, &asked)) {
+    if (Xc_MayRepeat(exchange, ran) && !Qn_ForbidsRetry(quarantine, &asked)) {
         Xc_Release(exchange);
         Xc_Dispatch(exchange);
         return;
@@ -338,7 +338,7 @@
     }
     if (attempt->answer.not_run) {
         if (attempt->status != 421) {
-            Bt_Refused(exchange->gate, endpoint);
+            Bt_NoteRefused(exchange->gate, endpoint);
         }
         He_Note(endpoint, attempt->status == 421 ? HE_BROKE : HE_REFUSED, now);
         go_on(exchange, false, Xc_RefusalStatus(exchange), "endpoint refused");
@@ -360,7 +360,7 @@
     }
     else {
         He_Note(endpoint, HE_SERVED, now);
-        Qn_Began(exchange->gate->quarantine, exchange);
+        Qn_NoteBegun(exchange->gate->quarantine, exchange);
     }
     pass_on(exchange);
 }
@@ -398,7 +398,7 @@
             Xc_CountRun(exchange);
         }
         if (attempt->event_at == 0) {
-            Qn_Broke(exchange->gate->quarantine, exchange);
+            Qn_NoteBroken(exchange->gate->quarantine, exchange);
         }
         go_on(exchange, true, 502, "connection broke");
         break;
