--- a/packages/edge/events.c
+++ b/packages/edge/events.c
@@ -7,10 +7,10 @@
 #define Es_ID_DIGITS_MAX 15
 
 static bool
-keep(struct es_events *events, const char *data, size_t len)
+append(struct es_parser *parser, const char *data, size_t len)
 {
-    return events->kept.len + len <= Es_EVENT_MAX &&
-           Bf_Add(&events->kept, data, len);
+    return parser->buffer.len + len <= Es_EVENT_MAX &&
+           Bf_Add(&parser->buffer, data, len);
 }
 
 static int64_t
@@ -38,7 +38,7 @@
 }
 
 static void
-tell(const char *data, size_t len, es_fn fn, void *arg)
+emit(const char *data, size_t len, es_fn fn, void *arg)
 {
     struct es_event event = {.data = data, .len = len, .id = -1};
     size_t at = 0;
@@ -58,61 +58,62 @@
     fn(arg, &event);
 }
 
-/* Where the first event ends, behind its empty line; 0: not yet. */
+/* Offset after the empty line of the first event; 0: it is incomplete. */
 static size_t
-find_end(struct es_events *events, size_t from)
+find_end(struct es_parser *parser, size_t from)
 {
-    size_t at = events->scanned > from + 3 ? events->scanned - 3 : from;
-    while (at < events->kept.len) {
+    size_t at = parser->scanned > from + 3 ? parser->scanned - 3 : from;
+    while (at < parser->buffer.len) {
         const char *newline =
-            memchr(events->kept.at + at, '\n', events->kept.len - at);
+            memchr(parser->buffer.at + at, '\n', parser->buffer.len - at);
         if (newline == NULL) {
             break;
         }
-        size_t i = (size_t)(newline - events->kept.at) + 1;
-        if (i < events->kept.len && events->kept.at[i] == '\n') {
+        size_t i = (size_t)(newline - parser->buffer.at) + 1;
+        if (i < parser->buffer.len && parser->buffer.at[i] == '\n') {
             return i + 1;
         }
-        if (i + 1 < events->kept.len && events->kept.at[i] == '\r' &&
-            events->kept.at[i + 1] == '\n') {
+        if (i + 1 < parser->buffer.len && parser->buffer.at[i] == '\r' &&
+            parser->buffer.at[i + 1] == '\n') {
             return i + 2;
         }
         at = i;
     }
-    events->scanned = events->kept.len;
+    parser->scanned = parser->buffer.len;
     return 0;
 }
 
 void
-Es_Feed(struct es_events *events, const char *data, size_t len, es_fn fn,
+Es_Feed(struct es_parser *parser, const char *data, size_t len, es_fn fn,
         void *arg)
 {
-    if (events->failed || !keep(events, data, len)) {
-        events->failed = true;
+    if (parser->failed || !append(parser, data, len)) {
+        parser->failed = true;
         return;
     }
     size_t from = 0;
     size_t end;
-    while (!events->failed && (end = find_end(events, from)) != 0) {
-        tell(events->kept.at + from, end - from, fn, arg);
+    while (!parser->failed && (end = find_end(parser, from)) != 0) {
+        emit(parser->buffer.at + from, end - from, fn, arg);
         from = end;
     }
-    if (from > 0 && events->kept.at != NULL) {
-        events->kept.len -= from;
-        memmove(events->kept.at, events->kept.at + from, events->kept.len);
-        events->scanned = 0;
+    if (from > 0 && parser->buffer.at != NULL) {
+        parser->buffer.len -= from;
+        memmove(parser->buffer.at, parser->buffer.at + from,
+                parser->buffer.len);
+        parser->scanned = 0;
     }
 }
 
 size_t
-Es_Left(const struct es_events *events)
+Es_BufferedLen(const struct es_parser *parser)
 {
-    return events->kept.len;
+    return parser->buffer.len;
 }
 
 void
-Es_Clear(struct es_events *events)
+Es_Clear(struct es_parser *parser)
 {
-    Bf_Free(&events->kept);
-    memset(events, 0, sizeof(*events));
+    Bf_Free(&parser->buffer);
+    memset(parser, 0, sizeof(*parser));
 }
--- a/packages/edge/events.h
+++ b/packages/edge/events.h
@@ -1,6 +1,6 @@
 /*
- * Splits the body of a stream into whole events, so that what is passed on
- * never ends in the middle of one and a stream can go on elsewhere.
+ * Splits the body of a stream into whole server-sent events.  Only whole
+ * events go to the caller, so that a stream can resume at another endpoint.
  */
 #ifndef EDGE_EVENTS_H
 #define EDGE_EVENTS_H
@@ -15,14 +15,14 @@
 extern "C" {
 #endif
 
-struct es_events {
-    struct bf_buffer kept;
+struct es_parser {
+    struct bf_buffer buffer;
     size_t scanned;
-    bool failed; /* without memory, or an event over the limit */
+    bool failed; /* out of memory, or an event exceeded the size limit */
 };
 
 struct es_event {
-    const char *data; /* with the empty line that ends it */
+    const char *data; /* including the empty line that ends the event */
     size_t len;
     int64_t id;             /* -1: none */
     const char *first_line; /* not terminated */
@@ -31,11 +31,11 @@
 
 typedef void (*es_fn)(void *arg, const struct es_event *event);
 
-void Es_Feed(struct es_events *events, const char *data, size_t len, es_fn fn,
+void Es_Feed(struct es_parser *parser, const char *data, size_t len, es_fn fn,
              void *arg);
-/* Bytes of an event that has not ended. */
-size_t Es_Left(const struct es_events *events);
-void Es_Clear(struct es_events *events);
+/* Number of buffered bytes of an incomplete event. */
+size_t Es_BufferedLen(const struct es_parser *parser);
+void Es_Clear(struct es_parser *parser);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -105,7 +105,7 @@
     Fl_Drop(attempt->endpoint);
     free(attempt->fields);
     Bf_Free(&attempt->body);
-    Es_Clear(&attempt->events);
+    Es_Clear(&attempt->parser);
     memset(attempt, 0, sizeof(*attempt));
 }
 
@@ -318,7 +318,7 @@
                      running * Xc_ALONE_PART <= endpoint->entry.slots;
     endpoint->running++;
     endpoint->reading += attempt->reading;
-    Wa_Sent(gate, endpoint, exchange->service, now);
+    Wa_NoteSent(gate, endpoint, exchange->service, now);
     Bt_NoteSent(gate, endpoint);
     /*
      * Once for a request: while endpoints crash each is sent several times,
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -28,7 +28,7 @@
     bool overflow;
     bool gap;  /* events are missing */
     bool slow; /* its first byte took several times as long as usual */
-    struct es_events events;
+    struct es_parser parser;
 };
 
 struct xc_exchange {
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -76,7 +76,8 @@
         .missing = missing.tokens,
         .shared = missing.shared,
         .near = strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
-        .shunned = He_Shunned(endpoint, scene->now) || warming == WA_DOUBTED,
+        .shunned =
+            He_Shunned(endpoint, scene->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
         .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
                 Po_Full(gate, endpoint, exchange->service),
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -166,7 +166,7 @@
         return;
     }
     Ag_ShowCalls(gate->options.store, gate->registry);
-    Vs_ShowEndpoints(gate->registry, gate->fleet);
+    Vs_UpdateEndpoints(gate->registry, gate->fleet);
     Mt_Set(
         Mt_Get(gate->registry, MT_GAUGE, "cornelgate_evacuated_running", ""),
         Fl_CountEvacuated(gate->fleet));
--- a/packages/edge/packed.c
+++ b/packages/edge/packed.c
@@ -8,7 +8,7 @@
     if (object->type != MSGPACK_OBJECT_STR || object->via.str.size >= size) {
         return false;
     }
-    /* An empty text has no bytes to point at. */
+    /* The pointer of an empty string may be NULL. */
     if (object->via.str.size > 0) {
         memcpy(out, object->via.str.ptr, object->via.str.size);
     }
--- a/packages/edge/packed.h
+++ b/packages/edge/packed.h
@@ -1,4 +1,4 @@
-/* Reading packed values that a peer or an earlier daemon wrote. */
+/* Decoding of MessagePack values written by a peer or an earlier daemon. */
 #ifndef EDGE_PACKED_H
 #define EDGE_PACKED_H
 
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Copies a text; false when it is none, or too long. */
+/* Copies a string; returns false when it is no string, or too long. */
 bool Pk_Text(const msgpack_object *object, char *out, size_t size);
 
 #endif
--- a/packages/edge/place.c
+++ b/packages/edge/place.c
@@ -3,80 +3,78 @@
 #include <float.h>
 
 /*
- * Costs are in prompt tokens to be read, the time an engine's first token
- * depends on most.  The weights order choices that differ little; they are
- * no measures of an engine.
+ * Costs are in prompt tokens to read, which dominate the time to an engine's
+ * first token.  The weights rank endpoints that differ little; they are not
+ * properties of an engine.
  */
-/* A running request slows each step a little. */
+/* Each running request makes every decoding step slightly slower. */
 #define Pl_RUNNING_COST 120.0
-#define Pl_FAR_COST 150.0 /* two milliseconds of another data centre */
+#define Pl_FAR_COST 150.0 /* 2 ms of latency to another data centre */
 /*
- * The endpoints that a group of prompts prefers, best first, and the part of
- * what the group shares that each is likely to keep although this daemon did
- * not send it there: with many daemons each sees few requests of a group.
- * That overflow goes to the same few endpoints keeps the number of those that
- * read the shared part small.
+ * Number of homes: the endpoints that a group of prompts prefers, best first.
+ * A home probably caches much of the group's shared parts even where this
+ * host has sent none there: of many hosts, each sees few requests of a group.
+ * Overflow goes to the same few homes, so that few endpoints read the shared
+ * parts.
  */
 #define Pl_HOMES 3
 /*
- * A shared part that is read where another endpoint keeps it costs its time
- * there and the place it takes from other parts.
+ * Weight of shared tokens that another endpoint has cached: to read them again
+ * costs time and evicts other parts from the cache.
  */
 #define Pl_SHARED_WEIGHT 2.0
 /*
- * A prompt from this size on holds up the first token of a short question
- * behind it by a large part of what that may take: at 60,000 tokens a second
- * 4,096 take 70 ms, and they come in pairs.
+ * Prompts from this size on are long: they delay the first token of a short
+ * prompt behind them by much of its latency target.  At 60,000 tokens a second
+ * 4,096 tokens take 70 ms, and long prompts come in pairs.
  */
 #define Pl_LONG_TOKENS 4096
 /*
- * What going to the endpoints of the other kind costs.  A short question at
- * those for long prompts risks its own time, a long prompt at those for short
- * ones the time of several others.
+ * Cost of an endpoint in the wrong lane.  A short prompt in the long lane may
+ * itself be late; a long prompt in the short lane delays several others.
  */
-#define Pl_SHORT_ASTRAY_COST 6000.0
-#define Pl_LONG_ASTRAY_COST 12000.0
-/* With fewer endpoints each kind has too few to choose from: long prompts
-   meet each other while endpoints of the other kind stand idle. */
-#define Pl_LANES_LEAST 128
-/* Long prompts wait more patiently, so their endpoints are used more. */
-#define Pl_LONG_ROOM 0.8
-#define Pl_LANE_MIN 0.2
-#define Pl_LANE_MAX 0.75
+#define Pl_SHORT_WRONG_LANE_COST 6000.0
+#define Pl_LONG_WRONG_LANE_COST 12000.0
+/* With fewer endpoints than this, separate lanes are too small: long prompts
+   queue behind each other while endpoints in the short lane are idle. */
+#define Pl_LANES_MIN_ENDPOINTS 128
+/* Long prompts have a looser latency target, so their lane may be busier. */
+#define Pl_LONG_LANE_FACTOR 0.8
+#define Pl_LONG_LANE_MIN 0.2
+#define Pl_LONG_LANE_MAX 0.75
 #define Pl_FAILING_COST 20000.0
 #define Pl_SLOW_COST 4000.0
-/* All places of a plain service's endpoint in use. */
+/* Cost of an endpoint of a plain service whose slots are all in use. */
 #define Pl_FULL_COST 4000.0
-/* Endpoints that a request chooses from at the least. */
-#define Pl_DRAWN 2
-/* Requests of all daemons that look at one endpoint before they hear of each
-   other's. */
-#define Pl_SAME_CHOICE 16.0
-/* Below this share of failures an endpoint is like any other. */
-#define Pl_FAILING_NOTED 0.3
-#define Pl_SLOW_NOTED 2.0
+/* The least number of endpoints that a request samples. */
+#define Pl_SAMPLES_MIN 2
+/* Requests of all hosts that sample one endpoint within the report lag. */
+#define Pl_SAMPLERS_MAX 16.0
+/* Lower failure rates and slowness cost nothing. */
+#define Pl_FAILING_MIN 0.3
+#define Pl_SLOW_MIN 2.0
 
 static double
-trouble_cost(const struct pl_candidate *candidate)
+health_cost(const struct pl_candidate *candidate)
 {
     double cost = 0;
-    if (candidate->failing > Pl_FAILING_NOTED) {
+    if (candidate->failing > Pl_FAILING_MIN) {
         cost += candidate->failing * Pl_FAILING_COST;
     }
-    if (candidate->slowness > Pl_SLOW_NOTED) {
+    if (candidate->slowness > Pl_SLOW_MIN) {
         cost += candidate->slowness * Pl_SLOW_COST;
     }
     return cost;
 }
 
-static const double kept_part[Pl_HOMES] = {0.8, 0.5, 0.25};
+static const double cached_fraction[Pl_HOMES] = {0.8, 0.5, 0.25};
 
-/* Tokens of shared parts that are likely to be read there. */
+/* Expected number of tokens in shared parts that the endpoint must read. */
 static double
-shared_reading(const struct pl_candidate *candidate, size_t home)
+expected_shared(const struct pl_candidate *candidate, size_t home)
 {
-    double kept = home < Pl_HOMES ? kept_part[home] : 0;
-    return (double)candidate->shared * (1 - kept);
+    double cached = home < Pl_HOMES ? cached_fraction[home] : 0;
+    return (double)candidate->shared * (1 - cached);
 }
 
 static double
@@ -85,7 +83,8 @@
     if (!limits->lanes || candidate->long_lane == limits->is_long) {
         return 0;
     }
-    return limits->is_long ? Pl_LONG_ASTRAY_COST : Pl_SHORT_ASTRAY_COST;
+    return limits->is_long ? Pl_LONG_WRONG_LANE_COST
+                           : Pl_SHORT_WRONG_LANE_COST;
 }
 
 static double
@@ -94,29 +93,29 @@
 {
     double own = (double)(candidate->missing - candidate->shared);
     return (double)candidate->reading + own +
-           shared_reading(candidate, home) * Pl_SHARED_WEIGHT +
+           expected_shared(candidate, home) * Pl_SHARED_WEIGHT +
            lane_cost(candidate, limits) +
            candidate->running * Pl_RUNNING_COST +
            (candidate->near ? 0 : Pl_FAR_COST);
 }
 
 /*
- * A plain service has no prompts: its places are what runs out.  All daemons
- * know the same of them, some tenths of a second late; by that alone they
- * would all send to the one that was least in use then.  Each request draws
- * two and takes the better.
+ * A plain service has no prompts; its limit is the slots.  All hosts see the
+ * same load of the endpoints, some tenths of a second late, and would all
+ * choose the least loaded one.  So each request takes the better of two
+ * endpoints that are chosen by the request's hash.
  */
 static double
 plain_cost(const struct pl_candidate *candidate, size_t home)
 {
     int slots = candidate->slots > 0 ? candidate->slots : 1;
     double used = (double)candidate->running / slots;
-    return used * Pl_FULL_COST + (home < Pl_DRAWN ? 0 : Pl_FULL_COST) +
+    return used * Pl_FULL_COST + (home < Pl_SAMPLES_MIN ? 0 : Pl_FULL_COST) +
            (candidate->near ? 0 : Pl_FAR_COST);
 }
 
 static bool
-can_take(const struct pl_candidate *candidate)
+is_eligible(const struct pl_candidate *candidate)
 {
     return !candidate->tried && !candidate->full;
 }
@@ -128,7 +127,10 @@
            candidate->running >= limits->fill * candidate->slots;
 }
 
-/* The endpoints that all daemons would give a group of prompts to. */
+/*
+ * Finds the homes of a group: the eligible endpoints with the highest hashes,
+ * which are the same at all hosts (rendezvous hashing).
+ */
 static void
 find_homes(const struct pl_candidate *candidates, size_t count,
            const struct pl_limits *limits, size_t homes[Pl_HOMES])
@@ -138,17 +140,17 @@
     }
     for (size_t i = 0; i < count; i++) {
         const struct pl_candidate *candidate = &candidates[i];
-        if (!can_take(candidate) || candidate->shunned ||
+        if (!is_eligible(candidate) || candidate->shunned ||
             lane_cost(candidate, limits) > 0) {
             continue;
         }
-        size_t moved = i;
-        for (size_t at = 0; at < Pl_HOMES && moved != count; at++) {
+        size_t inserted = i;
+        for (size_t at = 0; at < Pl_HOMES && inserted != count; at++) {
             if (homes[at] == count ||
-                candidates[moved].draw > candidates[homes[at]].draw) {
-                size_t before = homes[at];
-                homes[at] = moved;
-                moved = before;
+                candidates[inserted].draw > candidates[homes[at]].draw) {
+                size_t displaced = homes[at];
+                homes[at] = inserted;
+                inserted = displaced;
             }
         }
     }
@@ -164,12 +166,11 @@
     return home;
 }
 
-/* The best of those looked at; "any": one may have room later. */
 struct best {
-    size_t index;
+    size_t index; /* the number of candidates: none chosen */
     double cost;
     bool shunned;
-    bool any;
+    bool any_eligible; /* an endpoint may have a free slot later */
 };
 
 static struct best
@@ -180,17 +181,17 @@
     struct best best = {count, DBL_MAX, true, false};
     for (size_t i = 0; i < count; i++) {
         const struct pl_candidate *candidate = &candidates[i];
-        if (!can_take(candidate)) {
-            best.any |= candidate->full && !candidate->tried;
+        if (!is_eligible(candidate)) {
+            best.any_eligible |= candidate->full && !candidate->tried;
             continue;
         }
-        best.any = true;
+        best.any_eligible = true;
         size_t home = home_of(homes, i);
-        bool drawn = home < Pl_HOMES || candidate->lot <= drawn_part;
-        if (!drawn || at_limit(candidate, limits)) {
+        bool sampled = home < Pl_HOMES || candidate->lot <= drawn_part;
+        if (!sampled || at_limit(candidate, limits)) {
             continue;
         }
-        double cost = trouble_cost(candidate);
+        double cost = health_cost(candidate);
         cost += limits->engine ? engine_cost(candidate, limits, home)
                                : plain_cost(candidate, home);
         if (best.index == count || (best.shunned && !candidate->shunned) ||
@@ -204,8 +205,8 @@
 }
 
 /*
- * Shunned endpoints are taken only when there is no other: a wrong suspicion
- * of all of them must not turn every caller away.
+ * Chooses a shunned endpoint only when no other is available: if all endpoints
+ * are shunned by mistake, callers must still be served.
  */
 enum pl_verdict
 Pl_Choose(const struct pl_candidate *candidates, size_t count,
@@ -219,25 +220,25 @@
         best = find_best(candidates, count, limits, homes, 1);
     }
     if (best.index == count) {
-        return best.any ? PL_BUSY : PL_NONE;
+        return best.any_eligible ? PL_BUSY : PL_NONE;
     }
     const struct pl_candidate *chosen = &candidates[best.index];
     choice->index = best.index;
     choice->reading =
         chosen->missing - chosen->shared +
-        (int64_t)shared_reading(chosen, home_of(homes, best.index));
+        (int64_t)expected_shared(chosen, home_of(homes, best.index));
     return PL_CHOSEN;
 }
 
 double
 Pl_DrawnPart(size_t endpoints, double unheard)
 {
-    if (endpoints <= Pl_DRAWN || unheard <= Pl_SAME_CHOICE) {
+    if (endpoints <= Pl_SAMPLES_MIN || unheard <= Pl_SAMPLERS_MAX) {
         return 1;
     }
-    double part = Pl_SAME_CHOICE / unheard;
-    double least = (double)Pl_DRAWN / (double)endpoints;
-    return part > least ? part : least;
+    double fraction = Pl_SAMPLERS_MAX / unheard;
+    double minimum = (double)Pl_SAMPLES_MIN / (double)endpoints;
+    return fraction > minimum ? fraction : minimum;
 }
 
 bool
@@ -249,10 +250,10 @@
 double
 Pl_LongPart(size_t endpoints, double long_share)
 {
-    if (endpoints < Pl_LANES_LEAST || long_share <= 0) {
+    if (endpoints < Pl_LANES_MIN_ENDPOINTS || long_share <= 0) {
         return 0;
     }
-    double part = long_share * Pl_LONG_ROOM;
-    part = part < Pl_LANE_MIN ? Pl_LANE_MIN : part;
-    return part > Pl_LANE_MAX ? Pl_LANE_MAX : part;
+    double fraction = long_share * Pl_LONG_LANE_FACTOR;
+    fraction = fraction < Pl_LONG_LANE_MIN ? Pl_LONG_LANE_MIN : fraction;
+    return fraction > Pl_LONG_LANE_MAX ? Pl_LONG_LANE_MAX : fraction;
 }
--- a/packages/edge/place.h
+++ b/packages/edge/place.h
@@ -1,8 +1,9 @@
 /*
- * Which endpoint takes a request.  Pure: it sees candidates and returns one.
- * The load it answers: many daemons place by reports that lag, long prompts
- * hold up the first tokens of whatever runs beside them, and a part of a
- * prompt that an endpoint keeps costs nothing there.
+ * Endpoint selection for a request.  Pure: takes the candidates and returns
+ * one of them.  The selection takes into account that many hosts choose by
+ * load reports that lag, that a long prompt delays the first tokens of the
+ * requests beside it, and that a prompt part in the endpoint's prefix cache
+ * need not be read again.
  */
 #ifndef EDGE_PLACE_H
 #define EDGE_PLACE_H
@@ -16,41 +17,41 @@
 #endif
 
 struct pl_candidate {
-    int64_t reading; /* prompt tokens waiting there, of all daemons */
-    int64_t missing; /* prompt tokens it would have to read, as known here */
-    int64_t shared;  /* of these, in parts that other requests have too */
-    uint64_t draw;   /* the group's preference among endpoints */
-    double lot;      /* the request's own draw, 0 to 1 */
-    double failing;  /* 0 to 1 */
-    double slowness; /* its time to the first byte against the others' */
+    int64_t reading; /* prompt tokens queued there by all hosts */
+    int64_t missing; /* prompt tokens not in its cache, as this host knows */
+    int64_t shared;  /* of these, tokens in parts that requests share */
+    uint64_t draw;   /* hash of group and endpoint; the highest are homes */
+    double lot;      /* hash of request and endpoint, 0 to 1 */
+    double failing;  /* fraction of recent answers that failed, 0 to 1 */
+    double slowness; /* time to the first byte / mean of the service */
     int slots;
-    int running; /* requests there, of all daemons */
-    bool near;   /* in the caller's data centre */
+    int running; /* requests there of all hosts */
+    bool near;   /* in this host's data centre */
     bool shunned;
-    bool tried;     /* by this request already */
-    bool full;      /* no connection to be had, or cold and left to others */
-    bool long_lane; /* one of those that long prompts go to */
+    bool tried;     /* the request was sent there before */
+    bool full;      /* no connection left, or reserved for other hosts */
+    bool long_lane; /* in the group of endpoints for long prompts */
 };
 
 enum pl_verdict {
     PL_CHOSEN,
-    PL_BUSY, /* all that could take it are at their limit */
-    PL_NONE, /* there is none */
+    PL_BUSY, /* all eligible endpoints are at their limit */
+    PL_NONE, /* no eligible endpoint */
 };
 
 struct pl_limits {
     bool engine;
-    double fill; /* requests an endpoint is given, as a multiple of slots */
-    bool lanes;  /* long and short prompts have endpoints of their own */
+    double fill; /* most requests at an endpoint, as a multiple of its slots */
+    bool lanes;  /* long and short prompts have separate endpoints */
     bool is_long;
-    /* The part of the endpoints that is looked at besides the group's homes;
-       1: all. */
+    /* Fraction of the endpoints that is sampled in addition to the group's
+       homes; 1: all. */
     double drawn_part;
 };
 
 struct pl_choice {
     size_t index;
-    int64_t reading; /* prompt tokens that it is expected to read */
+    int64_t reading; /* prompt tokens the endpoint is expected to read */
 };
 
 enum pl_verdict Pl_Choose(const struct pl_candidate *candidates, size_t count,
@@ -58,19 +59,19 @@
                           struct pl_choice *choice);
 
 /*
- * Which part of the endpoints, in order of their hashes, long prompts go to;
- * 0: none are set apart.  "long_share" is the part of all prompt tokens that
- * long prompts bring.
+ * Fraction of the endpoints, in order of their hashes, that is reserved for
+ * long prompts; 0: no endpoints are reserved.  "long_share" is the fraction of
+ * all prompt tokens that belongs to long prompts.
  */
 double Pl_LongPart(size_t endpoints, double long_share);
 /*
- * The part of the endpoints that each request looks at, where "unheard"
- * requests are sent in the time that daemons hear of each other's late.  All
- * see the same endpoint idle; were all to take it, it would get a second's
- * requests of the whole service before anyone knows.
+ * Fraction of the endpoints that each request samples.  "unheard" is the
+ * number of requests that all hosts send within the lag of their load reports.
+ * All hosts see the same endpoint idle; if all chose it, it would get about a
+ * second's requests of the whole service before the reports show it.
  */
 double Pl_DrawnPart(size_t endpoints, double unheard);
-/* Whether a prompt of so many tokens is long. */
+/* Whether a prompt of this size counts as long. */
 bool Pl_IsLong(int64_t tokens);
 
 #ifdef __cplusplus
--- a/packages/edge/prefix.c
+++ b/packages/edge/prefix.c
@@ -7,14 +7,14 @@
 
 #define Px_SLOTS 16384 /* a power of two; 256 KiB */
 /*
- * Engines drop the parts used least recently; how soon depends on their
- * load.  Half a minute is several times what a part must be kept to pay.
+ * Engines evict the least recently used parts; how soon depends on their load.
+ * Half a minute is several times what a part must stay cached to pay off.
  */
-#define Px_KEPT_USEC (30 * Ck_USEC_PER_SEC)
+#define Px_CACHED_USEC (30 * Ck_USEC_PER_SEC)
 
 struct slot {
-    uint64_t mark;
-    int64_t used_at;
+    uint64_t key;
+    int64_t noted_at;
 };
 
 struct px_table {
@@ -34,17 +34,17 @@
 }
 
 static uint64_t
-mark_of(uint64_t chain, uint32_t endpoint)
+key_of(uint64_t chain, uint32_t endpoint)
 {
-    uint64_t both[2] = {chain, endpoint};
-    return Hash_Bytes(both, sizeof(both), 0);
+    uint64_t pair[2] = {chain, endpoint};
+    return Hash_Bytes(pair, sizeof(pair), 0);
 }
 
 static uint64_t
 extend(uint64_t chain, uint64_t part)
 {
-    uint64_t both[2] = {chain, part};
-    return Hash_Bytes(both, sizeof(both), 1);
+    uint64_t pair[2] = {chain, part};
+    return Hash_Bytes(pair, sizeof(pair), 1);
 }
 
 void
@@ -54,18 +54,18 @@
     uint64_t chain = 0;
     for (size_t i = 0; i < ask->part_count; i++) {
         chain = extend(chain, ask->parts[i].id);
-        uint64_t mark = mark_of(chain, endpoint);
-        struct slot *slot = &table->slots[mark & (Px_SLOTS - 1)];
-        slot->mark = mark;
-        slot->used_at = now;
+        uint64_t key = key_of(chain, endpoint);
+        struct slot *slot = &table->slots[key & (Px_SLOTS - 1)];
+        slot->key = key;
+        slot->noted_at = now;
     }
 }
 
 static bool
-is_kept(const struct px_table *table, uint64_t mark, int64_t now)
+is_cached(const struct px_table *table, uint64_t key, int64_t now)
 {
-    const struct slot *slot = &table->slots[mark & (Px_SLOTS - 1)];
-    return slot->mark == mark && now - slot->used_at <= Px_KEPT_USEC;
+    const struct slot *slot = &table->slots[key & (Px_SLOTS - 1)];
+    return slot->key == key && now - slot->noted_at <= Px_CACHED_USEC;
 }
 
 struct px_missing
@@ -74,12 +74,12 @@
 {
     struct px_missing missing = {.tokens = ask->tokens_in};
     uint64_t chain = 0;
-    bool kept = true;
+    bool cached = true;
     for (size_t i = 0; i < ask->part_count; i++) {
         int tokens = ask->parts[i].tokens;
         chain = extend(chain, ask->parts[i].id);
-        kept = kept && is_kept(table, mark_of(chain, endpoint), now);
-        if (kept) {
+        cached = cached && is_cached(table, key_of(chain, endpoint), now);
+        if (cached) {
             missing.tokens -= tokens;
         }
         else if (i + 1 < ask->part_count) {
@@ -96,12 +96,12 @@
 }
 
 uint32_t
-Px_Name(const struct ak_part *part)
+Px_ShortId(const struct ak_part *part)
 {
     return (uint32_t)part->id;
 }
 
-/* The last part is the request's own, so the one before it is shared. */
+/* The last part is the request's own; the one before it is shared. */
 uint64_t
 Px_Group(const struct ak_ask *ask)
 {
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -51,13 +51,13 @@
         .customer = tenant == NULL ? Qn_NO_CUSTOMER : Qt_Hash(tenant->name),
     };
     if (ask->part_count > 0) {
-        request.id = Px_Name(&ask->parts[ask->part_count - 1]);
+        request.id = Px_ShortId(&ask->parts[ask->part_count - 1]);
     }
     request.customer =
         request.customer == 0 ? Qn_NO_CUSTOMER : request.customer;
     while (request.count + 1 < ask->part_count &&
            request.count < Pz_PARTS_MAX) {
-        request.parts[request.count] = Px_Name(&ask->parts[request.count]);
+        request.parts[request.count] = Px_ShortId(&ask->parts[request.count]);
         request.count++;
     }
     return request;
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -29,8 +29,8 @@
     exchange->may_have_run = true;
     if (!exchange->counted && exchange->tenant != NULL) {
         struct ga_gate *gate = exchange->gate;
-        Us_Began(gate->usage, Wo_Window(gate, Tt_Now(gate->time)),
-                 Qt_Hash(exchange->tenant->name));
+        Us_CountBegun(gate->usage, Wo_Window(gate, Tt_Now(gate->time)),
+                      Qt_Hash(exchange->tenant->name));
         exchange->counted = true;
     }
 }
@@ -224,7 +224,7 @@
         keep_body(attempt, data, len);
         return;
     }
-    Es_Feed(&attempt->events, data, len, on_event, exchange);
+    Es_Feed(&attempt->parser, data, len, on_event, exchange);
     if (exchange->began && Sv_Pending(exchange->request) > Re_PENDING_MAX) {
         Cn_Pause(attempt->channel, true);
     }
@@ -248,12 +248,12 @@
 static const char *
 name_parts(const struct ak_ask *ask)
 {
-    static char text[Ak_PARTS_MAX * (Px_NAME_LEN + 1) + 1];
+    static char text[Ak_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
     size_t at = 0;
     text[0] = '\0';
     for (size_t i = 0; i + 1 < ask->part_count; i++) {
         at += (size_t)snprintf(text + at, sizeof(text) - at, "%s%08x",
-                               i == 0 ? "" : " ", Px_Name(&ask->parts[i]));
+                               i == 0 ? "" : " ", Px_ShortId(&ask->parts[i]));
     }
     return text;
 }
@@ -324,8 +324,8 @@
     struct fl_endpoint *endpoint = attempt->endpoint;
     int64_t now = Ga_Now(exchange->gate);
     if (attempt->streaming) {
-        bool cut = attempt->gap || attempt->events.failed ||
-                   Es_Left(&attempt->events) > 0;
+        bool cut = attempt->gap || attempt->parser.failed ||
+                   Es_BufferedLen(&attempt->parser) > 0;
         note_version_answer(exchange, cut);
         He_Note(endpoint, cut ? HE_FAILED : HE_SERVED, now);
         if (cut) {
@@ -372,7 +372,7 @@
     struct fl_endpoint *endpoint = exchange->attempt.endpoint;
     int64_t now = Ga_Now(exchange->gate);
     He_Note(endpoint, HE_BROKE, now);
-    Wa_Broke(endpoint, exchange->service, now);
+    Wa_NoteBroken(endpoint, exchange->service, now);
 }
 
 static void
--- a/packages/edge/test/place_replay_test.cc
+++ b/packages/edge/test/place_replay_test.cc
@@ -1,6 +1,6 @@
 /*
- * Hundreds of hosts that place requests at hundreds of engines, each by what
- * it heard of the others some tenths of a second ago.
+ * Simulates hundreds of hosts that place requests at hundreds of engines, each
+ * by load reports that are some tenths of a second old.
  */
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kSlots = 16;
-// Prompt tokens an engine reads in a second, others' steps between.
+// Prompt tokens an engine reads in a second, between other requests' steps.
 constexpr double kReadRate = 60000;
 
 struct Kind {
@@ -22,8 +22,8 @@
     int64_t shared;
     size_t groups;
     double runs_sec;
-    double aim_sec;
-    double part;
+    double target_sec;
+    double fraction;
 };
 
 constexpr Kind kKinds[] = {
@@ -34,12 +34,13 @@
 
 struct Engine {
     double read_until = 0;
-    std::vector<double> ends; // of what runs
+    // One entry per request: end, first token, tokens read.
+    std::vector<double> ends;
     std::vector<double> firsts;
     std::vector<int64_t> tokens;
 };
 
-// What a host knows of an engine.
+// A host's knowledge of an engine's load.
 struct View {
     int running = 0;
     int64_t reading = 0;
@@ -54,25 +55,25 @@
     {
     }
 
-    // The part of requests whose first token came within the aim.
+    // Returns the fraction of requests whose first token met the target.
     double
     Run(double seconds)
     {
         std::exponential_distribution<double> gap(per_sec_);
-        double heard = 0;
+        double updated_at = 0;
         size_t all = 0;
-        size_t fine = 0;
+        size_t on_time = 0;
         for (double now = gap(random_); now < seconds; now += gap(random_)) {
-            if (now - heard > lag_sec_) {
-                heard = now;
-                Hear(now);
+            if (now - updated_at > lag_sec_) {
+                updated_at = now;
+                UpdateViews(now);
             }
             size_t kind = Draw();
             double first = Place(kind, now) - now;
             all++;
-            fine += first <= kKinds[kind].aim_sec;
+            on_time += first <= kKinds[kind].target_sec;
         }
-        return (double)fine / (double)all;
+        return (double)on_time / (double)all;
     }
 
   private:
@@ -81,8 +82,8 @@
     {
         double draw = unit_(random_);
         size_t kind = 0;
-        while (draw > kKinds[kind].part) {
-            draw -= kKinds[kind++].part;
+        while (draw > kKinds[kind].fraction) {
+            draw -= kKinds[kind++].fraction;
         }
         return kind;
     }
@@ -98,9 +99,9 @@
         return view;
     }
 
-    // All hear how it stood when they last told each other.
+    // All hosts receive the load that was sampled one interval ago.
     void
-    Hear(double now)
+    UpdateViews(double now)
     {
         seen_ = before_;
         for (size_t i = 0; i < engines_.size(); i++) {
@@ -120,14 +121,14 @@
         auto &own = own_[random_() % hosts_];
         std::vector<struct pl_candidate> candidates(engines_.size());
         for (size_t i = 0; i < engines_.size(); i++) {
-            uint64_t both[2] = {group_hash, i};
+            uint64_t pair[2] = {group_hash, i};
             struct pl_candidate &candidate = candidates[i];
             candidate.slots = kSlots;
             candidate.running = seen_[i].running + own[i].running;
             candidate.reading = seen_[i].reading + own[i].reading;
             candidate.missing = kind.own + kind.shared;
             candidate.shared = kind.shared;
-            candidate.draw = Hash_Bytes(both, sizeof(both), 0);
+            candidate.draw = Hash_Bytes(pair, sizeof(pair), 0);
             candidate.lot = unit_(random_);
             candidate.near = i % 6 == 0;
         }
@@ -143,7 +144,7 @@
         return Serve(&engines_[choice.index], kind, now);
     }
 
-    // The moment of the first token.
+    // Returns the time of the first token.
     static double
     Serve(Engine *engine, const Kind &kind, double now)
     {
@@ -177,9 +178,9 @@
     std::uniform_real_distribution<double> unit_{0, 1};
 };
 
-// Guards against hundreds of hosts that all take the endpoint they heard to be
-// idle: short questions wait there while most endpoints have nothing to do.
-TEST(PlaceReplay, HundredsOfHostsSpreadWhatTheyCannotSeeYet)
+// Guards against hundreds of hosts that all choose the endpoint reported idle:
+// short prompts queue there while most endpoints are idle.
+TEST(PlaceReplay, HundredsOfHostsSpreadRequestsNotYetReported)
 {
     Replay hundreds(295, 250, 1131, 0.6);
     EXPECT_GE(hundreds.Run(12), 0.95);
@@ -187,8 +188,9 @@
     EXPECT_GE(ninety.Run(20), 0.95);
 }
 
-// Guards against few hosts that no longer take the best endpoint they know.
-TEST(PlaceReplay, FewHostsLookAtAllEndpoints)
+// Guards against sampling where it is not needed: with few hosts and requests
+// each request must consider all endpoints.
+TEST(PlaceReplay, FewHostsSampleAllEndpoints)
 {
     EXPECT_EQ(1, Pl_DrawnPart(9, 80 * 0.1));
     EXPECT_LT(Pl_DrawnPart(250, 1131 * 0.6), 0.05);
--- a/packages/edge/test/place_test.cc
+++ b/packages/edge/test/place_test.cc
@@ -29,25 +29,26 @@
     return choice.index;
 }
 
-// A short question waits behind a long prompt although another endpoint has
-// nothing to read.
-TEST(Place, GoesWhereLessIsWaitingToBeRead)
+// Guards against a short prompt that queues behind a long one although another
+// endpoint has no prompt tokens queued.
+TEST(Place, ChoosesTheEndpointWithFewerQueuedTokens)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].reading = 50000;
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
-// A shared prompt is read anew by each endpoint in turn.
-TEST(Place, GoesWhereThePromptIsKept)
+// Guards against requests with a shared prompt that go to a different endpoint
+// each time: every endpoint would read the prompt again.
+TEST(Place, ChoosesTheEndpointThatHasThePromptCached)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle()};
     candidates[2].missing = 10;
     EXPECT_EQ(Choose(candidates), 2u);
 }
 
-// Two hosts that know nothing of each other's choices send the first requests
-// of one group of prompts to two endpoints.
+// Guards against hosts that send the first requests of one group of prompts to
+// different endpoints because they do not know each other's choices.
 TEST(Place, HostsAgreeOnAGroupsHome)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle()};
@@ -61,8 +62,8 @@
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
-// While a group's home is busy each host picks an endpoint of its own liking,
-// and the shared part is read at all of them.
+// Guards against hosts that choose different endpoints while a group's home is
+// busy: all of those endpoints would read the shared part.
 TEST(Place, OverflowOfAGroupGoesToItsSecondHome)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle(),
@@ -76,10 +77,10 @@
     EXPECT_EQ(Choose(candidates), 2u);
 }
 
-// Short questions are late by the time that a long prompt takes: hosts place
-// by reports of what waited half a second ago, and a long prompt was sent to
-// the same endpoint since.
-TEST(Place, LongAndShortPromptsHaveEndpointsOfTheirOwn)
+// Guards against short prompts that are late by the time of a long one: load
+// reports are half a second old, and a long prompt was sent to the same
+// endpoint since.
+TEST(Place, LongAndShortPromptsHaveSeparateLanes)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].long_lane = true;
@@ -93,14 +94,15 @@
     limits.is_long = true;
     ASSERT_EQ(Pl_Choose(candidates.data(), 2, &limits, &choice), PL_CHOSEN);
     EXPECT_EQ(choice.index, 0u);
-    // Neither waits where the other kind's endpoints are free.
+    // A busy lane overflows to idle endpoints of the other lane.
     candidates[0].reading = 50000;
     ASSERT_EQ(Pl_Choose(candidates.data(), 2, &limits, &choice), PL_CHOSEN);
     EXPECT_EQ(choice.index, 1u);
 }
 
-// A service of a few endpoints would have one or two for each kind.
-TEST(Place, FewEndpointsAreNotSetApart)
+// Guards against lanes in a service with few endpoints, where each lane would
+// have only one or two.
+TEST(Place, FewEndpointsHaveNoLanes)
 {
     EXPECT_EQ(Pl_LongPart(13, 0.7), 0);
     EXPECT_EQ(Pl_LongPart(100, 0.7), 0);
@@ -109,9 +111,9 @@
     EXPECT_LT(Pl_LongPart(200, 1.0), 0.9);
 }
 
-// Answers of a plain service wait at one endpoint while others idle: all
-// hosts heard half a second ago that it had nothing to do.
-TEST(Place, HostsDoNotAllGoToTheSameIdleEndpoint)
+// Guards against requests of a plain service that queue at one endpoint while
+// others are idle: all hosts know that it was idle half a second ago.
+TEST(Place, HostsDoNotAllChooseTheSameIdleEndpoint)
 {
     std::vector<struct pl_candidate> candidates(6, Idle());
     const struct pl_limits plain = {false, 3, false, false, 1};
@@ -125,9 +127,9 @@
         ASSERT_EQ(Pl_Choose(candidates.data(), 6, &plain, &choice), PL_CHOSEN);
         sent[choice.index]++;
     }
-    // Two of six are drawn, so the idle one is among them a third of the time.
+    // Two of six are sampled, so the idle one is among them 1/3 of the time.
     EXPECT_LT(sent[0], 300);
-    // One that is full is passed over although it was drawn.
+    // Sampled endpoints that are overloaded are not chosen.
     for (size_t i = 0; i < candidates.size(); i++) {
         candidates[i].running = i == 5 ? 0 : 11;
         candidates[i].draw = i == 5 ? 0 : i + 1;
@@ -137,9 +139,9 @@
     EXPECT_EQ(choice.index, 5u);
 }
 
-// The kept prompt draws every request of a hot group to one endpoint until
-// nothing there is on time.
-TEST(Place, AKeptPromptIsNotWorthAnyWait)
+// Guards against an endpoint that gets every request of a popular group
+// because it has the prompt cached, until all requests there are late.
+TEST(Place, ACachedPromptDoesNotOutweighALongQueue)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].missing = 0;
@@ -148,9 +150,9 @@
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
-// Every endpoint is under suspicion, none of them rightly, and all callers
-// are turned away.
-TEST(Place, SuspicionOfAllIsSuspicionOfNone)
+// Guards against refusing all callers while every endpoint is shunned by
+// mistake.
+TEST(Place, ShunnedEndpointsAreUsedWhenAllAreShunned)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].shunned = true;
@@ -160,9 +162,10 @@
     EXPECT_EQ(Choose(candidates), 0u);
 }
 
-// "Busy" sends a caller away for a moment, "none" for longer; a caller must
-// not wait for an endpoint that does not exist.
-TEST(Place, TellsBusyFromNone)
+// Guards against a stream that waits for an endpoint where none exists, and
+// against a wrong retry-after: "busy" asks the caller to retry sooner than
+// "none".
+TEST(Place, DistinguishesBusyFromNone)
 {
     std::vector<struct pl_candidate> candidates = {Idle()};
     struct pl_choice choice;
@@ -173,8 +176,8 @@
     EXPECT_EQ(Pl_Choose(candidates.data(), 0, &engine, &choice), PL_NONE);
 }
 
-// A part counts as kept although a part before it is not: engines keep
-// prompts from their beginning only.
+// Guards against counting a part as cached although a part before it is not:
+// engines cache prompt prefixes only.
 TEST(Prefix, PartsCountFromTheBeginning)
 {
     struct px_table *table = Px_Create();
--- a/packages/edge/test/tables_test.cc
+++ b/packages/edge/test/tables_test.cc
@@ -38,8 +38,8 @@
     return route == nullptr ? "none" : route->prefix;
 }
 
-// A request goes to the service of a shorter prefix, or of another host, and
-// is billed and answered by the wrong one.
+// Guards against a request that is routed by a shorter prefix, or by a route
+// of another host, and so is answered and billed by the wrong service.
 TEST(Config, TheLongestPrefixOfTheHostWins)
 {
     struct ec_config *config = Routes({{"b.example", "/"},
@@ -61,37 +61,38 @@
 };
 
 void
-Keep(void *arg, const struct es_event *event)
+AppendEvent(void *arg, const struct es_event *event)
 {
     static_cast<std::vector<Event> *>(arg)->push_back(
         {std::string(event->data, event->len), event->id});
 }
 
-// A caller gets half an event, and then the whole of it from the endpoint
-// that goes on: bytes may be split anywhere.
-TEST(Events, AreWholeHoweverTheBytesCome)
+// Guards against a caller that gets half an event, and then the whole event
+// again from the endpoint that resumes the stream: the bytes of an event may
+// be split anywhere.
+TEST(Events, AreWholeWhereverTheBytesAreSplit)
 {
     const std::string body = "id: 1\ndata: a\n\nx-weight-versions: 3\nid: 2\n"
                              "data: b\n\nid:3\r\ndata: c\r\n\r\nid: 4\nda";
     for (size_t step = 1; step <= body.size(); step++) {
-        struct es_events events = {};
+        struct es_parser parser = {};
         std::vector<Event> seen;
         for (size_t at = 0; at < body.size(); at += step) {
-            Es_Feed(&events, body.data() + at,
-                    std::min(step, body.size() - at), Keep, &seen);
+            Es_Feed(&parser, body.data() + at,
+                    std::min(step, body.size() - at), AppendEvent, &seen);
         }
         ASSERT_EQ(seen.size(), 3u) << "step " << step;
         EXPECT_EQ(seen[0].data, "id: 1\ndata: a\n\n");
         EXPECT_EQ(seen[1].id, 2);
         EXPECT_EQ(seen[2].id, 3);
-        EXPECT_EQ(Es_Left(&events), 8u);
-        Es_Clear(&events);
+        EXPECT_EQ(Es_BufferedLen(&parser), 8u);
+        Es_Clear(&parser);
     }
 }
 
-// The time of day of a host jumps, its requests are counted in a window that
-// is not theirs, and two windows are reported wrongly.
-TEST(TrueTime, OneClockThatJumpsMovesNothing)
+// Guards against a jump of one host's wall clock: its requests would be
+// counted in the wrong window, and two windows would be reported wrongly.
+TEST(TrueTime, AJumpOfOneClockDoesNotMoveTrueTime)
 {
     FakeClock clock;
     struct tt_time *time = Tt_Create(&clock.clock);
@@ -120,12 +121,12 @@
     return sum;
 }
 
-// What a killed host had counted is missing from the report, or counted
-// twice when its words come late and out of order.
-TEST(Usage, TheDeadAreCountedOnce)
+// Guards against a killed host whose counts are missing from the report, or
+// are counted twice because its messages arrive late and out of order.
+TEST(Usage, CountsOfADeadHostAreCountedOnce)
 {
     struct us_usage *usage = Us_Create();
-    Us_Began(usage, 100, 1);
+    Us_CountBegun(usage, 100, 1);
     Us_Peer(usage, 55, 100, 1, 7);
     Us_Peer(usage, 55, 100, 1, 5);
     Us_Peer(usage, 55, 100, 2, 3);
@@ -133,13 +134,14 @@
     Us_Peer(usage, 56, 100, 1, 2);
     EXPECT_EQ(Total(usage, 100), 13u);
     EXPECT_EQ(Total(usage, 101), 0u);
-    Us_Began(usage, 106, 1);
+    Us_CountBegun(usage, 106, 1);
     EXPECT_EQ(Total(usage, 106), 1u);
     Us_Destroy(usage);
 }
 
-// A datagram of another version, cut short or made up, must change nothing.
-TEST(Mesh, OnlyWholeWordsAreRead)
+// Guards against datagrams that are truncated or corrupted: truncated ones
+// must be rejected, corrupted ones must not crash the decoder.
+TEST(Mesh, OnlyWholeMessagesAreDecoded)
 {
     static struct ms_word word = {};
     strcpy(word.name, "front-1");
@@ -171,14 +173,14 @@
         EXPECT_FALSE(Ms_Decode(bytes, cut, &read));
     }
     for (size_t i = 0; i < len; i++) {
-        std::string bent(bytes, len);
-        bent[i] = static_cast<char>(bent[i] ^ 0x55);
-        Ms_Decode(bent.data(), bent.size(), &read);
+        std::string corrupt(bytes, len);
+        corrupt[i] = static_cast<char>(corrupt[i] ^ 0x55);
+        Ms_Decode(corrupt.data(), corrupt.size(), &read);
     }
 }
 
-// Guards against words of which most is the numbers of windows and the hashes
-// of tenants, and against counts that end up with another tenant.
+// Guards against messages that consist mostly of window numbers and tenant
+// hashes, and against counts that are decoded for the wrong tenant.
 TEST(Word, CountsOfThreeWindowsAreShort)
 {
     static struct ms_word word;
--- a/packages/edge/test/tenants.h
+++ b/packages/edge/test/tenants.h
@@ -10,7 +10,7 @@
 struct Tenants {
     struct ec_config *config = Ec_Create();
 
-    // Tokens a second, and tokens at once.
+    // "rate" in tokens a second, "burst" in tokens.
     Tenants(double rate, double burst)
     {
         config->tenants = static_cast<struct ec_tenant *>(
--- a/packages/edge/test/versions_test.cc
+++ b/packages/edge/test/versions_test.cc
@@ -1,4 +1,4 @@
-// What an operator sees of a service that is moved to another version.
+// Metrics of a service that is moved to another version.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -31,8 +31,8 @@
     return found;
 }
 
-// Guards against a move of which nobody can tell whether a data centre has
-// the new version, or still the old one.
+// Guards against metrics that do not show which versions a data centre has
+// during a move.
 TEST(Versions, EachDataCentresEndpointsAreCountedByVersion)
 {
     FakeClock clock;
@@ -45,7 +45,7 @@
     Fl_Apply(fleet, &new_a);
     Fl_Apply(fleet, &old_b);
     const std::string name = "cornelgate_endpoints{service=\"model\",";
-    Vs_ShowEndpoints(registry, fleet);
+    Vs_UpdateEndpoints(registry, fleet);
     EXPECT_TRUE(Shows(registry, name + "zone=\"dc-a\",version=\"v1\","
                                        "state=\"serving\"} 1"));
     EXPECT_TRUE(Shows(registry, name + "zone=\"dc-a\",version=\"v2\","
@@ -53,7 +53,7 @@
     Fl_Remove(fleet, "i-1");
     old_b.draining = true;
     Fl_Apply(fleet, &old_b);
-    Vs_ShowEndpoints(registry, fleet);
+    Vs_UpdateEndpoints(registry, fleet);
     EXPECT_TRUE(Shows(registry, name + "zone=\"dc-a\",version=\"v1\","
                                        "state=\"serving\"} 0"));
     EXPECT_TRUE(Shows(registry, name + "zone=\"dc-b\",version=\"v1\","
@@ -62,7 +62,7 @@
     Mt_Destroy(registry);
 }
 
-// Guards against an answer of which nobody can tell the version.
+// Guards against metrics that do not show which version answered.
 TEST(Versions, AnswersAreCountedByVersion)
 {
     struct mt_registry *registry = Mt_Create();
--- a/packages/edge/test/window_test.cc
+++ b/packages/edge/test/window_test.cc
@@ -27,10 +27,10 @@
     }
 };
 
-// A step of the window may be over or not; what it holds is known that far.
+// Costs expire in whole steps, so results are exact to one step.
 constexpr double kStep = kRate * 8 / Wn_STEPS;
 
-TEST(Window, RoomIsTheLimitLessWhatWasSpent)
+TEST(Window, RoomIsTheLimitMinusTheCostSpent)
 {
     Window w;
     EXPECT_NEAR(Wn_Room(&w.window), kLimit, kStep);
@@ -42,8 +42,9 @@
     EXPECT_NEAR(Wn_Room(&w.window), kLimit, kStep);
 }
 
-// What has been spent counts for a whole window, wherever in it that was.
-TEST(Window, NoSpanOfItsLengthHoldsMoreThanTheLimit)
+// Guards against a window of the full length, from any start, in which more
+// than the limit is spent.
+TEST(Window, NoWindowExceedsTheLimit)
 {
     Window w;
     std::vector<std::pair<int64_t, double>> spent;
@@ -71,9 +72,10 @@
     EXPECT_GE(most, kLimit * 0.95);
 }
 
-// A limit is lowered, and a customer that kept within the old one is refused
-// everything for seconds: what it spent before was held against the new one.
-TEST(Window, WhatWasSpentUnderAHigherLimitIsForgiven)
+// Guards against a customer that kept within the old limit and is refused for
+// seconds after the limit is lowered, because earlier costs count against the
+// new limit.
+TEST(Window, CostUnderAHigherLimitIsForgiven)
 {
     Window w;
     Wn_Spend(&w.window, kRate * 8);
@@ -84,8 +86,8 @@
     EXPECT_NEAR(Wn_Room(&w.window), kLimit / 10, kStep);
 }
 
-// A limit is lowered, and for seconds a customer still gets the old one: what
-// that had left unused was handed out.
+// Guards against a customer that still gets the old limit for seconds after
+// the limit is lowered, because the unused allowance is carried over.
 TEST(Window, ALowerLimitHoldsAtOnce)
 {
     Window w;
@@ -93,7 +95,7 @@
     EXPECT_LE(Wn_Room(&w.window), kLimit / 10);
 }
 
-TEST(Window, ThePastIsPutWhereItWas)
+TEST(Window, PastCostsAreRestoredToTheirHalf)
 {
     Window w;
     struct wn_past past = {1000, 5000};
@@ -104,8 +106,9 @@
     EXPECT_NEAR(Wn_Room(&w.window), kLimit - 5000, 2 * kStep);
 }
 
-// A caller is told a time, comes back then and is refused again.
-TEST(Window, TheWaitIsWhenThereIsRoom)
+// Guards against a retry-after that is too short: a caller that waits for it
+// would be refused again.
+TEST(Window, TheWaitEndsWhenThereIsRoom)
 {
     Window w;
     Wn_Spend(&w.window, kLimit);
@@ -118,7 +121,7 @@
     EXPECT_GE(Wn_Room(&w.window), 4000);
 }
 
-TEST(Window, ALongPauseLeavesNothingBehind)
+TEST(Window, ALongPauseClearsTheWindow)
 {
     Window w;
     Wn_Spend(&w.window, kLimit * 3);
--- a/packages/edge/usage.c
+++ b/packages/edge/usage.c
@@ -13,7 +13,7 @@
 
 struct daemon {
     SLIST_ENTRY(daemon) link;
-    uint64_t name; /* 0: this one */
+    uint64_t id; /* 0: this one */
     struct tally tallies[Us_WINDOWS];
 };
 
@@ -46,47 +46,48 @@
 }
 
 static bool
-lapsed(const struct daemon *daemon, int64_t window)
+is_expired(const struct daemon *daemon, int64_t window)
 {
     for (size_t i = 0; i < Us_WINDOWS; i++) {
         if (daemon->tallies[i].window > window - Us_WINDOWS) {
             return false;
         }
     }
-    return daemon->name != 0;
+    return daemon->id != 0;
 }
 
-/* A daemon whose windows have all passed gives its place to a new one. */
+/* Finds or adds a daemon; reuses the row of one whose windows are all past. */
 static struct daemon *
-find(struct us_usage *usage, uint64_t name, int64_t window)
+find(struct us_usage *usage, uint64_t id, int64_t window)
 {
     struct daemon *daemon;
     struct daemon *old = NULL;
     SLIST_FOREACH (daemon, &usage->daemons, link) {
-        if (daemon->name == name) {
+        if (daemon->id == id) {
             return daemon;
         }
-        if (lapsed(daemon, window)) {
+        if (is_expired(daemon, window)) {
             old = daemon;
         }
     }
     if (old != NULL) {
         memset(old->tallies, 0, sizeof(old->tallies));
-        old->name = name;
+        old->id = id;
         return old;
     }
     daemon = calloc(1, sizeof(*daemon));
     if (daemon != NULL) {
-        daemon->name = name;
+        daemon->id = id;
         SLIST_INSERT_HEAD(&usage->daemons, daemon, link);
     }
     return daemon;
 }
 
 static struct us_count *
-slot(struct us_usage *usage, uint64_t name, int64_t window, uint32_t tenant)
+find_count(struct us_usage *usage, uint64_t id, int64_t window,
+           uint32_t tenant)
 {
-    struct daemon *daemon = find(usage, name, window);
+    struct daemon *daemon = find(usage, id, window);
     if (daemon == NULL) {
         return NULL;
     }
@@ -112,9 +113,9 @@
 }
 
 void
-Us_Began(struct us_usage *usage, int64_t window, uint32_t tenant)
+Us_CountBegun(struct us_usage *usage, int64_t window, uint32_t tenant)
 {
-    struct us_count *count = slot(usage, 0, window, tenant);
+    struct us_count *count = find_count(usage, 0, window, tenant);
     if (count != NULL) {
         count->count++;
     }
@@ -124,7 +125,7 @@
 Us_Peer(struct us_usage *usage, uint64_t daemon, int64_t window,
         uint32_t tenant, uint32_t value)
 {
-    struct us_count *count = slot(usage, daemon, window, tenant);
+    struct us_count *count = find_count(usage, daemon, window, tenant);
     if (count != NULL && count->count < value) {
         count->count = value;
     }
@@ -153,7 +154,7 @@
     SLIST_FOREACH (daemon, &usage->daemons, link) {
         const struct tally *tally =
             &daemon->tallies[(uint64_t)window % Us_WINDOWS];
-        if (tally->window != window || (own && daemon->name != 0)) {
+        if (tally->window != window || (own && daemon->id != 0)) {
             continue;
         }
         for (size_t i = 0; i < tally->count; i++) {
--- a/packages/edge/usage.h
+++ b/packages/edge/usage.h
@@ -1,7 +1,8 @@
 /*
- * Requests that began to run, by window and tenant, of this daemon and of
- * all peers.  Counts only rise and carry their daemon's start, so a peer's
- * latest word is enough, and outlives the peer.
+ * Number of requests that began to run, by window and tenant, of this daemon
+ * and of all peers.  Counts only grow and belong to one run of a daemon, so
+ * the highest count received from a peer is complete, and stays valid when the
+ * peer is gone.
  */
 #ifndef EDGE_USAGE_H
 #define EDGE_USAGE_H
@@ -25,8 +26,8 @@
 
 struct us_usage *Us_Create(void);
 void Us_Destroy(struct us_usage *usage);
-void Us_Began(struct us_usage *usage, int64_t window, uint32_t tenant);
-/* "daemon" names a peer's one run. */
+void Us_CountBegun(struct us_usage *usage, int64_t window, uint32_t tenant);
+/* Takes a peer's count; "daemon" identifies one run of the peer. */
 void Us_Peer(struct us_usage *usage, uint64_t daemon, int64_t window,
              uint32_t tenant, uint32_t count);
 size_t Us_Own(const struct us_usage *usage, int64_t window,
--- a/packages/edge/versions.c
+++ b/packages/edge/versions.c
@@ -24,7 +24,7 @@
 }
 
 void
-Vs_ShowEndpoints(struct mt_registry *registry, const struct fl_fleet *fleet)
+Vs_UpdateEndpoints(struct mt_registry *registry, const struct fl_fleet *fleet)
 {
     static const char name[] = "cornelgate_endpoints";
     Mt_Clear(registry, name);
--- a/packages/edge/versions.h
+++ b/packages/edge/versions.h
@@ -1,6 +1,6 @@
 /*
- * Which version answers callers, and which versions each data centre has.
- * For operators who move a service to another version.
+ * Metrics for operators who move a service to another version: answers by
+ * version, and endpoints by data centre and version.
  */
 #ifndef EDGE_VERSIONS_H
 #define EDGE_VERSIONS_H
@@ -12,12 +12,12 @@
 extern "C" {
 #endif
 
-/* An endpoint has answered a caller. */
+/* Counts an endpoint's answer to a caller. */
 void Vs_CountAnswer(struct mt_registry *registry,
                     const struct fl_entry *entry);
-/* Endpoints by service, data centre, version and state, as known now. */
-void Vs_ShowEndpoints(struct mt_registry *registry,
-                      const struct fl_fleet *fleet);
+/* Sets the gauge of endpoints by service, data centre, version and state. */
+void Vs_UpdateEndpoints(struct mt_registry *registry,
+                        const struct fl_fleet *fleet);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -19,8 +19,8 @@
 }
 
 /*
- * An endpoint that was sent nothing for a while is cold when requests come
- * back, whatever its entry said before.
+ * Endpoints of an evacuated data centre get no requests and are cold when the
+ * data centre returns, whatever their entries said before.
  */
 static bool
 has_returned(const struct fl_endpoint *endpoint,
@@ -45,12 +45,12 @@
     if (Wu_MaySend(warmup, now)) {
         return WA_OPEN;
     }
-    return cold ? WA_CLOSED : WA_DOUBTED;
+    return cold ? WA_CLOSED : WA_MAYBE_COLD;
 }
 
 void
-Wa_Sent(const struct ga_gate *gate, struct fl_endpoint *endpoint,
-        const struct ec_service *service, int64_t now)
+Wa_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint,
+            const struct ec_service *service, int64_t now)
 {
     if (is_limited(service)) {
         struct wu_part part =
@@ -60,8 +60,8 @@
 }
 
 void
-Wa_Broke(struct fl_endpoint *endpoint, const struct ec_service *service,
-         int64_t now)
+Wa_NoteBroken(struct fl_endpoint *endpoint, const struct ec_service *service,
+              int64_t now)
 {
     Wu_Doubt(&endpoint->warmup, service->cold_usec, now);
 }
--- a/packages/edge/window.c
+++ b/packages/edge/window.c
@@ -13,12 +13,12 @@
 }
 
 static double
-gain(double per_sec, int64_t usec)
+allowance(double per_sec, int64_t usec)
 {
     return per_sec * (double)usec / (double)Ck_USEC_PER_SEC;
 }
 
-/* The slice that many steps before the newest. */
+/* The slice "steps" before the newest. */
 static struct wn_slice *
 slice_before(struct wn_window *window, int64_t steps)
 {
@@ -31,13 +31,13 @@
     return &window->slices[(window->slice + Wn_COUNT - steps) % Wn_COUNT];
 }
 
-/* The part of a slice that the window covers: the oldest leaves it. */
+/* Fraction of a slice within the window: the oldest slides out of it. */
 static double
-covered(const struct wn_window *window, int steps_before)
+covered_fraction(const struct wn_window *window, int steps_before)
 {
     return steps_before < Wn_STEPS
                ? 1
-               : 1 - (double)(window->at % window->step_usec) /
+               : 1 - (double)(window->advanced_to % window->step_usec) /
                          (double)window->step_usec;
 }
 
@@ -47,17 +47,18 @@
 {
     window->step_usec = length_usec / Wn_STEPS;
     window->slice = now / window->step_usec;
-    window->at = now;
+    window->advanced_to = now;
     for (int i = 0; i < Wn_COUNT; i++) {
         window->slices[i] =
-            (struct wn_slice){0, gain(per_sec, window->step_usec), burst};
+            (struct wn_slice){0, allowance(per_sec, window->step_usec), burst};
     }
-    slice_before(window, 0)->allowed = gain(per_sec, now % window->step_usec);
+    slice_before(window, 0)->allowed =
+        allowance(per_sec, now % window->step_usec);
 }
 
 /*
- * The newest slice gets nothing: it has just begun.  The oldest counts as one
- * of the older half.
+ * The newest slice gets no cost because it has just begun.  The oldest slice
+ * counts for the older half.
  */
 void
 Wn_SetPast(struct wn_window *window, const struct wn_past *past)
@@ -70,18 +71,18 @@
 }
 
 /*
- * What the higher limit left unused is not handed out any more, and what was
- * spent under it beyond the lower one is not held against the customer, which
- * would be refused everything for most of a window.
+ * Discards the unused allowance of the higher limit.  Also forgives the cost
+ * beyond the lower limit that was spent under the higher one: otherwise the
+ * customer would be refused for most of a window.
  */
 void
 Wn_Lower(struct wn_window *window, double per_sec, double burst)
 {
     for (int i = 0; i < Wn_COUNT; i++) {
         struct wn_slice *slice = slice_before(window, i);
-        int64_t usec =
-            i == 0 ? window->at % window->step_usec : window->step_usec;
-        slice->allowed = fmin(slice->allowed, gain(per_sec, usec));
+        int64_t usec = i == 0 ? window->advanced_to % window->step_usec
+                              : window->step_usec;
+        slice->allowed = fmin(slice->allowed, allowance(per_sec, usec));
         slice->spent = fmin(slice->spent, slice->allowed);
         slice->burst = fmin(slice->burst, burst);
     }
@@ -94,13 +95,13 @@
         Wn_Start(window, length_of(window), per_sec, burst, now);
         return;
     }
-    while (window->at < now) {
+    while (window->advanced_to < now) {
         int64_t end = (window->slice + 1) * window->step_usec;
         int64_t until = end < now ? end : now;
         struct wn_slice *newest = slice_before(window, 0);
-        newest->allowed += gain(per_sec, until - window->at);
+        newest->allowed += allowance(per_sec, until - window->advanced_to);
         newest->burst = burst;
-        window->at = until;
+        window->advanced_to = until;
         if (until == end) {
             window->slice++;
             *slice_before(window, 0) = (struct wn_slice){0, 0, burst};
@@ -121,8 +122,8 @@
     double burst = 0;
     for (int i = 0; i < Wn_COUNT; i++) {
         const struct wn_slice *slice = peek_before(window, i);
-        double part = covered(window, i);
-        room += (slice->allowed - slice->spent) * part;
+        double fraction = covered_fraction(window, i);
+        room += (slice->allowed - slice->spent) * fraction;
         burst = slice->burst > burst ? slice->burst : burst;
     }
     return room + burst;
@@ -133,8 +134,8 @@
 {
     struct wn_past past = {0, 0};
     for (int i = 0; i < Wn_COUNT; i++) {
-        double part = covered(window, i);
-        double spent = peek_before(window, i)->spent * part;
+        double fraction = covered_fraction(window, i);
+        double spent = peek_before(window, i)->spent * fraction;
         if (i <= Wn_STEPS / 2) {
             past.newer += spent;
         }
@@ -148,14 +149,14 @@
 int64_t
 Wn_Wait(const struct wn_window *window, double per_sec, double room)
 {
-    double have = Wn_Room(window);
+    double available = Wn_Room(window);
     int64_t wait = 0;
-    for (int i = Wn_STEPS; i > 0 && have < room; i--) {
+    for (int i = Wn_STEPS; i > 0 && available < room; i--) {
         const struct wn_slice *slice = peek_before(window, i);
-        double part = covered(window, i);
-        have += (slice->spent - slice->allowed) * part;
-        have += gain(per_sec, window->step_usec) * part;
-        wait += (int64_t)((double)window->step_usec * part);
+        double fraction = covered_fraction(window, i);
+        available += (slice->spent - slice->allowed) * fraction;
+        available += allowance(per_sec, window->step_usec) * fraction;
+        wait += (int64_t)((double)window->step_usec * fraction);
     }
     return wait;
 }
--- a/packages/edge/window.h
+++ b/packages/edge/window.h
@@ -1,11 +1,12 @@
 /*
- * What a customer spent in the last stretch of time and what its limit left
- * room for.  Pure: the time is passed in, in microseconds of one clock.
+ * Sliding-window rate limiter: what a customer spent in the last window and
+ * how much the limit still allows.  Pure: the caller passes the time, in
+ * microseconds of one clock.
  *
- * The load it answers: a customer that asks for more than its limit for
- * seconds.  The limit is a bound on any window of a fixed length; a bucket
- * that keeps within it refuses up to the burst in every window that follows
- * the first, although the limit would allow it.
+ * The limit is a bound on every window of a fixed length.  A token bucket that
+ * keeps that bound refuses a customer who is over the limit for seconds up to
+ * the burst in every window after the first, although the bound would allow
+ * it.
  */
 #ifndef EDGE_WINDOW_H
 #define EDGE_WINDOW_H
@@ -17,49 +18,50 @@
 #endif
 
 /*
- * The window slides in steps of this part of its length: a cost leaves it at
- * most a thirty-second of the length early or late, well within what hosts
- * hear late of each other.
+ * The window slides in this number of steps: a cost expires at most 1/32 of
+ * the length early or late, well within the gossip lag between hosts.
  */
 #define Wn_STEPS 32
 
 struct wn_slice {
     double spent;
-    double allowed; /* by the rate in force while it lasted */
-    double burst;   /* in force at its end */
+    double allowed; /* accrued at the rate in force during the slice */
+    double burst;   /* the burst in force at the end of the slice */
 };
 
 struct wn_window {
     int64_t step_usec;                    /* 0: not started */
-    int64_t slice;                        /* number of the newest */
-    int64_t at;                           /* all before it is accounted for */
-    struct wn_slice slices[Wn_STEPS + 1]; /* the oldest is partly over */
+    int64_t slice;                        /* number of the newest slice */
+    int64_t advanced_to;                  /* time of the last advance */
+    struct wn_slice slices[Wn_STEPS + 1]; /* the oldest counts in part */
 };
 
-/* What was spent before the start, where that is known or assumed. */
+/* Cost spent in the window, known or assumed. */
 struct wn_past {
-    double older; /* in the older half of the window */
-    double newer; /* in the newer half */
+    double older; /* spent in the older half of the window */
+    double newer; /* spent in the newer half */
 };
 
-/* As if the limit had been in force for a whole window before. */
+/*
+ * Starts an empty window, as if the limit had been in force for the whole
+ * window before.
+ */
 void Wn_Start(struct wn_window *window, int64_t length_usec, double per_sec,
               double burst, int64_t now);
-/* Puts what was spent before into the window, in place of what was there. */
+/* Replaces the costs in the window, spread evenly over each half. */
 void Wn_SetPast(struct wn_window *window, const struct wn_past *past);
-/* A lower limit holds from now on, as if it had held before. */
+/* Applies a lower limit to the whole window, past slices included. */
 void Wn_Lower(struct wn_window *window, double per_sec, double burst);
-/* The rate and the burst given were in force until now. */
+/* Advances to "now"; this rate and burst were in force since the last time. */
 void Wn_Advance(struct wn_window *window, double per_sec, double burst,
                 int64_t now);
-/* Spends a cost now; a negative one is given back. */
+/* Spends a cost now; a negative cost is a refund. */
 void Wn_Spend(struct wn_window *window, double cost);
 
-/* What may still be spent; negative: so much too much was. */
+/* Cost that may still be spent; negative when the limit is exceeded. */
 double Wn_Room(const struct wn_window *window);
-/* What was spent in the two halves of the window. */
 struct wn_past Wn_Past(const struct wn_window *window);
-/* Time until there is so much room, if nothing more is spent. */
+/* Microseconds until "room" may be spent, if nothing is spent meanwhile. */
 int64_t Wn_Wait(const struct wn_window *window, double per_sec, double room);
 
 #ifdef __cplusplus
