--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -1,4 +1,4 @@
-/* Admission: whether a request is served at all, and for whom. */
+/* Admission: finds a request's route, tenant and service, or refuses it. */
 #include <stdio.h>
 #include <string.h>
 
@@ -6,11 +6,11 @@
 #include "edge/quarantine.h"
 
 /*
- * What a caller is told to wait when the daemon itself is not ready: about
- * as long as it takes to read configuration and endpoints.
+ * Retry-after while this host is not ready: about the time to read the
+ * configuration and the endpoints.
  */
 #define Ad_STARTING_USEC (500 * Ck_USEC_PER_MSEC)
-/* Another host takes the request at once. */
+/* Retry-after while this host stops: another host takes the request. */
 #define Ad_LEAVING_USEC (20 * Ck_USEC_PER_MSEC)
 
 struct refusal {
@@ -19,13 +19,13 @@
     const char *why;
 };
 
-/* Refuses a request, as far as it is known whose and for what it is. */
+/* Refuses and logs a request; "found" holds what admission found so far. */
 static void
 refuse(struct ga_gate *gate, struct sv_request *request,
-       const struct xc_admitted *known, const struct refusal *refusal)
+       const struct xc_admitted *found, const struct refusal *refusal)
 {
     const struct ec_config *config = Fe_Config(gate->feed);
-    const char *tenant = known->tenant == NULL ? "" : known->tenant->name;
+    const char *tenant = found->tenant == NULL ? "" : found->tenant->name;
     struct qt_use use = Qt_Use(gate->quota, tenant);
     Mt_Add(gate->count.refused, 1);
     Ln_Log(LN_FAILURE, "request.refused",
@@ -33,21 +33,21 @@
            "\"tenant\":\"%s\",\"route\":\"%s\",\"cost\":%.0f,"
            "\"spent\":%.0f,\"limit\":%.0f,\"config\":%lld,"
            "\"daemons\":%zu",
-           known->ask->id, refusal->status, refusal->why,
+           found->ask->id, refusal->status, refusal->why,
            (long long)(refusal->retry_usec / Ck_USEC_PER_MSEC), tenant,
-           known->route == NULL ? "" : known->route->name, known->cost,
+           found->route == NULL ? "" : found->route->name, found->cost,
            use.spent, use.limit,
            config == NULL ? -1LL : (long long)config->version,
            Ms_CountAlive(gate->mesh));
     struct rf_refusal reply = {refusal->status, refusal->retry_usec,
-                               refusal->why, known->ask->id};
+                               refusal->why, found->ask->id};
     Rf_Reply(gate, request, &reply);
 }
 
 /*
- * What the configuration at hand does not allow may be allowed by a newer
- * one.  Without touch to the store that cannot be ruled out, and the caller
- * is asked to come back rather than told something final.
+ * Refusal of a request that the configuration does not allow.  A newer version
+ * may allow it: while the store is out of reach, the answer is 503 with
+ * retry-after instead of the final "status".
  */
 static struct refusal
 not_allowed(const struct ga_gate *gate, int status, const char *why)
@@ -69,7 +69,7 @@
                         : (double)tenant->plain;
 }
 
-/* Whether any endpoint may take the request; else why none may. */
+/* Whether any endpoint may take the request; "why" is set if none may. */
 static bool
 has_endpoint(const struct ga_gate *gate, const struct xc_admitted *admitted,
              const char *service, const char **why)
@@ -90,7 +90,7 @@
     return false;
 }
 
-/* Finds route, tenant and service; false with the refusal. */
+/* Finds route, tenant and service; returns false and sets "refusal". */
 static bool
 admit(struct ga_gate *gate, const struct h1_head *head,
       struct xc_admitted *out, struct refusal *refusal)
@@ -147,9 +147,9 @@
         return;
     }
     char why[Qn_WHY_MAX];
-    struct pz_request asked =
+    struct pz_request prompt =
         Qn_MakeRequest(admitted.service, admitted.tenant, &ask);
-    if (Qn_IsStopped(gate->quarantine, &asked, why)) {
+    if (Qn_IsStopped(gate->quarantine, &prompt, why)) {
         refusal = (struct refusal){503, Qn_RETRY_USEC, why};
         refuse(gate, request, &admitted, &refusal);
         return;
--- a/packages/edge/ask.h
+++ b/packages/edge/ask.h
@@ -1,6 +1,6 @@
 /*
- * What a request and an answer say about themselves, decoded once from the
- * headers of the wire in use.
+ * Metadata of requests and answers, decoded from the header fields of the
+ * protocol variant ("wire") in use.
  */
 #ifndef EDGE_ASK_H
 #define EDGE_ASK_H
@@ -20,7 +20,7 @@
 #define Ak_PARTS_MAX 33
 #define Ak_VERSION_MAX 32
 
-/* A part of a prompt that engines cache by itself, in order. */
+/* A part of a prompt: the unit of an engine's prefix cache. */
 struct ak_part {
     uint64_t id;
     int tokens;
@@ -30,11 +30,10 @@
     char id[Ak_ID_MAX];
     char key[Ak_KEY_MAX];
     bool has_key;
-    bool two_keys;         /* ambiguous: to be refused */
-    int64_t deadline_usec; /* how long the caller waits; -1: not said */
-    int64_t last_event;    /* the caller resumes after it; -1: from the start
-                            */
-    bool counted;          /* the token counts are known */
+    bool two_keys;         /* several keys: the request is to be refused */
+    int64_t deadline_usec; /* how long the caller waits; -1: not given */
+    int64_t last_event;    /* the caller resumes after it; -1: no resume */
+    bool counted;          /* the token counts are given */
     int64_t tokens_in;
     int64_t tokens_out;
     struct ak_part parts[Ak_PARTS_MAX];
@@ -42,40 +41,41 @@
 };
 
 struct ak_answer {
-    bool own;     /* echoes the request's id, or bears none */
-    bool echoed;  /* echoes the request's id */
-    bool sealed;  /* bears the endpoint's signature */
-    bool not_run; /* the endpoint says that it did not run the request */
-    bool encoded; /* the body is not the endpoint's */
-    /* Refusals in a second that its endpoint bears; -1: not said. */
+    bool own;     /* has no request id, or the id of this request */
+    bool echoed;  /* has the id of this request */
+    bool sealed;  /* has the endpoint's seal */
+    bool not_run; /* the endpoint did not run the request */
+    bool encoded; /* has a content encoding: the body was altered in transit */
+    /* Refusals in a second that the endpoint tolerates; -1: not given. */
     int refusals_borne;
-    char version[Ak_VERSION_MAX]; /* of the weights; empty: not said */
+    char version[Ak_VERSION_MAX]; /* of the weights; empty: not given */
 };
 
-/* What is set on a request that goes to an endpoint. */
+/* Values of the header fields added to a request for an endpoint. */
 struct ak_send {
-    const char *endpoint; /* the identity that must answer */
+    const char *endpoint; /* identity of the endpoint that must answer */
     const char *tenant;   /* NULL: none */
-    int64_t left_usec;
-    int rank;
-    int64_t resume_after; /* last event already passed on; -1: none */
-    const char *version;  /* the weights that must answer; NULL: any */
+    int64_t left_usec;    /* time to the deadline */
+    int rank;             /* priority; 0 is the most urgent */
+    int64_t resume_after; /* id of the last event passed on; -1: none */
+    const char *version;  /* required version of the weights; NULL: any */
 };
 
 struct ak_wire {
     void (*decode_ask)(const struct h1_head *head, struct ak_ask *ask);
     void (*decode_answer)(const struct h1_head *head, const char *id,
                           struct ak_answer *answer);
-    /* Whether a caller's field is for the system alone to set. */
+    /* Whether a field is dropped from callers' requests: only hosts set it. */
     bool (*reserved)(struct h1_text name);
     /* Writes the fields of "send"; returns the length. */
     size_t (*encode_send)(const struct ak_send *send, char *out, size_t size);
-    /* Names of fields. */
-    const char *retry_after;   /* the wait in seconds */
-    const char *request_id;    /* of the caller's attempt */
-    const char *last_event;    /* the caller resumes after it; lower case */
-    const char *event_version; /* line in an event from which on the weights
-                                  are others, with its colon */
+    /* Field names. */
+    const char *retry_after; /* delay in seconds */
+    const char *request_id;  /* id of the caller's request */
+    const char *last_event;  /* id to resume after; lower case */
+    /* Prefix, with its colon, of the first line of an event from which on the
+       version of the weights differs. */
+    const char *event_version;
 };
 
 #ifdef __cplusplus
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* An empty configuration with one reference; NULL without memory. */
+/* An empty configuration with one reference; NULL when out of memory. */
 struct ec_config *
 Ec_Create(void)
 {
@@ -36,7 +36,7 @@
                   ((const struct ec_key *)b)->key);
 }
 
-/* Routes by host and then longest prefix first; keys by their text. */
+/* Sorts routes by host, then longest prefix first; keys by their text. */
 void
 Ec_Seal(struct ec_config *config)
 {
@@ -88,7 +88,7 @@
     return order != 0 ? order : -(other[len] != '\0');
 }
 
-/* Where the routes of a host begin; route_count when there are none. */
+/* Index of a host's first route; route_count if it has none. */
 static size_t
 first_of_host(const struct ec_config *config, const char *host, size_t len)
 {
@@ -106,7 +106,7 @@
     return low;
 }
 
-/* The route of a request; NULL without one.  The query does not count. */
+/* Finds the route of a request, ignoring port and query; NULL if none. */
 const struct ec_route *
 Ec_Match(const struct ec_config *config, const char *host, size_t host_len,
          const char *target, size_t target_len)
@@ -143,7 +143,7 @@
     return NULL;
 }
 
-/* The tenant that holds a key; NULL for an unknown key. */
+/* Finds the tenant of a key; NULL if the key is unknown. */
 const struct ec_tenant *
 Ec_Holder(const struct ec_config *config, const char *key)
 {
@@ -175,7 +175,7 @@
            (tenant == NULL || is_home(tenant->homes, region));
 }
 
-/* The service that takes a request, by weight; "unit" is in [0, 1). */
+/* Chooses the service of a request by weight; "unit" is in [0, 1). */
 const char *
 Ec_Pick(const struct ec_route *route, double unit)
 {
--- a/packages/edge/config.h
+++ b/packages/edge/config.h
@@ -1,7 +1,7 @@
 /*
  * The operator's configuration in force, as typed values.  A snapshot is
- * immutable and counted, so that a request is finished under the version it
- * was admitted with.
+ * immutable and reference-counted, so that a request is finished under the
+ * version that it was admitted with.
  */
 #ifndef EDGE_CONFIG_H
 #define EDGE_CONFIG_H
@@ -22,12 +22,12 @@
 #define Ec_HOMES_MAX 16
 
 enum ec_kind {
-    EC_SAFE,   /* may run any number of times */
-    EC_UNSAFE, /* may run once at most */
-    EC_STREAM, /* events; once at most unless it may be resumed */
+    EC_SAFE,   /* idempotent: may run any number of times */
+    EC_UNSAFE, /* may run at most once */
+    EC_STREAM, /* event stream; may run at most once unless resumable */
 };
 
-/* Regions that a route or a tenant is bound to. */
+/* Regions in which a route's or a tenant's requests may run. */
 struct ec_homes {
     size_t count;
     char regions[Ec_HOMES_MAX][Ec_NAME_MAX];
@@ -45,14 +45,14 @@
     enum ec_kind kind;
     bool open; /* needs no key */
     bool resumable;
-    int attempts; /* endpoints one caller attempt may run on */
-    int rank;     /* 0 is the most urgent */
+    int attempts; /* most endpoints that one caller's request may run on */
+    int rank;     /* priority; 0 is the most urgent */
     int64_t timeout_usec;
-    int64_t aim_usec;
-    int64_t gap_usec; /* longest pause between events that is on time */
+    int64_t aim_usec; /* latency target of the first byte */
+    int64_t gap_usec; /* latency target between two events */
     struct ec_share shares[Ec_SPLIT_MAX];
     size_t share_count;
-    struct ec_homes *homes; /* NULL: any region will do */
+    struct ec_homes *homes; /* NULL: any region */
 };
 
 struct ec_zone_price {
@@ -62,29 +62,29 @@
 
 struct ec_service {
     char name[Ec_NAME_MAX];
-    int conn_max; /* connections an endpoint takes from all hosts together */
+    int conn_max; /* most connections to an endpoint from all hosts */
     bool engine;
     int slots;
     int64_t kv_tokens;
-    int64_t cold_usec;   /* an endpoint is cold after its start; 0: none is */
-    double cold_per_sec; /* requests a cold one bears; 0: as many as others */
-    bool ordered;        /* endpoints of it may be ordered */
-    int min;             /* a data centre */
+    int64_t cold_usec;   /* how long an endpoint is cold after its start */
+    double cold_per_sec; /* rate limit of a cold endpoint; 0: none */
+    bool ordered;        /* the number of endpoints is scaled by orders */
+    int min;             /* endpoints per data centre */
     int max;
     int64_t boot_usec;
-    double spot_price; /* 0: none are offered */
+    double spot_price; /* 0: no spot endpoints are offered */
     struct ec_zone_price zones[Ec_ZONES_MAX];
     size_t zone_count;
 };
 
 struct ec_tenant {
     char name[Ec_NAME_MAX];
-    int rank;       /* -1: the route's */
+    int rank;       /* priority; -1: that of the route */
     bool in_tokens; /* the quota counts tokens, not requests */
-    int64_t plain;  /* tokens a request without counts stands for */
+    int64_t plain;  /* tokens charged for a request without token counts */
     double per_sec; /* 0: no limit */
     double burst;
-    struct ec_homes *homes; /* NULL: any region will do */
+    struct ec_homes *homes; /* NULL: any region */
 };
 
 struct ec_key {
@@ -114,7 +114,7 @@
 };
 
 struct ec_config *Ec_Create(void);
-/* Orders the tables for look-ups; to be called once they are filled. */
+/* Sorts the tables for lookups; to be called when they are filled. */
 void Ec_Seal(struct ec_config *config);
 struct ec_config *Ec_Hold(struct ec_config *config);
 void Ec_Release(struct ec_config *config);
@@ -126,8 +126,8 @@
 const struct ec_tenant *Ec_Holder(const struct ec_config *config,
                                   const char *key);
 /*
- * Whether a request may run in a region; where route and tenant both have
- * homes, both bind.  "tenant": NULL where the route needs none.
+ * Whether a request may run in a region: both route and tenant must allow it.
+ * "tenant" is NULL if the route needs no key.
  */
 bool Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
                  const char *region);
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -13,27 +13,28 @@
 #include "edge/warming.h"
 #include "policy/retry.h"
 
-/* An endpoint with this part of its places in use reads at its own pace. */
-#define Xc_ALONE_PART 4
+/* With at most 1/4 of its slots in use, an engine reads prompts at full
+   speed. */
+#define Xc_UNLOADED_DIVISOR 4
 /*
- * An endpoint is given up as silent when it has not answered anybody for
- * this many times the route's aim: others need well under one.
+ * An attempt is given up when the endpoint has answered no request for this
+ * many times the route's latency target: sound endpoints need well under one.
  */
-#define Xc_SILENT_AIMS 2
-/* Time after which a place is likely to be free, where none is now. */
+#define Xc_SILENCE_TARGETS 2
+/* Time after which a slot is likely to be free when all are in use. */
 #define Xc_BUSY_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
 #define Xc_NONE_RETRY_USEC (800 * Ck_USEC_PER_MSEC)
 /*
- * Endpoints that were given the request and did not run it, beyond those that
- * may run it.  One that could not be reached is no repeat for anybody, and is
- * found out in a millisecond or two: Xc_TRIED_MAX alone limits those.
+ * Attempts at endpoints that got the request and refused it, in addition to
+ * the route's attempts.  Attempts at unreachable endpoints fail within 1 or
+ * 2 ms and are limited by Xc_TRIED_MAX only.
  */
 #define Xc_REFUSALS_MAX 2
-/* Tries of a stream that finds no endpoint: two seconds in all, as long as
-   callers put up with silence. */
+/* Waits of a stream that has no endpoint: two seconds in total, as long as
+   callers tolerate a silent stream. */
 #define Xc_WAITS_MAX 12
-/* The first try is made at once, before the first wait. */
-#define Xc_WAIT_FIRST 2
+/* Offset into the retry gaps: the first retry, without a gap, was made. */
+#define Xc_WAIT_GAP_OFFSET 2
 
 static void on_timer(void *arg);
 
@@ -41,8 +42,8 @@
 log_end(const struct xc_exchange *exchange, const char *outcome)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
-    bool fine = strcmp(outcome, "served") == 0;
-    Ln_Log(fine ? LN_ORDINARY : LN_FAILURE, "request.end",
+    bool is_served = strcmp(outcome, "served") == 0;
+    Ln_Log(is_served ? LN_ORDINARY : LN_FAILURE, "request.end",
            "\"id\":\"%s\",\"outcome\":\"%s\",\"route\":\"%s\","
            "\"config\":%lld,\"status\":%d,\"endpoint\":\"%s\","
            "\"version\":\"%s\",\"sends\":%d,"
@@ -53,24 +54,24 @@
            attempt->endpoint == NULL ? "" : attempt->endpoint->entry.id,
            attempt->endpoint == NULL ? "" : attempt->endpoint->entry.version,
            exchange->sends, exchange->runs, (long long)exchange->last_event,
-           exchange->first_at == 0
+           exchange->first_byte_at == 0
                ? -1LL
-               : (long long)((exchange->first_at - exchange->arrived) /
+               : (long long)((exchange->first_byte_at - exchange->arrived_at) /
                              Ck_USEC_PER_MSEC),
            (long long)(exchange->route->aim_usec / Ck_USEC_PER_MSEC),
-           (long long)((Ga_Now(exchange->gate) - exchange->arrived) /
+           (long long)((Ga_Now(exchange->gate) - exchange->arrived_at) /
                        Ck_USEC_PER_MSEC),
            (long long)((exchange->deadline - Ga_Now(exchange->gate)) /
                        Ck_USEC_PER_MSEC));
 }
 
 /*
- * How long a place of the endpoint was in use.  An engine gives a place with
- * the first event; what waits there is counted by its tokens, and a queue is
- * not a larger load.
+ * Time that the attempt occupied a slot of the endpoint.  At an engine a slot
+ * is occupied from the answer's head on: queued requests are counted by their
+ * tokens, and a longer queue is not a higher demand.
  */
 static int64_t
-used_usec(const struct xc_exchange *exchange)
+slot_usec(const struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     int64_t now = Ga_Now(exchange->gate);
@@ -81,15 +82,15 @@
 }
 
 void
-Xc_Release(struct xc_exchange *exchange)
+Xc_ReleaseAttempt(struct xc_exchange *exchange)
 {
     struct xc_attempt *attempt = &exchange->attempt;
     if (attempt->endpoint == NULL) {
         return;
     }
     /*
-     * A plain endpoint that had the request and does not answer has run it;
-     * an engine may have left it waiting.
+     * A plain endpoint that got the request and has not answered is assumed to
+     * have run it; at an engine it may still be queued.
      */
     if (!exchange->service->engine && attempt->head_at == 0 &&
         attempt->channel != NULL && Cn_Sent(attempt->channel)) {
@@ -97,10 +98,10 @@
     }
     attempt->endpoint->running--;
     De_Ended(exchange->gate->demand, exchange->service->name,
-             used_usec(exchange));
-    attempt->endpoint->reading -= attempt->reading;
+             slot_usec(exchange));
+    attempt->endpoint->reading -= attempt->queued_tokens;
     if (attempt->channel != NULL) {
-        Po_Give(exchange->gate, attempt->endpoint, attempt->channel);
+        Po_Return(exchange->gate, attempt->endpoint, attempt->channel);
     }
     Fl_Drop(attempt->endpoint);
     free(attempt->fields);
@@ -122,12 +123,12 @@
                        &exchange->attempt.endpoint->entry);
     }
     Mt_Observe(exchange->gate->count.whole,
-               Ga_Now(exchange->gate) - exchange->arrived);
+               Ga_Now(exchange->gate) - exchange->arrived_at);
     if (exchange->charged && !exchange->may_have_run) {
         Qt_Refund(exchange->gate->quota, exchange->tenant->name,
                   exchange->cost);
     }
-    Xc_Release(exchange);
+    Xc_ReleaseAttempt(exchange);
     TAILQ_REMOVE(&exchange->gate->exchanges, exchange, link);
     Lp_TimerDestroy(exchange->timer);
     Ec_Release(exchange->config);
@@ -139,7 +140,7 @@
           const char *why)
 {
     struct sv_request *request = exchange->request;
-    if (exchange->began) {
+    if (exchange->head_sent) {
         Sv_SetUser(request, NULL);
         Xc_End(exchange, why);
         Sv_Abort(request);
@@ -160,12 +161,12 @@
     return a < b ? a : b;
 }
 
-/* When an endpoint that has not answered anybody is given up. */
+/* When the attempt times out if the endpoint answers no request. */
 static int64_t
-silent_at(const struct xc_exchange *exchange)
+silence_deadline(const struct xc_exchange *exchange)
 {
     return exchange->attempt.sent_at +
-           Xc_SILENT_AIMS * exchange->route->aim_usec;
+           Xc_SILENCE_TARGETS * exchange->route->aim_usec;
 }
 
 static void
@@ -175,22 +176,24 @@
     int64_t at = exchange->deadline;
     const struct xc_attempt *attempt = &exchange->attempt;
     if (attempt->endpoint != NULL && attempt->head_at == 0) {
-        at = earlier(at, exchange->silent_told ? at : silent_at(exchange));
-        at = earlier(at,
-                     exchange->doubted ? at : attempt->sent_at + Wy_SILENCE);
+        at = earlier(
+            at, exchange->silence_handled ? at : silence_deadline(exchange));
+        at = earlier(
+            at, exchange->link_tested ? at : attempt->sent_at + Wy_SILENCE);
     }
     Lp_TimerSet(exchange->timer, at - now);
 }
 
 bool
-Xc_MayRepeat(struct xc_exchange *exchange, bool ran)
+Xc_MayRetry(struct xc_exchange *exchange, bool ran)
 {
-    if (ran && (!exchange->repeatable ||
+    if (ran && (!exchange->retryable ||
                 exchange->runs >= exchange->route->attempts)) {
         return false;
     }
-    int most = exchange->route->attempts + Xc_REFUSALS_MAX;
-    if (exchange->delivered >= most || exchange->tried_count >= Xc_TRIED_MAX ||
+    int max_delivered = exchange->route->attempts + Xc_REFUSALS_MAX;
+    if (exchange->delivered >= max_delivered ||
+        exchange->tried_count >= Xc_TRIED_MAX ||
         Ga_Now(exchange->gate) >= exchange->deadline) {
         return false;
     }
@@ -198,7 +201,7 @@
            Bu_CanRepeat(exchange->gate->budget, exchange->service->name);
 }
 
-/* A refusal that promises that nothing has run must be true. */
+/* Callers take 503 as a promise that the request has not run. */
 int
 Xc_RefusalStatus(const struct xc_exchange *exchange)
 {
@@ -212,7 +215,7 @@
     return at + text.len;
 }
 
-/* The request's head as an endpoint gets it; the caller frees it. */
+/* Builds the request's head for the endpoint; the caller frees it. */
 static char *
 write_head(const struct xc_exchange *exchange, const struct ak_send *send,
            size_t body_len, size_t *len)
@@ -254,14 +257,14 @@
 }
 
 static int
-rank_of(const struct xc_exchange *exchange)
+priority_of(const struct xc_exchange *exchange)
 {
     return exchange->tenant != NULL && exchange->tenant->rank >= 0
                ? exchange->tenant->rank
                : exchange->route->rank;
 }
 
-/* Why this endpoint: what was known of it, and how old its entry is. */
+/* Logs the data by which the endpoint was chosen, and their age. */
 static void
 log_sent(const struct xc_exchange *exchange)
 {
@@ -276,7 +279,7 @@
         exchange->ask.id, endpoint->entry.id,
         exchange->tenant == NULL ? "" : exchange->tenant->name,
         endpoint->running, endpoint->others_running, reading,
-        (long long)attempt->reading, Cn_Used(attempt->channel),
+        (long long)attempt->queued_tokens, Cn_Used(attempt->channel),
         (long long)((attempt->sent_at - endpoint->refreshed_at) /
                     Ck_USEC_PER_MSEC),
         (long long)exchange->config->version);
@@ -293,9 +296,9 @@
         .endpoint = endpoint->entry.id,
         .tenant = exchange->tenant == NULL ? NULL : exchange->tenant->name,
         .left_usec = exchange->deadline - now,
-        .rank = rank_of(exchange),
-        .resume_after = exchange->began ? exchange->last_event : -1,
-        .version = exchange->began && exchange->version[0] != '\0'
+        .rank = priority_of(exchange),
+        .resume_after = exchange->head_sent ? exchange->last_event : -1,
+        .version = exchange->head_sent && exchange->version[0] != '\0'
                        ? exchange->version
                        : NULL,
     };
@@ -304,7 +307,7 @@
     size_t head_len;
     char *head = write_head(exchange, &send, body_len, &head_len);
     struct cn_channel *channel =
-        head == NULL ? NULL : Po_Take(gate, endpoint, exchange->repeatable);
+        head == NULL ? NULL : Po_Take(gate, endpoint, exchange->retryable);
     if (channel == NULL) {
         free(head);
         return false;
@@ -312,28 +315,29 @@
     attempt->endpoint = Fl_Hold(endpoint);
     attempt->channel = channel;
     attempt->sent_at = now;
-    attempt->reading = target->reading;
+    attempt->queued_tokens = target->read_tokens;
     int running = endpoint->running + endpoint->others_running;
-    attempt->alone = endpoint->reading + endpoint->others_reading == 0 &&
-                     running * Xc_ALONE_PART <= endpoint->entry.slots;
+    attempt->unloaded = endpoint->reading + endpoint->others_reading == 0 &&
+                        running * Xc_UNLOADED_DIVISOR <= endpoint->entry.slots;
     endpoint->running++;
-    endpoint->reading += attempt->reading;
+    endpoint->reading += attempt->queued_tokens;
     Wa_NoteSent(gate, endpoint, exchange->service, now);
     Bt_NoteSent(gate, endpoint);
     /*
-     * Once for a request: while endpoints crash each is sent several times,
-     * and endpoints would be ordered for a load several times as large.
+     * Demand counts a request once, not its retries: while endpoints crash
+     * each request is sent several times, and endpoints would be ordered for
+     * a load several times as large.
      */
     if (exchange->sends == 0) {
-        De_Sent(gate->demand, exchange->service->name, attempt->reading,
+        De_Sent(gate->demand, exchange->service->name, attempt->queued_tokens,
                 Pl_IsLong(exchange->ask.tokens_in));
     }
     Px_Note(gate->prefixes, &exchange->ask, endpoint->hash, now);
     exchange->tried[exchange->tried_count++] = endpoint->hash;
     exchange->sends++;
-    exchange->waits = 0;
-    exchange->silent_told = false;
-    exchange->doubted = false;
+    exchange->endpoint_waits = 0;
+    exchange->silence_handled = false;
+    exchange->link_tested = false;
     log_sent(exchange);
     Cn_Send(channel, head, head_len, body, body_len,
             H1_Is(Sv_Head(exchange->request)->method, "HEAD"), &xc_channel_ops,
@@ -343,18 +347,19 @@
 }
 
 /*
- * A stream that has begun cannot be refused any more: where every endpoint is
- * at its limit, or cold and left to others, it goes on a little later.
+ * Schedules another attempt for a stream that has begun, which can no longer
+ * be refused, while every endpoint is at its limit or reserved for other
+ * hosts.  Returns false when the stream may not wait longer.
  */
 static bool
 wait_for_endpoint(struct xc_exchange *exchange)
 {
-    int64_t gap = Rt_Gap(exchange->waits + Xc_WAIT_FIRST);
-    if (!exchange->began || exchange->waits >= Xc_WAITS_MAX ||
+    int64_t gap = Rt_Gap(exchange->endpoint_waits + Xc_WAIT_GAP_OFFSET);
+    if (!exchange->head_sent || exchange->endpoint_waits >= Xc_WAITS_MAX ||
         Ga_Now(exchange->gate) + gap >= exchange->deadline) {
         return false;
     }
-    exchange->waits++;
+    exchange->endpoint_waits++;
     Mt_Add(exchange->gate->count.waits, 1);
     Lp_TimerSet(exchange->timer, gap);
     return true;
@@ -410,12 +415,15 @@
     Xc_Refuse(exchange, 504, 0, "out of time");
 }
 
-/* The endpoint may be busy, or this host's link to it cut. */
+/*
+ * Has the link to an endpoint that does not answer tested: the endpoint may be
+ * busy, or this host's link to it cut.
+ */
 static void
-doubt_link(struct xc_exchange *exchange)
+test_link(struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
-    exchange->doubted = true;
+    exchange->link_tested = true;
     if (attempt->endpoint != NULL && attempt->head_at == 0 &&
         Cn_Peer(attempt->channel) == 0) {
         Pt_Unanswered(exchange->gate->paths, attempt->endpoint,
@@ -433,18 +441,18 @@
         on_deadline(exchange);
         return;
     }
-    if (attempt->endpoint == NULL && exchange->waits > 0) {
+    if (attempt->endpoint == NULL && exchange->endpoint_waits > 0) {
         Xc_Dispatch(exchange);
         return;
     }
-    if (!exchange->doubted && now >= attempt->sent_at + Wy_SILENCE) {
-        doubt_link(exchange);
+    if (!exchange->link_tested && now >= attempt->sent_at + Wy_SILENCE) {
+        test_link(exchange);
     }
-    if (now < silent_at(exchange)) {
+    if (now < silence_deadline(exchange)) {
         set_timer(exchange);
         return;
     }
-    exchange->silent_told = true;
+    exchange->silence_handled = true;
     if (attempt->endpoint != NULL && attempt->head_at == 0 &&
         attempt->endpoint->answered_at < attempt->sent_at) {
         He_Note(attempt->endpoint, HE_SILENT, now);
@@ -452,14 +460,14 @@
         exchange->may_have_run |= sent;
         exchange->runs += sent;
         exchange->delivered += sent;
-        if (Xc_MayRepeat(exchange, sent)) {
+        if (Xc_MayRetry(exchange, sent)) {
             Ln_Log(LN_FAILURE, "attempt.failed",
                    "\"id\":\"%s\",\"endpoint\":\"%s\",\"why\":\"silent\","
                    "\"ran\":%d,\"sends\":%d,\"ms\":%lld",
                    exchange->ask.id, attempt->endpoint->entry.id, sent,
                    exchange->sends,
                    (long long)((now - attempt->sent_at) / Ck_USEC_PER_MSEC));
-            Xc_Release(exchange);
+            Xc_ReleaseAttempt(exchange);
             Xc_Dispatch(exchange);
             return;
         }
@@ -470,13 +478,13 @@
 }
 
 static bool
-is_repeatable(const struct ec_route *route)
+is_retryable(const struct ec_route *route)
 {
     return route->kind == EC_SAFE ||
            (route->kind == EC_STREAM && route->resumable);
 }
 
-/* Takes a request over; answers it in the end. */
+/* Takes over an admitted request, which is answered asynchronously. */
 void
 Xc_Start(struct ga_gate *gate, struct sv_request *request,
          const struct xc_admitted *admitted)
@@ -502,23 +510,23 @@
     exchange->ask = *admitted->ask;
     exchange->cost = admitted->cost;
     exchange->charged = admitted->tenant != NULL;
-    exchange->repeatable = is_repeatable(admitted->route);
+    exchange->retryable = is_retryable(admitted->route);
     exchange->last_event = admitted->ask->last_event;
-    exchange->arrived = Ga_Now(gate);
+    exchange->arrived_at = Ga_Now(gate);
     int64_t limit = admitted->route->timeout_usec;
     if (admitted->ask->deadline_usec >= 0 &&
         admitted->ask->deadline_usec < limit) {
         limit = admitted->ask->deadline_usec;
     }
-    exchange->deadline = exchange->arrived + limit;
+    exchange->deadline = exchange->arrived_at + limit;
     TAILQ_INSERT_TAIL(&gate->exchanges, exchange, link);
     Sv_SetUser(request, exchange);
     Xc_Dispatch(exchange);
 }
 
-/* The caller has left: whatever still works for it is stopped. */
+/* The caller closed its connection: ends the exchange and its attempt. */
 void
-Xc_Gone(struct sv_request *request)
+Xc_CallerLeft(struct sv_request *request)
 {
     struct xc_exchange *exchange = Sv_User(request);
     if (exchange == NULL) {
@@ -529,7 +537,7 @@
 }
 
 void
-Xc_Drained(struct sv_request *request)
+Xc_CallerDrained(struct sv_request *request)
 {
     struct xc_exchange *exchange = Sv_User(request);
     if (exchange != NULL && exchange->attempt.channel != NULL) {
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -1,6 +1,6 @@
 /*
- * A request from its admission to the end of its answer: which endpoints it
- * was sent to, what they answered, what the caller was told.
+ * A request from its admission to the end of its answer: the endpoints it was
+ * sent to, their answers, and the answer to the caller.
  */
 #ifndef EDGE_EXCHANGE_H
 #define EDGE_EXCHANGE_H
@@ -11,23 +11,23 @@
 
 #define Xc_TRIED_MAX 8
 
-/* What an endpoint was sent and has answered so far. */
+/* The current attempt at one endpoint, and its answer so far. */
 struct xc_attempt {
-    struct fl_endpoint *endpoint; /* NULL: none under way */
+    struct fl_endpoint *endpoint; /* NULL: no attempt in progress */
     struct cn_channel *channel;
     int64_t sent_at;
-    int64_t head_at;  /* 0: none has come */
-    int64_t event_at; /* its first event; 0: none has come */
-    int64_t reading;  /* prompt tokens counted at the endpoint */
-    bool alone;       /* nothing else was being read there */
+    int64_t head_at;        /* answer's head received; 0: not yet */
+    int64_t first_event_at; /* first event received; 0: not yet */
+    int64_t queued_tokens;  /* prompt tokens counted at the endpoint's queue */
+    bool unloaded; /* the endpoint had no queue and few running requests */
     bool streaming;
     int status;
     struct ak_answer answer;
-    char *fields; /* to be passed on with the answer */
+    char *fields; /* header fields to pass to the caller */
     struct bf_buffer body;
     bool overflow;
-    bool gap;  /* events are missing */
-    bool slow; /* its first byte took several times as long as usual */
+    bool events_missing; /* the stream skipped events */
+    bool slow; /* the first byte took several times as long as usual */
     struct es_parser parser;
 };
 
@@ -41,24 +41,24 @@
     const struct ec_service *service;
     struct ak_ask ask;
     struct lp_timer *timer;
-    int64_t arrived;
-    int64_t first_at; /* first byte of an answer that counts; 0: none */
+    int64_t arrived_at;
+    int64_t first_byte_at; /* first byte of a valid answer; 0: none yet */
     int64_t deadline;
-    double cost; /* of the tenant's quota */
+    double cost; /* charged to the tenant's quota */
     bool charged;
-    bool counted; /* in the usage */
-    bool repeatable;
-    bool began; /* the caller has the head of an answer */
+    bool usage_counted; /* counted in the usage report */
+    bool retryable;
+    bool head_sent; /* the caller was sent the head of an answer */
     bool may_have_run;
-    bool silent_told;
-    bool doubted; /* the link to the endpoint, by this attempt */
-    int waits;    /* in a row, for an endpoint that can go on with a stream */
-    int sends;
-    int delivered; /* of these, such that a byte of them may have arrived */
-    int runs;      /* endpoints that did or may have run it */
-    uint32_t tried[Xc_TRIED_MAX];
+    bool silence_handled; /* the attempt's silence timeout was handled */
+    bool link_tested;     /* the attempt had the endpoint's link tested */
+    int endpoint_waits; /* waits in a row for an endpoint to resume a stream */
+    int sends;          /* attempts */
+    int delivered;      /* attempts of which bytes may have arrived */
+    int runs;           /* endpoints that ran or may have run the request */
+    uint32_t tried[Xc_TRIED_MAX]; /* hashes of the endpoints sent to */
     size_t tried_count;
-    int64_t last_event; /* passed on; -1: none */
+    int64_t last_event; /* id of the last event passed on; -1: none */
     char version[Ak_VERSION_MAX];
     struct xc_attempt attempt;
 };
@@ -75,40 +75,47 @@
 void Xc_Start(struct ga_gate *gate, struct sv_request *request,
               const struct xc_admitted *admitted);
 
-/* Where a request goes, and what it is expected to have read there. */
 struct xc_target {
     struct fl_endpoint *endpoint;
-    int64_t reading; /* prompt tokens */
+    int64_t read_tokens; /* prompt tokens the endpoint is expected to read */
 };
 
 enum pl_verdict Xc_Choose(struct xc_exchange *exchange, struct xc_target *out);
-/* Sends the request to an endpoint, or answers that it cannot. */
+/* Sends the request to an endpoint, or refuses it. */
 void Xc_Dispatch(struct xc_exchange *exchange);
-/* Ends with an answer of our own. */
+/*
+ * Ends the exchange with an error answer; aborts the caller's connection if
+ * the head of an answer was already sent.
+ */
 void Xc_Refuse(struct xc_exchange *exchange, int status, int64_t retry_usec,
                const char *why);
-/* Ends without another word: the answer was given, or cannot be finished. */
+/* Ends the exchange without sending anything to the caller. */
 void Xc_End(struct xc_exchange *exchange, const char *outcome);
-/* Whether one more endpoint may be asked, the budget included. */
-bool Xc_MayRepeat(struct xc_exchange *exchange, bool ran);
-/* 503 where nothing can have run, else 502. */
+/*
+ * Whether the request may be sent to another endpoint, by the route, the
+ * deadline and the retry budget.  "ran": the last endpoint ran or may have run
+ * it.
+ */
+bool Xc_MayRetry(struct xc_exchange *exchange, bool ran);
+/* Returns 503 if no endpoint can have run the request, else 502. */
 int Xc_RefusalStatus(const struct xc_exchange *exchange);
-/* Lets go of the attempt; its connection is kept when it can be. */
-void Xc_Release(struct xc_exchange *exchange);
+/* Ends the current attempt; its connection is kept if it can be reused. */
+void Xc_ReleaseAttempt(struct xc_exchange *exchange);
 
+/* Notes that an endpoint may have begun to run the request. */
 void Xc_CountRun(struct xc_exchange *exchange);
 
-/* The endpoint's side of an attempt. */
+/* Callbacks of the connection to the endpoint. */
 extern const struct cn_ops xc_channel_ops;
 
-/* Connections to endpoints. */
+/* Connection pool of the endpoints. */
 struct cn_channel *Po_Take(struct ga_gate *gate, struct fl_endpoint *endpoint,
                            bool repeatable);
-void Po_Give(struct ga_gate *gate, struct fl_endpoint *endpoint,
-             struct cn_channel *channel);
-void Po_Drop(struct fl_endpoint *endpoint, struct fl_idle *idle);
-bool Po_Full(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
-             const struct ec_service *service);
+void Po_Return(struct ga_gate *gate, struct fl_endpoint *endpoint,
+               struct cn_channel *channel);
+void Po_Close(struct fl_endpoint *endpoint, struct fl_idle *idle);
+bool Po_IsFull(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
+               const struct ec_service *service);
 void Po_Sweep(struct ga_gate *gate);
 
 #endif
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -1,4 +1,4 @@
-/* What the placement of a request is told, and which endpoint follows. */
+/* Collects the candidates for a request and chooses an endpoint. */
 #include <string.h>
 
 #include "base/hash.h"
@@ -8,14 +8,15 @@
 #include "edge/warming.h"
 
 #define Xc_CANDIDATES_MAX 1024
-/* Requests given to an endpoint, as a multiple of what it runs at once. */
+/* Most requests sent to an endpoint, as a multiple of its slots. */
 #define Xc_ENGINE_FILL 1.25
 #define Xc_PLAIN_FILL 3.0
+/* Slowness is not computed for services faster than this. */
 #define Xc_SLOWNESS_FLOOR_USEC 5000.0
 
-/* The time the endpoint's first bytes take, against the whole service's. */
+/* Mean time to the first byte over the endpoints of a service. */
 static double
-mean_first(const struct ga_gate *gate, const char *service)
+mean_first_byte(const struct ga_gate *gate, const char *service)
 {
     double sum = 0;
     size_t count = 0;
@@ -41,7 +42,10 @@
     return false;
 }
 
-/* Prompts that share a part have homes together, others each by itself. */
+/*
+ * Prompts that share a part belong to one group, which has the same homes; any
+ * other request is a group of its own.
+ */
 static uint64_t
 group_of(const struct ak_ask *ask)
 {
@@ -49,26 +53,27 @@
     return group != 0 ? group : Hash_String(ask->id, 0);
 }
 
-/* What is the same for all candidates of a request. */
-struct scene {
+/* Values that are the same for all candidates of a request. */
+struct choice_context {
     int64_t now;
     uint64_t group;
     uint64_t request;
-    double mean_first;
+    double mean_first_byte;
     double long_part;
 };
 
 static struct pl_candidate
-describe(const struct xc_exchange *exchange, const struct scene *scene,
-         struct fl_endpoint *endpoint)
+make_candidate(const struct xc_exchange *exchange,
+               const struct choice_context *context,
+               struct fl_endpoint *endpoint)
 {
     const struct ga_gate *gate = exchange->gate;
     enum wa_state warming =
-        Wa_State(gate, endpoint, exchange->service, scene->now);
-    uint64_t both[2] = {scene->group, endpoint->hash};
-    uint64_t lot[2] = {scene->request, endpoint->hash};
-    struct px_missing missing =
-        Px_Missing(gate->prefixes, &exchange->ask, endpoint->hash, scene->now);
+        Wa_State(gate, endpoint, exchange->service, context->now);
+    uint64_t home_key[2] = {context->group, endpoint->hash};
+    uint64_t sample_key[2] = {context->request, endpoint->hash};
+    struct px_missing missing = Px_Missing(gate->prefixes, &exchange->ask,
+                                           endpoint->hash, context->now);
     struct pl_candidate candidate = {
         .slots = endpoint->entry.slots,
         .running = endpoint->running + endpoint->others_running,
@@ -77,29 +82,31 @@
         .shared = missing.shared,
         .near = strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
         .shunned =
-            He_Shunned(endpoint, scene->now) || warming == WA_MAYBE_COLD,
+            He_Shunned(endpoint, context->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
         .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
-                Po_Full(gate, endpoint, exchange->service),
-        .failing = He_Failing(endpoint, scene->now),
-        .draw = Hash_Bytes(both, sizeof(both), 0),
-        .lot = (double)Hash_Bytes(lot, sizeof(lot), 0) / (double)UINT64_MAX,
+                Po_IsFull(gate, endpoint, exchange->service),
+        .failing = He_Failing(endpoint, context->now),
+        .draw = Hash_Bytes(home_key, sizeof(home_key), 0),
+        .lot = (double)Hash_Bytes(sample_key, sizeof(sample_key), 0) /
+               (double)UINT64_MAX,
         .long_lane =
-            (double)endpoint->hash < scene->long_part * (double)UINT32_MAX,
+            (double)endpoint->hash < context->long_part * (double)UINT32_MAX,
     };
-    if (scene->mean_first > Xc_SLOWNESS_FLOOR_USEC) {
+    if (context->mean_first_byte > Xc_SLOWNESS_FLOOR_USEC) {
         candidate.slowness =
-            He_FirstByteUsec(endpoint, scene->mean_first, scene->now) /
-            scene->mean_first;
+            He_FirstByteUsec(endpoint, context->mean_first_byte,
+                             context->now) /
+            context->mean_first_byte;
     }
     return candidate;
 }
 
-/* What all daemons ask of a service in a second. */
+/* Load of a service from all hosts, per second. */
 struct load {
-    double sent;
-    double reading;
-    double in_long;
+    double sent;    /* requests */
+    double reading; /* prompt tokens */
+    double in_long; /* prompt tokens of long prompts */
 };
 
 static void
@@ -129,21 +136,21 @@
     return load;
 }
 
-/* The part of all prompt tokens that long prompts bring. */
+/* Fraction of all prompt tokens that belongs to long prompts. */
 static double
 long_share(const struct load *load)
 {
     return load->reading > 0 ? load->in_long / load->reading : 0;
 }
 
-/* Endpoints of a service that a pick allows. */
+/* Usable endpoints of a service, of the versions that a pick allows. */
 struct selection {
     size_t count;
     struct fl_endpoint *endpoints[Xc_CANDIDATES_MAX];
 };
 
 static bool
-allowed(enum ro_pick pick, bool next)
+version_allowed(enum ro_pick pick, bool next)
 {
     switch (pick) {
     case RO_OLD:
@@ -158,8 +165,8 @@
 }
 
 static bool
-is_at_home(const struct xc_exchange *exchange,
-           const struct fl_endpoint *endpoint)
+in_allowed_region(const struct xc_exchange *exchange,
+                  const struct fl_endpoint *endpoint)
 {
     return Ga_MayRunAt(exchange->gate, exchange->route, exchange->tenant,
                        endpoint);
@@ -177,8 +184,8 @@
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (out->count < Xc_CANDIDATES_MAX && Fl_Usable(endpoint) &&
             strcmp(endpoint->entry.service, service) == 0 &&
-            allowed(pick, Ga_IsNext(move, endpoint)) &&
-            is_at_home(exchange, endpoint)) {
+            version_allowed(pick, Ga_IsNext(move, endpoint)) &&
+            in_allowed_region(exchange, endpoint)) {
             out->endpoints[out->count++] = endpoint;
         }
     }
@@ -192,26 +199,26 @@
     const char *service = exchange->service->name;
     const struct ga_gate *gate = exchange->gate;
     bool engine = exchange->service->engine;
-    struct scene scene = {
+    struct choice_context context = {
         .now = Ga_Now(gate),
         .group = group_of(&exchange->ask),
         .request = Hash_String(exchange->ask.id, 0),
-        .mean_first = mean_first(gate, service),
+        .mean_first_byte = mean_first_byte(gate, service),
     };
     double drawn_part = 1;
     if (engine) {
         struct load load = load_of(gate, service);
         double lag = (double)Ms_Lag(gate->mesh) / (double)Ck_USEC_PER_SEC;
-        scene.long_part = Pl_LongPart(from->count, long_share(&load));
+        context.long_part = Pl_LongPart(from->count, long_share(&load));
         drawn_part = Pl_DrawnPart(from->count, load.sent * lag);
     }
     for (size_t i = 0; i < from->count; i++) {
-        candidates[i] = describe(exchange, &scene, from->endpoints[i]);
+        candidates[i] = make_candidate(exchange, &context, from->endpoints[i]);
     }
     struct pl_limits limits = {
         .engine = engine,
         .fill = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
-        .lanes = scene.long_part > 0,
+        .lanes = context.long_part > 0,
         .is_long = Pl_IsLong(exchange->ask.tokens_in),
         .drawn_part = drawn_part,
     };
@@ -220,15 +227,16 @@
         Pl_Choose(candidates, from->count, &limits, &choice);
     if (verdict == PL_CHOSEN) {
         out->endpoint = from->endpoints[choice.index];
-        out->reading = choice.reading;
+        out->read_tokens = choice.reading;
     }
     return verdict;
 }
 
 /*
- * Picks an endpoint by what is known of all of them.  While a service moves
- * to another version the draw comes first; the other version stands in when
- * the drawn one has no room, but a version that was taken back never does.
+ * Chooses an endpoint for the next attempt.  While a service moves to another
+ * version, a random draw decides the version first.  If the endpoints of that
+ * version are full, the other version is used instead, except for a version
+ * that was rolled back.
  */
 enum pl_verdict
 Xc_Choose(struct xc_exchange *exchange, struct xc_target *out)
@@ -238,8 +246,8 @@
     const struct ro_move *move = Ro_Find(gate->moves, exchange->service->name);
     enum ro_pick pick =
         Ro_Pick(move, exchange->sends > 0, Rn_Unit(&gate->random));
-    if (pick == RO_OLD_FIRST && exchange->began) {
-        /* A stream goes on where most of its version is. */
+    if (pick == RO_OLD_FIRST && exchange->head_sent) {
+        /* A begun stream resumes at the version that most endpoints have. */
         pick = RO_NEXT_FIRST;
     }
     select_endpoints(exchange, pick, &selection);
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -16,18 +16,21 @@
 #define Ga_READERS 3
 #define Ga_MANY_DAEMONS 16
 #define Ga_SWEEP_TICKS 5   /* twice a second */
-#define Ga_CALLS_TICKS 100 /* each ten seconds */
+#define Ga_CALLS_TICKS 100 /* every ten seconds */
 /*
- * A planned stop: readiness is asked once a second and two misses take a
- * host out, so callers come for some three seconds more, on connections they
- * keep for as long as those are open.  Idle ones are ended before that, and
- * what still runs has until shortly before the platform kills the process.
+ * Times of a graceful shutdown, from its start.  The load balancer checks the
+ * readiness once a second and removes a host after two failed checks, so
+ * callers connect for about three seconds more; on open connections they send
+ * requests as long as those last.  Idle connections are closed before that;
+ * running requests may go on until shortly before the platform kills the
+ * process.
  */
 #define Ga_STOP_IDLE_USEC (1500 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_STREAMS_USEC (2700 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_LEAST_USEC (3800 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_MARGIN_USEC (300 * Ck_USEC_PER_MSEC)
-/* Connections of peers: two descriptors each, a quarter of all at the most. */
+/* Connections relayed for peers take two descriptors each, and at most 1/4 of
+   all descriptors. */
 #define Ga_THROUGH_FDS_PART 8
 #define Ga_THROUGH_MOST 256
 
@@ -37,7 +40,6 @@
     return Ck_Now(gate->options.clock);
 }
 
-/* Whether callers are welcome. */
 bool
 Ga_Ready(const struct ga_gate *gate)
 {
@@ -73,19 +75,19 @@
 on_gone(void *arg, struct sv_request *request)
 {
     (void)arg;
-    Xc_Gone(request);
+    Xc_CallerLeft(request);
 }
 
 static void
 on_drained(void *arg, struct sv_request *request)
 {
     (void)arg;
-    Xc_Drained(request);
+    Xc_CallerDrained(request);
 }
 
-/* Every so often at the most that it is too full. */
+/* Minimum time between two log lines about overload. */
 #define Ga_CROWD_TOLD_USEC (1 * Ck_USEC_PER_SEC)
-/* Of the descriptors, callers' connections have this part. */
+/* Callers' connections take at most 1/2 of the descriptors. */
 #define Ga_CALLERS_FDS_PART 2
 
 static void
@@ -223,7 +225,7 @@
 {
     struct ga_gate *gate = arg;
     if (Fl_Evacuate(gate->fleet, zone, asked)) {
-        /* What serves elsewhere has to carry more, or less, from now on. */
+        /* The load of the other data centres rises or falls from now on. */
         Wo_PlanSoon(gate->work);
     }
 }
@@ -252,8 +254,10 @@
 }
 
 /*
- * Words from another data centre are seconds apart, and those who read may all
- * be in one that has gone; its sums are missed sooner.
+ * Whether a peer can be relied on to pass on what it reads from the store.
+ * Messages from a host in another data centre arrive seconds apart, and all
+ * readers may be in a data centre that has failed.  The sums of a whole data
+ * centre arrive more often, so that their absence shows the failure sooner.
  */
 static bool
 is_close(const struct ga_gate *gate, const struct ms_peer *peer)
@@ -264,9 +268,10 @@
 }
 
 /*
- * Thousands of endpoints write hundreds of kilobytes a second of heartbeats:
- * on a narrow link they would hold up what callers and other daemons send, so
- * the hosts with the widest links read first.
+ * Whether a peer precedes this host in the order of readers.  The heartbeats
+ * of thousands of endpoints are hundreds of kilobytes a second and would delay
+ * the traffic of callers and peers on a narrow link, so the hosts with the
+ * widest links come first.
  */
 static bool
 reads_first(const struct nd_node *own, const struct ms_peer *peer)
@@ -278,8 +283,9 @@
 }
 
 /*
- * The first few daemons read, and whoever does not hear enough of
- * them.  Two may fail at once before anything is learned late.
+ * Whether this host may leave the topic to other readers.  The first
+ * Ga_READERS hosts read, as do hosts that hear of fewer readers.  Updates stay
+ * timely when two readers fail at once.
  */
 static bool
 others_read(void *arg, enum ag_topic topic)
@@ -326,8 +332,9 @@
 }
 
 /*
- * Ends listening once nobody is connected, and before the limit at any rate:
- * who connects as the process exits would be reset.
+ * Closes the listening socket when no caller is connected, or at the latest
+ * before the time limit: connections made while the process exits would be
+ * reset.
  */
 static void
 end_listening(struct ga_gate *gate, int64_t gone, int64_t limit)
@@ -364,7 +371,7 @@
     }
     int64_t limit = gate->options.node->grace_usec - Ga_STOP_MARGIN_USEC;
     end_listening(gate, gone, limit);
-    /* Who had connected already is answered first. */
+    /* Callers that are already connected are answered first. */
     if ((gate->listening == GA_CLOSED && Sv_Connections(gate->callers) == 0 &&
          Th_Count(gate->through) == 0) ||
         gone > limit) {
@@ -500,7 +507,11 @@
     return status;
 }
 
-/* Not over a link that is cut here as well, and to no address but these. */
+/*
+ * Returns the address of an endpoint that a peer asks this host to connect to.
+ * Only listed endpoints are allowed, and only if this host's own link to the
+ * endpoint is not cut.
+ */
 static bool
 find_for_peer(void *arg, const char *id, char *address, size_t size)
 {
@@ -592,7 +603,7 @@
     return ST_OK;
 }
 
-/* Starts serving; everything happens on the loop from then on. */
+/* Starts serving; all further work happens in callbacks of the loop. */
 enum st_status
 Ga_Create(const struct ga_options *options, struct ga_gate **out)
 {
@@ -621,9 +632,8 @@
 }
 
 /*
- * Whether a request that comes now may be cut by the end of the process.  A
- * stream can last longer than what is left; refused at once it is served by
- * another host.
+ * Whether the shutdown may cut a request that arrives now.  A stream may last
+ * longer than the time left; refused at once, it is served by another host.
  */
 bool
 Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route)
@@ -644,7 +654,7 @@
            Sv_Open(gate->callers), Sv_Connections(gate->callers));
 }
 
-/* The store and the cloud must not answer any more. */
+/* The store and the cloud must make no more callbacks. */
 void
 Ga_Destroy(struct ga_gate *gate)
 {
--- a/packages/edge/gate.h
+++ b/packages/edge/gate.h
@@ -1,6 +1,6 @@
 /*
- * The daemon of an entry host: callers on one side, endpoints on the other,
- * the store and the other daemons beside it.
+ * The proxy daemon of an entry host: relays callers' requests to endpoints,
+ * and exchanges state with the store and its peers.
  */
 #ifndef EDGE_GATE_H
 #define EDGE_GATE_H
@@ -29,12 +29,12 @@
     struct cl_cloud *cloud;
     const char *ready_path;
     const char *metrics_path;
-    uint64_t run; /* differs at each start of a process */
+    uint64_t run; /* id of this run of the process */
 };
 
 enum st_status Ga_Create(const struct ga_options *options,
                          struct ga_gate **out);
-/* Begins a planned stop; the loop is stopped when it is done. */
+/* Begins a graceful shutdown, which stops the loop when it is complete. */
 void Ga_Stop(struct ga_gate *gate);
 void Ga_Destroy(struct ga_gate *gate);
 
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the modules of the request path only. */
+/* Internal to the modules of the request path. */
 #ifndef EDGE_GATE_INTERNAL_H
 #define EDGE_GATE_INTERNAL_H
 
@@ -37,10 +37,10 @@
     struct mt_metric *served;
     struct mt_metric *refused;
     struct mt_metric *failed;
-    struct mt_metric *unread; /* connections closed unread */
+    struct mt_metric *unread; /* connections closed unread under overload */
     struct mt_metric *repeats;
-    struct mt_metric *waits;  /* of streams for an endpoint */
-    struct mt_metric *opened; /* connections to endpoints */
+    struct mt_metric *waits;  /* waits of streams for an endpoint */
+    struct mt_metric *opened; /* connections opened to endpoints */
     struct mt_metric *made_for_peers;
     struct mt_metric *first; /* time to the first byte of an answer */
     struct mt_metric *whole; /* time to the end of an answer */
@@ -48,7 +48,7 @@
 
 enum ga_listening {
     GA_LISTENING,
-    GA_CLOSING, /* connections that have begun are still taken */
+    GA_CLOSING, /* connections in the accept queue are still accepted */
     GA_CLOSED,
 };
 
@@ -84,7 +84,7 @@
     struct lp_timer *tick;
     int64_t ticks;
     int64_t started_at;
-    int64_t stopping_at; /* 0: serving */
+    int64_t stopping_at; /* start of the shutdown; 0: not stopping */
     enum ga_listening listening;
     bool was_ready;
 };
@@ -93,36 +93,36 @@
 bool Ga_Ready(const struct ga_gate *gate);
 bool Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route);
 
-/* Whether a request may run in the region of an endpoint. */
+/* Whether route and tenant allow the region of the endpoint. */
 bool Ga_MayRunAt(const struct ga_gate *gate, const struct ec_route *route,
                  const struct ec_tenant *tenant,
                  const struct fl_endpoint *endpoint);
 
-/* An answer of the daemon's own. */
+/* An error answer of this host itself. */
 struct rf_refusal {
     int status;
-    int64_t retry_usec; /* when to come back; 0: it would not help */
+    int64_t retry_usec; /* retry-after; 0: none, a retry would not help */
     const char *why;
-    const char *id; /* of the request; empty: none */
+    const char *id; /* id of the request; empty: none */
 };
 
 void Rf_Reply(struct ga_gate *gate, struct sv_request *request,
               const struct rf_refusal *refusal);
 
-/* Admission: a whole request from a caller. */
+/* Admits or refuses a complete request from a caller. */
 void Ad_Take(struct ga_gate *gate, struct sv_request *request);
 
-/* The life of an admitted request. */
-void Xc_Gone(struct sv_request *request);
-void Xc_Drained(struct sv_request *request);
+/* Events of the caller's connection of an admitted request. */
+void Xc_CallerLeft(struct sv_request *request);
+void Xc_CallerDrained(struct sv_request *request);
 
-/* Work for the whole system: usage reports and orders. */
+/* Work of the lease holder for all hosts: usage reports and orders. */
 struct wo_work *Wo_Create(struct ga_gate *gate);
 void Wo_Destroy(struct wo_work *work);
 void Wo_Tick(struct wo_work *work);
-/* Endpoints are ordered anew at the next tick. */
+/* Has the number of endpoints planned again at the next tick. */
 void Wo_PlanSoon(struct wo_work *work);
-/* Whether an endpoint has the version that its service is moved to. */
+/* Whether the endpoint has the target version of the move. */
 bool Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint);
 void Wo_Changed(void *arg, bool holder, int64_t fence);
 int64_t Wo_Window(const struct ga_gate *gate, int64_t true_usec);
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -11,21 +11,21 @@
 #include "policy/way.h"
 #include "web/dial.h"
 
-/* Tests at the same time, of all links. */
+/* Link tests in progress at the same time. */
 #define Pt_TESTS_MAX 16
-/* A connection takes a few milliseconds. */
+/* Timeout of a link test; to connect normally takes a few milliseconds. */
 #define Pt_TEST_USEC (300 * Ck_USEC_PER_MSEC)
 #define Pt_PEERS_MAX 512
 
-/* One connection that is being made, for a request or as a test. */
+/* A connect in progress, for a request or as a link test. */
 struct making {
     LIST_ENTRY(making) link;
     struct pt_paths *paths;
     struct fl_endpoint *endpoint; /* a reference */
     enum wy_order order;
-    size_t direct;        /* index of the direct way in the plan */
-    uint32_t peer;        /* that is asked; 0: none */
-    struct di_dial *test; /* NULL: for a request */
+    size_t direct;        /* index of the direct path in the plan */
+    uint32_t peer;        /* address of the relaying peer; 0: none */
+    struct di_dial *test; /* the link test; NULL: for a request */
     int64_t since;
 };
 
@@ -56,7 +56,7 @@
     return paths->any_cut;
 }
 
-/* A peer to ask for a connection; NULL: there is none. */
+/* Picks a peer to relay a connection; NULL if there is none. */
 static const struct ms_peer *
 pick_peer(struct pt_paths *paths, const struct wy_link *link)
 {
@@ -154,7 +154,7 @@
     struct fl_idle *next;
     TAILQ_FOREACH_SAFE (idle, &endpoint->idle, link, next) {
         if ((Cn_Peer(idle->channel) == 0) == direct) {
-            Po_Drop(endpoint, idle);
+            Po_Close(endpoint, idle);
         }
     }
 }
@@ -174,7 +174,10 @@
     }
 }
 
-/* Where one link is back, or is cut, others may be as well. */
+/*
+ * Has the other links tested after one link was cut or restored: the same
+ * fault may concern them.
+ */
 static void
 look_at_others(struct pt_paths *paths, const struct fl_endpoint *changed)
 {
@@ -206,14 +209,14 @@
            endpoint->entry.id, endpoint->entry.service, endpoint->entry.zone,
            direct == WY_OVERDUE);
     paths->any_cut |= cut;
-    /* What was open may live on where new connections are refused. */
+    /* Open connections may still work where new ones are refused. */
     if (!cut || direct == WY_OVERDUE) {
         drop_idle(endpoint, cut);
     }
     look_at_others(paths, endpoint);
 }
 
-/* An endpoint that refuses everybody has ended. */
+/* Notes that the endpoint is alive, or, if all connects are refused, dead. */
 static void
 note_life(const struct making *making, enum wy_end direct, enum wy_end peer)
 {
@@ -226,7 +229,7 @@
     }
 }
 
-/* Takes how a connection came, or that it was given up ("result" NULL). */
+/* Takes the result of a connect; "result" is NULL if it was abandoned. */
 static void
 on_made(void *arg, const struct di_result *result)
 {
@@ -278,7 +281,7 @@
     on_made(making, result);
 }
 
-/* Connects for the link's own sake, and closes at once. */
+/* Tests a link: connects and closes the connection at once. */
 static void
 test(struct pt_paths *paths, struct fl_endpoint *endpoint, enum wy_order order)
 {
@@ -307,7 +310,7 @@
     }
 }
 
-/* When any endpoint of the same service was last heard directly. */
+/* When any endpoint of the service last sent bytes over a direct connection. */
 static int64_t
 heard_at(const struct ga_gate *gate, const char *service)
 {
--- a/packages/edge/paths.h
+++ b/packages/edge/paths.h
@@ -1,6 +1,7 @@
 /*
- * Paths to endpoints: how a new connection is made, what its making showed of
- * this host's links, and tests of links that callers' requests do not make.
+ * Paths to endpoints: connects directly or through a peer, learns from the
+ * outcomes whether this host's link to an endpoint is cut, and tests links
+ * with connections of its own.
  */
 #ifndef EDGE_PATHS_H
 #define EDGE_PATHS_H
@@ -18,15 +19,15 @@
 void Pt_Destroy(struct pt_paths *paths);
 void Pt_Tick(struct pt_paths *paths);
 
-/* A connection to an endpoint; NULL without memory or descriptors. */
+/* Connects to an endpoint; NULL when out of memory or descriptors. */
 struct cn_channel *Pt_Connect(struct pt_paths *paths,
                               struct fl_endpoint *endpoint, cn_idle_fn idle);
-/* A request that was sent at "sent_at" directly has no answer yet. */
+/* Notes that a request sent directly at "sent_at" has no answer yet. */
 void Pt_Unanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
                    int64_t sent_at);
-/* Whether a kept connection may carry another request. */
+/* Whether an idle connection may be reused for another request. */
 bool Pt_MayUse(const struct pt_paths *paths, const struct cn_channel *channel);
-/* Whether the links of this host to some endpoints are cut. */
+/* Whether this host's link to any endpoint is cut. */
 bool Pt_AnyCut(const struct pt_paths *paths);
 
 #ifdef __cplusplus
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -4,26 +4,28 @@
 #include "edge/paths.h"
 
 /*
- * A connection is used again only well before its other side would close it:
- * a request that meets that close may or may not have run.
+ * An idle connection is reused only well before the endpoint's keep-alive time
+ * ends: of a request that is sent while the endpoint closes the connection it
+ * is unknown whether it ran.
  */
 #define Po_KEEP_MARGIN_USEC (1500 * Ck_USEC_PER_MSEC)
-/* Where the other side does not say how long it keeps connections. */
-#define Po_KEEP_UNSAID_USEC (2000 * Ck_USEC_PER_MSEC)
+/* Idle time limit where the endpoint gives no keep-alive time. */
+#define Po_KEEP_DEFAULT_USEC (2000 * Ck_USEC_PER_MSEC)
 /*
- * A request that may run once only takes a younger one: one connection more
- * costs a millisecond, a doubt costs the request.
+ * Lower limit for a request that must not run twice: a new connection costs
+ * 1 ms, but a request that may have run cannot be retried.
  */
 #define Po_KEEP_ONCE_USEC (1000 * Ck_USEC_PER_MSEC)
-/* Room left below an endpoint's cap for daemons that are not heard. */
-#define Po_SPARE_DAEMONS 2
-#define Po_LEAST_CONNECTIONS 2
+/* Hosts without contact that an endpoint's connections are shared with. */
+#define Po_SPARE_HOSTS 2
+#define Po_CONNECTIONS_MIN 2
 
 static int64_t
-usable_for(const struct cn_channel *channel, bool repeatable)
+reuse_usec(const struct cn_channel *channel, bool repeatable)
 {
     int64_t keep = Cn_KeepUsec(channel);
-    int64_t usec = keep > 0 ? keep - Po_KEEP_MARGIN_USEC : Po_KEEP_UNSAID_USEC;
+    int64_t usec =
+        keep > 0 ? keep - Po_KEEP_MARGIN_USEC : Po_KEEP_DEFAULT_USEC;
     if (!repeatable && usec > Po_KEEP_ONCE_USEC) {
         usec = Po_KEEP_ONCE_USEC;
     }
@@ -31,7 +33,7 @@
 }
 
 void
-Po_Drop(struct fl_endpoint *endpoint, struct fl_idle *idle)
+Po_Close(struct fl_endpoint *endpoint, struct fl_idle *idle)
 {
     TAILQ_REMOVE(&endpoint->idle, idle, link);
     Cn_Close(idle->channel);
@@ -39,7 +41,7 @@
     free(idle);
 }
 
-/* An idle connection was closed by the other side, or spoke unasked. */
+/* The endpoint closed an idle connection, or sent unexpected bytes on it. */
 static void
 on_idle_end(void *arg, struct cn_channel *channel)
 {
@@ -47,34 +49,37 @@
     struct fl_idle *idle;
     TAILQ_FOREACH (idle, &endpoint->idle, link) {
         if (idle->channel == channel) {
-            Po_Drop(endpoint, idle);
+            Po_Close(endpoint, idle);
             return;
         }
     }
 }
 
-/* Those that lead through a peer that is going, or is not heard. */
+/* Closes idle connections through a peer that is stopping or out of reach. */
 static void
-drop_useless(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+close_unusable(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     struct fl_idle *idle;
     struct fl_idle *next;
     TAILQ_FOREACH_SAFE (idle, &endpoint->idle, link, next) {
         if (!Pt_MayUse(gate->paths, idle->channel)) {
-            Po_Drop(endpoint, idle);
+            Po_Close(endpoint, idle);
         }
     }
 }
 
-/* The connection used last is taken first; NULL when none can be had. */
+/*
+ * Takes the most recently used idle connection, or opens one; NULL when out of
+ * memory or descriptors.
+ */
 struct cn_channel *
 Po_Take(struct ga_gate *gate, struct fl_endpoint *endpoint, bool repeatable)
 {
     int64_t now = Ga_Now(gate);
-    drop_useless(gate, endpoint);
+    close_unusable(gate, endpoint);
     struct fl_idle *idle = TAILQ_FIRST(&endpoint->idle);
     if (idle != NULL && now - Cn_IdleSince(idle->channel) <
-                            usable_for(idle->channel, repeatable)) {
+                            reuse_usec(idle->channel, repeatable)) {
         struct cn_channel *channel = idle->channel;
         TAILQ_REMOVE(&endpoint->idle, idle, link);
         free(idle);
@@ -90,8 +95,8 @@
 }
 
 void
-Po_Give(struct ga_gate *gate, struct fl_endpoint *endpoint,
-        struct cn_channel *channel)
+Po_Return(struct ga_gate *gate, struct fl_endpoint *endpoint,
+          struct cn_channel *channel)
 {
     (void)gate;
     struct fl_idle *idle = NULL;
@@ -108,36 +113,36 @@
     TAILQ_INSERT_HEAD(&endpoint->idle, idle, link);
 }
 
-/* Whether this daemon's part of the endpoint's connections is in use. */
+/* Whether this host's quota of the endpoint's connections is in use. */
 bool
-Po_Full(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
-        const struct ec_service *service)
+Po_IsFull(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
+          const struct ec_service *service)
 {
     if (!TAILQ_EMPTY(&endpoint->idle) || service->conn_max <= 0) {
         return false;
     }
-    size_t daemons = Ms_CountKnown(gate->mesh) + Po_SPARE_DAEMONS;
-    int part = service->conn_max / (int)daemons;
-    if (part < Po_LEAST_CONNECTIONS) {
-        part = Po_LEAST_CONNECTIONS;
+    size_t hosts = Ms_CountKnown(gate->mesh) + Po_SPARE_HOSTS;
+    int quota = service->conn_max / (int)hosts;
+    if (quota < Po_CONNECTIONS_MIN) {
+        quota = Po_CONNECTIONS_MIN;
     }
-    return endpoint->connections >= part;
+    return endpoint->connections >= quota;
 }
 
-/* Closes connections that would not be used any more. */
+/* Closes idle connections that are too old to be reused. */
 void
 Po_Sweep(struct ga_gate *gate)
 {
     int64_t now = Ga_Now(gate);
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        drop_useless(gate, endpoint);
+        close_unusable(gate, endpoint);
         struct fl_idle *idle;
         struct fl_idle *next;
         TAILQ_FOREACH_SAFE (idle, &endpoint->idle, link, next) {
             if (now - Cn_IdleSince(idle->channel) >
-                usable_for(idle->channel, true)) {
-                Po_Drop(endpoint, idle);
+                reuse_usec(idle->channel, true)) {
+                Po_Close(endpoint, idle);
             }
         }
     }
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -126,7 +126,7 @@
     TAILQ_FOREACH_SAFE (exchange, &quarantine->gate->exchanges, link, next) {
         char why[Qn_WHY_MAX];
         struct pz_request request = request_of(exchange);
-        if (exchange->began || exchange->attempt.event_at != 0 ||
+        if (exchange->head_sent || exchange->attempt.first_event_at != 0 ||
             !Qn_IsStopped(quarantine, &request, why)) {
             continue;
         }
--- a/packages/edge/refusal.c
+++ b/packages/edge/refusal.c
@@ -5,8 +5,8 @@
 #define Rf_FIELDS_MAX 512
 #define Rf_BODY_MAX 256
 
-/* Answers a request by the daemon itself; "retry_usec" 0: coming back would
-   not help. */
+/* Answers a request with an error of this host; no retry-after if
+   "retry_usec" is 0. */
 void
 Rf_Reply(struct ga_gate *gate, struct sv_request *request,
          const struct rf_refusal *refusal)
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -1,7 +1,7 @@
 /*
- * What an endpoint answers, and what the caller gets of it.  An answer is
- * passed on unchanged; a stream event by event, at once, and under the head
- * of the first endpoint also when another one goes on with it.
+ * Relays an endpoint's answer to the caller.  A complete answer is passed on
+ * unchanged.  A stream is passed on event by event without delay; the caller
+ * keeps the head from the first endpoint when another endpoint resumes it.
  */
 #include <bsd/string.h>
 #include <stdio.h>
@@ -15,27 +15,26 @@
 #include "edge/quarantine.h"
 #include "edge/warming.h"
 
-/* Answers up to this size are complete before the caller gets any of it. */
-#define Re_WHOLE_MAX (2u << 20)
-/* A caller that reads more slowly than this stops the endpoint's reading. */
+/* Size limit of answers that are buffered completely before relaying. */
+#define Re_BUFFERED_MAX (2u << 20)
+/* With more bytes pending for the caller, reading from the endpoint pauses. */
 #define Re_PENDING_MAX (256u << 10)
-/* An endpoint that is another than expected, or full, is left alone. */
+/* Retry-after for a caller whose request was not run. */
 #define Re_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
 
-/* An endpoint began to work on the request, for all that is known. */
 void
 Xc_CountRun(struct xc_exchange *exchange)
 {
     exchange->may_have_run = true;
-    if (!exchange->counted && exchange->tenant != NULL) {
+    if (!exchange->usage_counted && exchange->tenant != NULL) {
         struct ga_gate *gate = exchange->gate;
         Us_CountBegun(gate->usage, Wo_Window(gate, Tt_Now(gate->time)),
                       Qt_Hash(exchange->tenant->name));
-        exchange->counted = true;
+        exchange->usage_counted = true;
     }
 }
 
-/* The fields that are passed on; NULL without memory. */
+/* Copies the end-to-end header fields; NULL when out of memory. */
 static char *
 copy_fields(const struct h1_head *head)
 {
@@ -67,14 +66,17 @@
 }
 
 static bool
-genuine(const struct ak_answer *answer)
+is_genuine(const struct ak_answer *answer)
 {
     return answer->sealed && answer->echoed && !answer->encoded;
 }
 
-/* An endpoint that has just started is slow whatever its version. */
+/*
+ * Notes the time to the first byte for the endpoint's version.  Cold endpoints
+ * do not count because they are slow whatever their version.
+ */
 static void
-note_version_first(struct xc_exchange *exchange, int64_t usec)
+note_first_byte(struct xc_exchange *exchange, int64_t usec)
 {
     struct ga_gate *gate = exchange->gate;
     const struct fl_endpoint *endpoint = exchange->attempt.endpoint;
@@ -88,9 +90,12 @@
     }
 }
 
-/* Bytes came from the endpoint; over a peer they say nothing of the link. */
+/*
+ * Notes that the endpoint sent bytes.  Relayed connections do not count: they
+ * do not use this host's link to the endpoint.
+ */
 static void
-note_heard(struct xc_exchange *exchange)
+note_bytes(struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     if (Cn_Peer(attempt->channel) == 0) {
@@ -104,7 +109,7 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    note_heard(exchange);
+    note_bytes(exchange);
     exchange->gate->options.wire->decode_answer(head, exchange->ask.id,
                                                 &attempt->answer);
     if (!attempt->answer.own) {
@@ -119,41 +124,41 @@
     attempt->head_at = now;
     attempt->status = head->status;
     attempt->fields = copy_fields(head);
-    attempt->endpoint->reading -= attempt->reading;
-    if (!attempt->answer.not_run && attempt->alone) {
+    attempt->endpoint->reading -= attempt->queued_tokens;
+    if (!attempt->answer.not_run && attempt->unloaded) {
         De_First(exchange->gate->demand, exchange->service->name,
-                 attempt->reading, now - attempt->sent_at);
+                 attempt->queued_tokens, now - attempt->sent_at);
     }
-    attempt->reading = 0;
+    attempt->queued_tokens = 0;
     if (!attempt->answer.not_run) {
         exchange->runs++;
         Xc_CountRun(exchange);
     }
-    if (head->status == 200 && genuine(&attempt->answer)) {
+    if (head->status == 200 && is_genuine(&attempt->answer)) {
         He_NoteFirstByte(attempt->endpoint, now - attempt->sent_at, now);
-        note_version_first(exchange, now - attempt->sent_at);
-        exchange->first_at =
-            exchange->first_at == 0 ? now : exchange->first_at;
-        Mt_Observe(exchange->gate->count.first, now - exchange->arrived);
+        note_first_byte(exchange, now - attempt->sent_at);
+        exchange->first_byte_at =
+            exchange->first_byte_at == 0 ? now : exchange->first_byte_at;
+        Mt_Observe(exchange->gate->count.first, now - exchange->arrived_at);
         attempt->streaming = exchange->route->kind == EC_STREAM;
     }
     return true;
 }
 
 static void
-keep_body(struct xc_attempt *attempt, const char *data, size_t len)
+buffer_body(struct xc_attempt *attempt, const char *data, size_t len)
 {
-    if (attempt->body.len + len > Re_WHOLE_MAX ||
+    if (attempt->body.len + len > Re_BUFFERED_MAX ||
         !Bf_Add(&attempt->body, data, len)) {
         attempt->overflow = true;
     }
 }
 
 static void
-begin(struct xc_exchange *exchange)
+begin_answer(struct xc_exchange *exchange)
 {
-    if (!exchange->began) {
-        exchange->began = true;
+    if (!exchange->head_sent) {
+        exchange->head_sent = true;
         strlcpy(exchange->version, exchange->attempt.answer.version,
                 sizeof(exchange->version));
         Sv_Begin(exchange->request, exchange->attempt.status,
@@ -161,9 +166,9 @@
     }
 }
 
-/* Weights may change between events; the event that is first says so. */
+/* Takes the version of the weights from the event's first line, if given. */
 static void
-note_version(struct xc_exchange *exchange, const struct es_event *event)
+note_event_version(struct xc_exchange *exchange, const struct es_event *event)
 {
     const char *field = exchange->gate->options.wire->event_version;
     size_t name = strlen(field);
@@ -190,11 +195,11 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    if (attempt->event_at == 0) {
-        attempt->event_at = Ga_Now(exchange->gate);
+    if (attempt->first_event_at == 0) {
+        attempt->first_event_at = Ga_Now(exchange->gate);
         Qn_NoteBegun(exchange->gate->quarantine, exchange);
     }
-    if (attempt->gap) {
+    if (attempt->events_missing) {
         return;
     }
     if (event->id >= 0 && exchange->last_event >= 0) {
@@ -202,12 +207,12 @@
             return;
         }
         if (event->id > exchange->last_event + 1) {
-            attempt->gap = true;
+            attempt->events_missing = true;
             return;
         }
     }
-    begin(exchange);
-    note_version(exchange, event);
+    begin_answer(exchange);
+    note_event_version(exchange, event);
     Sv_Write(exchange->request, event->data, event->len);
     if (event->id >= 0) {
         exchange->last_event = event->id;
@@ -219,20 +224,21 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    note_heard(exchange);
+    note_bytes(exchange);
     if (!attempt->streaming) {
-        keep_body(attempt, data, len);
+        buffer_body(attempt, data, len);
         return;
     }
     Es_Feed(&attempt->parser, data, len, on_event, exchange);
-    if (exchange->began && Sv_Pending(exchange->request) > Re_PENDING_MAX) {
+    if (exchange->head_sent &&
+        Sv_Pending(exchange->request) > Re_PENDING_MAX) {
         Cn_Pause(attempt->channel, true);
     }
 }
 
-/* Counts an answer for or against the version that gave it. */
+/* Counts a good or failed answer for the endpoint's version. */
 static void
-note_version_answer(struct xc_exchange *exchange, bool failed)
+count_version_answer(struct xc_exchange *exchange, bool failed)
 {
     struct ga_gate *gate = exchange->gate;
     const char *service = exchange->service->name;
@@ -244,9 +250,9 @@
     }
 }
 
-/* The parts that other requests may share, as the log names them. */
+/* Formats the ids of the shareable prompt parts for the log. */
 static const char *
-name_parts(const struct ak_ask *ask)
+format_parts(const struct ak_ask *ask)
 {
     static char text[Ak_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
     size_t at = 0;
@@ -258,9 +264,10 @@
     return text;
 }
 
-/* The attempt came to nothing; another endpoint, or the caller is told. */
+/* The attempt failed: sends the request to another endpoint, or refuses it. */
 static void
-go_on(struct xc_exchange *exchange, bool ran, int status, const char *why)
+retry_or_refuse(struct xc_exchange *exchange, bool ran, int status,
+                const char *why)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     Ln_Log(LN_FAILURE, "attempt.failed",
@@ -271,26 +278,27 @@
            attempt->status, exchange->sends,
            (long long)((Ga_Now(exchange->gate) - attempt->sent_at) /
                        Ck_USEC_PER_MSEC),
-           attempt->event_at != 0, name_parts(&exchange->ask));
-    char poison[Qn_WHY_MAX];
+           attempt->first_event_at != 0, format_parts(&exchange->ask));
+    char stop_why[Qn_WHY_MAX];
     struct qn_quarantine *quarantine = exchange->gate->quarantine;
-    struct pz_request asked =
+    struct pz_request prompt =
         Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
-    if (!exchange->began && Qn_IsStopped(quarantine, &asked, poison)) {
-        Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC, poison);
+    if (!exchange->head_sent && Qn_IsStopped(quarantine, &prompt, stop_why)) {
+        Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC,
+                  stop_why);
         return;
     }
-    if (Xc_MayRepeat(exchange, ran) && !Qn_ForbidsRetry(quarantine, &asked)) {
-        Xc_Release(exchange);
+    if (Xc_MayRetry(exchange, ran) && !Qn_ForbidsRetry(quarantine, &prompt)) {
+        Xc_ReleaseAttempt(exchange);
         Xc_Dispatch(exchange);
         return;
     }
     Xc_Refuse(exchange, status, status == 503 ? Re_RETRY_USEC : 0, why);
 }
 
-/* Passes a complete answer on as it is. */
+/* Passes a complete answer to the caller. */
 static void
-pass_on(struct xc_exchange *exchange)
+pass_answer(struct xc_exchange *exchange)
 {
     struct sv_request *request = exchange->request;
     struct xc_attempt *attempt = &exchange->attempt;
@@ -311,7 +319,7 @@
 end_stream(struct xc_exchange *exchange)
 {
     struct sv_request *request = exchange->request;
-    begin(exchange);
+    begin_answer(exchange);
     Sv_SetUser(request, NULL);
     Xc_End(exchange, "served");
     Sv_End(request);
@@ -324,12 +332,12 @@
     struct fl_endpoint *endpoint = attempt->endpoint;
     int64_t now = Ga_Now(exchange->gate);
     if (attempt->streaming) {
-        bool cut = attempt->gap || attempt->parser.failed ||
-                   Es_BufferedLen(&attempt->parser) > 0;
-        note_version_answer(exchange, cut);
-        He_Note(endpoint, cut ? HE_FAILED : HE_SERVED, now);
-        if (cut) {
-            go_on(exchange, true, 502, "stream cut");
+        bool broken = attempt->events_missing || attempt->parser.failed ||
+                      Es_BufferedLen(&attempt->parser) > 0;
+        count_version_answer(exchange, broken);
+        He_Note(endpoint, broken ? HE_FAILED : HE_SERVED, now);
+        if (broken) {
+            retry_or_refuse(exchange, true, 502, "stream cut");
         }
         else {
             end_stream(exchange);
@@ -341,20 +349,22 @@
             Bt_NoteRefused(exchange->gate, endpoint);
         }
         He_Note(endpoint, attempt->status == 421 ? HE_BROKE : HE_REFUSED, now);
-        go_on(exchange, false, Xc_RefusalStatus(exchange), "endpoint refused");
+        retry_or_refuse(exchange, false, Xc_RefusalStatus(exchange),
+                        "endpoint refused");
         return;
     }
-    note_version_answer(exchange,
-                        attempt->status >= 500 || !genuine(&attempt->answer));
-    if (!genuine(&attempt->answer) || attempt->overflow || exchange->began) {
+    count_version_answer(exchange, attempt->status >= 500 ||
+                                       !is_genuine(&attempt->answer));
+    if (!is_genuine(&attempt->answer) || attempt->overflow ||
+        exchange->head_sent) {
         He_Note(endpoint, HE_FAILED, now);
-        go_on(exchange, true, 502, "not the endpoint's answer");
+        retry_or_refuse(exchange, true, 502, "not the endpoint's answer");
         return;
     }
     if (attempt->status >= 500) {
         He_Note(endpoint, HE_FAILED, now);
-        if (Xc_MayRepeat(exchange, true)) {
-            go_on(exchange, true, 502, "endpoint failed");
+        if (Xc_MayRetry(exchange, true)) {
+            retry_or_refuse(exchange, true, 502, "endpoint failed");
             return;
         }
     }
@@ -362,12 +372,12 @@
         He_Note(endpoint, HE_SERVED, now);
         Qn_NoteBegun(exchange->gate->quarantine, exchange);
     }
-    pass_on(exchange);
+    pass_answer(exchange);
 }
 
-/* The connection could not be made, or ended too early. */
+/* Notes a connection that failed or broke before the answer's end. */
 static void
-note_broke(struct xc_exchange *exchange)
+note_broken(struct xc_exchange *exchange)
 {
     struct fl_endpoint *endpoint = exchange->attempt.endpoint;
     int64_t now = Ga_Now(exchange->gate);
@@ -386,21 +396,21 @@
         on_complete(exchange);
         break;
     case CN_NOT_SENT:
-        note_broke(exchange);
-        go_on(exchange, false, Xc_RefusalStatus(exchange),
-              "endpoint not reached");
+        note_broken(exchange);
+        retry_or_refuse(exchange, false, Xc_RefusalStatus(exchange),
+                        "endpoint not reached");
         break;
     case CN_BROKEN:
-        note_broke(exchange);
+        note_broken(exchange);
         Bk_Note(exchange->gate->breaks, exchange);
         if (attempt->head_at == 0) {
             exchange->runs++;
             Xc_CountRun(exchange);
         }
-        if (attempt->event_at == 0) {
+        if (attempt->first_event_at == 0) {
             Qn_NoteBroken(exchange->gate->quarantine, exchange);
         }
-        go_on(exchange, true, 502, "connection broke");
+        retry_or_refuse(exchange, true, 502, "connection broke");
         break;
     }
 }
