--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -119,7 +119,7 @@
             return false;
         }
     }
-    if (Ga_TooLate(gate, out->route)) {
+    if (Ga_StopMayCut(gate, out->route)) {
         *refusal = (struct refusal){503, Ad_LEAVING_USEC, "stopping"};
         return false;
     }
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -147,17 +147,17 @@
 const struct ec_tenant *
 Ec_Holder(const struct ec_config *config, const char *key)
 {
-    struct ec_key wanted = {.key = (char *)key};
+    struct ec_key pattern = {.key = (char *)key};
     const struct ec_key *found = NULL;
     if (config->key_count > 0) {
-        found = bsearch(&wanted, config->keys, config->key_count,
+        found = bsearch(&pattern, config->keys, config->key_count,
                         sizeof(*config->keys), compare_keys);
     }
     return found == NULL ? NULL : &config->tenants[found->tenant];
 }
 
 static bool
-is_home(const struct ec_homes *homes, const char *region)
+is_allowed(const struct ec_homes *homes, const char *region)
 {
     for (size_t i = 0; homes != NULL && i < homes->count; i++) {
         if (strcmp(homes->regions[i], region) == 0) {
@@ -171,8 +171,8 @@
 Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
             const char *region)
 {
-    return is_home(route->homes, region) &&
-           (tenant == NULL || is_home(tenant->homes, region));
+    return is_allowed(route->homes, region) &&
+           (tenant == NULL || is_allowed(tenant->homes, region));
 }
 
 /* Chooses the service of a request by weight; "unit" is in [0, 1). */
--- a/packages/edge/config.h
+++ b/packages/edge/config.h
@@ -66,7 +66,7 @@
     bool engine;
     int slots;
     int64_t kv_tokens;
-    int64_t cold_usec;   /* how long an endpoint is cold after its start */
+    int64_t cold_usec; /* cold time of an endpoint after its start; 0: none */
     double cold_per_sec; /* rate limit of a cold endpoint; 0: none */
     bool ordered;        /* the number of endpoints is scaled by orders */
     int min;             /* endpoints per data centre */
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -426,8 +426,8 @@
     exchange->link_tested = true;
     if (attempt->endpoint != NULL && attempt->head_at == 0 &&
         Cn_Peer(attempt->channel) == 0) {
-        Pt_Unanswered(exchange->gate->paths, attempt->endpoint,
-                      attempt->sent_at);
+        Pt_NoteUnanswered(exchange->gate->paths, attempt->endpoint,
+                          attempt->sent_at);
     }
 }
 
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -14,9 +14,9 @@
 
 #define Ga_TICK_USEC Ms_TICK_USEC
 #define Ga_READERS 3
-#define Ga_MANY_DAEMONS 16
-#define Ga_SWEEP_TICKS 5   /* twice a second */
-#define Ga_CALLS_TICKS 100 /* every ten seconds */
+#define Ga_MANY_HOSTS 16
+#define Ga_SWEEP_TICKS 5       /* twice a second */
+#define Ga_LOG_CALLS_TICKS 100 /* every ten seconds */
 /*
  * Times of a graceful shutdown, from its start.  The load balancer checks the
  * readiness once a second and removes a host after two failed checks, so
@@ -27,12 +27,12 @@
  */
 #define Ga_STOP_IDLE_USEC (1500 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_STREAMS_USEC (2700 * Ck_USEC_PER_MSEC)
-#define Ga_STOP_LEAST_USEC (3800 * Ck_USEC_PER_MSEC)
+#define Ga_STOP_MIN_USEC (3800 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_MARGIN_USEC (300 * Ck_USEC_PER_MSEC)
 /* Connections relayed for peers take two descriptors each, and at most 1/4 of
    all descriptors. */
-#define Ga_THROUGH_FDS_PART 8
-#define Ga_THROUGH_MOST 256
+#define Ga_THROUGH_FDS_DIVISOR 8
+#define Ga_THROUGH_MAX 256
 
 int64_t
 Ga_Now(const struct ga_gate *gate)
@@ -86,41 +86,42 @@
 }
 
 /* Minimum time between two log lines about overload. */
-#define Ga_CROWD_TOLD_USEC (1 * Ck_USEC_PER_SEC)
+#define Ga_OVERLOAD_LOG_USEC (1 * Ck_USEC_PER_SEC)
 /* Callers' connections take at most 1/2 of the descriptors. */
-#define Ga_CALLERS_FDS_PART 2
+#define Ga_CALLERS_FDS_DIVISOR 2
 
 static void
-tell_crowd(struct ga_gate *gate)
+log_overload(struct ga_gate *gate)
 {
     int64_t now = Ga_Now(gate);
     Mt_Add(gate->count.unread, 1);
-    if (now - gate->crowd_told_at >= Ga_CROWD_TOLD_USEC) {
-        gate->crowd_told_at = now;
+    if (now - gate->overload_logged_at >= Ga_OVERLOAD_LOG_USEC) {
+        gate->overload_logged_at = now;
         Ln_Log(LN_FAILURE, "connection.unread",
                "\"connections\":%zu,\"late\":%d,\"in_all\":%lld",
-               Sv_Connections(gate->callers), gate->crowd.full,
+               Sv_Connections(gate->callers), gate->overload.full,
                (long long)Mt_Value(gate->count.unread));
     }
 }
 
 static bool
-on_taking(void *arg)
+may_accept(void *arg)
 {
     struct ga_gate *gate = arg;
-    size_t most = (size_t)gate->options.node->max_fds / Ga_CALLERS_FDS_PART;
-    bool takes = Cr_MayTake(&gate->crowd, Sv_Connections(gate->callers), most);
-    if (!takes) {
-        tell_crowd(gate);
+    size_t most = (size_t)gate->options.node->max_fds / Ga_CALLERS_FDS_DIVISOR;
+    bool accepts =
+        Cr_MayTake(&gate->overload, Sv_Connections(gate->callers), most);
+    if (!accepts) {
+        log_overload(gate);
     }
-    return takes;
+    return accepts;
 }
 
 static void
 on_turn(void *arg, int64_t usec)
 {
     struct ga_gate *gate = arg;
-    Cr_Turn(&gate->crowd, usec, Ga_Now(gate));
+    Cr_Turn(&gate->overload, usec, Ga_Now(gate));
 }
 
 static void
@@ -137,11 +138,11 @@
     .gone = on_gone,
     .drained = on_drained,
     .refused = on_refused,
-    .takes = on_taking,
+    .takes = may_accept,
 };
 
 static bool
-asks_for(const struct sv_request *request, const char *path)
+path_matches(const struct sv_request *request, const char *path)
 {
     struct h1_text target = Sv_Head(request)->target;
     size_t len = strlen(path);
@@ -149,10 +150,10 @@
 }
 
 static void
-on_ready_asked(void *arg, struct sv_request *request)
+on_ready_request(void *arg, struct sv_request *request)
 {
     struct ga_gate *gate = arg;
-    if (!asks_for(request, gate->options.ready_path)) {
+    if (!path_matches(request, gate->options.ready_path)) {
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
@@ -160,10 +161,10 @@
 }
 
 static void
-on_metrics_asked(void *arg, struct sv_request *request)
+on_metrics_request(void *arg, struct sv_request *request)
 {
     struct ga_gate *gate = arg;
-    if (!asks_for(request, gate->options.metrics_path)) {
+    if (!path_matches(request, gate->options.metrics_path)) {
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
@@ -186,12 +187,12 @@
 }
 
 static const struct sv_ops ready_ops = {
-    .request = on_ready_asked,
+    .request = on_ready_request,
     .gone = ignore_gone,
 };
 
 static const struct sv_ops metrics_ops = {
-    .request = on_metrics_asked,
+    .request = on_metrics_request,
     .gone = ignore_gone,
 };
 
@@ -221,10 +222,10 @@
 }
 
 static void
-on_evacuation(void *arg, const char *zone, bool asked)
+on_evacuation(void *arg, const char *zone, bool evacuate)
 {
     struct ga_gate *gate = arg;
-    if (Fl_Evacuate(gate->fleet, zone, asked)) {
+    if (Fl_Evacuate(gate->fleet, zone, evacuate)) {
         /* The load of the other data centres rises or falls from now on. */
         Wo_PlanSoon(gate->work);
     }
@@ -241,7 +242,7 @@
 }
 
 static bool
-others_reach(void *arg)
+peers_reach_store(void *arg)
 {
     const struct ga_gate *gate = arg;
     const struct ms_peer *peer;
@@ -260,7 +261,7 @@
  * centre arrive more often, so that their absence shows the failure sooner.
  */
 static bool
-is_close(const struct ga_gate *gate, const struct ms_peer *peer)
+is_timely_reader(const struct ga_gate *gate, const struct ms_peer *peer)
 {
     return Ms_Close(gate->mesh, peer) &&
            (peer->near || !Ms_Summarizes(gate->mesh) ||
@@ -274,7 +275,7 @@
  * widest links come first.
  */
 static bool
-reads_first(const struct nd_node *own, const struct ms_peer *peer)
+precedes(const struct nd_node *own, const struct ms_peer *peer)
 {
     if (peer->link_mbps != own->link_mbps) {
         return peer->link_mbps > own->link_mbps;
@@ -288,7 +289,7 @@
  * timely when two readers fail at once.
  */
 static bool
-others_read(void *arg, enum ag_topic topic)
+enough_readers(void *arg, enum ag_topic topic)
 {
     const struct ga_gate *gate = arg;
     size_t readers = 0;
@@ -296,17 +297,17 @@
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         bool reads =
             topic == AG_CONFIG ? peer->reads_config : peer->reads_entries;
-        readers += reads && !peer->stopping && is_close(gate, peer) &&
-                   reads_first(gate->options.node, peer);
+        readers += reads && !peer->stopping && is_timely_reader(gate, peer) &&
+                   precedes(gate->options.node, peer);
     }
     return readers >= Ga_READERS;
 }
 
 static bool
-others_known(void *arg)
+many_hosts_known(void *arg)
 {
     const struct ga_gate *gate = arg;
-    return Ms_CountExpected(gate->mesh) >= Ga_MANY_DAEMONS;
+    return Ms_CountExpected(gate->mesh) >= Ga_MANY_HOSTS;
 }
 
 static const struct fe_ops feed_ops = {
@@ -314,13 +315,13 @@
     .order = on_order,
     .evacuation = on_evacuation,
     .store = on_store,
-    .others_reach = others_reach,
-    .others_read = others_read,
-    .others_known = others_known,
+    .others_reach = peers_reach_store,
+    .others_read = enough_readers,
+    .others_known = many_hosts_known,
 };
 
 static bool
-others_serve(const struct ga_gate *gate)
+peers_serve(const struct ga_gate *gate)
 {
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
@@ -337,11 +338,11 @@
  * reset.
  */
 static void
-end_listening(struct ga_gate *gate, int64_t gone, int64_t limit)
+end_listening(struct ga_gate *gate, int64_t elapsed, int64_t limit)
 {
     bool due =
-        (gone > Ga_STOP_LEAST_USEC && Sv_Connections(gate->callers) == 0) ||
-        gone > limit - Ls_ENDING_MOST - Ga_TICK_USEC;
+        (elapsed > Ga_STOP_MIN_USEC && Sv_Connections(gate->callers) == 0) ||
+        elapsed > limit - Ls_ENDING_MOST - Ga_TICK_USEC;
     if (gate->listening == GA_LISTENING && due) {
         gate->listening = GA_CLOSING;
     }
@@ -362,19 +363,19 @@
 static void
 step_stop(struct ga_gate *gate)
 {
-    int64_t gone = Ga_Now(gate) - gate->stopping_at;
-    if (others_serve(gate)) {
+    int64_t elapsed = Ga_Now(gate) - gate->stopping_at;
+    if (peers_serve(gate)) {
         Du_Resign(gate->duty);
     }
-    if (gone > Ga_STOP_IDLE_USEC) {
+    if (elapsed > Ga_STOP_IDLE_USEC) {
         Sv_CloseIdle(gate->callers, Ga_TICK_USEC);
     }
     int64_t limit = gate->options.node->grace_usec - Ga_STOP_MARGIN_USEC;
-    end_listening(gate, gone, limit);
+    end_listening(gate, elapsed, limit);
     /* Callers that are already connected are answered first. */
     if ((gate->listening == GA_CLOSED && Sv_Connections(gate->callers) == 0 &&
          Th_Count(gate->through) == 0) ||
-        gone > limit) {
+        elapsed > limit) {
         Ln_Log(LN_STATE, "process.stopped", "\"open\":%zu",
                Sv_Open(gate->callers));
         Ln_Flush();
@@ -415,7 +416,7 @@
         Po_Sweep(gate);
     }
     note_readiness(gate);
-    if (gate->ticks % Ga_CALLS_TICKS == 0) {
+    if (gate->ticks % Ga_LOG_CALLS_TICKS == 0) {
         Ag_LogCalls(gate->options.store);
     }
     Ln_Flush();
@@ -524,7 +525,7 @@
 }
 
 static void
-on_made_for_peer(void *arg)
+on_connected_for_peer(void *arg)
 {
     struct ga_gate *gate = arg;
     Mt_Add(gate->count.made_for_peers, 1);
@@ -532,7 +533,7 @@
 
 static const struct th_ops through_ops = {
     .find = find_for_peer,
-    .made = on_made_for_peer,
+    .made = on_connected_for_peer,
 };
 
 static enum st_status
@@ -541,12 +542,12 @@
     const struct nd_node *node = gate->options.node;
     char address[Nd_NAME_MAX + 8];
     snprintf(address, sizeof(address), "%s:%d", node->ip, node->through_port);
-    size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_PART;
+    size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_DIVISOR;
     struct th_options options = {
         .loop = gate->options.loop,
         .clock = gate->options.clock,
         .address = address,
-        .most = most < Ga_THROUGH_MOST ? most : Ga_THROUGH_MOST,
+        .most = most < Ga_THROUGH_MAX ? most : Ga_THROUGH_MAX,
         .ops = &through_ops,
         .arg = gate,
     };
@@ -636,7 +637,7 @@
  * longer than the time left; refused at once, it is served by another host.
  */
 bool
-Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route)
+Ga_StopMayCut(const struct ga_gate *gate, const struct ec_route *route)
 {
     return gate->stopping_at != 0 && route->kind == EC_STREAM &&
            Ga_Now(gate) - gate->stopping_at > Ga_STOP_STREAMS_USEC;
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -74,8 +74,8 @@
     struct pt_paths *paths;
     struct bk_breaks *breaks;
     struct qn_quarantine *quarantine;
-    struct cr_host crowd;
-    int64_t crowd_told_at;
+    struct cr_host overload;
+    int64_t overload_logged_at;
     struct xc_list exchanges;
     struct th_through *through;
     struct wo_work *work;
@@ -91,7 +91,7 @@
 
 int64_t Ga_Now(const struct ga_gate *gate);
 bool Ga_Ready(const struct ga_gate *gate);
-bool Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route);
+bool Ga_StopMayCut(const struct ga_gate *gate, const struct ec_route *route);
 
 /* Whether route and tenant allow the region of the endpoint. */
 bool Ga_MayRunAt(const struct ga_gate *gate, const struct ec_route *route,
@@ -127,7 +127,7 @@
 void Wo_Changed(void *arg, bool holder, int64_t fence);
 int64_t Wo_Window(const struct ga_gate *gate, int64_t true_usec);
 
-/* Other daemons. */
+/* State exchange with the peers. */
 struct pe_peers *Pe_Create(struct ga_gate *gate);
 void Pe_Destroy(struct pe_peers *peers);
 void Pe_Tick(struct pe_peers *peers);
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -14,12 +14,12 @@
 /* Link tests in progress at the same time. */
 #define Pt_TESTS_MAX 16
 /* Timeout of a link test; to connect normally takes a few milliseconds. */
-#define Pt_TEST_USEC (300 * Ck_USEC_PER_MSEC)
+#define Pt_TEST_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Pt_PEERS_MAX 512
 
 /* A connect in progress, for a request or as a link test. */
-struct making {
-    LIST_ENTRY(making) link;
+struct attempt {
+    LIST_ENTRY(attempt) link;
     struct pt_paths *paths;
     struct fl_endpoint *endpoint; /* a reference */
     enum wy_order order;
@@ -29,11 +29,11 @@
     int64_t since;
 };
 
-LIST_HEAD(making_list, making);
+LIST_HEAD(attempt_list, attempt);
 
 struct pt_paths {
     struct ga_gate *gate;
-    struct making_list tests;
+    struct attempt_list tests;
     size_t test_count;
     struct wy_failures failures;
     bool any_cut;
@@ -84,22 +84,22 @@
 }
 
 static void
-add_direct(struct di_plan *plan, const struct fl_endpoint *endpoint)
+add_direct_way(struct di_plan *plan, const struct fl_endpoint *endpoint)
 {
     struct di_way *way = &plan->ways[plan->count++];
     strlcpy(way->address, endpoint->entry.address, sizeof(way->address));
 }
 
 static void
-add_peer(struct di_plan *plan, struct making *making)
+add_peer_way(struct di_plan *plan, struct attempt *attempt)
 {
-    struct ga_gate *gate = making->paths->gate;
-    const struct fl_endpoint *endpoint = making->endpoint;
-    const struct ms_peer *peer = pick_peer(making->paths, &endpoint->way);
+    struct ga_gate *gate = attempt->paths->gate;
+    const struct fl_endpoint *endpoint = attempt->endpoint;
+    const struct ms_peer *peer = pick_peer(attempt->paths, &endpoint->way);
     if (peer == NULL) {
         return;
     }
-    making->peer = peer->address;
+    attempt->peer = peer->address;
     struct di_way *way = &plan->ways[plan->count++];
     snprintf(way->address, sizeof(way->address), "%.48s:%d", peer->ip,
              gate->options.node->through_port);
@@ -108,43 +108,43 @@
 }
 
 static struct di_plan
-plan_for(struct making *making)
+plan_for(struct attempt *attempt)
 {
     struct di_plan plan = {.patience_usec = Wy_PATIENCE};
-    if (making->order == WY_PEER_FIRST) {
-        add_peer(&plan, making);
+    if (attempt->order == WY_PEER_FIRST) {
+        add_peer_way(&plan, attempt);
     }
-    making->direct = plan.count;
-    add_direct(&plan, making->endpoint);
-    if (making->order == WY_DIRECT_FIRST) {
-        add_peer(&plan, making);
+    attempt->direct = plan.count;
+    add_direct_way(&plan, attempt->endpoint);
+    if (attempt->order == WY_DIRECT_FIRST) {
+        add_peer_way(&plan, attempt);
     }
     return plan;
 }
 
-static struct making *
-begin(struct pt_paths *paths, struct fl_endpoint *endpoint,
-      enum wy_order order)
+static struct attempt *
+begin_attempt(struct pt_paths *paths, struct fl_endpoint *endpoint,
+              enum wy_order order)
 {
-    struct making *making = calloc(1, sizeof(*making));
-    if (making != NULL) {
-        making->paths = paths;
-        making->endpoint = Fl_Hold(endpoint);
-        making->order = order;
-        making->since = Ga_Now(paths->gate);
+    struct attempt *attempt = calloc(1, sizeof(*attempt));
+    if (attempt != NULL) {
+        attempt->paths = paths;
+        attempt->endpoint = Fl_Hold(endpoint);
+        attempt->order = order;
+        attempt->since = Ga_Now(paths->gate);
     }
-    return making;
+    return attempt;
 }
 
 static void
-end(struct making *making)
+end_attempt(struct attempt *attempt)
 {
-    if (making->test != NULL) {
-        LIST_REMOVE(making, link);
-        making->paths->test_count--;
+    if (attempt->test != NULL) {
+        LIST_REMOVE(attempt, link);
+        attempt->paths->test_count--;
     }
-    Fl_Drop(making->endpoint);
-    free(making);
+    Fl_Drop(attempt->endpoint);
+    free(attempt);
 }
 
 static void
@@ -160,7 +160,7 @@
 }
 
 static enum wy_end
-end_of(const struct di_result *result, size_t way)
+outcome_of(const struct di_result *result, size_t way)
 {
     switch (result->ways[way]) {
     case DI_MADE:
@@ -179,7 +179,7 @@
  * fault may concern them.
  */
 static void
-look_at_others(struct pt_paths *paths, const struct fl_endpoint *changed)
+retest_others(struct pt_paths *paths, const struct fl_endpoint *changed)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(paths->gate->fleet), link) {
@@ -194,8 +194,8 @@
 }
 
 static void
-note(struct pt_paths *paths, struct fl_endpoint *endpoint, enum wy_end direct,
-     enum wy_end peer)
+note_outcome(struct pt_paths *paths, struct fl_endpoint *endpoint,
+             enum wy_end direct, enum wy_end peer)
 {
     int64_t now = Ga_Now(paths->gate);
     if (!Wy_Ended(&endpoint->way, direct, peer, now)) {
@@ -213,38 +213,38 @@
     if (!cut || direct == WY_OVERDUE) {
         drop_idle(endpoint, cut);
     }
-    look_at_others(paths, endpoint);
+    retest_others(paths, endpoint);
 }
 
 /* Notes that the endpoint is alive, or, if all connects are refused, dead. */
 static void
-note_life(const struct making *making, enum wy_end direct, enum wy_end peer)
+note_alive(const struct attempt *attempt, enum wy_end direct, enum wy_end peer)
 {
-    bool came = direct == WY_CAME || peer == WY_CAME;
+    bool connected = direct == WY_CAME || peer == WY_CAME;
     bool refused =
         direct == WY_FAILED && (peer == WY_FAILED || peer == WY_NOT_TRIED);
-    if (came || refused) {
-        Qn_NoteConnect(making->paths->gate->quarantine, making->endpoint, came,
-                       making->since);
+    if (connected || refused) {
+        Qn_NoteConnect(attempt->paths->gate->quarantine, attempt->endpoint,
+                       connected, attempt->since);
     }
 }
 
 /* Takes the result of a connect; "result" is NULL if it was abandoned. */
 static void
-on_made(void *arg, const struct di_result *result)
+on_connected(void *arg, const struct di_result *result)
 {
-    struct making *making = arg;
+    struct attempt *attempt = arg;
     if (result != NULL) {
-        enum wy_end peer = end_of(result, making->direct == 0 ? 1 : 0);
+        enum wy_end peer = outcome_of(result, attempt->direct == 0 ? 1 : 0);
         if (peer == WY_FAILED) {
-            Wy_NoteFailure(&making->paths->failures, making->peer,
-                           Ga_Now(making->paths->gate));
+            Wy_NoteFailure(&attempt->paths->failures, attempt->peer,
+                           Ga_Now(attempt->paths->gate));
         }
-        enum wy_end direct = end_of(result, making->direct);
-        note(making->paths, making->endpoint, direct, peer);
-        note_life(making, direct, peer);
+        enum wy_end direct = outcome_of(result, attempt->direct);
+        note_outcome(attempt->paths, attempt->endpoint, direct, peer);
+        note_alive(attempt, direct, peer);
     }
-    end(making);
+    end_attempt(attempt);
 }
 
 struct cn_channel *
@@ -253,19 +253,19 @@
 {
     struct ga_gate *gate = paths->gate;
     enum wy_order order = Wy_Order(&endpoint->way, Ga_Now(gate));
-    struct making *making = begin(paths, endpoint, order);
-    if (making == NULL) {
+    struct attempt *attempt = begin_attempt(paths, endpoint, order);
+    if (attempt == NULL) {
         return NULL;
     }
     struct cn_dialing dialing = {
-        .plan = plan_for(making),
-        .made = on_made,
-        .arg = making,
+        .plan = plan_for(attempt),
+        .made = on_connected,
+        .arg = attempt,
     };
     struct cn_channel *channel = Cn_Dial(
         gate->options.loop, gate->options.clock, &dialing, idle, endpoint);
     if (channel == NULL) {
-        end(making);
+        end_attempt(attempt);
     }
     return channel;
 }
@@ -273,46 +273,47 @@
 static void
 on_tested(void *arg, const struct di_result *result)
 {
-    struct making *making = arg;
+    struct attempt *attempt = arg;
     Sk_Close(result->sock);
-    if (making->order == WY_DIRECT_ONLY && result->sock == NULL) {
-        Wy_TrialFailed(&making->endpoint->way);
+    if (attempt->order == WY_DIRECT_ONLY && result->sock == NULL) {
+        Wy_TrialFailed(&attempt->endpoint->way);
     }
-    on_made(making, result);
+    on_connected(attempt, result);
 }
 
 /* Tests a link: connects and closes the connection at once. */
 static void
-test(struct pt_paths *paths, struct fl_endpoint *endpoint, enum wy_order order)
+test_link(struct pt_paths *paths, struct fl_endpoint *endpoint,
+          enum wy_order order)
 {
     struct ga_gate *gate = paths->gate;
     if (paths->test_count >= Pt_TESTS_MAX) {
         return;
     }
-    struct making *making = begin(paths, endpoint, order);
-    if (making == NULL) {
+    struct attempt *attempt = begin_attempt(paths, endpoint, order);
+    if (attempt == NULL) {
         return;
     }
-    struct di_plan plan = plan_for(making);
-    making->test = Di_Start(gate->options.loop, &plan, on_tested, making);
-    if (making->test == NULL) {
-        end(making);
+    struct di_plan plan = plan_for(attempt);
+    attempt->test = Di_Start(gate->options.loop, &plan, on_tested, attempt);
+    if (attempt->test == NULL) {
+        end_attempt(attempt);
         return;
     }
-    LIST_INSERT_HEAD(&paths->tests, making, link);
+    LIST_INSERT_HEAD(&paths->tests, attempt, link);
     paths->test_count++;
     endpoint->test_wanted = false;
     if (order == WY_DIRECT_ONLY) {
-        Wy_TrialBegun(&endpoint->way, making->since);
+        Wy_TrialBegun(&endpoint->way, attempt->since);
     }
     else {
-        Wy_Tested(&endpoint->way, making->since);
+        Wy_Tested(&endpoint->way, attempt->since);
     }
 }
 
-/* When any endpoint of the service last sent bytes over a direct connection. */
+/* When any endpoint of a service last sent bytes on a direct connection. */
 static int64_t
-heard_at(const struct ga_gate *gate, const char *service)
+last_answer_at(const struct ga_gate *gate, const char *service)
 {
     int64_t at = 0;
     const struct fl_endpoint *endpoint;
@@ -326,35 +327,36 @@
 }
 
 void
-Pt_Unanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
-              int64_t sent_at)
+Pt_NoteUnanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
+                  int64_t sent_at)
 {
     struct ga_gate *gate = paths->gate;
     if (!endpoint->gone &&
         Wy_Doubtful(&endpoint->way, sent_at,
-                    heard_at(gate, endpoint->entry.service), Ga_Now(gate))) {
-        test(paths, endpoint, WY_DIRECT_FIRST);
+                    last_answer_at(gate, endpoint->entry.service),
+                    Ga_Now(gate))) {
+        test_link(paths, endpoint, WY_DIRECT_FIRST);
     }
 }
 
 static void
-end_overdue(struct pt_paths *paths)
+cancel_overdue(struct pt_paths *paths)
 {
     int64_t now = Ga_Now(paths->gate);
-    struct making *making;
-    struct making *next;
-    LIST_FOREACH_SAFE (making, &paths->tests, link, next) {
-        if (now - making->since < Pt_TEST_USEC) {
+    struct attempt *attempt;
+    struct attempt *next;
+    LIST_FOREACH_SAFE (attempt, &paths->tests, link, next) {
+        if (now - attempt->since < Pt_TEST_TIMEOUT_USEC) {
             continue;
         }
-        if (making->order == WY_DIRECT_ONLY) {
-            Wy_TrialFailed(&making->endpoint->way);
+        if (attempt->order == WY_DIRECT_ONLY) {
+            Wy_TrialFailed(&attempt->endpoint->way);
         }
-        else if (making->peer != 0) {
-            Wy_NoteFailure(&paths->failures, making->peer, now);
+        else if (attempt->peer != 0) {
+            Wy_NoteFailure(&paths->failures, attempt->peer, now);
         }
-        Di_Cancel(making->test);
-        end(making);
+        Di_Cancel(attempt->test);
+        end_attempt(attempt);
     }
 }
 
@@ -363,23 +365,23 @@
 {
     struct ga_gate *gate = paths->gate;
     int64_t now = Ga_Now(gate);
-    end_overdue(paths);
+    cancel_overdue(paths);
     bool any_cut = false;
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         any_cut |= endpoint->way.cut;
         if (Wy_TrialDue(&endpoint->way, now)) {
-            test(paths, endpoint, WY_DIRECT_ONLY);
+            test_link(paths, endpoint, WY_DIRECT_ONLY);
         }
         else if (endpoint->test_wanted && Wy_MayTest(&endpoint->way, now)) {
-            test(paths, endpoint, WY_DIRECT_FIRST);
+            test_link(paths, endpoint, WY_DIRECT_FIRST);
         }
     }
     paths->any_cut = any_cut;
 }
 
 bool
-Pt_MayUse(const struct pt_paths *paths, const struct cn_channel *channel)
+Pt_MayReuse(const struct pt_paths *paths, const struct cn_channel *channel)
 {
     if (Cn_Peer(channel) == 0) {
         return true;
@@ -395,11 +397,11 @@
     if (paths == NULL) {
         return;
     }
-    struct making *making;
-    struct making *next;
-    LIST_FOREACH_SAFE (making, &paths->tests, link, next) {
-        Di_Cancel(making->test);
-        end(making);
+    struct attempt *attempt;
+    struct attempt *next;
+    LIST_FOREACH_SAFE (attempt, &paths->tests, link, next) {
+        Di_Cancel(attempt->test);
+        end_attempt(attempt);
     }
     free(paths);
 }
--- a/packages/edge/paths.h
+++ b/packages/edge/paths.h
@@ -23,10 +23,11 @@
 struct cn_channel *Pt_Connect(struct pt_paths *paths,
                               struct fl_endpoint *endpoint, cn_idle_fn idle);
 /* Notes that a request sent directly at "sent_at" has no answer yet. */
-void Pt_Unanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
-                   int64_t sent_at);
+void Pt_NoteUnanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
+                       int64_t sent_at);
 /* Whether an idle connection may be reused for another request. */
-bool Pt_MayUse(const struct pt_paths *paths, const struct cn_channel *channel);
+bool Pt_MayReuse(const struct pt_paths *paths,
+                 const struct cn_channel *channel);
 /* Whether this host's link to any endpoint is cut. */
 bool Pt_AnyCut(const struct pt_paths *paths);
 
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -62,7 +62,7 @@
     struct fl_idle *idle;
     struct fl_idle *next;
     TAILQ_FOREACH_SAFE (idle, &endpoint->idle, link, next) {
-        if (!Pt_MayUse(gate->paths, idle->channel)) {
+        if (!Pt_MayReuse(gate->paths, idle->channel)) {
             Po_Close(endpoint, idle);
         }
     }
