--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -149,7 +149,7 @@
     char why[Qn_WHY_MAX];
     struct pz_request prompt =
         Qn_MakeRequest(admitted.service, admitted.tenant, &ask);
-    if (Qn_IsStopped(gate->quarantine, &prompt, why)) {
+    if (Qn_IsQuarantined(gate->quarantine, &prompt, why)) {
         refusal = (struct refusal){503, Qn_RETRY_USEC, why};
         refuse(gate, request, &admitted, &refusal);
         return;
--- a/packages/edge/brittle.h
+++ b/packages/edge/brittle.h
@@ -1,5 +1,5 @@
 /*
- * Brittle endpoints: they report that they fall over when they refuse more
+ * Brittle endpoints: they report that they crash when they have to refuse more
  * than a given number of requests in a second; see policy/brittle.h.
  */
 #ifndef EDGE_BRITTLE_H
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -18,7 +18,7 @@
     int64_t sent_at;
     int64_t head_at;        /* answer's head received; 0: not yet */
     int64_t first_event_at; /* first event received; 0: not yet */
-    int64_t queued_tokens;  /* prompt tokens counted at the endpoint's queue */
+    int64_t queued_tokens;  /* prompt tokens counted in the endpoint's queue */
     bool unloaded; /* the endpoint had no queue and few running requests */
     bool streaming;
     int status;
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -285,8 +285,8 @@
 
 /*
  * Whether this host may leave the topic to other readers.  The first
- * Ga_READERS hosts read, as do hosts that hear of fewer readers.  Updates stay
- * timely when two readers fail at once.
+ * Ga_READERS hosts read, as do hosts that have contact with fewer readers.
+ * Updates stay timely when two readers fail at once.
  */
 static bool
 enough_readers(void *arg, enum ag_topic topic)
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -120,7 +120,7 @@
 struct wo_work *Wo_Create(struct ga_gate *gate);
 void Wo_Destroy(struct wo_work *work);
 void Wo_Tick(struct wo_work *work);
-/* Has the number of endpoints planned again at the next tick. */
+/* Has the numbers of endpoints planned again at the next tick. */
 void Wo_PlanSoon(struct wo_work *work);
 /* Whether the endpoint has the target version of the move. */
 bool Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint);
--- a/packages/edge/health.c
+++ b/packages/edge/health.c
@@ -18,7 +18,7 @@
 #define He_FAILURE_HALF_LIFE_USEC (10.0 * Ck_USEC_PER_SEC)
 #define He_FIRST_BYTE_HALF_LIFE_USEC (5.0 * Ck_USEC_PER_SEC)
 
-/* Requests that time out within this time count as one failure. */
+/* Timeouts within this time of the first one count as one failure. */
 #define He_SILENCE_USEC (1 * Ck_USEC_PER_SEC)
 
 static void
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -127,7 +127,7 @@
         char why[Qn_WHY_MAX];
         struct pz_request request = request_of(exchange);
         if (exchange->head_sent || exchange->attempt.first_event_at != 0 ||
-            !Qn_IsStopped(quarantine, &request, why)) {
+            !Qn_IsQuarantined(quarantine, &request, why)) {
             continue;
         }
         if (exchange->attempt.endpoint != NULL &&
@@ -247,8 +247,8 @@
 }
 
 bool
-Qn_IsStopped(struct qn_quarantine *quarantine,
-             const struct pz_request *request, char why[Qn_WHY_MAX])
+Qn_IsQuarantined(struct qn_quarantine *quarantine,
+                 const struct pz_request *request, char why[Qn_WHY_MAX])
 {
     const struct pz_stop *stop =
         Pz_Refuses(quarantine->table, request, true_now(quarantine));
@@ -344,8 +344,8 @@
 }
 
 /*
- * Lifts the stops of a service once all its endpoints have a new version: the
- * new version may handle the parts that crashed the old one.
+ * Lifts the quarantine of a service's prompt parts when all its endpoints have
+ * a new version, which may handle the parts that crashed the old one.
  */
 static void
 lift_on_new_version(struct qn_quarantine *quarantine)
--- a/packages/edge/quarantine.h
+++ b/packages/edge/quarantine.h
@@ -41,8 +41,8 @@
  * "why" then holds the text for the caller.
  */
 #define Qn_WHY_MAX 64
-bool Qn_IsStopped(struct qn_quarantine *quarantine,
-                  const struct pz_request *request, char why[Qn_WHY_MAX]);
+bool Qn_IsQuarantined(struct qn_quarantine *quarantine,
+                      const struct pz_request *request, char why[Qn_WHY_MAX]);
 /* Whether the request must not be retried at another endpoint. */
 bool Qn_ForbidsRetry(struct qn_quarantine *quarantine,
                      const struct pz_request *request);
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -283,7 +283,8 @@
     struct qn_quarantine *quarantine = exchange->gate->quarantine;
     struct pz_request prompt =
         Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
-    if (!exchange->head_sent && Qn_IsStopped(quarantine, &prompt, stop_why)) {
+    if (!exchange->head_sent &&
+        Qn_IsQuarantined(quarantine, &prompt, stop_why)) {
         Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC,
                   stop_why);
         return;
