--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* An empty configuration with one reference; NULL without memory. */
+/* An empty configuration with one reference; NULL when out of memory. */
 struct ec_config *
 Ec_Create(void)
 {
@@ -36,7 +36,7 @@
                   ((const struct ec_key *)b)->key);
 }
 
-/* Routes by host and then longest prefix first; keys by their text. */
+/* Sorts routes by host, then longest prefix first; keys by their text. */
 void
 Ec_Seal(struct ec_config *config)
 {
@@ -88,7 +88,7 @@
     return order != 0 ? order : -(other[len] != '\0');
 }
 
-/* Where the routes of a host begin; route_count when there are none. */
+/* Index of a host's first route; route_count if it has none. */
 static size_t
 first_of_host(const struct ec_config *config, const char *host, size_t len)
 {
@@ -106,7 +106,7 @@
     return low;
 }
 
-/* The route of a request; NULL without one.  The query does not count. */
+/* Finds the route of a request, ignoring port and query; NULL if none. */
 const struct ec_route *
 Ec_Match(const struct ec_config *config, const char *host, size_t host_len,
          const char *target, size_t target_len)
@@ -143,21 +143,21 @@
     return NULL;
 }
 
-/* The tenant that holds a key; NULL for an unknown key. */
+/* Finds the tenant of a key; NULL if the key is unknown. */
 const struct ec_tenant *
 Ec_Holder(const struct ec_config *config, const char *key)
 {
-    struct ec_key wanted = {.key = (char *)key};
+    struct ec_key pattern = {.key = (char *)key};
     const struct ec_key *found = NULL;
     if (config->key_count > 0) {
-        found = bsearch(&wanted, config->keys, config->key_count,
+        found = bsearch(&pattern, config->keys, config->key_count,
                         sizeof(*config->keys), compare_keys);
     }
     return found == NULL ? NULL : &config->tenants[found->tenant];
 }
 
 static bool
-is_home(const struct ec_homes *homes, const char *region)
+is_allowed(const struct ec_homes *homes, const char *region)
 {
     for (size_t i = 0; homes != NULL && i < homes->count; i++) {
         if (strcmp(homes->regions[i], region) == 0) {
@@ -171,11 +171,11 @@
 Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
             const char *region)
 {
-    return is_home(route->homes, region) &&
-           (tenant == NULL || is_home(tenant->homes, region));
+    return is_allowed(route->homes, region) &&
+           (tenant == NULL || is_allowed(tenant->homes, region));
 }
 
-/* The service that takes a request, by weight; "unit" is in [0, 1). */
+/* Chooses the service of a request by weight; "unit" is in [0, 1). */
 const char *
 Ec_Pick(const struct ec_route *route, double unit)
 {
