--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -122,7 +122,7 @@
         Vs_CountAnswer(exchange->gate->registry,
                        &exchange->attempt.endpoint->entry);
     }
-    Mt_Observe(exchange->gate->count.whole,
+    Mt_Observe(exchange->gate->count.whole_answer,
                Ga_Now(exchange->gate) - exchange->arrived_at);
     if (exchange->charged && !exchange->may_have_run) {
         Qt_Refund(exchange->gate->quota, exchange->tenant->name,
@@ -360,7 +360,7 @@
         return false;
     }
     exchange->endpoint_waits++;
-    Mt_Add(exchange->gate->count.waits, 1);
+    Mt_Add(exchange->gate->count.stream_waits, 1);
     Lp_TimerSet(exchange->timer, gap);
     return true;
 }
@@ -389,7 +389,7 @@
                       "no repeat to spare");
             return;
         }
-        Mt_Add(exchange->gate->count.repeats, 1);
+        Mt_Add(exchange->gate->count.retries, 1);
     }
     if (!send_to(exchange, &target)) {
         Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Xc_BUSY_RETRY_USEC,
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -110,7 +110,7 @@
 
 /* Connection pool of the endpoints. */
 struct cn_channel *Po_Take(struct ga_gate *gate, struct fl_endpoint *endpoint,
-                           bool repeatable);
+                           bool retryable);
 void Po_Return(struct ga_gate *gate, struct fl_endpoint *endpoint,
                struct cn_channel *channel);
 void Po_Close(struct fl_endpoint *endpoint, struct fl_idle *idle);
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -59,7 +59,7 @@
     uint64_t group;
     uint64_t request;
     double mean_first_byte;
-    double long_part;
+    double long_fraction;
 };
 
 static struct pl_candidate
@@ -90,8 +90,8 @@
         .draw = Hash_Bytes(home_key, sizeof(home_key), 0),
         .lot = (double)Hash_Bytes(sample_key, sizeof(sample_key), 0) /
                (double)UINT64_MAX,
-        .long_lane =
-            (double)endpoint->hash < context->long_part * (double)UINT32_MAX,
+        .long_lane = (double)endpoint->hash <
+                     context->long_fraction * (double)UINT32_MAX,
     };
     if (context->mean_first_byte > Xc_SLOWNESS_FLOOR_USEC) {
         candidate.slowness =
@@ -209,7 +209,7 @@
     if (engine) {
         struct load load = load_of(gate, service);
         double lag = (double)Ms_Lag(gate->mesh) / (double)Ck_USEC_PER_SEC;
-        context.long_part = Pl_LongPart(from->count, long_share(&load));
+        context.long_fraction = Pl_LongPart(from->count, long_share(&load));
         drawn_part = Pl_DrawnPart(from->count, load.sent * lag);
     }
     for (size_t i = 0; i < from->count; i++) {
@@ -218,7 +218,7 @@
     struct pl_limits limits = {
         .engine = engine,
         .fill = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
-        .lanes = context.long_part > 0,
+        .lanes = context.long_fraction > 0,
         .is_long = Pl_IsLong(exchange->ask.tokens_in),
         .drawn_part = drawn_part,
     };
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -94,13 +94,13 @@
 log_overload(struct ga_gate *gate)
 {
     int64_t now = Ga_Now(gate);
-    Mt_Add(gate->count.unread, 1);
+    Mt_Add(gate->count.closed_unread, 1);
     if (now - gate->overload_logged_at >= Ga_OVERLOAD_LOG_USEC) {
         gate->overload_logged_at = now;
         Ln_Log(LN_FAILURE, "connection.unread",
                "\"connections\":%zu,\"late\":%d,\"in_all\":%lld",
                Sv_Connections(gate->callers), gate->overload.full,
-               (long long)Mt_Value(gate->count.unread));
+               (long long)Mt_Value(gate->count.closed_unread));
     }
 }
 
@@ -446,16 +446,17 @@
         .served = counter(gate, "cornelgate_served_total"),
         .refused = counter(gate, "cornelgate_refused_total"),
         .failed = counter(gate, "cornelgate_failed_total"),
-        .repeats = counter(gate, "cornelgate_repeats_total"),
-        .unread = counter(gate, "cornelgate_connections_unread_total"),
-        .waits = counter(gate, "cornelgate_stream_waits_total"),
-        .opened = counter(gate, "cornelgate_connections_opened_total"),
+        .retries = counter(gate, "cornelgate_repeats_total"),
+        .closed_unread = counter(gate, "cornelgate_connections_unread_total"),
+        .stream_waits = counter(gate, "cornelgate_stream_waits_total"),
+        .connections_opened =
+            counter(gate, "cornelgate_connections_opened_total"),
         .made_for_peers =
             counter(gate, "cornelgate_connections_made_for_peers_total"),
-        .first = Mt_Get(gate->registry, MT_HISTOGRAM,
-                        "cornelgate_first_byte_usec", ""),
-        .whole = Mt_Get(gate->registry, MT_HISTOGRAM,
-                        "cornelgate_whole_answer_usec", ""),
+        .first_byte = Mt_Get(gate->registry, MT_HISTOGRAM,
+                             "cornelgate_first_byte_usec", ""),
+        .whole_answer = Mt_Get(gate->registry, MT_HISTOGRAM,
+                               "cornelgate_whole_answer_usec", ""),
     };
 }
 
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -37,13 +37,13 @@
     struct mt_metric *served;
     struct mt_metric *refused;
     struct mt_metric *failed;
-    struct mt_metric *unread; /* connections closed unread under overload */
-    struct mt_metric *repeats;
-    struct mt_metric *waits;  /* waits of streams for an endpoint */
-    struct mt_metric *opened; /* connections opened to endpoints */
+    struct mt_metric *closed_unread; /* callers' connections, overloaded */
+    struct mt_metric *retries;
+    struct mt_metric *stream_waits;       /* waits for an endpoint */
+    struct mt_metric *connections_opened; /* to endpoints */
     struct mt_metric *made_for_peers;
-    struct mt_metric *first; /* time to the first byte of an answer */
-    struct mt_metric *whole; /* time to the end of an answer */
+    struct mt_metric *first_byte;   /* time to the first byte of an answer */
+    struct mt_metric *whole_answer; /* time to the end of an answer */
 };
 
 enum ga_listening {
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -21,12 +21,12 @@
 #define Po_CONNECTIONS_MIN 2
 
 static int64_t
-reuse_usec(const struct cn_channel *channel, bool repeatable)
+reuse_usec(const struct cn_channel *channel, bool retryable)
 {
     int64_t keep = Cn_KeepUsec(channel);
     int64_t usec =
         keep > 0 ? keep - Po_KEEP_MARGIN_USEC : Po_KEEP_DEFAULT_USEC;
-    if (!repeatable && usec > Po_KEEP_ONCE_USEC) {
+    if (!retryable && usec > Po_KEEP_ONCE_USEC) {
         usec = Po_KEEP_ONCE_USEC;
     }
     return usec;
@@ -73,13 +73,13 @@
  * memory or descriptors.
  */
 struct cn_channel *
-Po_Take(struct ga_gate *gate, struct fl_endpoint *endpoint, bool repeatable)
+Po_Take(struct ga_gate *gate, struct fl_endpoint *endpoint, bool retryable)
 {
     int64_t now = Ga_Now(gate);
     close_unusable(gate, endpoint);
     struct fl_idle *idle = TAILQ_FIRST(&endpoint->idle);
     if (idle != NULL && now - Cn_IdleSince(idle->channel) <
-                            reuse_usec(idle->channel, repeatable)) {
+                            reuse_usec(idle->channel, retryable)) {
         struct cn_channel *channel = idle->channel;
         TAILQ_REMOVE(&endpoint->idle, idle, link);
         free(idle);
@@ -89,7 +89,7 @@
         Pt_Connect(gate->paths, endpoint, on_idle_end);
     if (channel != NULL) {
         endpoint->connections++;
-        Mt_Add(gate->count.opened, 1);
+        Mt_Add(gate->count.connections_opened, 1);
     }
     return channel;
 }
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -75,8 +75,8 @@
 static uint32_t
 incarnation_of(const struct fl_endpoint *endpoint)
 {
-    uint64_t both[2] = {endpoint->hash, (uint64_t)endpoint->entry.born};
-    return (uint32_t)Hash_Bytes(both, sizeof(both), 0);
+    uint64_t identity[2] = {endpoint->hash, (uint64_t)endpoint->entry.born};
+    return (uint32_t)Hash_Bytes(identity, sizeof(identity), 0);
 }
 
 static void
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -40,14 +40,14 @@
 };
 
 struct qr_records *
-Qr_Create(struct ag_store *store, const struct ck_clock *clock, qr_fn heard,
+Qr_Create(struct ag_store *store, const struct ck_clock *clock, qr_fn loaded,
           void *arg)
 {
     struct qr_records *records = calloc(1, sizeof(*records));
     if (records != NULL) {
         records->store = store;
         records->clock = clock;
-        records->loaded = heard;
+        records->loaded = loaded;
         records->arg = arg;
     }
     return records;
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -139,7 +139,8 @@
         note_first_byte(exchange, now - attempt->sent_at);
         exchange->first_byte_at =
             exchange->first_byte_at == 0 ? now : exchange->first_byte_at;
-        Mt_Observe(exchange->gate->count.first, now - exchange->arrived_at);
+        Mt_Observe(exchange->gate->count.first_byte,
+                   now - exchange->arrived_at);
         attempt->streaming = exchange->route->kind == EC_STREAM;
     }
     return true;
@@ -171,12 +172,12 @@
 note_event_version(struct xc_exchange *exchange, const struct es_event *event)
 {
     const char *field = exchange->gate->options.wire->event_version;
-    size_t name = strlen(field);
-    if (event->first_len <= name ||
-        memcmp(event->first_line, field, name) != 0) {
+    size_t field_len = strlen(field);
+    if (event->first_len <= field_len ||
+        memcmp(event->first_line, field, field_len) != 0) {
         return;
     }
-    size_t at = name;
+    size_t at = field_len;
     while (at < event->first_len && event->first_line[at] == ' ') {
         at++;
     }
@@ -306,11 +307,11 @@
     char *fields = attempt->fields;
     struct bf_buffer body = attempt->body;
     int status = attempt->status;
-    bool fine = status < 500;
+    bool served = status < 500;
     attempt->fields = NULL;
     attempt->body = (struct bf_buffer){0};
     Sv_SetUser(request, NULL);
-    Xc_End(exchange, fine ? "served" : "endpoint failed");
+    Xc_End(exchange, served ? "served" : "endpoint failed");
     Sv_Reply(request, status, fields == NULL ? "" : fields, body.at, body.len);
     free(fields);
     Bf_Free(&body);
