--- a/packages/edge/window.h
+++ b/packages/edge/window.h
@@ -52,7 +52,7 @@
 void Wn_SetPast(struct wn_window *window, const struct wn_past *past);
 /* Applies a lower limit to the whole window, past slices included. */
 void Wn_Lower(struct wn_window *window, double per_sec, double burst);
-/* Advances to "now"; this rate and burst were in force since the last time. */
+/* Advances to "now"; rate and burst were in force since the last advance. */
 void Wn_Advance(struct wn_window *window, double per_sec, double burst,
                 int64_t now);
 /* Spends a cost now; a negative cost is a refund. */
