--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -122,7 +122,7 @@
 }
 
 static bool
-stop_closed(void *arg, int64_t now)
+stop_listening(void *arg, int64_t now)
 {
     struct dm_daemon *daemon = arg;
     struct ls_ending ending = {0};
@@ -143,7 +143,7 @@
 }
 
 static bool
-stop_quiet(void *arg)
+stop_none_silent(void *arg)
 {
     struct dm_daemon *daemon = arg;
     return Hs_Fresh(daemon->callers) == 0;
@@ -176,8 +176,8 @@
 static const struct sp_ops stop_ops = {
     .leaving = stop_leaving,
     .refusing = stop_refusing,
-    .closed = stop_closed,
-    .quiet = stop_quiet,
+    .stop_listening = stop_listening,
+    .none_silent = stop_none_silent,
     .idle = stop_idle,
     .finished = stop_finished,
 };
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -195,7 +195,7 @@
 {
     struct dm_daemon *daemon = arg;
     if (daemon->hosts != NULL) {
-        Hw_Hear(daemon->hosts, digest);
+        Hw_HandlePeerDigest(daemon->hosts, digest);
     }
 }
 
--- a/packages/gate/hostwatch.c
+++ b/packages/gate/hostwatch.c
@@ -8,18 +8,18 @@
 #include "gate/events.h"
 
 /*
- * The whole list is read each time: at 1160 hosts 230 KB, ten times what a
- * daemon may spend in a second.  So its period grows with it, and a change
- * that any daemon saw has the others ask before their time.
+ * Each poll reads the whole list: 230 KB at 1160 hosts, ten times the network
+ * budget of a daemon for one second.  The period therefore grows with the
+ * list, and a change seen by any daemon makes the others poll early.
  */
-#define Hw_LIST_PERIOD (1 * Ck_USEC_PER_SEC)
+#define Hw_LIST_USEC (1 * Ck_USEC_PER_SEC)
 #define Hw_HOST_BYTES 200
 #define Hw_BYTES_PER_SEC 8192
-/* Least time between lists that others cause, as a part of the period. */
-#define Hw_HEARD_PART 8
-#define Hw_HEARD_SPREAD (2 * Ck_USEC_PER_SEC)
-#define Hw_NOTICE_PERIOD (500 * Ck_USEC_PER_MSEC)
-#define Hw_TIMEOUT (2 * Ck_USEC_PER_SEC)
+/* Early polls are at earliest this fraction (1/8) of the period apart. */
+#define Hw_EARLY_FRACTION 8
+#define Hw_EARLY_JITTER_USEC (2 * Ck_USEC_PER_SEC)
+#define Hw_NOTICE_USEC (500 * Ck_USEC_PER_MSEC)
+#define Hw_TIMEOUT_USEC (2 * Ck_USEC_PER_SEC)
 #define Hw_PATH_MAX 64
 
 struct hw_watch {
@@ -29,17 +29,17 @@
     struct hl_list *list;
     struct lp_timer *list_timer;
     int64_t list_period;
-    int64_t list_at; /* when the last list came */
-    uint64_t digest; /* of that list, whatever its order */
-    bool asking;
-    bool hurried;
+    int64_t list_at; /* when the last poll ended; 0: none has */
+    uint64_t digest; /* of the last list, independent of its order */
+    bool polling;
+    bool early; /* an early poll is scheduled */
     struct lp_timer *notice_timer;
     struct jc_call *notice_call;
     uint64_t next_notice;
-    bool failing;
+    bool failing; /* the last poll of the list failed; logged once */
 };
 
-/* Lists with the same hosts in another order are the same. */
+/* The order of the hosts does not change the digest. */
 static uint64_t
 digest_of(const struct hl_host *hosts, size_t count)
 {
@@ -50,13 +50,13 @@
     return digest;
 }
 
-/* Microseconds between two readings of a list of so many hosts. */
+/* Microseconds between two polls of a list with this many hosts. */
 int64_t
-Hw_Period(size_t hosts)
+Hw_PollPeriod(size_t hosts)
 {
     int64_t bytes = (int64_t)hosts * Hw_HOST_BYTES;
     int64_t period = bytes * Ck_USEC_PER_SEC / Hw_BYTES_PER_SEC;
-    return period > Hw_LIST_PERIOD ? period : Hw_LIST_PERIOD;
+    return period > Hw_LIST_USEC ? period : Hw_LIST_USEC;
 }
 
 static void
@@ -64,11 +64,11 @@
           size_t count)
 {
     struct hw_watch *watch = arg;
-    watch->asking = false;
-    watch->hurried = false;
+    watch->polling = false;
+    watch->early = false;
     watch->list_at = Ck_Now(watch->gate->clock);
     if (status != ST_OK) {
-        Lp_TimerSet(watch->list_timer, Hw_LIST_PERIOD);
+        Lp_TimerSet(watch->list_timer, Hw_LIST_USEC);
         if (!watch->failing) {
             Ev_Log(&GT_HOST_LIST_FAILED, "reason=\"%s\"", St_Message());
         }
@@ -76,7 +76,7 @@
         return;
     }
     watch->failing = false;
-    watch->list_period = Hw_Period(count);
+    watch->list_period = Hw_PollPeriod(count);
     Lp_TimerSet(watch->list_timer, watch->list_period);
     watch->ops->hosts(watch->arg, hosts, count);
     uint64_t digest = digest_of(hosts, count);
@@ -87,39 +87,40 @@
 }
 
 static void
-list_ask(void *arg)
+poll_list(void *arg)
 {
     struct hw_watch *watch = arg;
-    watch->asking = true;
-    if (watch->list->ops->fetch(watch->list, Hw_TIMEOUT, list_done, watch) !=
-        ST_OK) {
-        watch->asking = false;
-        Lp_TimerSet(watch->list_timer, Hw_LIST_PERIOD);
+    watch->polling = true;
+    if (watch->list->ops->fetch(watch->list, Hw_TIMEOUT_USEC, list_done,
+                                watch) != ST_OK) {
+        watch->polling = false;
+        Lp_TimerSet(watch->list_timer, Hw_LIST_USEC);
     }
 }
 
 /*
- * Another daemon got a list with this digest.  If ours says something else
- * it is read soon, at a random moment, so that not all daemons ask the
- * platform at once.  Answers that differ from one reading to the next cannot
- * make this daemon read all the time: there is a least time between two.
+ * Handles the digest of a list that another daemon read.  If it differs from
+ * the digest of this daemon's list, the list is polled early, with random
+ * jitter so that not all daemons query the platform at once.  Early polls
+ * have a minimum interval: without it, a platform whose responses differ
+ * from poll to poll would make the daemon poll all the time.
  */
 void
-Hw_Hear(struct hw_watch *watch, uint64_t digest)
+Hw_HandlePeerDigest(struct hw_watch *watch, uint64_t digest)
 {
-    if (digest == watch->digest || watch->asking || watch->hurried ||
+    if (digest == watch->digest || watch->polling || watch->early ||
         watch->list_at == 0) {
         return;
     }
-    int64_t least = watch->list_at + watch->list_period / Hw_HEARD_PART;
-    int64_t wait = least - Ck_Now(watch->gate->clock);
-    uint32_t spread = Rn_Below(&watch->gate->random, Hw_HEARD_SPREAD);
-    watch->hurried = true;
-    Lp_TimerSet(watch->list_timer, (wait > 0 ? wait : 0) + spread);
+    int64_t earliest = watch->list_at + watch->list_period / Hw_EARLY_FRACTION;
+    int64_t wait = earliest - Ck_Now(watch->gate->clock);
+    uint32_t jitter = Rn_Below(&watch->gate->random, Hw_EARLY_JITTER_USEC);
+    watch->early = true;
+    Lp_TimerSet(watch->list_timer, (wait > 0 ? wait : 0) + jitter);
 }
 
 static void
-take_notice(struct hw_watch *watch, const json_t *notice)
+handle_notice(struct hw_watch *watch, const json_t *notice)
 {
     const char *host = json_string_value(json_object_get(notice, "host"));
     int64_t left_ms = json_integer_value(json_object_get(notice, "left_ms"));
@@ -135,13 +136,13 @@
 {
     struct hw_watch *watch = arg;
     watch->notice_call = NULL;
-    Lp_TimerSet(watch->notice_timer, Hw_NOTICE_PERIOD);
+    Lp_TimerSet(watch->notice_timer, Hw_NOTICE_USEC);
     const json_t *next = json_object_get(answer->body, "next");
     if (answer->status != ST_OK || answer->code != 200 ||
         !json_is_integer(next)) {
         return;
     }
-    /* An older answer must not bring old notices back. */
+    /* A stale response must not deliver old notices again. */
     uint64_t after = (uint64_t)json_integer_value(next);
     if (after < watch->next_notice) {
         return;
@@ -151,39 +152,39 @@
     const json_t *notice;
     const json_t *notices = json_object_get(answer->body, "notices");
     json_array_foreach (notices, i, notice) {
-        take_notice(watch, notice);
+        handle_notice(watch, notice);
     }
 }
 
 static void
-notice_ask(void *arg)
+poll_notices(void *arg)
 {
     struct hw_watch *watch = arg;
     char path[Hw_PATH_MAX];
     snprintf(path, sizeof(path), "/cloud/v1/notices?from=%llu",
              (unsigned long long)watch->next_notice);
     if (Jc_Start(watch->gate->loop, &watch->gate->options->cloud, "GET", path,
-                 NULL, Hw_TIMEOUT, notice_done, watch,
+                 NULL, Hw_TIMEOUT_USEC, notice_done, watch,
                  &watch->notice_call) != ST_OK) {
-        Lp_TimerSet(watch->notice_timer, Hw_NOTICE_PERIOD);
+        Lp_TimerSet(watch->notice_timer, Hw_NOTICE_USEC);
     }
 }
 
-/* Starts to watch; the first list is asked for at once. */
+/* Starts polling; the list is first read at once. */
 enum st_status
 Hw_Create(struct gt_gate *gate, const struct hw_ops *ops, void *arg,
           struct hw_watch **out)
 {
     struct hw_watch *watch = calloc(1, sizeof(*watch));
     if (watch == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory to watch hosts");
+        return St_Fail(ST_NO_MEMORY, "no memory for the host list poller");
     }
     watch->gate = gate;
     watch->ops = ops;
     watch->arg = arg;
     watch->next_notice = 1;
-    watch->list_timer = Lp_TimerCreate(gate->loop, list_ask, watch);
-    watch->notice_timer = Lp_TimerCreate(gate->loop, notice_ask, watch);
+    watch->list_timer = Lp_TimerCreate(gate->loop, poll_list, watch);
+    watch->notice_timer = Lp_TimerCreate(gate->loop, poll_notices, watch);
     enum st_status status =
         Hl_HttpCreate(gate->loop, &gate->options->hosts, &watch->list);
     if (status != ST_OK || watch->list_timer == NULL ||
@@ -199,7 +200,7 @@
     return ST_OK;
 }
 
-/* Stops watching; call it before the loop is destroyed. */
+/* Stops polling; call it before the loop is destroyed. */
 void
 Hw_Destroy(struct hw_watch *watch)
 {
--- a/packages/gate/status.c
+++ b/packages/gate/status.c
@@ -53,7 +53,7 @@
                      "version", service->move.to, "endpoints", endpoints);
 }
 
-/* The services with their endpoints as this daemon sees them. */
+/* A new array of the services with their endpoints, in this daemon's view. */
 json_t *
 Sd_Services(const struct gt_gate *gate)
 {
--- a/packages/gate/status.h
+++ b/packages/gate/status.h
@@ -1,4 +1,4 @@
-/* The status document of the administration API. */
+/* The services in the status document of the administration API. */
 #ifndef GATE_STATUS_H
 #define GATE_STATUS_H
 
--- a/packages/gate/stop.c
+++ b/packages/gate/stop.c
@@ -10,22 +10,26 @@
 #include "web/listening.h"
 
 /*
- * How long new requests are still taken after readiness went false: the
- * balancer needs that long to see it.
+ * New requests are still accepted for this long after readiness went false:
+ * the load balancer needs the time to notice.
  */
-#define Sp_SETTLE (2 * Ck_USEC_PER_SEC)
+#define Sp_SETTLE_USEC (2 * Ck_USEC_PER_SEC)
 /*
- * How long connections made before listening ended have to send their
- * request, which is then refused in words rather than by a reset: the least,
- * and the most for those that are still silent.
+ * A connection accepted before listening ended may still send its request,
+ * which is then refused by an error response rather than by a reset.  The
+ * daemon always waits for the first time, and for silent connections for the
+ * second time in addition.
  */
-#define Sp_CLOSED (500 * Ck_USEC_PER_MSEC)
-#define Sp_CLOSED_MOST (5 * Ck_USEC_PER_SEC)
-#define Sp_POLL (50 * Ck_USEC_PER_MSEC)
-/* Before the limit, so that a forced stop resets nobody who connects then. */
-#define Sp_CLOSING_MOST (Ls_ENDING_MOST + Sp_CLOSED)
-/* While listening ends, a caller's attempt to connect is left unanswered. */
-#define Sp_POLL_CLOSING (10 * Ck_USEC_PER_MSEC)
+#define Sp_CLOSED_USEC (500 * Ck_USEC_PER_MSEC)
+#define Sp_SILENT_USEC (5 * Ck_USEC_PER_SEC)
+#define Sp_POLL_USEC (50 * Ck_USEC_PER_MSEC)
+/*
+ * Listening ends this long before the deadline, so that a forced stop resets
+ * no connection that is made at the last moment.
+ */
+#define Sp_CLOSING_USEC (Ls_ENDING_MOST + Sp_CLOSED_USEC)
+/* Short, as connection attempts go unanswered while the listeners close. */
+#define Sp_CLOSING_POLL_USEC (10 * Ck_USEC_PER_MSEC)
 
 enum sp_phase {
     SP_SERVING,
@@ -39,13 +43,13 @@
     struct gt_gate *gate;
     const struct sp_ops *ops;
     void *arg;
-    int fd;
-    struct lp_watch *watch;
+    int signal_fd;
+    struct lp_watch *signal_watch;
     struct lp_timer *timer;
     enum sp_phase phase;
-    int64_t limit;
+    int64_t deadline;
     int64_t phase_end;
-    bool over;
+    bool complete;
 };
 
 static void
@@ -62,40 +66,41 @@
         return;
     case SP_DRAINING:
         if (stop->ops->idle(stop->arg) ||
-            now >= stop->limit - Sp_CLOSING_MOST) {
+            now >= stop->deadline - Sp_CLOSING_USEC) {
             stop->phase = SP_CLOSING;
-            stop->ops->closed(stop->arg, now);
+            stop->ops->stop_listening(stop->arg, now);
         }
         return;
     case SP_CLOSING:
-        if (stop->ops->closed(stop->arg, now)) {
+        if (stop->ops->stop_listening(stop->arg, now)) {
             stop->phase = SP_CLOSED;
-            stop->phase_end = now + Sp_CLOSED;
+            stop->phase_end = now + Sp_CLOSED_USEC;
         }
         return;
     case SP_CLOSED:
-        stop->over = now >= stop->phase_end && stop->ops->idle(stop->arg) &&
-                     (stop->ops->quiet(stop->arg) ||
-                      now >= stop->phase_end + Sp_CLOSED_MOST);
+        stop->complete = now >= stop->phase_end &&
+                         stop->ops->idle(stop->arg) &&
+                         (stop->ops->none_silent(stop->arg) ||
+                          now >= stop->phase_end + Sp_SILENT_USEC);
         return;
     }
 }
 
 static void
-poll_drain(void *arg)
+poll_phase(void *arg)
 {
     struct sp_stop *stop = arg;
     int64_t now = Ck_Now(stop->gate->clock);
     advance(stop, now);
-    if (stop->over || now >= stop->limit) {
-        stop->ops->finished(stop->arg, !stop->over);
+    if (stop->complete || now >= stop->deadline) {
+        stop->ops->finished(stop->arg, !stop->complete);
         return;
     }
-    Lp_TimerSet(stop->timer,
-                stop->phase == SP_CLOSING ? Sp_POLL_CLOSING : Sp_POLL);
+    Lp_TimerSet(stop->timer, stop->phase == SP_CLOSING ? Sp_CLOSING_POLL_USEC
+                                                       : Sp_POLL_USEC);
 }
 
-/* Begins the stop; a second call forces it. */
+/* Begins the graceful stop; a second call ends the daemon at once. */
 void
 Sp_Begin(struct sp_stop *stop)
 {
@@ -105,12 +110,12 @@
     }
     int64_t now = Ck_Now(stop->gate->clock);
     stop->phase = SP_SETTLING;
-    stop->phase_end = now + Sp_SETTLE;
-    stop->limit = now + Sp_SETTLE + stop->gate->options->drain_usec;
+    stop->phase_end = now + Sp_SETTLE_USEC;
+    stop->deadline = now + Sp_SETTLE_USEC + stop->gate->options->drain_usec;
     Ev_Log(&GT_DRAINING, "limit_sec=%lld",
            (long long)(stop->gate->options->drain_usec / Ck_USEC_PER_SEC));
     stop->ops->leaving(stop->arg);
-    Lp_TimerSet(stop->timer, Sp_POLL);
+    Lp_TimerSet(stop->timer, Sp_POLL_USEC);
 }
 
 /* True from the first Sp_Begin() on. */
@@ -125,7 +130,7 @@
 {
     struct sp_stop *stop = arg;
     struct signalfd_siginfo info;
-    if (read(stop->fd, &info, sizeof(info)) == (ssize_t)sizeof(info)) {
+    if (read(stop->signal_fd, &info, sizeof(info)) == (ssize_t)sizeof(info)) {
         Sp_Begin(stop);
     }
 }
@@ -134,7 +139,7 @@
 signal_closed(void *arg)
 {
     struct sp_stop *stop = arg;
-    stop->watch = NULL;
+    stop->signal_watch = NULL;
 }
 
 static const struct lp_watch_ops signal_ops = {
@@ -142,14 +147,14 @@
     .closed = signal_closed,
 };
 
-/* Waits for SIGTERM and SIGINT on the loop. */
+/* SIGTERM and SIGINT, received on the loop, call Sp_Begin(). */
 enum st_status
 Sp_Create(struct gt_gate *gate, const struct sp_ops *ops, void *arg,
           struct sp_stop **out)
 {
     struct sp_stop *stop = calloc(1, sizeof(*stop));
     if (stop == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory for the planned stop");
+        return St_Fail(ST_NO_MEMORY, "no memory for the shutdown state");
     }
     stop->gate = gate;
     stop->ops = ops;
@@ -159,12 +164,13 @@
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
     sigprocmask(SIG_BLOCK, &signals, NULL);
-    stop->fd = signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
-    stop->timer = Lp_TimerCreate(gate->loop, poll_drain, stop);
-    if (stop->fd >= 0) {
-        stop->watch = Lp_WatchCreate(gate->loop, stop->fd, &signal_ops, stop);
+    stop->signal_fd = signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
+    stop->timer = Lp_TimerCreate(gate->loop, poll_phase, stop);
+    if (stop->signal_fd >= 0) {
+        stop->signal_watch =
+            Lp_WatchCreate(gate->loop, stop->signal_fd, &signal_ops, stop);
     }
-    if (stop->watch == NULL || stop->timer == NULL) {
+    if (stop->signal_watch == NULL || stop->timer == NULL) {
         Sp_Destroy(stop);
         return St_Fail(ST_INTERNAL, "cannot wait for signals");
     }
@@ -172,14 +178,14 @@
     return ST_OK;
 }
 
-/* Stops waiting for signals; call it before the loop is destroyed. */
+/* Call it before the loop is destroyed. */
 void
 Sp_Destroy(struct sp_stop *stop)
 {
     if (stop == NULL) {
         return;
     }
-    Lp_WatchDestroy(stop->watch);
+    Lp_WatchDestroy(stop->signal_watch);
     Lp_TimerDestroy(stop->timer);
     free(stop);
 }
--- a/packages/gate/stop.h
+++ b/packages/gate/stop.h
@@ -1,6 +1,8 @@
 /*
- * The planned stop of a daemon: out of the balancer first, then refuse new
- * requests, then wait for the running ones, then exit.
+ * Graceful shutdown of a daemon.  Readiness is withdrawn first, so that the
+ * load balancer removes the host; then new requests are refused, running
+ * requests are drained, the listening sockets are closed, and the daemon
+ * exits.
  */
 #ifndef GATE_STOP_H
 #define GATE_STOP_H
@@ -14,20 +16,20 @@
 struct sp_stop;
 
 struct sp_ops {
-    /* Readiness is now false; others should be told. */
+    /* Readiness is now false; the daemon announces its leaving. */
     void (*leaving)(void *arg);
-    /* Readiness has been false for a while: refuse new requests. */
+    /* The load balancer has had time to react: refuse new requests. */
     void (*refusing)(void *arg);
     /*
-     * Nothing runs any more, or the limit is near: refuse new connections, in
-     * steps; true once nobody listens.
+     * No request runs any more, or the deadline is near: the daemon stops
+     * listening, one step a call.  True once all listeners are closed.
      */
-    bool (*closed)(void *arg, int64_t now);
+    bool (*stop_listening)(void *arg, int64_t now);
     /* True when every connection has sent a request, or is closed. */
-    bool (*quiet)(void *arg);
-    /* True when nothing is left that a stop would cut or lose. */
+    bool (*none_silent)(void *arg);
+    /* True when an exit would cut no request and lose no work. */
     bool (*idle)(void *arg);
-    /* Everything has ended, or the limit has passed: leave the loop. */
+    /* All work has ended, or the deadline has passed: leave the loop. */
     void (*finished)(void *arg, bool forced);
 };
 
--- a/packages/gate/test/stop_test.cc
+++ b/packages/gate/test/stop_test.cc
@@ -1,4 +1,4 @@
-// The order in which a planned stop ends things.
+// The order of the phases of a graceful stop.
 #include <gtest/gtest.h>
 #include <libwebsockets.h>
 
@@ -22,11 +22,11 @@
 const struct ck_ops kClockOps = {FakeTime, FakeTime};
 const struct ck_clock kClock = {&kClockOps, nullptr};
 
-// A daemon whose requests and connections the test says.
+// A daemon whose idle and listening state the test sets.
 struct FakeDaemon {
-    std::vector<std::string> told;
+    std::vector<std::string> calls;
     bool idle = false;
-    bool listens = true;
+    bool listening = true;
     bool forced = false;
 };
 
@@ -37,18 +37,18 @@
 }
 
 const struct sp_ops kOps = {
-    [](void *arg) { Daemon(arg)->told.push_back("leaving"); },
-    [](void *arg) { Daemon(arg)->told.push_back("refusing"); },
+    [](void *arg) { Daemon(arg)->calls.push_back("leaving"); },
+    [](void *arg) { Daemon(arg)->calls.push_back("refusing"); },
     [](void *arg, int64_t) {
-        if (Daemon(arg)->told.back() != "closing") {
-            Daemon(arg)->told.push_back("closing");
+        if (Daemon(arg)->calls.back() != "closing") {
+            Daemon(arg)->calls.push_back("closing");
         }
-        return !Daemon(arg)->listens;
+        return !Daemon(arg)->listening;
     },
     [](void *arg) { return true; },
     [](void *arg) { return Daemon(arg)->idle; },
     [](void *arg, bool forced) {
-        Daemon(arg)->told.push_back("finished");
+        Daemon(arg)->calls.push_back("finished");
         Daemon(arg)->forced = forced;
     },
 };
@@ -73,16 +73,16 @@
         Lp_Destroy(gate.loop);
     }
 
-    // Lets the stop look at a later time until "last" was told.
+    // Advances the clock and runs the loop until "last" is the last callback.
     bool
     Reach(const std::string &last, int64_t usec)
     {
-        const int kTurnsMost = 20;
+        const int kTurnsMax = 20;
         now_usec += usec;
-        for (int i = 0; i < kTurnsMost && daemon.told.back() != last; i++) {
+        for (int i = 0; i < kTurnsMax && daemon.calls.back() != last; i++) {
             lws_service(Lp_Context(gate.loop), 0);
         }
-        return daemon.told.back() == last;
+        return daemon.calls.back() == last;
     }
 
     struct gt_options options = {};
@@ -91,34 +91,34 @@
     struct sp_stop *stop = nullptr;
 };
 
-// Guards against connections that are reset since the daemon exits while it
-// still takes those that had begun.
-TEST_F(Stop, WaitsUntilNobodyListens)
+// Guards against connection resets: the daemon must not exit while a listener
+// still accepts connections whose handshake had begun.
+TEST_F(Stop, WaitsUntilListenersAreClosed)
 {
     daemon.idle = true;
     Sp_Begin(stop);
     ASSERT_TRUE(Reach("refusing", 10 * Ck_USEC_PER_SEC));
     ASSERT_TRUE(Reach("closing", Ck_USEC_PER_SEC));
     EXPECT_FALSE(Reach("finished", 10 * Ck_USEC_PER_SEC));
-    daemon.listens = false;
+    daemon.listening = false;
     ASSERT_TRUE(Reach("closing", 0));
     EXPECT_FALSE(daemon.forced);
     for (int i = 0; i < 3 && !Reach("finished", Ck_USEC_PER_SEC); i++) {
         continue;
     }
-    EXPECT_EQ("finished", daemon.told.back());
+    EXPECT_EQ("finished", daemon.calls.back());
     EXPECT_FALSE(daemon.forced);
 }
 
-// Guards against callers who connect as a stop is forced, and are reset since
-// the daemon listened to its end.
-TEST_F(Stop, AForcedStopEndsListeningBefore)
+// Guards against connection resets at a forced stop: the listeners must be
+// closed before the deadline, not by the exit.
+TEST_F(Stop, ListenersCloseBeforeAForcedStop)
 {
     Sp_Begin(stop);
     ASSERT_TRUE(Reach("refusing", 10 * Ck_USEC_PER_SEC));
     EXPECT_FALSE(Reach("closing", 10 * Ck_USEC_PER_SEC));
     ASSERT_TRUE(Reach("closing", 40 * Ck_USEC_PER_SEC));
-    daemon.listens = false;
+    daemon.listening = false;
     ASSERT_TRUE(Reach("finished", 2 * Ck_USEC_PER_SEC));
     EXPECT_TRUE(daemon.forced);
 }
