--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -59,7 +59,7 @@
     if (!Cs_Whole(daemon->config)) {
         return "the configuration has not been read to its end yet";
     }
-    if (daemon->others_listed && !Pe_HeardAny(daemon->peers) &&
+    if (daemon->others_listed && !Pe_PeerOffsetKnown(daemon->peers) &&
         Ck_Now(daemon->gate.clock) - daemon->started < Dm_HEAR_USEC) {
         return "no other daemon has been heard of yet";
     }
@@ -208,7 +208,7 @@
 {
     if (now >= daemon->next_sharing) {
         daemon->next_sharing = now + Dm_SHARING_PERIOD;
-        Cs_SetFast(daemon->config, Pe_ReadsFast(daemon->peers));
+        Cs_SetFast(daemon->config, Pe_IsConfigReader(daemon->peers));
     }
 }
 
@@ -237,7 +237,7 @@
     In_Publish(daemon->gate.intake, &demands);
     daemon->demands_told = demands.count;
     daemon->daemons_told = demands.daemons;
-    Pe_Demand(daemon->peers, &demands);
+    Pe_PublishDemand(daemon->peers, &demands);
 }
 
 /* What the others know of this daemon is told again before it expires. */
@@ -246,7 +246,8 @@
 {
     if (now >= daemon->next_offset) {
         daemon->next_offset = now + Dm_OFFSET_PERIOD;
-        Pe_ConfigOffset(daemon->peers, Sc_Offset(Cs_State(daemon->config)));
+        Pe_PublishConfigOffset(daemon->peers,
+                               Sc_Offset(Cs_State(daemon->config)));
     }
 }
 
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -68,14 +68,14 @@
         return;
     }
     Ep_Leaving(daemon->gate.endpoints, host, left_usec);
-    Pe_HostLeaving(daemon->peers, host, left_usec);
+    Pe_PublishHostLeaving(daemon->peers, host, left_usec);
 }
 
 static void
 hosts_changed(void *arg, uint64_t digest)
 {
     struct dm_daemon *daemon = arg;
-    Pe_HostsDigest(daemon->peers, digest);
+    Pe_PublishHostsDigest(daemon->peers, digest);
 }
 
 const struct hw_ops dm_host_ops = {
@@ -123,7 +123,7 @@
 Dm_ConfigApplied(void *arg, uint64_t offset)
 {
     struct dm_daemon *daemon = arg;
-    Pe_ConfigOffset(daemon->peers, offset);
+    Pe_PublishConfigOffset(daemon->peers, offset);
     daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_RETELL_USEC;
     if (daemon->admin != NULL) {
         Ad_Advanced(daemon->admin);
@@ -145,7 +145,7 @@
 }
 
 static void
-peer_config_came(void *arg, const char *state, size_t len)
+peer_config_received(void *arg, const char *state, size_t len)
 {
     struct dm_daemon *daemon = arg;
     (void)Cs_Import(daemon->config, state, len);
@@ -191,7 +191,7 @@
 }
 
 static void
-peer_hosts(void *arg, uint64_t digest)
+peer_hosts_digest(void *arg, uint64_t digest)
 {
     struct dm_daemon *daemon = arg;
     if (daemon->hosts != NULL) {
@@ -242,18 +242,18 @@
 Dm_TellPoison(void *arg, const struct gq_word *word)
 {
     struct dm_daemon *daemon = arg;
-    Pe_Poison(daemon->peers, word);
+    Pe_PublishPoison(daemon->peers, word);
 }
 
 const struct pe_ops dm_peer_ops = {
     .config_ahead = peer_config_ahead,
     .config_state = peer_config_state,
-    .config_came = peer_config_came,
+    .config_received = peer_config_received,
     .load = peer_load,
     .leaving = peer_leaving,
     .distrust = peer_distrust,
     .demand = peer_demand,
-    .hosts = peer_hosts,
+    .hosts_digest = peer_hosts_digest,
     .member = peer_member,
     .claim = peer_claim,
     .evidence = peer_evidence,
@@ -284,7 +284,7 @@
 move_distrust(void *arg, const char *service, const char *version)
 {
     struct dm_daemon *daemon = arg;
-    Pe_Distrust(daemon->peers, service, version);
+    Pe_PublishDistrust(daemon->peers, service, version);
 }
 
 static size_t
@@ -305,7 +305,7 @@
 load_mine(void *arg, const struct ch_info *info)
 {
     struct dm_daemon *daemon = arg;
-    return Pe_Watches(daemon->peers, info);
+    return Pe_IsWatcher(daemon->peers, info);
 }
 
 static void
@@ -313,7 +313,7 @@
 {
     struct dm_daemon *daemon = arg;
     peer_load(daemon, report);
-    Pe_Load(daemon->peers, report);
+    Pe_PublishLoad(daemon->peers, report);
 }
 
 static void
--- a/packages/gate/hostwatch.c
+++ b/packages/gate/hostwatch.c
@@ -15,7 +15,7 @@
 #define Hw_LIST_USEC (1 * Ck_USEC_PER_SEC)
 #define Hw_HOST_BYTES 200
 #define Hw_BYTES_PER_SEC 8192
-/* Early polls are at earliest this fraction (1/8) of the period apart. */
+/* An early poll waits at least 1/8 of the period after the last poll. */
 #define Hw_EARLY_FRACTION 8
 #define Hw_EARLY_JITTER_USEC (2 * Ck_USEC_PER_SEC)
 #define Hw_NOTICE_USEC (500 * Ck_USEC_PER_MSEC)
--- a/packages/gate/peer_facts.c
+++ b/packages/gate/peer_facts.c
@@ -5,18 +5,18 @@
 #include <stdio.h>
 #include <string.h>
 
-#define Pf_THROUGH_FIELDS 2
+#define Pf_TUNNEL_FIELDS 2
 #define Pf_CONFIG_FIELDS 2
 #define Pf_LOAD_FIELDS 8
-/* What daemons before the seventh and the eighth field wrote. */
-#define Pf_LOAD_LEAST 6
-#define Pf_LOAD_COLD 7
+/* Older daemons send 6 fields, or 7 with the seventh for the cold time. */
+#define Pf_LOAD_FIELDS_MIN 6
+#define Pf_LOAD_FIELDS_COLD 7
 #define Pf_DEMAND_FIELDS 4
-/* What daemons before the fourth field wrote. */
-#define Pf_DEMAND_LEAST 3
-#define Pf_AGE_UNIT INT64_C(1000)
+/* Older daemons send 3 fields, without "places". */
+#define Pf_DEMAND_FIELDS_MIN 3
+#define Pf_TIME_UNIT_USEC INT64_C(1000) /* times are sent in milliseconds */
 
-/* Joins a key; false when it does not fit. */
+/* Builds "prefixFIRST/SECOND"; false when it does not fit. */
 bool
 Pf_WriteName(const char *prefix, const char *first, const char *second,
              char *out, size_t size)
@@ -25,7 +25,7 @@
     return n > 0 && (size_t)n < size;
 }
 
-/* Takes a key apart; false when it is none of Pf_WriteName(). */
+/* Splits a key made by Pf_WriteName(); false when the form differs. */
 bool
 Pf_ReadName(const char *key, struct pf_name *out)
 {
@@ -64,7 +64,7 @@
     return 0;
 }
 
-/* Writes what a daemon says of its configuration. */
+/* Encodes the config offset of a daemon; 0 when it does not fit. */
 size_t
 Pf_WriteConfig(const struct pf_config *config, char *out, size_t size)
 {
@@ -80,61 +80,61 @@
     return len;
 }
 
-/* Reads what another daemon says of its configuration. */
+/* Decodes the config offset of another daemon. */
 bool
 Pf_ReadConfig(const void *value, size_t len, struct pf_config *out)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool good = msgpack_unpack_next(&unpacked, value, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-                unpacked.data.via.array.size >= Pf_CONFIG_FIELDS;
-    if (good) {
+    bool valid = msgpack_unpack_next(&unpacked, value, len, NULL) ==
+                     MSGPACK_UNPACK_SUCCESS &&
+                 unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
+                 unpacked.data.via.array.size >= Pf_CONFIG_FIELDS;
+    if (valid) {
         const msgpack_object *field = unpacked.data.via.array.ptr;
         out->offset = (uint64_t)read_int(&field[0]);
         out->incarnation = (uint64_t)read_int(&field[1]);
     }
     msgpack_unpacked_destroy(&unpacked);
-    return good;
+    return valid;
 }
 
-/* Writes where a daemon makes connections; 0 when it does not fit. */
+/* Encodes where a daemon accepts tunnels; 0 when it does not fit. */
 size_t
-Pf_WriteThrough(const struct pf_through *through, char *out, size_t size)
+Pf_WriteTunnel(const struct pf_through *tunnel, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    msgpack_pack_array(&packer, Pf_THROUGH_FIELDS);
-    msgpack_pack_uint64(&packer, through->port);
-    msgpack_pack_uint64(&packer, through->cut);
+    msgpack_pack_array(&packer, Pf_TUNNEL_FIELDS);
+    msgpack_pack_uint64(&packer, tunnel->port);
+    msgpack_pack_uint64(&packer, tunnel->cut);
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
     return len;
 }
 
-/* Reads where another daemon makes connections. */
+/* Decodes where another daemon accepts tunnels. */
 bool
-Pf_ReadThrough(const void *value, size_t len, struct pf_through *out)
+Pf_ReadTunnel(const void *value, size_t len, struct pf_through *out)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool good = msgpack_unpack_next(&unpacked, value, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-                unpacked.data.via.array.size >= Pf_THROUGH_FIELDS;
-    if (good) {
+    bool valid = msgpack_unpack_next(&unpacked, value, len, NULL) ==
+                     MSGPACK_UNPACK_SUCCESS &&
+                 unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
+                 unpacked.data.via.array.size >= Pf_TUNNEL_FIELDS;
+    if (valid) {
         const msgpack_object *field = unpacked.data.via.array.ptr;
         out->port = (uint16_t)read_int(&field[0]);
         out->cut = read_int(&field[1]) != 0;
     }
     msgpack_unpacked_destroy(&unpacked);
-    return good;
+    return valid;
 }
 
-/* Writes a sample and its age; 0 when it does not fit. */
+/* Encodes a load sample and its age; 0 when it does not fit. */
 size_t
 Pf_WriteLoad(const struct lw_report *report, int64_t age_usec, char *out,
              size_t size)
@@ -147,16 +147,17 @@
     msgpack_pack_int32(&packer, report->sample.running);
     msgpack_pack_int32(&packer, report->sample.waiting);
     msgpack_pack_float(&packer, (float)report->sample.tokens_per_s);
-    msgpack_pack_int64(&packer, age_usec / Pf_AGE_UNIT);
+    msgpack_pack_int64(&packer, age_usec / Pf_TIME_UNIT_USEC);
     if (report->leaving) {
         msgpack_pack_true(&packer);
     }
     else {
         msgpack_pack_false(&packer);
     }
-    msgpack_pack_int64(&packer, report->left_usec / Pf_AGE_UNIT);
-    msgpack_pack_int64(
-        &packer, report->tells_cold ? report->cold_usec / Pf_AGE_UNIT : -1);
+    msgpack_pack_int64(&packer, report->left_usec / Pf_TIME_UNIT_USEC);
+    msgpack_pack_int64(&packer, report->tells_cold
+                                    ? report->cold_usec / Pf_TIME_UNIT_USEC
+                                    : -1);
     msgpack_pack_int(&packer, report->refusals_borne);
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
@@ -174,8 +175,9 @@
 }
 
 /*
- * Reads a sample; sample.taken is its age until the caller dates it.  More
- * fields than known are skipped: a newer daemon may send them.
+ * Decodes a load sample.  sample.taken holds the age of the sample; the
+ * caller turns it into a time of its own clock.  Further fields, which a newer
+ * daemon may send, are skipped.
  */
 bool
 Pf_ReadLoad(const void *value, size_t len, struct lw_report *out)
@@ -183,28 +185,28 @@
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     memset(out, 0, sizeof(*out));
-    bool good = msgpack_unpack_next(&unpacked, value, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
-                unpacked.data.via.array.size >= Pf_LOAD_LEAST;
-    if (good) {
+    bool valid = msgpack_unpack_next(&unpacked, value, len, NULL) ==
+                     MSGPACK_UNPACK_SUCCESS &&
+                 unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
+                 unpacked.data.via.array.size >= Pf_LOAD_FIELDS_MIN;
+    if (valid) {
         const msgpack_object *field = unpacked.data.via.array.ptr;
         out->sample.running = (int)read_int(&field[0]);
         out->sample.waiting = (int)read_int(&field[1]);
         out->sample.tokens_per_s = read_double(&field[2]);
-        out->sample.taken = read_int(&field[3]) * Pf_AGE_UNIT;
+        out->sample.taken = read_int(&field[3]) * Pf_TIME_UNIT_USEC;
         out->leaving =
             field[4].type == MSGPACK_OBJECT_BOOLEAN && field[4].via.boolean;
-        out->left_usec = read_int(&field[5]) * Pf_AGE_UNIT;
+        out->left_usec = read_int(&field[5]) * Pf_TIME_UNIT_USEC;
         size_t size = unpacked.data.via.array.size;
-        int64_t cold = size >= Pf_LOAD_COLD ? read_int(&field[6]) : -1;
+        int64_t cold = size >= Pf_LOAD_FIELDS_COLD ? read_int(&field[6]) : -1;
         out->refusals_borne =
             size >= Pf_LOAD_FIELDS ? (int)read_int(&field[7]) : -1;
         out->tells_cold = cold >= 0;
-        out->cold_usec = cold >= 0 ? cold * Pf_AGE_UNIT : 0;
+        out->cold_usec = cold >= 0 ? cold * Pf_TIME_UNIT_USEC : 0;
     }
     msgpack_unpacked_destroy(&unpacked);
-    return good;
+    return valid;
 }
 
 static size_t
@@ -216,7 +218,7 @@
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, count + 1);
-    /* Daemons that do not know it skip what is no row. */
+    /* Older daemons skip this count, as it is no array. */
     msgpack_pack_uint64(&packer, demands->daemons);
     for (size_t i = 0; i < count; i++) {
         const struct am_demand *row = &demands->rows[i];
@@ -233,7 +235,7 @@
     return len;
 }
 
-/* Writes as many demands, from the first, as fit. */
+/* Encodes as many demands as fit, starting with the first. */
 size_t
 Pf_WriteDemands(const struct pf_demands *demands, char *out, size_t size)
 {
@@ -250,7 +252,7 @@
 read_demand(const msgpack_object *object, struct am_demand *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < Pf_DEMAND_LEAST ||
+        object->via.array.size < Pf_DEMAND_FIELDS_MIN ||
         object->via.array.ptr[0].type != MSGPACK_OBJECT_STR ||
         object->via.array.ptr[0].via.str.size >= sizeof(out->customer)) {
         return false;
@@ -266,7 +268,7 @@
     return true;
 }
 
-/* Reads at most Pf_DEMANDS_MAX demands. */
+/* Decodes at most Pf_DEMANDS_MAX demands. */
 bool
 Pf_ReadDemands(const void *value, size_t len, struct pf_demands *out)
 {
@@ -274,10 +276,10 @@
     msgpack_unpacked_init(&unpacked);
     out->daemons = 0;
     out->count = 0;
-    bool good = msgpack_unpack_next(&unpacked, value, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                unpacked.data.type == MSGPACK_OBJECT_ARRAY;
-    size_t size = good ? unpacked.data.via.array.size : 0;
+    bool valid = msgpack_unpack_next(&unpacked, value, len, NULL) ==
+                     MSGPACK_UNPACK_SUCCESS &&
+                 unpacked.data.type == MSGPACK_OBJECT_ARRAY;
+    size_t size = valid ? unpacked.data.via.array.size : 0;
     for (size_t i = 0; i < size && out->count < Pf_DEMANDS_MAX; i++) {
         const msgpack_object *item = &unpacked.data.via.array.ptr[i];
         if (i == 0 && item->type == MSGPACK_OBJECT_POSITIVE_INTEGER) {
@@ -288,5 +290,5 @@
         }
     }
     msgpack_unpacked_destroy(&unpacked);
-    return good;
+    return valid;
 }
--- a/packages/gate/peer_facts.h
+++ b/packages/gate/peer_facts.h
@@ -1,5 +1,5 @@
 /*
- * Names and values of the facts that daemons gossip, in msgpack.
+ * Keys and msgpack-encoded values of the facts that daemons gossip.
  */
 #ifndef GATE_PEER_FACTS_H
 #define GATE_PEER_FACTS_H
@@ -18,31 +18,30 @@
 #define Pf_DISTRUST "dist/"
 #define Pf_DEMAND "demand"
 #define Pf_HOSTS "hosts"
-#define Pf_THROUGH "through"
+#define Pf_TUNNEL "through"
 
 #define Pf_DEMANDS_MAX 32
 
-/* The parts of a key "prefix/FIRST/SECOND". */
+/* The two names in a key "prefix/FIRST/SECOND". */
 struct pf_name {
     char first[Fc_KEY_MAX];
     char second[Fc_KEY_MAX];
 };
 
-/* How far a daemon has read the config stream, and which run of it says so. */
+/* How far one run of a daemon has read the config stream. */
 struct pf_config {
     uint64_t offset;
-    uint64_t incarnation;
+    uint64_t incarnation; /* random, new at each start of the daemon */
 };
 
-/* Where a daemon makes connections for others. */
+/* Where a daemon accepts tunnels: connections that it makes for its peers. */
 struct pf_through {
     uint16_t port;
-    bool cut; /* it is cut from some endpoints itself */
+    bool cut; /* the daemon itself cannot reach some endpoints */
 };
 
-size_t Pf_WriteThrough(const struct pf_through *through, char *out,
-                       size_t size);
-bool Pf_ReadThrough(const void *value, size_t len, struct pf_through *out);
+size_t Pf_WriteTunnel(const struct pf_through *tunnel, char *out, size_t size);
+bool Pf_ReadTunnel(const void *value, size_t len, struct pf_through *out);
 size_t Pf_WriteConfig(const struct pf_config *config, char *out, size_t size);
 bool Pf_ReadConfig(const void *value, size_t len, struct pf_config *out);
 bool Pf_WriteName(const char *prefix, const char *first, const char *second,
@@ -51,9 +50,9 @@
 size_t Pf_WriteLoad(const struct lw_report *report, int64_t age_usec,
                     char *out, size_t size);
 bool Pf_ReadLoad(const void *value, size_t len, struct lw_report *out);
-/* What a daemon's callers ask for. */
+/* The demand of a daemon's callers on shared limits. */
 struct pf_demands {
-    size_t daemons; /* that it divides the limits by; 0: not told */
+    size_t daemons; /* that it divides the limits by; 0: not reported */
     size_t count;
     struct am_demand rows[Pf_DEMANDS_MAX];
 };
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -15,31 +15,31 @@
 #define Pe_CALL_USEC (2 * Ck_USEC_PER_SEC)
 #define Pe_SEEDS_MAX 64
 #define Pe_WATCHERS 2
-/* How long a new daemon takes to learn who else is there. */
+/* How long a new daemon takes to learn the membership. */
 #define Pe_LEARN_USEC (10 * Ck_USEC_PER_SEC)
-#define Pe_LOAD_TTL (15 * Ck_USEC_PER_SEC)
-#define Pe_LEAVING_TTL (600 * Ck_USEC_PER_SEC)
-#define Pe_DISTRUST_TTL (24 * 3600 * Ck_USEC_PER_SEC)
-#define Pe_CONFIG_TTL (3600 * Ck_USEC_PER_SEC)
-#define Pe_HOSTS_TTL (3600 * Ck_USEC_PER_SEC)
-#define Pe_DEMAND_TTL (60 * Ck_USEC_PER_SEC)
-#define Pe_POISON_TTL (30 * Ck_USEC_PER_SEC)
-
-/* Two in a data centre's worth of endpoints, and the jobs with a key. */
+#define Pe_LOAD_TTL_USEC (15 * Ck_USEC_PER_SEC)
+#define Pe_LEAVING_TTL_USEC (600 * Ck_USEC_PER_SEC)
+#define Pe_DISTRUST_TTL_USEC (24 * 3600 * Ck_USEC_PER_SEC)
+#define Pe_CONFIG_TTL_USEC (3600 * Ck_USEC_PER_SEC)
+#define Pe_HOSTS_TTL_USEC (3600 * Ck_USEC_PER_SEC)
+#define Pe_DEMAND_TTL_USEC (60 * Ck_USEC_PER_SEC)
+#define Pe_POISON_TTL_USEC (30 * Ck_USEC_PER_SEC)
+
+/* Entries for the endpoints of two data centres, and for all keyed jobs. */
 #define Pe_WATCH_CACHE 2048
 #define Pe_JOB_CACHE 64
 
-/* What the table said of an endpoint at a generation of it; 0: nothing. */
+/* Whether this daemon watches an endpoint, as of a table generation. */
 struct watch_memo {
     uint64_t key;
-    uint64_t generation;
+    uint64_t generation; /* plus 1; 0: unused entry */
     bool watches;
 };
 
-/* Who does a job, as of a generation of the table. */
+/* The member responsible for a job, as of a table generation. */
 struct job_memo {
     uint64_t key;
-    uint64_t generation;
+    uint64_t generation; /* plus 1; 0: unused entry */
     const struct mb_record *member;
 };
 
@@ -50,8 +50,8 @@
     struct nd_node *node;
     uint64_t incarnation; /* of this run of the daemon */
     int64_t started;
-    uint64_t highest;
-    bool pulling;
+    uint64_t highest_offset; /* of the config stream, at any daemon */
+    bool pulling;            /* a call for a peer's configuration is open */
     struct watch_memo watch_memos[Pe_WATCH_CACHE];
     struct job_memo job_memos[Pe_JOB_CACHE];
 };
@@ -62,15 +62,15 @@
     struct pe_peers *peers = arg;
     struct pf_config config;
     if (Pf_ReadConfig(fact->value, fact->len, &config) &&
-        config.offset > peers->highest) {
-        peers->highest = config.offset;
+        config.offset > peers->highest_offset) {
+        peers->highest_offset = config.offset;
         peers->ops->config_ahead(peers->arg, config.offset);
     }
 }
 
 static bool
-config_of(const struct pe_peers *peers, const char *node,
-          struct pf_config *out)
+find_config(const struct pe_peers *peers, const char *node,
+            struct pf_config *out)
 {
     struct fc_fact fact;
     return Fc_Get(Nd_Facts(peers->node), node, Pf_CONFIG, &fact) &&
@@ -90,7 +90,7 @@
     }
     report.service = NULL;
     report.endpoint = name.first;
-    /* On the wire stands the age; a sample is dated on the reader's clock. */
+    /* Peers send the age; "taken" is a time of this daemon's clock. */
     report.sample.taken = Ck_Now(peers->gate->clock) - report.sample.taken;
     peers->ops->load(peers->arg, &report);
 }
@@ -100,7 +100,8 @@
 {
     struct pe_peers *peers = arg;
     struct pf_name name;
-    int64_t left = fact->ttl_usec > 0 ? fact->ttl_usec - Pe_LEAVING_TTL : 0;
+    int64_t left =
+        fact->ttl_usec > 0 ? fact->ttl_usec - Pe_LEAVING_TTL_USEC : 0;
     if (Pf_ReadName(fact->key, &name)) {
         peers->ops->leaving(peers->arg, name.first, left > 0 ? left : 0);
     }
@@ -148,7 +149,7 @@
     uint64_t digest;
     if (fact->len == sizeof(digest)) {
         memcpy(&digest, fact->value, sizeof(digest));
-        peers->ops->hosts(peers->arg, digest);
+        peers->ops->hosts_digest(peers->arg, digest);
     }
 }
 
@@ -158,7 +159,7 @@
     struct pe_peers *peers = arg;
     bool left = member->state == MB_DEAD && before == MB_LEAVING;
     if (member->state == MB_DEAD && !left) {
-        /* Out of reach is not gone: see the "member" operation. */
+        /* Unreachable members have not left: see pe_ops.member. */
         return;
     }
     peers->ops->member(peers->arg, member->id, !left);
@@ -232,14 +233,14 @@
     return status;
 }
 
-/* Joins the others once Pe_Seed() has named some. */
+/* The daemon joins the cluster once Pe_Seed() has named peers. */
 enum st_status
 Pe_Create(struct gt_gate *gate, uint16_t admin_port, uint64_t incarnation,
           const struct pe_ops *ops, void *arg, struct pe_peers **out)
 {
     struct pe_peers *peers = calloc(1, sizeof(*peers));
     if (peers == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory for the other daemons");
+        return St_Fail(ST_NO_MEMORY, "no memory for the peer state");
     }
     peers->gate = gate;
     peers->ops = ops;
@@ -273,7 +274,10 @@
     return ST_OK;
 }
 
-/* Leaves without a word; see Pe_Leave().  Call it before the loop ends. */
+/*
+ * Does not announce that the daemon leaves; Pe_Leave() does.  Call it before
+ * the loop is destroyed.
+ */
 void
 Pe_Destroy(struct pe_peers *peers)
 {
@@ -284,7 +288,7 @@
     free(peers);
 }
 
-/* The host list names entries: some of them are asked who else is there. */
+/* Gossip is bootstrapped from live entry hosts of the host list. */
 void
 Pe_Seed(struct pe_peers *peers, const struct hl_host *hosts, size_t count)
 {
@@ -305,7 +309,7 @@
     Nd_SetSeeds(peers->node, seeds, found);
 }
 
-/* Tells the others that this daemon takes no new work. */
+/* Announces that this daemon accepts no new work. */
 void
 Pe_Leave(struct pe_peers *peers)
 {
@@ -322,24 +326,24 @@
 }
 
 /*
- * A version for this daemon's own fact that is above those of its earlier
- * runs, which the others may still hold: their word would stand otherwise.
+ * A version for a fact owned by this daemon, above those of its earlier runs:
+ * peers that still hold an older fact would otherwise keep it.
  */
 static uint64_t
 next_version(const struct pe_peers *peers, const char *key)
 {
-    struct fc_fact known;
+    struct fc_fact current;
     uint64_t version = (uint64_t)Ck_Wall(peers->gate->clock);
-    if (Fc_Get(Nd_Facts(peers->node), Nd_Id(peers->node), key, &known) &&
-        known.version >= version) {
-        version = known.version + 1;
+    if (Fc_Get(Nd_Facts(peers->node), Nd_Id(peers->node), key, &current) &&
+        current.version >= version) {
+        version = current.version + 1;
     }
     return version;
 }
 
-/* Tells the others how far this daemon has read the config stream. */
+/* Publishes how far this daemon has read the config stream. */
 void
-Pe_ConfigOffset(struct pe_peers *peers, uint64_t offset)
+Pe_PublishConfigOffset(struct pe_peers *peers, uint64_t offset)
 {
     struct pf_config config = {
         .offset = offset,
@@ -351,61 +355,61 @@
         .owned = true,
         .version = next_version(peers, Pf_CONFIG),
         .scope = FC_CLUSTER,
-        .ttl_usec = Pe_CONFIG_TTL,
+        .ttl_usec = Pe_CONFIG_TTL_USEC,
         .value = value,
     };
     post.len = Pf_WriteConfig(&config, value, sizeof(value));
-    if (offset > peers->highest) {
-        peers->highest = offset;
+    if (offset > peers->highest_offset) {
+        peers->highest_offset = offset;
     }
     publish(peers, &post);
 }
 
-/* Tells the others where this daemon makes connections for them. */
+/* Publishes where this daemon accepts tunnels for its peers. */
 void
-Pe_TellThrough(struct pe_peers *peers, const struct pf_through *through,
+Pe_TellThrough(struct pe_peers *peers, const struct pf_through *tunnel,
                int64_t ttl_usec)
 {
     char value[Fc_VALUE_MAX];
     struct fc_post post = {
-        .key = Pf_THROUGH,
+        .key = Pf_TUNNEL,
         .owned = true,
-        .version = next_version(peers, Pf_THROUGH),
+        .version = next_version(peers, Pf_TUNNEL),
         .scope = FC_CLUSTER,
         .ttl_usec = ttl_usec,
         .value = value,
     };
-    post.len = Pf_WriteThrough(through, value, sizeof(value));
+    post.len = Pf_WriteTunnel(tunnel, value, sizeof(value));
     publish(peers, &post);
 }
 
-/* False: that daemon has not said. */
+/* False when the daemon has not published where it accepts tunnels. */
 bool
 Pe_Through(const struct pe_peers *peers, const char *node,
            struct pf_through *out)
 {
     struct fc_fact fact;
-    return Fc_Get(Nd_Facts(peers->node), node, Pf_THROUGH, &fact) &&
-           Pf_ReadThrough(fact.value, fact.len, out);
+    return Fc_Get(Nd_Facts(peers->node), node, Pf_TUNNEL, &fact) &&
+           Pf_ReadTunnel(fact.value, fact.len, out);
 }
 
 static void
-config_pulled(void *arg, const struct lk_result *result)
+config_reply(void *arg, const struct lk_result *result)
 {
     struct pe_peers *peers = arg;
     peers->pulling = false;
     if (result->answered && result->status == ST_OK) {
-        peers->ops->config_came(peers->arg, result->payload, result->len);
+        peers->ops->config_received(peers->arg, result->payload, result->len);
     }
 }
 
 /*
- * The daemon that has read furthest, this one excepted; NULL: none.  Of
- * several one is taken at random: the first may be unable to hand its state
- * on.
+ * The peer that has read the config stream furthest, or NULL.  A tie is broken
+ * at random: always choosing the same peer would fail for as long as that
+ * peer cannot export its configuration.
  */
 static const char *
-furthest(const struct pe_peers *peers)
+furthest_peer(const struct pe_peers *peers)
 {
     const struct mb_table *members = Nd_Members(peers->node);
     const struct mb_record *member = Mb_First(members);
@@ -416,7 +420,7 @@
         struct pf_config config;
         if (strcmp(member->id, Nd_Id(peers->node)) == 0 ||
             !Mb_Usable(members, member) ||
-            !config_of(peers, member->id, &config) || config.offset == 0 ||
+            !find_config(peers, member->id, &config) || config.offset == 0 ||
             config.offset < best_offset) {
             continue;
         }
@@ -429,80 +433,81 @@
     return best;
 }
 
-/* Whether any other daemon has said how far it has read. */
+/* Whether any usable peer has published a config offset. */
 bool
-Pe_HeardAny(const struct pe_peers *peers)
+Pe_PeerOffsetKnown(const struct pe_peers *peers)
 {
-    return furthest(peers) != NULL;
+    return furthest_peer(peers) != NULL;
 }
 
 /*
- * Tells the others of a new host list, unless they know of this one.  Only
- * equality of digests counts, so the order of their bytes does not matter.
+ * Publishes the digest of a new host list, unless the current fact has it
+ * already.  Digests are only compared for equality, so the byte order does
+ * not matter.
  */
 void
-Pe_HostsDigest(struct pe_peers *peers, uint64_t digest)
+Pe_PublishHostsDigest(struct pe_peers *peers, uint64_t digest)
 {
-    struct fc_fact known;
+    struct fc_fact current;
     struct fc_post post = {
         .key = Pf_HOSTS,
         .version = (uint64_t)Ck_Wall(peers->gate->clock),
         .scope = FC_CLUSTER,
-        .ttl_usec = Pe_HOSTS_TTL,
+        .ttl_usec = Pe_HOSTS_TTL_USEC,
         .value = &digest,
         .len = sizeof(digest),
     };
-    if (Fc_Get(Nd_Facts(peers->node), "", Pf_HOSTS, &known)) {
-        if (known.len == sizeof(digest) &&
-            memcmp(known.value, &digest, sizeof(digest)) == 0) {
+    if (Fc_Get(Nd_Facts(peers->node), "", Pf_HOSTS, &current)) {
+        if (current.len == sizeof(digest) &&
+            memcmp(current.value, &digest, sizeof(digest)) == 0) {
             return;
         }
-        if (known.version >= post.version) {
-            post.version = known.version + 1;
+        if (current.version >= post.version) {
+            post.version = current.version + 1;
         }
     }
     publish(peers, &post);
 }
 
-/* Asks the peer that has read furthest for its sections, one at a time. */
+/* Fetches the configuration of the furthest peer; one call at a time. */
 void
 Pe_PullConfig(struct pe_peers *peers)
 {
-    const char *from = peers->pulling ? NULL : furthest(peers);
+    const char *from = peers->pulling ? NULL : furthest_peer(peers);
     if (from == NULL) {
         return;
     }
     peers->pulling = Nd_Call(peers->node, from, "config", "", 0, Pe_CALL_USEC,
-                             config_pulled, peers, NULL) == ST_OK;
+                             config_reply, peers, NULL) == ST_OK;
 }
 
 /*
- * True when a sample of this endpoint was passed on a moment ago, by this
- * daemon or the other that watches it.  That a host leaves, or is cold, never
- * waits.
+ * True when this daemon, or the other watcher of the endpoint, published a
+ * sample within report->spread_usec.  A change of the leaving or cold state
+ * is always published at once.
  */
 static bool
-told_lately(const struct pe_peers *peers, const struct lw_report *report,
-            const char *key)
+published_recently(const struct pe_peers *peers,
+                   const struct lw_report *report, const char *key)
 {
-    struct fc_fact known;
+    struct fc_fact current;
     struct lw_report last;
-    if (!Fc_Get(Nd_Facts(peers->node), "", key, &known) ||
-        !Pf_ReadLoad(known.value, known.len, &last) ||
+    if (!Fc_Get(Nd_Facts(peers->node), "", key, &current) ||
+        !Pf_ReadLoad(current.value, current.len, &last) ||
         last.leaving != report->leaving ||
         (last.cold_usec > 0) != (report->cold_usec > 0)) {
         return false;
     }
-    int64_t age = Ck_Wall(peers->gate->clock) - (int64_t)known.version;
+    int64_t age = Ck_Wall(peers->gate->clock) - (int64_t)current.version;
     return age < report->spread_usec;
 }
 
 /*
- * Passes a load sample on to the daemons of this data centre, one every
- * report->spread_usec.
+ * Publishes a load sample to the daemons of this data centre, at most one
+ * each report->spread_usec.
  */
 void
-Pe_Load(struct pe_peers *peers, const struct lw_report *report)
+Pe_PublishLoad(struct pe_peers *peers, const struct lw_report *report)
 {
     char key[Fc_KEY_MAX];
     char value[Fc_VALUE_MAX];
@@ -510,29 +515,30 @@
     struct fc_post post = {
         .key = key,
         .scope = FC_DATA_CENTRE,
-        .ttl_usec = Pe_LOAD_TTL,
+        .ttl_usec = Pe_LOAD_TTL_USEC,
         .value = value,
         .version = (uint64_t)Ck_Wall(peers->gate->clock),
     };
     post.len = Pf_WriteLoad(report, age, value, sizeof(value));
     if (post.len > 0 &&
         Pf_WriteName(Pf_LOAD, report->endpoint, "", key, sizeof(key)) &&
-        !told_lately(peers, report, key)) {
+        !published_recently(peers, report, key)) {
         publish(peers, &post);
     }
 }
 
-/* Tells every daemon that a host is about to go. */
+/* Announces to all daemons that a host will be reclaimed. */
 void
-Pe_HostLeaving(struct pe_peers *peers, const char *host, int64_t left_usec)
+Pe_PublishHostLeaving(struct pe_peers *peers, const char *host,
+                      int64_t left_usec)
 {
     char key[Fc_KEY_MAX];
     struct fc_post post = {
         .key = key,
         .version = 1,
         .scope = FC_CLUSTER,
-        /* The time left shrinks with the time to live on its way. */
-        .ttl_usec = Pe_LEAVING_TTL + left_usec,
+        /* Readers derive the remaining time from the remaining TTL. */
+        .ttl_usec = Pe_LEAVING_TTL_USEC + left_usec,
         .value = "",
     };
     if (Pf_WriteName(Pf_LEAVING, host, "", key, sizeof(key))) {
@@ -540,9 +546,10 @@
     }
 }
 
-/* Tells every daemon to give a version no new work. */
+/* Announces to all daemons that a version must get no new requests. */
 void
-Pe_Distrust(struct pe_peers *peers, const char *service, const char *version)
+Pe_PublishDistrust(struct pe_peers *peers, const char *service,
+                   const char *version)
 {
     char key[Fc_KEY_MAX];
     char value[Fc_VALUE_MAX];
@@ -550,10 +557,10 @@
         .key = key,
         .version = 1,
         .scope = FC_CLUSTER,
-        .ttl_usec = Pe_DISTRUST_TTL,
+        .ttl_usec = Pe_DISTRUST_TTL_USEC,
         .value = value,
     };
-    /* Two names may be longer than a key: they stand in the value. */
+    /* Two names may exceed a key; the value holds them, the key a hash. */
     if (Pf_WriteName(Pf_DISTRUST, service, version, value, sizeof(value))) {
         snprintf(key, sizeof(key), Pf_DISTRUST "%016llx",
                  (unsigned long long)Hash_String(value, 0));
@@ -562,9 +569,9 @@
     }
 }
 
-/* Tells what this daemon knows of parts of prompts that end engines. */
+/* Publishes what this daemon knows of prompt parts that crash engines. */
 void
-Pe_Poison(struct pe_peers *peers, const struct gq_word *word)
+Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *word)
 {
     static const char *const keys[] = {Pp_ENDED, Pp_BEGUN, Pp_STOPPED};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
@@ -574,7 +581,7 @@
             .owned = true,
             .version = next_version(peers, keys[i]),
             .scope = FC_CLUSTER,
-            .ttl_usec = Pe_POISON_TTL,
+            .ttl_usec = Pe_POISON_TTL_USEC,
             .value = value,
         };
         post.len = Pp_Write(keys[i], word, value, sizeof(value));
@@ -584,9 +591,9 @@
     }
 }
 
-/* Tells the others what this daemon's callers ask for. */
+/* Publishes the demand of this daemon's callers on shared limits. */
 void
-Pe_Demand(struct pe_peers *peers, const struct pf_demands *demands)
+Pe_PublishDemand(struct pe_peers *peers, const struct pf_demands *demands)
 {
     char value[Fc_VALUE_MAX];
     struct fc_post post = {
@@ -594,7 +601,7 @@
         .owned = true,
         .version = next_version(peers, Pf_DEMAND),
         .scope = FC_CLUSTER,
-        .ttl_usec = Pe_DEMAND_TTL,
+        .ttl_usec = Pe_DEMAND_TTL_USEC,
         .value = value,
     };
     post.len = Pf_WriteDemands(demands, value, sizeof(value));
@@ -609,8 +616,9 @@
 }
 
 /*
- * Sends a report to a move's holder.  One that is lost is not sent again:
- * both versions are missing from it alike.
+ * Sends a router's report to the lease holder of a version move.  A lost
+ * report is not repeated: it would have counted both versions, so its loss
+ * does not bias the comparison.
  */
 void
 Pe_SendEvidence(struct pe_peers *peers, const char *node, const char *text,
@@ -634,14 +642,17 @@
     free(call);
 }
 
-/* Asks the keeper of a slot; "reply" comes exactly once, later. */
+/*
+ * Calls the daemon that keeps a claim slot.  After ST_OK, "reply" is called
+ * exactly once, later.
+ */
 enum st_status
 Pe_AskClaim(struct pe_peers *peers, const char *node, const char *payload,
             size_t len, int64_t timeout_usec, gc_reply_fn reply, void *arg)
 {
     struct claim_call *call = calloc(1, sizeof(*call));
     if (call == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory to ask another daemon");
+        return St_Fail(ST_NO_MEMORY, "no memory for a call to another daemon");
     }
     call->reply = reply;
     call->arg = arg;
@@ -653,7 +664,7 @@
     return status;
 }
 
-/* The port for other daemons. */
+/* The port on which peers reach this daemon. */
 uint16_t
 Pe_Port(const struct pe_peers *peers)
 {
@@ -661,8 +672,9 @@
 }
 
 /*
- * The member for a job.  The claim slots alone ask 800 times a second, and
- * each answer ranks all members: it is kept until the table changes.
+ * The member responsible for a job.  The claim slots alone need it 800 times a
+ * second, and each lookup ranks all members, so the result is cached until
+ * the membership table changes.
  */
 static const struct mb_record *
 member_for(struct pe_peers *peers, const char *key)
@@ -678,7 +690,7 @@
     return memo->member;
 }
 
-/* The daemon that should do a job; NULL: this one. */
+/* The daemon responsible for a job; NULL: this daemon. */
 const char *
 Pe_Responsible(struct pe_peers *peers, const char *key)
 {
@@ -689,7 +701,7 @@
     return member->id;
 }
 
-/* Ids of the daemons that take new requests; returns how many there are. */
+/* Ids of the daemons that accept new requests; returns their number. */
 size_t
 Pe_Routers(const struct pe_peers *peers, const char **out, size_t max)
 {
@@ -704,10 +716,12 @@
     return count;
 }
 
-/* Whether this daemon is one of two of its data centre that read the config
- * stream at short intervals. */
+/*
+ * Whether this daemon is one of the two in its data centre that poll the
+ * config stream at short intervals.
+ */
 bool
-Pe_ReadsFast(const struct pe_peers *peers)
+Pe_IsConfigReader(const struct pe_peers *peers)
 {
     const struct mb_record *readers[Pe_WATCHERS];
     size_t count =
@@ -739,11 +753,11 @@
 }
 
 /*
- * Whether this daemon is one of the two that watch an endpoint: of its data
- * centre, or of all when no daemon stands there.
+ * Whether this daemon is one of the two that watch an endpoint.  Watchers are
+ * in the data centre of the endpoint, or anywhere if it has no daemon.
  */
 bool
-Pe_Watches(struct pe_peers *peers, const struct ch_info *info)
+Pe_IsWatcher(struct pe_peers *peers, const struct ch_info *info)
 {
     uint64_t generation = Mb_Generation(Nd_Members(peers->node)) + 1;
     uint64_t key = Hash_String(info->id, Hash_String(info->data_centre, 0));
@@ -757,9 +771,9 @@
 }
 
 /*
- * Whether a daemon's run is taken to have ended: it is dead, or back with
- * another incarnation.  A daemon that has just started knows too little of
- * the others to say so.
+ * Whether a run of a daemon has ended: the daemon is dead, or has restarted
+ * with another incarnation.  Always false for other daemons just after a
+ * start, when this daemon does not know the membership yet.
  */
 bool
 Pe_RunEnded(const struct pe_peers *peers, const char *node,
@@ -776,18 +790,18 @@
         return true;
     }
     struct pf_config config;
-    return config_of(peers, node, &config) &&
+    return find_config(peers, node, &config) &&
            config.incarnation != incarnation;
 }
 
-/* The highest configuration offset that any daemon has told of. */
+/* The highest config offset that any daemon has published. */
 uint64_t
 Pe_HighestOffset(const struct pe_peers *peers)
 {
-    return peers->highest;
+    return peers->highest_offset;
 }
 
-/* A state as operators read it. */
+/* The name of a member state in the status document. */
 static const char *
 state_name(enum mb_state state)
 {
@@ -814,7 +828,7 @@
     if (self) {
         offset = own_offset;
     }
-    else if (config_of(peers, member->id, &config)) {
+    else if (find_config(peers, member->id, &config)) {
         offset = config.offset;
     }
     char address[Mb_ADDRESS_MAX + 8];
@@ -826,7 +840,7 @@
                      (json_int_t)offset);
 }
 
-/* The daemons as this one knows them, a new reference. */
+/* A new array of all daemons, in this daemon's view. */
 json_t *
 Pe_Status(const struct pe_peers *peers, uint64_t own_offset)
 {
@@ -845,7 +859,7 @@
     return list;
 }
 
-/* The node, for what this module does not wrap. */
+/* The cluster node, for operations that this module does not wrap. */
 struct nd_node *
 Pe_Node(const struct pe_peers *peers)
 {
