--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -70,7 +70,7 @@
         Pe_HighestOffset(daemon->peers)) {
         return "the configuration is behind that of other daemons";
     }
-    if (Mo_IsLearning(daemon->gate.moves) &&
+    if (Mo_IsStateUnread(daemon->gate.moves) &&
         Ck_Now(daemon->gate.clock) - daemon->started < Dm_HEAR_USEC) {
         return "it has not been read yet how the version moves stand";
     }
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -228,7 +228,7 @@
 peer_evidence(void *arg, const char *text, size_t len)
 {
     struct dm_daemon *daemon = arg;
-    Mo_Report(daemon->gate.moves, text, len);
+    Mo_HandleReport(daemon->gate.moves, text, len);
 }
 
 static void
@@ -269,12 +269,12 @@
 }
 
 static void
-move_report(void *arg, const char *job, const char *text, size_t len)
+move_send_report(void *arg, const char *job, const char *text, size_t len)
 {
     struct dm_daemon *daemon = arg;
     const char *holder = Pe_Responsible(daemon->peers, job);
     if (holder == NULL) {
-        Mo_Report(daemon->gate.moves, text, len);
+        Mo_HandleReport(daemon->gate.moves, text, len);
         return;
     }
     Pe_SendEvidence(daemon->peers, holder, text, len);
@@ -296,7 +296,7 @@
 
 const struct mo_ops dm_move_ops = {
     .should_hold = move_should_hold,
-    .report = move_report,
+    .send_report = move_send_report,
     .distrust = move_distrust,
     .routers = move_routers,
 };
--- a/packages/gate/moves.c
+++ b/packages/gate/moves.c
@@ -9,9 +9,9 @@
 #include "gate/endpoints.h"
 #include "gate/events.h"
 
-#define Mo_PERIOD (500 * Ck_USEC_PER_MSEC)
+#define Mo_PERIOD_USEC (500 * Ck_USEC_PER_MSEC)
 
-/* Creates the moves; Mo_SetControl() must follow before the first tick. */
+/* Call Mo_SetControl() before the first tick. */
 enum st_status
 Mo_Create(struct gt_gate *gate, const struct mo_ops *ops, void *arg,
           struct mo_moves **out)
@@ -28,7 +28,7 @@
     return ST_OK;
 }
 
-/* Frees the moves; call it after the control stream is destroyed. */
+/* Call it after the control stream is destroyed. */
 void
 Mo_Destroy(struct mo_moves *moves)
 {
@@ -44,14 +44,13 @@
     free(moves);
 }
 
-/* The stream that holds the moves' state and leases. */
+/* Sets the stream that holds the state and the leases of the moves. */
 void
 Mo_SetControl(struct mo_moves *moves, struct ct_control *control)
 {
     moves->control = control;
 }
 
-/* The entry of a service, or NULL. */
 struct mo_service *
 Mo_Find(const struct mo_moves *moves, const char *name)
 {
@@ -82,9 +81,9 @@
     return service;
 }
 
-/* The move as the log has it for the configured plan, or NULL. */
+/* The logged state of the configured move, or NULL if it has none yet. */
 const struct mv_move *
-Mo_InForce(const struct mo_service *service)
+Mo_LoggedMove(const struct mo_service *service)
 {
     if (!service->recorded || service->plan.to[0] == '\0' ||
         strcmp(service->record.move.plan.to, service->plan.to) != 0) {
@@ -93,22 +92,22 @@
     return &service->record.move;
 }
 
-/* Whether the configured move still has to be worked on. */
+/* Whether the configured move needs a lease holder. */
 bool
-Mo_Active(const struct mo_service *service)
+Mo_NeedsHolder(const struct mo_service *service)
 {
     if (service->plan.to[0] == '\0') {
         return false;
     }
-    const struct mv_move *move = Mo_InForce(service);
+    const struct mv_move *move = Mo_LoggedMove(service);
     if (move == NULL || !Mv_IsOver(move)) {
         return true;
     }
-    /* A move that is done can still be withdrawn. */
+    /* The operator may withdraw a move even after it is done. */
     return service->plan.withdrawn && move->phase == MV_DONE;
 }
 
-/* ---- the component of the control stream's state ---- */
+/* ---- replicated state in the control stream ---- */
 
 static void
 reset(void *arg)
@@ -121,7 +120,7 @@
 }
 
 static void
-say_end(const struct mw_record *record)
+log_end(const struct mw_record *record)
 {
     if (Mv_IsOver(&record->move)) {
         Ev_Log(&GT_MOVE_OVER, "service=%s phase=%s sentence=\"%s\"",
@@ -131,9 +130,10 @@
 }
 
 /*
- * Takes a holder's record.  One that does not carry the fence of the job's
- * lease at this point of the log comes from a holder that was replaced; all
- * daemons skip it alike, so that a paused holder cannot overrule the next.
+ * Applies a record of a lease holder.  A record whose fencing token is not
+ * that of the lease at this point of the log was written by a former holder.
+ * All daemons skip it, so that a paused former holder cannot overwrite the
+ * state of its successor.
  */
 static void
 apply(void *arg, const struct rc_record *record)
@@ -141,7 +141,7 @@
     struct mo_moves *moves = arg;
     struct mw_record move;
     struct ls_lease lease;
-    if (!Rc_Is(record, Mw_KIND) || !Mw_Read(record->body, &move)) {
+    if (!Rc_Is(record, Mw_KIND) || !Mw_ReadRecord(record->body, &move)) {
         return;
     }
     struct mo_service *service = find_or_add(moves, move.move.plan.service);
@@ -153,7 +153,7 @@
     }
     service->record = move;
     service->recorded = true;
-    say_end(&move);
+    log_end(&move);
 }
 
 static void
@@ -164,7 +164,8 @@
     TAILQ_FOREACH (service, &moves->services, link) {
         if (service->recorded) {
             json_array_append_new(
-                list, json_pack("{s:o}", Mw_KIND, Mw_Body(&service->record)));
+                list,
+                json_pack("{s:o}", Mw_KIND, Mw_WriteRecord(&service->record)));
         }
     }
 }
@@ -175,7 +176,7 @@
     struct mo_moves *moves = arg;
     struct mw_record record;
     const json_t *body = json_object_get(entry, Mw_KIND);
-    if (body == NULL || !Mw_Read(body, &record)) {
+    if (body == NULL || !Mw_ReadRecord(body, &record)) {
         return;
     }
     struct mo_service *service = find_or_add(moves, record.move.plan.service);
@@ -185,7 +186,7 @@
     }
 }
 
-/* The moves' component of the control stream. */
+/* The replicated state of the moves, for the control stream. */
 struct ct_component
 Mo_Component(struct mo_moves *moves)
 {
@@ -199,10 +200,10 @@
     return component;
 }
 
-/* ---- the plan of the configuration ---- */
+/* ---- plans from the configuration ---- */
 
 static void
-take_plan(struct mo_moves *moves, const struct cf_service *configured)
+update_plan(struct mo_moves *moves, const struct cf_service *configured)
 {
     const struct cf_move *wanted = &configured->move;
     struct mv_plan plan = {0};
@@ -223,7 +224,7 @@
         return;
     }
     if (strcmp(service->plan.to, plan.to) != 0) {
-        /* Nothing seen of one version says anything of another. */
+        /* Outcomes of the former new version do not apply to this one. */
         Mv_TripInit(&service->trip);
         service->report.count = 0;
     }
@@ -231,17 +232,17 @@
 }
 
 static void
-take_plans(struct mo_moves *moves)
+update_plans(struct mo_moves *moves)
 {
     const struct cf_config *config = moves->gate->config;
     for (size_t i = 0; config != NULL && i < config->service_count; i++) {
-        take_plan(moves, &config->services[i]);
+        update_plan(moves, &config->services[i]);
     }
 }
 
-/* Whether it is not known yet how a configured move stands. */
+/* Whether a move is configured whose state is not yet read from the log. */
 bool
-Mo_IsLearning(const struct mo_moves *moves)
+Mo_IsStateUnread(const struct mo_moves *moves)
 {
     const struct cf_config *config = moves->gate->config;
     if (Ct_Ready(moves->control)) {
@@ -256,8 +257,8 @@
 }
 
 /*
- * Does what is due, as router and as holder; with a new configuration at once,
- * as requests are sent by it from now on.
+ * Does the periodic work of router and lease holder.  A new configuration is
+ * handled at once, since requests are routed by it from now on.
  */
 void
 Mo_Tick(struct mo_moves *moves)
@@ -269,9 +270,9 @@
     if (!due || !Ct_Ready(moves->control)) {
         return;
     }
-    moves->next_tick = now + Mo_PERIOD;
+    moves->next_tick = now + Mo_PERIOD_USEC;
     moves->config_offset = offset;
-    take_plans(moves);
+    update_plans(moves);
     struct mo_service *service;
     TAILQ_FOREACH (service, &moves->services, link) {
         Mo_RouterTick(moves, service);
@@ -282,7 +283,7 @@
 static json_t *
 move_status(const struct mo_service *service)
 {
-    const struct mv_move *move = Mo_InForce(service);
+    const struct mv_move *move = Mo_LoggedMove(service);
     char sentence[Mw_SENTENCE_MAX] = "planned; not begun";
     if (move != NULL) {
         strlcpy(sentence, service->record.sentence, sizeof(sentence));
@@ -294,7 +295,7 @@
         move != NULL ? move->share : 0.0, "sentence", sentence);
 }
 
-/* The moves of the configuration, the same from every daemon. */
+/* A new array of the configured moves; the same on every daemon. */
 json_t *
 Mo_Status(const struct mo_moves *moves)
 {
--- a/packages/gate/moves.h
+++ b/packages/gate/moves.h
@@ -1,6 +1,8 @@
 /*
- * Version moves on this daemon: the state that the log gives each move, the
- * router's own guard and evidence, and the work of the move's holder.
+ * Version moves: the gradual shift of a service's traffic from one version to
+ * another.  This module replicates the state of each move from the log, runs
+ * this router's circuit breaker and outcome counts, and does the work of the
+ * lease holder that advances a move.
  */
 #ifndef GATE_MOVES_H
 #define GATE_MOVES_H
@@ -17,7 +19,7 @@
 
 struct mo_moves;
 
-/* What a router saw of one request. */
+/* The outcome of one request, as its router saw it. */
 struct mo_outcome {
     const char *service;
     const char *version;
@@ -25,18 +27,19 @@
     const char *route;
     bool patient;
     bool failed;
-    int64_t first_token_usec; /* when it did not fail */
+    int64_t first_token_usec; /* latency; undefined if the request failed */
     int64_t target_usec;      /* target for the first token; 0: none */
 };
 
 struct mo_ops {
-    /* Whether this daemon should hold the job. */
+    /* Whether this daemon should hold the lease of the job. */
     bool (*should_hold)(void *arg, const char *job);
-    /* Sends a router's report to the daemon that should hold the job. */
-    void (*report)(void *arg, const char *job, const char *text, size_t len);
-    /* Every daemon must give a version no new work. */
+    /* Sends a router's report to the daemon responsible for the job. */
+    void (*send_report)(void *arg, const char *job, const char *text,
+                        size_t len);
+    /* Announces to all daemons that a version must get no new requests. */
     void (*distrust)(void *arg, const char *service, const char *version);
-    /* Ids of the daemons that route; returns how many were written. */
+    /* Ids of the daemons that route; returns the number written. */
     size_t (*routers)(void *arg, const char **out, size_t max);
 };
 
@@ -49,10 +52,10 @@
 /* Commands. */
 void Mo_Tick(struct mo_moves *moves);
 void Mo_Note(struct mo_moves *moves, const struct mo_outcome *outcome);
-void Mo_Report(struct mo_moves *moves, const char *text, size_t len);
+void Mo_HandleReport(struct mo_moves *moves, const char *text, size_t len);
 
 /* Queries. */
-bool Mo_IsLearning(const struct mo_moves *moves);
+bool Mo_IsStateUnread(const struct mo_moves *moves);
 json_t *Mo_Status(const struct mo_moves *moves);
 
 #ifdef __cplusplus
--- a/packages/gate/moves_holder.c
+++ b/packages/gate/moves_holder.c
@@ -1,8 +1,9 @@
 /*
- * The work of a move's holder: it gathers the routers' evidence, decides,
- * and writes each decision to the log under its lease.  A new holder goes on
- * from the last record; what it does not know of the evidence it gathers
- * anew, and the routers' distrust holds meanwhile.
+ * The work of the lease holder of a version move.  It merges the reports of
+ * the routers, decides on the next step, and writes each decision to the log
+ * with the fencing token of its lease.  A new holder continues from the last
+ * record in the log.  It starts without the evidence of its predecessor and
+ * collects it anew; versions that routers distrust stay distrusted meanwhile.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,12 +13,12 @@
 #include "gate/events.h"
 #include "gate/moves_internal.h"
 
-#define Mo_FALSE_ALARMS 0.01
+#define Mo_FALSE_ALARM_RATE 0.01
 #define Mo_APPEND_USEC (5 * Ck_USEC_PER_SEC)
-/* Reports come some seconds after their block has ended. */
-#define Mo_CLOSE_EVERY Mv_BLOCK_USEC
+/* Reports arrive some seconds after their block has ended. */
+#define Mo_CLOSE_USEC Mv_BLOCK_USEC
 
-/* Gives up what only a holder has. */
+/* Frees the state that only the lease holder has. */
 void
 Mo_HolderStop(struct mo_service *service)
 {
@@ -32,12 +33,12 @@
 start_holding(struct mo_moves *moves, struct mo_service *service)
 {
     int64_t wall = Ck_Wall(moves->gate->clock);
-    service->evidence = Mv_EvidenceCreate(Mo_FALSE_ALARMS);
+    service->evidence = Mv_EvidenceCreate(Mo_FALSE_ALARM_RATE);
     if (service->evidence == NULL) {
         return false;
     }
     service->holding = true;
-    service->block_closed = Ck_Now(moves->gate->clock);
+    service->block_closed_at = Ck_Now(moves->gate->clock);
     if (service->recorded) {
         service->working = service->record.move;
         return true;
@@ -55,28 +56,29 @@
 }
 
 static bool
-same_state(const struct mo_service *service)
+is_recorded(const struct mo_service *service)
 {
     const struct mv_move *now = &service->working;
-    const struct mv_move *then = &service->record.move;
-    return service->recorded && now->phase == then->phase &&
-           now->share == then->share && now->started == then->started &&
-           strcmp(now->plan.to, then->plan.to) == 0 &&
-           strcmp(now->plan.from, then->plan.from) == 0 &&
-           now->plan.deadline == then->plan.deadline &&
-           now->plan.withdrawn == then->plan.withdrawn;
+    const struct mv_move *recorded = &service->record.move;
+    return service->recorded && now->phase == recorded->phase &&
+           now->share == recorded->share &&
+           now->started == recorded->started &&
+           strcmp(now->plan.to, recorded->plan.to) == 0 &&
+           strcmp(now->plan.from, recorded->plan.from) == 0 &&
+           now->plan.deadline == recorded->plan.deadline &&
+           now->plan.withdrawn == recorded->plan.withdrawn;
 }
 
 /*
- * Writes the state as it is now.  Until it is read back nothing further is
- * decided: the routers act on what the log says, and evidence gathered under
- * the last state must not be taken for evidence under the next.
+ * Appends the working state to the log.  No further decision is made until it
+ * has been read back: the routers act on the state in the log, and reports
+ * made under one state must not count as evidence for the next.
  */
 static void
 write_state(struct mo_moves *moves, struct mo_service *service)
 {
     struct ls_permit permit;
-    if (service->appending || same_state(service) ||
+    if (service->appending || is_recorded(service) ||
         !Le_MayAct(Ct_Leases(moves->control), service->job, &permit)) {
         return;
     }
@@ -86,12 +88,14 @@
     };
     Mv_Sentence(&service->working, record.sentence, sizeof(record.sentence));
     int64_t deadline = Ck_Now(moves->gate->clock) + Mo_APPEND_USEC;
-    service->appending = Ct_Append(moves->control, Mw_KIND, Mw_Body(&record),
-                                   deadline, record_written, service) == ST_OK;
+    service->appending =
+        Ct_Append(moves->control, Mw_KIND, Mw_WriteRecord(&record), deadline,
+                  record_written, service) == ST_OK;
 }
 
 static void
-look(struct mo_moves *moves, struct mo_service *service, struct mv_view *view)
+collect_view(struct mo_moves *moves, struct mo_service *service,
+             struct mv_view *view)
 {
     struct ch_table *table = Ep_Table(moves->gate->endpoints, service->name);
     const char *routers[Mo_ROUTERS_MAX];
@@ -121,7 +125,7 @@
     view->new_capacity =
         old_slots > new_slots ? (double)new_slots / old_slots : 1;
     view->distrusted = !Ch_Trusted(table, service->working.plan.to);
-    /* Every router carries about as much as this one. */
+    /* The load is spread evenly, so each router has about the same. */
     view->per_sec =
         capacity.per_sec *
         (double)moves->ops->routers(moves->arg, routers, Mo_ROUTERS_MAX);
@@ -137,24 +141,24 @@
     int64_t now = Ck_Now(moves->gate->clock);
     int64_t wall = Ck_Wall(moves->gate->clock);
     struct mv_view view;
-    if (now - service->block_closed >= Mo_CLOSE_EVERY) {
-        service->block_closed = now;
+    if (now - service->block_closed_at >= Mo_CLOSE_USEC) {
+        service->block_closed_at = now;
         Mv_CloseBlock(service->evidence);
     }
-    if (same_state(service)) {
+    if (is_recorded(service)) {
         Mv_Revise(&service->working, &service->plan, wall);
-        look(moves, service, &view);
+        collect_view(moves, service, &view);
         Mv_Tick(&service->working, service->evidence, &view, wall);
     }
     write_state(moves, service);
 }
 
-/* Takes the job, works on it, or leaves it. */
+/* Acquires or releases the lease, and advances the move while held. */
 void
 Mo_HolderTick(struct mo_moves *moves, struct mo_service *service)
 {
     struct le_book *leases = Ct_Leases(moves->control);
-    bool wanted = Mo_Active(service) &&
+    bool wanted = Mo_NeedsHolder(service) &&
                   moves->ops->should_hold(moves->arg, service->job);
     if (!wanted && !service->holding && !Le_Holds(leases, service->job)) {
         return;
@@ -171,9 +175,9 @@
     decide(moves, service);
 }
 
-/* A router's report has come. */
+/* Handles a report of a router; ignored unless this daemon is the holder. */
 void
-Mo_Report(struct mo_moves *moves, const char *text, size_t len)
+Mo_HandleReport(struct mo_moves *moves, const char *text, size_t len)
 {
     struct mw_report *report = calloc(1, sizeof(*report));
     if (report == NULL) {
--- a/packages/gate/moves_internal.h
+++ b/packages/gate/moves_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of version moves only. */
+/* Private to moves.c, moves_holder.c and moves_router.c. */
 #ifndef GATE_MOVES_INTERNAL_H
 #define GATE_MOVES_INTERNAL_H
 
@@ -8,29 +8,29 @@
 #define Mo_JOB_MAX 80
 #define Mo_ROUTERS_MAX 512
 
-/* One service whose configuration names a move, or whose log state does. */
+/* A service with a move in its configuration or in the log. */
 struct mo_service {
     TAILQ_ENTRY(mo_service) link;
     char name[Mv_NAME_MAX];
-    char job[Mo_JOB_MAX];
-    struct mv_plan plan; /* as configured; "to" empty: no move */
+    char job[Mo_JOB_MAX]; /* of the lease: "move/NAME" */
+    struct mv_plan plan;  /* from the configuration; "to" empty: no move */
 
-    /* What the log says: the same on every daemon. */
+    /* State replicated from the log, the same on every daemon. */
     bool recorded;
     struct mw_record record;
 
-    /* This router's guard and evidence. */
+    /* This router's circuit breaker and outcome counts. */
     struct mv_trip trip;
-    struct mw_report report; /* of the open block */
-    int64_t block_begun;
+    struct mw_report report; /* of the current block */
+    int64_t block_started_at;
 
-    /* The holder's. */
+    /* Used by the lease holder only. */
     bool holding;
-    struct mv_move working;
+    struct mv_move working; /* not yet in the log if it differs */
     struct mv_evidence *evidence;
-    int64_t block_closed;
-    double peak_per_sec;
-    bool appending;
+    int64_t block_closed_at;
+    double peak_per_sec; /* highest request rate seen */
+    bool appending;      /* an append of the state is open */
 };
 
 TAILQ_HEAD(mo_list, mo_service);
@@ -42,12 +42,12 @@
     struct ct_control *control;
     struct mo_list services;
     int64_t next_tick;
-    uint64_t config_offset; /* of the configuration last worked by */
+    uint64_t config_offset; /* of the configuration that the plans are from */
 };
 
 struct mo_service *Mo_Find(const struct mo_moves *moves, const char *name);
-bool Mo_Active(const struct mo_service *service);
-const struct mv_move *Mo_InForce(const struct mo_service *service);
+bool Mo_NeedsHolder(const struct mo_service *service);
+const struct mv_move *Mo_LoggedMove(const struct mo_service *service);
 
 void Mo_RouterTick(struct mo_moves *moves, struct mo_service *service);
 void Mo_HolderTick(struct mo_moves *moves, struct mo_service *service);
--- a/packages/gate/moves_router.c
+++ b/packages/gate/moves_router.c
@@ -1,6 +1,7 @@
 /*
- * The router's side of a version move: its part of the share, its own trip,
- * and the evidence it reports to the move's holder.
+ * The router's side of a version move: the traffic share of the new version,
+ * this router's circuit breaker, and the outcome counts that it reports to the
+ * lease holder.
  */
 #include <bsd/string.h>
 #include <stdlib.h>
@@ -12,9 +13,9 @@
 #include "gate/events.h"
 #include "gate/moves_internal.h"
 
-#define Mo_ROUTES_OF_OWN 12
-#define Mo_VERY_SLOW 8 /* times the target for the first token */
-#define Mo_SHARES 2
+#define Mo_CELLS_MAX 12
+#define Mo_VERY_SLOW_FACTOR 8 /* times the target for the first token */
+#define Mo_VERSIONS 2
 
 static int
 in_flight(const struct ch_table *table)
@@ -31,31 +32,31 @@
 set_shares(struct mo_moves *moves, struct mo_service *service)
 {
     const char *routers[Mo_ROUTERS_MAX];
-    struct ch_share shares[Mo_SHARES] = {{.share = 1}, {.share = 0}};
-    const struct mv_move *move = Mo_InForce(service);
+    struct ch_share shares[Mo_VERSIONS] = {{.share = 1}, {.share = 0}};
+    const struct mv_move *move = Mo_LoggedMove(service);
     struct ch_table *table = Ep_Table(moves->gate->endpoints, service->name);
     strlcpy(shares[0].version, service->plan.from, sizeof(shares[0].version));
     strlcpy(shares[1].version, service->plan.to, sizeof(shares[1].version));
     if (move != NULL && table != NULL) {
-        struct mv_allotment part;
+        struct mv_allotment allotment;
         size_t count =
             moves->ops->routers(moves->arg, routers, Mo_ROUTERS_MAX);
-        /* Every router carries about as much as this one. */
+        /* The load is spread evenly, so each router has about the same. */
         int total = in_flight(table) * (int)count;
         Mv_Allot(move, moves->gate->options->node_id, routers, count, total,
-                 &part);
-        shares[1].share = part.share;
-        shares[1].max_in_flight = part.max_in_flight;
-        shares[0].share = 1 - part.share;
+                 &allotment);
+        shares[1].share = allotment.share;
+        shares[1].max_in_flight = allotment.max_in_flight;
+        shares[0].share = 1 - allotment.share;
     }
     bool over = move != NULL && Mv_IsOver(move);
-    Ep_SetShares(moves->gate->endpoints, service->name, shares, Mo_SHARES);
+    Ep_SetShares(moves->gate->endpoints, service->name, shares, Mo_VERSIONS);
     Ep_SetTrial(moves->gate->endpoints, service->name,
                 over ? NULL : service->plan.to);
 }
 
 static void
-trip(struct mo_moves *moves, struct mo_service *service)
+distrust_new(struct mo_moves *moves, struct mo_service *service)
 {
     Ev_Log(&GT_MOVE_TRIPPED, "service=%s version=%s", service->name,
            service->plan.to);
@@ -64,7 +65,8 @@
 }
 
 static struct mv_cell *
-cell_of(struct mw_report *report, const char *route, int request_class)
+find_or_add_cell(struct mw_report *report, const char *route,
+                 int request_class)
 {
     for (size_t i = 0; i < report->count; i++) {
         struct mv_cell *cell = &report->cells[i];
@@ -84,14 +86,14 @@
 }
 
 static void
-note_cell(struct mo_service *service, const struct mo_outcome *outcome,
-          enum mv_side side)
+count_outcome(struct mo_service *service, const struct mo_outcome *outcome,
+              enum mv_side side)
 {
-    /* Beyond a dozen routes the rest is counted as one. */
-    bool crowded = service->report.count >= Mo_ROUTES_OF_OWN;
+    /* Once all cells are in use, the rest counts as route "other". */
+    bool full = service->report.count >= Mo_CELLS_MAX;
     struct mv_cell *cell =
-        cell_of(&service->report, crowded ? "other" : outcome->route,
-                outcome->patient ? 1 : 0);
+        find_or_add_cell(&service->report, full ? "other" : outcome->route,
+                         outcome->patient ? 1 : 0);
     if (cell == NULL) {
         return;
     }
@@ -105,21 +107,23 @@
 }
 
 static enum mv_outcome
-judge(const struct mo_outcome *outcome)
+classify(const struct mo_outcome *outcome)
 {
     if (outcome->failed) {
         return MV_FAILED;
     }
     if (outcome->target_usec > 0 &&
-        outcome->first_token_usec > Mo_VERY_SLOW * outcome->target_usec) {
+        outcome->first_token_usec >
+            Mo_VERY_SLOW_FACTOR * outcome->target_usec) {
         return MV_VERY_SLOW;
     }
     return MV_GOOD;
 }
 
 /*
- * Enters what a request showed of its version.  A fault that is plain to see
- * stops this router's traffic at once, without the log or any message.
+ * Counts the outcome of a request for its version.  If the circuit breaker
+ * trips, this router sends the new version no more requests at once, without
+ * waiting for the log or for a peer.
  */
 void
 Mo_Note(struct mo_moves *moves, const struct mo_outcome *outcome)
@@ -138,12 +142,12 @@
     else {
         return;
     }
-    note_cell(service, outcome, side);
+    count_outcome(service, outcome, side);
     bool before = service->trip.tripped;
     uint64_t endpoint = Hash_String(outcome->endpoint, 0);
-    if (Mv_TripNoteAt(&service->trip, side, judge(outcome), endpoint) &&
+    if (Mv_TripNoteAt(&service->trip, side, classify(outcome), endpoint) &&
         !before) {
-        trip(moves, service);
+        distrust_new(moves, service);
     }
 }
 
@@ -160,13 +164,13 @@
     strlcpy(report->router, moves->gate->incarnation, sizeof(report->router));
     char *text = Mw_WriteReport(report);
     if (text != NULL) {
-        moves->ops->report(moves->arg, service->job, text, strlen(text));
+        moves->ops->send_report(moves->arg, service->job, text, strlen(text));
     }
     free(text);
     report->count = 0;
 }
 
-/* Brings this router's part of the share up to date and reports. */
+/* Updates the traffic share of this router and sends the report when due. */
 void
 Mo_RouterTick(struct mo_moves *moves, struct mo_service *service)
 {
@@ -175,8 +179,8 @@
         return;
     }
     set_shares(moves, service);
-    if (now - service->block_begun >= Mv_BLOCK_USEC) {
-        service->block_begun = now;
+    if (now - service->block_started_at >= Mv_BLOCK_USEC) {
+        service->block_started_at = now;
         send_report(moves, service);
     }
 }
--- a/packages/gate/moves_wire.c
+++ b/packages/gate/moves_wire.c
@@ -16,9 +16,9 @@
     return json_integer_value(json_object_get(object, key));
 }
 
-/* The body of a record; a new reference. */
+/* Encodes the body of a record; a new reference. */
 json_t *
-Mw_Body(const struct mw_record *record)
+Mw_WriteRecord(const struct mw_record *record)
 {
     const struct mv_move *move = &record->move;
     const struct mv_plan *plan = &move->plan;
@@ -34,9 +34,9 @@
         move->reason, "sentence", record->sentence);
 }
 
-/* Reads a record's body; false when it is none. */
+/* Decodes the body of a record; false when it is malformed. */
 bool
-Mw_Read(const json_t *body, struct mw_record *out)
+Mw_ReadRecord(const json_t *body, struct mw_record *out)
 {
     memset(out, 0, sizeof(*out));
     struct mv_move *move = &out->move;
@@ -68,7 +68,7 @@
     return json_pack("[i,i]", (int)values[MV_OLD], (int)values[MV_NEW]);
 }
 
-/* Only the buckets that hold something: [bucket, count, ...]. */
+/* The buckets that are not empty, as [bucket, count, ...]. */
 static json_t *
 buckets(const uint32_t *counts)
 {
@@ -82,7 +82,7 @@
     return list;
 }
 
-/* What a router reports, as text to be freed; NULL without memory. */
+/* Encodes a report as JSON text to be freed; NULL when out of memory. */
 char *
 Mw_WriteReport(const struct mw_report *report)
 {
@@ -136,7 +136,7 @@
     read_buckets(json_array_get(times, MV_NEW), out->first_token[MV_NEW]);
 }
 
-/* Reads a report; false when it is none. */
+/* Decodes a report; false when it is malformed. */
 bool
 Mw_ReadReport(const char *text, size_t len, struct mw_report *out)
 {
