--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -13,26 +13,26 @@
 #include "gate/request.h"
 #include "gate/status.h"
 
-#define Dm_TICK (20 * Ck_USEC_PER_MSEC)
-#define Dm_OFFSET_PERIOD (1200 * Ck_USEC_PER_SEC)
+#define Dm_TICK_USEC (20 * Ck_USEC_PER_MSEC)
+#define Dm_OFFSET_PERIOD_USEC (1200 * Ck_USEC_PER_SEC)
 /*
- * How long a new daemon waits for word of the others before it trusts what
- * the log alone shows: the log may answer with an end that lags.  As long it
- * waits for the log to show how version moves stand.
+ * A new daemon waits this long to hear from a peer before it relies on the log
+ * alone, since a read may return an end of the log that lags behind.  It waits
+ * as long for the state of version moves from the log.
  */
-#define Dm_HEAR_USEC (5 * Ck_USEC_PER_SEC)
-#define Dm_BEHIND_USEC (1 * Ck_USEC_PER_SEC)
-#define Dm_SHARING_PERIOD (1 * Ck_USEC_PER_SEC)
-#define Dm_HOSTS_PERIOD (500 * Ck_USEC_PER_MSEC)
-#define Dm_PULL_PERIOD (200 * Ck_USEC_PER_MSEC)
-/* A daemon is taken for silent after four intervals without a word. */
-#define Dm_DEMANDS_SKIPPED 2
-/* Appends a second of one daemon; the keeper sets those for claims. */
-#define Dm_CONFIG_APPENDS 5
-#define Dm_LEASE_APPENDS 5
-#define Dm_EVIDENCE_APPENDS 1
+#define Dm_START_WAIT_USEC (5 * Ck_USEC_PER_SEC)
+#define Dm_LAG_USEC (1 * Ck_USEC_PER_SEC)
+#define Dm_POLLING_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
+#define Dm_HOSTS_PERIOD_USEC (500 * Ck_USEC_PER_MSEC)
+#define Dm_PULL_PERIOD_USEC (200 * Ck_USEC_PER_MSEC)
+/* Peers treat a daemon as silent after four intervals without demand. */
+#define Dm_DEMANDS_SKIPPED_MAX 2
+/* Appends a second of one daemon; claims.c sets the rate for claims. */
+#define Dm_CONFIG_APPENDS_PER_SEC 5
+#define Dm_LEASE_APPENDS_PER_SEC 5
+#define Dm_EVIDENCE_APPENDS_PER_SEC 1
 #define Dm_APPEND_BURST 20
-#define Dm_BODY_MAX ((size_t)1 << 20)
+#define Dm_BODY_MAX_BYTES ((size_t)1 << 20)
 #define Dm_INCARNATION_MASK (UINT64_MAX >> 1)
 
 static const char *const caller_headers[] = {
@@ -41,8 +41,9 @@
 };
 
 /*
- * Why callers are not served yet, or NULL.  A daemon that starts while its
- * own way to the log is cut must not serve with less than its peers know.
+ * The reason why the daemon is not ready to serve callers, or NULL.  A daemon
+ * that starts while it cannot reach the log must not serve with an older
+ * configuration than its peers have.
  */
 const char *
 Dm_NotReady(const struct dm_daemon *daemon)
@@ -59,8 +60,8 @@
     if (!Cs_IsComplete(daemon->config)) {
         return "the configuration has not been read to its end yet";
     }
-    if (daemon->others_listed && !Pe_PeerOffsetKnown(daemon->peers) &&
-        Ck_Now(daemon->gate.clock) - daemon->started < Dm_HEAR_USEC) {
+    if (daemon->peers_listed && !Pe_PeerOffsetKnown(daemon->peers) &&
+        Ck_Now(daemon->gate.clock) - daemon->started < Dm_START_WAIT_USEC) {
         return "no other daemon has been heard of yet";
     }
     if (In_IsJoining(daemon->gate.intake)) {
@@ -71,28 +72,28 @@
         return "the configuration is behind that of other daemons";
     }
     if (Mo_IsStateUnread(daemon->gate.moves) &&
-        Ck_Now(daemon->gate.clock) - daemon->started < Dm_HEAR_USEC) {
+        Ck_Now(daemon->gate.clock) - daemon->started < Dm_START_WAIT_USEC) {
         return "it has not been read yet how the version moves stand";
     }
     return NULL;
 }
 
 static void
-take_request(void *arg, struct hs_request *http)
+on_request(void *arg, struct hs_request *http)
 {
     struct dm_daemon *daemon = arg;
     Rq_Accept(&daemon->gate, http);
 }
 
 static void
-take_gone(void *arg, struct hs_request *http)
+on_caller_gone(void *arg, struct hs_request *http)
 {
     struct dm_daemon *daemon = arg;
     Rq_CallerGone(&daemon->gate, http);
 }
 
 static void
-take_drained(void *arg, struct hs_request *http)
+on_drained(void *arg, struct hs_request *http)
 {
     struct rq_request *request = Hs_User(http);
     if (request != NULL) {
@@ -101,9 +102,9 @@
 }
 
 static const struct hs_ops caller_ops = {
-    .request = take_request,
-    .gone = take_gone,
-    .drained = take_drained,
+    .request = on_request,
+    .gone = on_caller_gone,
+    .drained = on_drained,
 };
 
 static void
@@ -165,9 +166,9 @@
     struct rq_request *request;
     TAILQ_FOREACH (request, &daemon->gate.requests, link) {
         Ev_Log(&GT_CUT, "request=%s", request->id);
-        daemon->cut++;
+        daemon->requests_cut++;
     }
-    if (daemon->cut == 0) {
+    if (daemon->requests_cut == 0) {
         Ev_Log(&GT_STOPPED, "forced=%d", forced ? 1 : 0);
     }
     Lp_Stop(daemon->gate.loop);
@@ -183,9 +184,9 @@
 };
 
 /*
- * Word of a change makes a daemon read the log at once.  One that is still
- * behind a while later, since it cannot read the log, takes the sections of a
- * peer that has read further.
+ * A daemon polls the log as soon as a peer announces a higher config offset.
+ * If it is still behind after Dm_LAG_USEC, because it cannot read the log, it
+ * fetches the configuration from the peer that has read furthest.
  */
 static void
 catch_up(struct dm_daemon *daemon, int64_t now)
@@ -196,24 +197,24 @@
         return;
     }
     bool waited = daemon->gate.config == NULL ||
-                  now - daemon->behind_since >= Dm_BEHIND_USEC;
+                  now - daemon->behind_since >= Dm_LAG_USEC;
     if (waited && now >= daemon->next_pull) {
-        daemon->next_pull = now + Dm_PULL_PERIOD;
+        daemon->next_pull = now + Dm_PULL_PERIOD_USEC;
         Pe_PullConfig(daemon->peers);
     }
 }
 
 static void
-share_reading(struct dm_daemon *daemon, int64_t now)
+update_polling(struct dm_daemon *daemon, int64_t now)
 {
-    if (now >= daemon->next_sharing) {
-        daemon->next_sharing = now + Dm_SHARING_PERIOD;
+    if (now >= daemon->next_polling_update) {
+        daemon->next_polling_update = now + Dm_POLLING_PERIOD_USEC;
         Cs_SetFastPolling(daemon->config, Pe_IsConfigReader(daemon->peers));
     }
 }
 
 static void
-tell_demand(struct dm_daemon *daemon, int64_t now)
+publish_demand(struct dm_daemon *daemon, int64_t now)
 {
     struct pf_demands demands;
     if (now < daemon->next_demand) {
@@ -221,50 +222,50 @@
     }
     daemon->next_demand = now + In_PublishInterval(daemon->gate.intake);
     /*
-     * A daemon without callers has nothing new to say; it says so often
-     * enough that the others do not take it for silent.  One that has just
-     * started waits to hear that it is counted.
+     * A daemon without callers skips most publications, and makes enough of
+     * them to keep its peers from treating it as silent.  While the number of
+     * daemons changes, as after a start, no publication is skipped.
      */
-    bool idle = daemon->demands_told == 0 &&
-                daemon->requests_told == daemon->gate.next_request &&
-                daemon->daemons_told == In_Daemons(daemon->gate.intake);
-    if (idle && daemon->demands_skipped < Dm_DEMANDS_SKIPPED) {
+    bool idle = daemon->published_demands == 0 &&
+                daemon->published_requests == daemon->gate.next_request &&
+                daemon->published_daemons == In_Daemons(daemon->gate.intake);
+    if (idle && daemon->demands_skipped < Dm_DEMANDS_SKIPPED_MAX) {
         daemon->demands_skipped++;
         return;
     }
     daemon->demands_skipped = 0;
-    daemon->requests_told = daemon->gate.next_request;
+    daemon->published_requests = daemon->gate.next_request;
     In_Publish(daemon->gate.intake, &demands);
-    daemon->demands_told = demands.count;
-    daemon->daemons_told = demands.daemons;
+    daemon->published_demands = demands.count;
+    daemon->published_daemons = demands.daemons;
     Pe_PublishDemand(daemon->peers, &demands);
 }
 
-/* What the others know of this daemon is told again before it expires. */
+/* Publishes the config offset again before the fact expires. */
 static void
-tell_offset(struct dm_daemon *daemon, int64_t now)
+publish_offset(struct dm_daemon *daemon, int64_t now)
 {
     if (now >= daemon->next_offset) {
-        daemon->next_offset = now + Dm_OFFSET_PERIOD;
+        daemon->next_offset = now + Dm_OFFSET_PERIOD_USEC;
         Pe_PublishConfigOffset(daemon->peers,
                                Sc_Offset(Cs_State(daemon->config)));
     }
 }
 
 /*
- * The others by their claims on cold endpoints, the dead ones too: they may
- * be cut off from here and serve all the same.
+ * Updates the list of hosts that may send requests to cold endpoints.  Dead
+ * members are included: they may be unreachable from here but still serving.
  */
 static void
-note_hosts(struct dm_daemon *daemon, int64_t now)
+update_warmup_hosts(struct dm_daemon *daemon, int64_t now)
 {
     struct wu_hosts *hosts = Ep_Hosts(daemon->gate.endpoints);
     const struct mb_table *members = Nd_Members(Pe_Node(daemon->peers));
     const char *own = daemon->gate.options->node_id;
-    if (now < daemon->next_hosts) {
+    if (now < daemon->next_warmup_hosts) {
         return;
     }
-    daemon->next_hosts = now + Dm_HOSTS_PERIOD;
+    daemon->next_warmup_hosts = now + Dm_HOSTS_PERIOD_USEC;
     hosts->own = Hash_String(own, 0);
     hosts->count = 0;
     hosts->view =
@@ -297,17 +298,17 @@
                          Pe_Responsible(daemon->peers, "control-snapshot") ==
                              NULL);
     catch_up(daemon, now);
-    share_reading(daemon, now);
-    tell_demand(daemon, now);
-    tell_offset(daemon, now);
-    note_hosts(daemon, now);
+    update_polling(daemon, now);
+    publish_demand(daemon, now);
+    publish_offset(daemon, now);
+    update_warmup_hosts(daemon, now);
     Rh_Tick(daemon->gate.reach);
     Gq_Tick(daemon->gate.quarantine);
     if (!daemon->was_ready && Dm_NotReady(daemon) == NULL) {
         daemon->was_ready = true;
         Ev_Log(&GT_READY, "node=%s", daemon->gate.options->node_id);
     }
-    Lp_TimerSet(daemon->tick, Dm_TICK);
+    Lp_TimerSet(daemon->tick, Dm_TICK_USEC);
 }
 
 static enum st_status
@@ -319,7 +320,7 @@
         .port = options->port,
         .tls_cert_file = options->tls_cert_file,
         .tls_key_file = options->tls_key_file,
-        .body_max = Dm_BODY_MAX,
+        .body_max = Dm_BODY_MAX_BYTES,
         .headers = caller_headers,
         .ops = &caller_ops,
         .arg = daemon,
@@ -381,9 +382,12 @@
     if (daemon->budget == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the append budget");
     }
-    Bg_Set(daemon->budget, BG_CONFIG, Dm_CONFIG_APPENDS, Dm_APPEND_BURST);
-    Bg_Set(daemon->budget, BG_LEASE, Dm_LEASE_APPENDS, Dm_APPEND_BURST);
-    Bg_Set(daemon->budget, BG_EVIDENCE, Dm_EVIDENCE_APPENDS, Dm_APPEND_BURST);
+    Bg_Set(daemon->budget, BG_CONFIG, Dm_CONFIG_APPENDS_PER_SEC,
+           Dm_APPEND_BURST);
+    Bg_Set(daemon->budget, BG_LEASE, Dm_LEASE_APPENDS_PER_SEC,
+           Dm_APPEND_BURST);
+    Bg_Set(daemon->budget, BG_EVIDENCE, Dm_EVIDENCE_APPENDS_PER_SEC,
+           Dm_APPEND_BURST);
     struct cs_options config = {
         .gate = &daemon->gate,
         .log = daemon->log,
@@ -429,7 +433,7 @@
         status = In_Create(gate, Rq_Dispatch, &gate->intake);
     }
     if (status == ST_OK) {
-        status = Gq_Create(gate, Dm_TellPoison, daemon, &gate->quarantine);
+        status = Gq_Create(gate, Dm_PublishPoison, daemon, &gate->quarantine);
     }
     if (status == ST_OK) {
         status = start_servers(daemon);
@@ -456,7 +460,7 @@
     return status;
 }
 
-/* Creates a daemon that listens; ST_INVALID names the setting to mend. */
+/* Creates a daemon that listens; ST_INVALID names the wrong setting. */
 enum st_status
 Dm_Create(const struct gt_options *options, struct dm_daemon **out)
 {
@@ -488,9 +492,9 @@
 }
 
 /*
- * Serves until a planned stop has ended.  Prints the ports in use, so that
- * a supervisor that asked for port 0 learns them.  Returns how many requests
- * were cut.
+ * Serves until a graceful stop is complete.  Prints the ports in use, so that
+ * a supervisor that configured port 0 learns them.  Returns the number of
+ * requests that were cut.
  */
 int
 Dm_Run(struct dm_daemon *daemon)
@@ -502,10 +506,10 @@
            Pe_Port(daemon->peers));
     fflush(stdout);
     Lp_Run(daemon->gate.loop);
-    return daemon->cut;
+    return daemon->requests_cut;
 }
 
-/* Frees everything; running requests are cut. */
+/* Running requests are refused with the outcome unknown. */
 void
 Dm_Destroy(struct dm_daemon *daemon)
 {
--- a/packages/gate/daemon.h
+++ b/packages/gate/daemon.h
@@ -1,5 +1,5 @@
 /*
- * One daemon: puts the parts together and runs them on one loop.
+ * One daemon: creates all modules and runs them on a single event loop.
  */
 #ifndef GATE_DAEMON_H
 #define GATE_DAEMON_H
--- a/packages/gate/daemon_admin.c
+++ b/packages/gate/daemon_admin.c
@@ -1,4 +1,4 @@
-/* What the administration API asks of the daemon. */
+/* The operations that the administration API calls on the daemon. */
 #include <stdlib.h>
 
 #include "gate/daemon_internal.h"
@@ -86,7 +86,7 @@
     Mt_Set(Mt_Get(daemon->gate.metrics, MT_GAUGE, name, ""), value);
 }
 
-/* Brings the gauges up to date and copies the counters of other modules. */
+/* Updates the gauges and copies the counters of other modules. */
 static void
 refresh_metrics(struct dm_daemon *daemon)
 {
--- a/packages/gate/daemon_internal.h
+++ b/packages/gate/daemon_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the daemon only: its parts and their tables. */
+/* Private to daemon.c, daemon_admin.c and daemon_peers.c. */
 #ifndef GATE_DAEMON_INTERNAL_H
 #define GATE_DAEMON_INTERNAL_H
 
@@ -23,15 +23,15 @@
     struct pe_peers *peers;
     struct lw_watch *loads;
     int64_t next_demand;
-    uint64_t requests_told; /* requests taken when demand was last told */
-    size_t demands_told;
-    size_t daemons_told; /* by how many limits are divided */
+    uint64_t published_requests; /* next_request when demand was published */
+    size_t published_demands;
+    size_t published_daemons; /* that the limits are divided by */
     int demands_skipped;
     int64_t next_pull;
-    int64_t behind_since; /* others know of a later offset */
-    int64_t next_sharing;
+    int64_t behind_since; /* peers have read the config stream further */
+    int64_t next_polling_update;
     int64_t next_offset;
-    int64_t next_hosts; /* counted for claims on cold endpoints */
+    int64_t next_warmup_hosts; /* when the warm-up hosts are next updated */
     struct pl_log *log;
     struct bg_budget *budget;
     struct cs_stream *config;
@@ -41,9 +41,9 @@
     struct lp_timer *tick;
     int64_t started;
     bool hosts_seen;
-    bool others_listed; /* the host list names other daemons */
+    bool peers_listed; /* the host list names other daemons */
     bool was_ready;
-    int cut;
+    int requests_cut;
 };
 
 extern const struct ad_ops dm_admin_ops;
@@ -53,8 +53,8 @@
 extern const struct mo_ops dm_move_ops;
 extern const struct lw_ops dm_load_ops;
 
-/* Tells the others of parts of prompts that end engines. */
-void Dm_TellPoison(void *arg, const struct gq_word *word);
+/* Publishes the prompt parts that crash engines to the other daemons. */
+void Dm_PublishPoison(void *arg, const struct gq_word *word);
 
 const char *Dm_NotReady(const struct dm_daemon *daemon);
 void Dm_ConfigApplied(void *arg, uint64_t offset);
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -1,5 +1,5 @@
 /*
- * What the daemon does with the word of others: the host list, the other
+ * Connects the modules that receive external state: the host list, the other
  * daemons, load samples, claims and version moves.
  */
 #include <stdio.h>
@@ -10,25 +10,25 @@
 
 #define Dm_KEY_MAX 32
 /*
- * Gossip misses a few of a hundred; the exchange of all facts would bring it
- * half a minute later, while an operator waits.
+ * A new config offset is published twice.  Gossip misses a few daemons in a
+ * hundred; without the second time they would get it from the full exchange of
+ * facts half a minute later, while an operator waits.
  */
-#define Dm_RETELL_USEC (3 * Ck_USEC_PER_SEC)
+#define Dm_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 
 /*
- * Remembers whether there are other daemons, and takes those out of the
- * sharing of limits that are both dead and off the list.  A daemon that is
- * only out of reach keeps its part: it may be serving on its side of a cut.
+ * Records whether the list names other daemons.  Daemons that are both dead
+ * and off the list no longer count when limits are divided.  A daemon that is
+ * only unreachable still counts: it may be serving behind a network partition.
  */
 static void
-note_others(struct dm_daemon *daemon, const struct hl_host *hosts,
-            size_t count)
+note_peers(struct dm_daemon *daemon, const struct hl_host *hosts, size_t count)
 {
     const struct mb_table *members = Nd_Members(Pe_Node(daemon->peers));
-    daemon->others_listed = false;
+    daemon->peers_listed = false;
     for (size_t i = 0; i < count; i++) {
-        daemon->others_listed =
-            daemon->others_listed ||
+        daemon->peers_listed =
+            daemon->peers_listed ||
             (hosts[i].role == HL_ENTRY && hosts[i].state == HL_LIVE &&
              strcmp(hosts[i].id, daemon->gate.options->node_id) != 0);
     }
@@ -45,11 +45,11 @@
 }
 
 static void
-take_hosts(void *arg, const struct hl_host *hosts, size_t count)
+on_host_list(void *arg, const struct hl_host *hosts, size_t count)
 {
     struct dm_daemon *daemon = arg;
-    note_others(daemon, hosts, count);
-    if (!daemon->hosts_seen && daemon->others_listed) {
+    note_peers(daemon, hosts, count);
+    if (!daemon->hosts_seen && daemon->peers_listed) {
         In_Join(daemon->gate.intake);
     }
     daemon->hosts_seen = true;
@@ -58,7 +58,7 @@
 }
 
 static void
-take_notice(void *arg, const char *host, int64_t left_usec)
+on_notice(void *arg, const char *host, int64_t left_usec)
 {
     struct dm_daemon *daemon = arg;
     if (strcmp(host, daemon->gate.options->node_id) == 0) {
@@ -72,20 +72,20 @@
 }
 
 static void
-hosts_changed(void *arg, uint64_t digest)
+on_host_list_changed(void *arg, uint64_t digest)
 {
     struct dm_daemon *daemon = arg;
     Pe_PublishHostsDigest(daemon->peers, digest);
 }
 
 const struct hw_ops dm_host_ops = {
-    .hosts = take_hosts,
-    .changed = hosts_changed,
-    .notice = take_notice,
+    .hosts = on_host_list,
+    .changed = on_host_list_changed,
+    .notice = on_notice,
 };
 
 static const char *
-slot_keeper(void *arg, int slot)
+claim_keeper(void *arg, int slot)
 {
     struct dm_daemon *daemon = arg;
     char key[Dm_KEY_MAX];
@@ -94,7 +94,7 @@
 }
 
 static enum st_status
-ask_keeper(void *arg, const char *node, const char *payload, size_t len,
+claim_call(void *arg, const char *node, const char *payload, size_t len,
            int64_t timeout_usec, gc_reply_fn reply, void *reply_arg)
 {
     struct dm_daemon *daemon = arg;
@@ -103,28 +103,28 @@
 }
 
 static bool
-run_ended(void *arg, const struct rc_writer *owner)
+claim_owner_ended(void *arg, const struct rc_writer *owner)
 {
     struct dm_daemon *daemon = arg;
     return Pe_RunEnded(daemon->peers, owner->node, owner->incarnation);
 }
 
 const struct gc_ops dm_claim_ops = {
-    .keeper = slot_keeper,
-    .ask = ask_keeper,
-    .dead = run_ended,
+    .keeper = claim_keeper,
+    .ask = claim_call,
+    .dead = claim_owner_ended,
 };
 
 /*
- * The config stream was read further: the others and waiting operators are
- * told.
+ * Publishes the new config offset to the other daemons, and answers operators
+ * who wait for the verdict on a change.
  */
 void
 Dm_ConfigApplied(void *arg, uint64_t offset)
 {
     struct dm_daemon *daemon = arg;
     Pe_PublishConfigOffset(daemon->peers, offset);
-    daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_RETELL_USEC;
+    daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_REPUBLISH_USEC;
     if (daemon->admin != NULL) {
         Ad_Advanced(daemon->admin);
     }
@@ -239,7 +239,7 @@
 }
 
 void
-Dm_TellPoison(void *arg, const struct gq_word *word)
+Dm_PublishPoison(void *arg, const struct gq_word *word)
 {
     struct dm_daemon *daemon = arg;
     Pe_PublishPoison(daemon->peers, word);
@@ -302,7 +302,7 @@
 };
 
 static bool
-load_mine(void *arg, const struct ch_info *info)
+load_is_watcher(void *arg, const struct ch_info *info)
 {
     struct dm_daemon *daemon = arg;
     return Pe_IsWatcher(daemon->peers, info);
@@ -328,7 +328,7 @@
 }
 
 const struct lw_ops dm_load_ops = {
-    .mine = load_mine,
+    .mine = load_is_watcher,
     .report = load_report,
     .silent = load_silent,
 };
