--- a/packages/gate/admin.c
+++ b/packages/gate/admin.c
@@ -11,7 +11,7 @@
 #define Ad_BEARER "Bearer "
 #define Ad_SECTIONS "/admin/v1/sections/"
 
-/* Answers with a JSON document, whose reference is taken. */
+/* Replies with a JSON document; the reference to "body" is taken. */
 void
 Ad_Reply(struct hs_request *request, int code, json_t *body)
 {
@@ -25,14 +25,14 @@
     free(text);
 }
 
-/* How a kind of failure is told over HTTP. */
-struct refusal {
+/* The HTTP status and the error type of a failure. */
+struct error_reply {
     enum st_status status;
     int code;
     const char *type;
 };
 
-static const struct refusal refusals[] = {
+static const struct error_reply error_replies[] = {
     {ST_INVALID, 400, "invalid_request"}, {ST_NOT_FOUND, 404, "not_found"},
     {ST_CONFLICT, 409, "conflict"},       {ST_DENIED, 403, "denied"},
     {ST_OVERLOAD, 503, "overloaded"},     {ST_UNAVAILABLE, 503, "unavailable"},
@@ -40,25 +40,27 @@
 };
 
 static void
-refuse(struct hs_request *request, int code, const char *type,
-       const char *message)
+reply_error(struct hs_request *request, int code, const char *type,
+            const char *message)
 {
     Ad_Reply(request, code,
              json_pack("{s:{s:s, s:s}}", "error", "type", type, "message",
                        message));
 }
 
-/* Refuses with the kind and the message of the last failure. */
+/* Replies with the error for a status and the message of St_Fail(). */
 void
-Ad_Refuse(struct hs_request *request, enum st_status status)
+Ad_ReplyError(struct hs_request *request, enum st_status status)
 {
-    for (size_t i = 0; i < sizeof(refusals) / sizeof(refusals[0]); i++) {
-        if (refusals[i].status == status) {
-            refuse(request, refusals[i].code, refusals[i].type, St_Message());
+    for (size_t i = 0; i < sizeof(error_replies) / sizeof(error_replies[0]);
+         i++) {
+        if (error_replies[i].status == status) {
+            reply_error(request, error_replies[i].code, error_replies[i].type,
+                        St_Message());
             return;
         }
     }
-    refuse(request, 500, "internal", St_Message());
+    reply_error(request, 500, "internal", St_Message());
 }
 
 static const struct cf_config *
@@ -67,7 +69,7 @@
     return Sc_Config(admin->ops->sections(admin->arg));
 }
 
-/* The team of the bearer key, or NULL. */
+/* The team whose key is the bearer token, or NULL. */
 static const char *
 authenticate(const struct ad_admin *admin, const struct hs_request *request)
 {
@@ -127,11 +129,12 @@
 {
     const struct sc_state *state = admin->ops->sections(admin->arg);
     if (!may_read(admin, team, name)) {
-        Ad_Refuse(request,
-                  St_Fail(ST_DENIED,
-                          "team %s may not read section %s: use that team's "
-                          "key, or an operator's",
-                          team, name));
+        Ad_ReplyError(
+            request,
+            St_Fail(ST_DENIED,
+                    "team %s may not read section %s: use that team's "
+                    "key, or an operator's",
+                    team, name));
         return;
     }
     for (size_t i = 0; i < Sc_SectionCount(state); i++) {
@@ -141,15 +144,16 @@
             return;
         }
     }
-    Ad_Refuse(request, St_Fail(ST_NOT_FOUND,
-                               "section %s was never published: publish it "
-                               "with base 0",
-                               name));
+    Ad_ReplyError(request,
+                  St_Fail(ST_NOT_FOUND,
+                          "section %s was never published: publish it "
+                          "with base 0",
+                          name));
 }
 
 static void
-get_open(const struct ad_admin *admin, struct hs_request *request,
-         const char *path)
+serve_public(const struct ad_admin *admin, struct hs_request *request,
+             const char *path)
 {
     static const char plain[] = "text/plain; charset=utf-8";
     if (strcmp(path, "/metrics") == 0) {
@@ -181,20 +185,20 @@
         get_section(admin, request, team, name);
     }
     else {
-        refuse(request, 405, "invalid_request", "use GET, PUT or PATCH");
+        reply_error(request, 405, "invalid_request", "use GET, PUT or PATCH");
     }
 }
 
 static void
-serve_team(struct ad_admin *admin, struct hs_request *request,
-           const char *path, const char *team)
+serve_authenticated(struct ad_admin *admin, struct hs_request *request,
+                    const char *path, const char *team)
 {
     size_t skip = strlen(Ad_SECTIONS);
     if (strncmp(path, Ad_SECTIONS, skip) == 0) {
         serve_section(admin, request, team, path + skip);
     }
     else if (strcmp(Hs_Method(request), "GET") != 0) {
-        refuse(request, 405, "invalid_request", "use GET");
+        reply_error(request, 405, "invalid_request", "use GET");
     }
     else if (strcmp(path, "/admin/v1/config") == 0) {
         get_config(admin, request, team);
@@ -203,19 +207,19 @@
         Ad_Reply(request, 200, admin->ops->status(admin->arg));
     }
     else {
-        refuse(request, 404, "not_found",
-               "there is no such path; docs/INTERFACES.md lists them");
+        reply_error(request, 404, "not_found",
+                    "there is no such path; docs/INTERFACES.md lists them");
     }
 }
 
 /*
- * The bootstrap key counts only while there is no team; afterwards it opens
- * nothing but the verdict on its own change.  Guards against a first publish
- * that is in force and is called refused: its answer was lost, and when it is
- * sent again its key has lost its power by that very change.
+ * The bootstrap key is valid while no team exists.  Afterwards it only gives
+ * the verdict on the change that it published: if the response to the first
+ * change was lost, the operator repeats a change that has itself made the key
+ * invalid, and must not be told that it was refused.
  */
 static bool
-bootstrap_serves(struct ad_admin *admin, struct hs_request *request,
+bootstrap_allows(struct ad_admin *admin, struct hs_request *request,
                  const char *path)
 {
     if (config_of(admin)->team_count == 0) {
@@ -236,22 +240,22 @@
     if (get &&
         (strcmp(path, "/healthz") == 0 || strcmp(path, "/readyz") == 0 ||
          strcmp(path, "/metrics") == 0)) {
-        get_open(admin, request, path);
+        serve_public(admin, request, path);
         return;
     }
     const char *team = authenticate(admin, request);
     if (team != NULL && strcmp(team, Cf_BOOTSTRAP) == 0 &&
-        !bootstrap_serves(admin, request, path)) {
+        !bootstrap_allows(admin, request, path)) {
         team = NULL;
     }
     if (team == NULL) {
         Ev_Log(&CF_KEY_UNKNOWN, "method=%s path=%s", Hs_Method(request), path);
-        refuse(request, 401, "unauthenticated",
-               "no team has this key: set CORNELGATE_ADMIN_KEY to your "
-               "team's key, and ask an operator if it was replaced");
+        reply_error(request, 401, "unauthenticated",
+                    "no team has this key: set CORNELGATE_ADMIN_KEY to your "
+                    "team's key, and ask an operator if it was replaced");
         return;
     }
-    serve_team(admin, request, path, team);
+    serve_authenticated(admin, request, path, team);
 }
 
 static void
@@ -264,7 +268,7 @@
 }
 
 static const struct hs_ops server_ops = {on_request, on_gone, NULL};
-static const char *const kept_headers[] = {"authorization", NULL};
+static const char *const request_headers[] = {"authorization", NULL};
 
 /* Listens on the administration port. */
 enum st_status
@@ -291,7 +295,7 @@
         .tls_cert_file = options->tls_cert_file,
         .tls_key_file = options->tls_key_file,
         .body_max = Sc_RECORD_MAX,
-        .headers = kept_headers,
+        .headers = request_headers,
         .ops = &server_ops,
         .arg = admin,
     };
@@ -305,20 +309,20 @@
 }
 
 /*
- * Forgets the changes on their way, before Lp_Destroy(); their appends may
- * still take effect, their callers get no answer.  Wait for Ad_OpenRequests()
- * to become 0 first.
+ * Drops pending changes.  Call it before Lp_Destroy(), once Ad_OpenRequests()
+ * is 0: the callers of dropped changes get no response, although the appends
+ * may still take effect.
  */
 void
 Ad_Stop(struct ad_admin *admin)
 {
     struct ad_publish *publish;
     while ((publish = TAILQ_FIRST(&admin->publishes)) != NULL) {
-        Ad_PublishDrop(publish);
+        Ad_PublishDestroy(publish);
     }
 }
 
-/* Frees the API after Lp_Destroy(); NULL is allowed. */
+/* Call it after Lp_Destroy(); NULL is allowed. */
 void
 Ad_Destroy(struct ad_admin *admin)
 {
@@ -329,14 +333,13 @@
     free(admin);
 }
 
-/* The port listened on. */
 int
 Ad_Port(const struct ad_admin *admin)
 {
     return Hs_Port(admin->server);
 }
 
-/* Requests not yet answered, for a graceful shutdown. */
+/* The number of requests without a response, for a graceful shutdown. */
 size_t
 Ad_OpenRequests(const struct ad_admin *admin)
 {
--- a/packages/gate/admin.h
+++ b/packages/gate/admin.h
@@ -1,8 +1,9 @@
 /*
- * The administration API on a port of its own (docs/INTERFACES.md, section
- * 8).  A team's key is its bearer token; a change is checked, appended to the
- * config stream, and answered with the verdict that was read back from the
- * log.  What the API needs of the daemon is a table of function pointers.
+ * The administration API, on its own port (docs/INTERFACES.md, section 8).  A
+ * team authenticates with its key as bearer token.  A change is checked and
+ * appended to the config stream; the response is the verdict on the change
+ * that was read back from the log.  The API calls the daemon through struct
+ * ad_ops.
  */
 #ifndef GATE_ADMIN_H
 #define GATE_ADMIN_H
@@ -23,18 +24,18 @@
 struct ad_admin;
 
 /*
- * The end of an append: ST_OK, the record stands in the log; ST_UNAVAILABLE
- * or ST_OVERLOAD, it does not and never will; anything else, not known.
+ * The result of an append.  ST_OK: the record is in the log.  ST_UNAVAILABLE
+ * or ST_OVERLOAD: the record was not written.  Other: the outcome is unknown.
  */
 typedef void (*ad_appended_fn)(void *ticket, enum st_status status);
 
 struct ad_ops {
-    /* The sections as read from the log; their life is the daemon's. */
+    /* The sections as read from the log; valid as long as the daemon. */
     const struct sc_state *(*sections)(void *arg);
     /*
-     * Appends a record with this body (borrowed) to the config stream.  ST_OK:
-     * "appended" is called once, later, and not after Ad_Stop().  Anything
-     * else: nothing was written.
+     * Appends a record with this body (borrowed) to the config stream.  After
+     * ST_OK, "appended" is called once, later, and not after Ad_Stop().  With
+     * any other result nothing was written.
      */
     enum st_status (*append)(void *arg, const char *kind, json_t *body,
                              ad_appended_fn appended, void *ticket);
@@ -42,7 +43,7 @@
     json_t *(*status)(void *arg);
     /* All metrics as text, to be freed. */
     char *(*metrics)(void *arg);
-    /* Whether callers are served; if not, "why" says the reason. */
+    /* Whether callers are served; "why" is set to the reason if not. */
     bool (*ready)(void *arg, const char **why);
 };
 
@@ -51,10 +52,12 @@
     int port;            /* 0 picks a free one; see Ad_Port() */
     const char *tls_cert_file;
     const char *tls_key_file;
-    /* Digest of the key that may publish the first platform section; NULL or
-     * empty: none. */
+    /*
+     * Digest of the key that may publish the first platform section; NULL or
+     * empty: none.
+     */
     const char *bootstrap_digest;
-    int64_t verdict_usec; /* wait for a verdict; 0: 8 s */
+    int64_t verdict_usec; /* timeout of a verdict; 0: 8 s */
     const struct ad_ops *ops;
     void *arg;
 };
--- a/packages/gate/admin_internal.h
+++ b/packages/gate/admin_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the modules of the administration API only. */
+/* Private to admin.c and admin_publish.c. */
 #ifndef GATE_ADMIN_INTERNAL_H
 #define GATE_ADMIN_INTERNAL_H
 
@@ -27,12 +27,12 @@
 };
 
 void Ad_Reply(struct hs_request *request, int code, json_t *body);
-void Ad_Refuse(struct hs_request *request, enum st_status status);
+void Ad_ReplyError(struct hs_request *request, enum st_status status);
 void Ad_Publish(struct ad_admin *admin, struct hs_request *request,
                 const char *team, const char *section, bool patch);
 bool Ad_HasVerdict(struct ad_admin *admin, struct hs_request *request,
                    const char *section);
 void Ad_PublishGone(struct ad_publish *publish);
-void Ad_PublishDrop(struct ad_publish *publish);
+void Ad_PublishDestroy(struct ad_publish *publish);
 
 #endif
--- a/packages/gate/admin_publish.c
+++ b/packages/gate/admin_publish.c
@@ -1,6 +1,7 @@
 /*
- * Changes of sections: checked here, decided by the log.  The answer is the
- * verdict read back from the log, found by the id that the record carries.
+ * Changes of sections.  A change is checked here, but the order of the log
+ * decides whether it is accepted.  The response is the verdict read back from
+ * the log, which is looked up by the id in the record.
  */
 #include <bsd/stdlib.h>
 #include <bsd/string.h>
@@ -12,15 +13,15 @@
 #include "gate/admin_internal.h"
 
 #define Ad_ID_BYTES 16
-/* A record is wrapped into an envelope before it is appended. */
+/* Space for the envelope that the writer adds to each record. */
 #define Ad_ENVELOPE_BYTES 512
 
 struct ad_publish {
     TAILQ_ENTRY(ad_publish) link;
     struct ad_admin *admin;
-    struct hs_request *request; /* NULL once answered or gone */
+    struct hs_request *request; /* NULL: answered, or the caller is gone */
     struct lp_timer *timer;
-    bool appending; /* the append has not ended */
+    bool appending; /* the result of the append is outstanding */
     char id[Sc_ID_MAX];
     char section[Cf_SECTION_MAX];
     char team[Cf_NAME_MAX];
@@ -37,18 +38,18 @@
     free(publish);
 }
 
-/* Frees the publish unless the end of its append will still be told. */
+/* Frees the publish unless its request or its append is still open. */
 static void
-publish_settle(struct ad_publish *publish)
+publish_free_if_ended(struct ad_publish *publish)
 {
     if (publish->request == NULL && !publish->appending) {
         publish_destroy(publish);
     }
 }
 
-/* Takes the request out, to be answered now. */
+/* Detaches the request, which the caller must answer at once. */
 static struct hs_request *
-take_request(struct ad_publish *publish)
+detach_request(struct ad_publish *publish)
 {
     struct hs_request *request = publish->request;
     publish->request = NULL;
@@ -57,17 +58,17 @@
     return request;
 }
 
-/* The caller went away before its answer. */
+/* The caller closed the connection before the response. */
 void
 Ad_PublishGone(struct ad_publish *publish)
 {
     publish->request = NULL;
-    publish_settle(publish);
+    publish_free_if_ended(publish);
 }
 
-/* Forgets the publish; its request is left to the server. */
+/* Frees the publish; the server still owns its request. */
 void
-Ad_PublishDrop(struct ad_publish *publish)
+Ad_PublishDestroy(struct ad_publish *publish)
 {
     publish_destroy(publish);
 }
@@ -77,14 +78,15 @@
                const struct sc_verdict *verdict)
 {
     if (strcmp(verdict->section, section) != 0) {
-        Ad_Refuse(request, St_Fail(ST_INVALID,
-                                   "the id was used for section %s: give "
-                                   "each change an id of its own",
-                                   verdict->section));
+        Ad_ReplyError(request, St_Fail(ST_INVALID,
+                                       "the id was used for section %s: give "
+                                       "each change an id of its own",
+                                       verdict->section));
         return;
     }
     if (verdict->status != ST_OK) {
-        Ad_Refuse(request, St_Fail(verdict->status, "%s", verdict->reason));
+        Ad_ReplyError(request,
+                      St_Fail(verdict->status, "%s", verdict->reason));
         return;
     }
     Ad_Reply(request, 200,
@@ -93,24 +95,24 @@
 }
 
 /*
- * Guards against a false answer where that of the log was lost: the append
- * may have taken effect, so neither "done" nor "not done" may be said.  The
- * id makes a repetition harmless, whichever it was.
+ * No verdict was read in time.  The append may have taken effect, so the
+ * response must claim neither success nor failure.  The id makes a repetition
+ * of the change safe in both cases.
  */
 static void
 on_deadline(void *arg)
 {
     struct ad_publish *publish = arg;
-    struct hs_request *request = take_request(publish);
+    struct hs_request *request = detach_request(publish);
     Ev_Log(&CF_VERDICT_UNKNOWN, "section=%s team=%s id=%s", publish->section,
            publish->team, publish->id);
-    Ad_Refuse(request,
-              St_Fail(ST_UNKNOWN,
-                      "the verdict on the change %s could not be read from "
-                      "the log in time: publish the same change again with "
-                      "the same id, it takes effect once at most",
-                      publish->id));
-    publish_settle(publish);
+    Ad_ReplyError(
+        request, St_Fail(ST_UNKNOWN,
+                         "the verdict on the change %s could not be read from "
+                         "the log in time: publish the same change again with "
+                         "the same id, it takes effect once at most",
+                         publish->id));
+    publish_free_if_ended(publish);
 }
 
 static void
@@ -120,12 +122,13 @@
     publish->appending = false;
     bool not_written = status == ST_UNAVAILABLE || status == ST_OVERLOAD;
     if (not_written && publish->request != NULL) {
-        struct hs_request *request = take_request(publish);
-        Ad_Refuse(request,
-                  St_Fail(status, "the log did not take the change, nothing "
-                                  "was written: publish again later"));
+        struct hs_request *request = detach_request(publish);
+        Ad_ReplyError(request,
+                      St_Fail(status,
+                              "the log did not take the change, nothing "
+                              "was written: publish again later"));
     }
-    publish_settle(publish);
+    publish_free_if_ended(publish);
 }
 
 static void
@@ -138,18 +141,18 @@
     }
 }
 
-/* The body of the record for a request, or NULL with the failure kept. */
+/* The body of the record for a request, or NULL with St_Fail() called. */
 static json_t *
 make_record(struct hs_request *request, const char *team, const char *section,
             bool patch)
 {
     size_t len;
     const char *text = Hs_Body(request, &len);
-    json_t *asked = json_loadb(text != NULL ? text : "", len,
-                               JSON_REJECT_DUPLICATES, NULL);
-    json_t *base = json_object_get(asked, "base");
-    json_t *body = json_object_get(asked, "body");
-    const char *id = json_string_value(json_object_get(asked, "id"));
+    json_t *change = json_loadb(text != NULL ? text : "", len,
+                                JSON_REJECT_DUPLICATES, NULL);
+    json_t *base = json_object_get(change, "base");
+    json_t *body = json_object_get(change, "body");
+    const char *id = json_string_value(json_object_get(change, "id"));
     json_t *record = NULL;
     if (!json_is_integer(base) || !json_is_object(body) ||
         (id != NULL && (id[0] == '\0' || strlen(id) >= Sc_ID_MAX))) {
@@ -158,20 +161,20 @@
                             "base is the offset that GET tells");
     }
     else {
-        char made[Sc_ID_MAX];
-        make_id(made);
+        char generated[Sc_ID_MAX];
+        make_id(generated);
         record = json_pack("{s:s, s:s, s:O, s:s, s:s, s:O}", "kind",
                            patch ? "patch" : "section", "section", section,
                            "base", base, "author", team, "id",
-                           id != NULL ? id : made, "body", body);
+                           id != NULL ? id : generated, "body", body);
     }
-    json_decref(asked);
+    json_decref(change);
     return record;
 }
 
 /*
- * What can be told before the log is asked.  A base beyond what was read here
- * is no conflict: this daemon lags, and the log decides.
+ * Finds errors that need no append.  A base above the offset read by this
+ * daemon is no conflict: the daemon lags behind, and the log decides.
  */
 static enum st_status
 check_record(const struct sc_state *state, const json_t *record,
@@ -193,13 +196,14 @@
     }
     free(text);
     json_int_t base = json_integer_value(json_object_get(record, "base"));
-    bool ahead = base > 0 && (uint64_t)base > Sc_Offset(state) &&
-                 (uint64_t)base > Sc_SectionOffset(state, section);
-    return status == ST_CONFLICT && ahead ? ST_OK : status;
+    bool base_ahead = base > 0 && (uint64_t)base > Sc_Offset(state) &&
+                      (uint64_t)base > Sc_SectionOffset(state, section);
+    return status == ST_CONFLICT && base_ahead ? ST_OK : status;
 }
 
 static enum st_status
-start(struct ad_admin *admin, struct hs_request *request, json_t *record)
+start_append(struct ad_admin *admin, struct hs_request *request,
+             json_t *record)
 {
     struct ad_publish *publish = calloc(1, sizeof(*publish));
     if (publish == NULL) {
@@ -233,7 +237,7 @@
     return ST_OK;
 }
 
-/* Whether the request repeats a change of the section that was decided. */
+/* Whether the request repeats a change of the section with a verdict. */
 bool
 Ad_HasVerdict(struct ad_admin *admin, struct hs_request *request,
               const char *section)
@@ -281,25 +285,25 @@
     else {
         status = check_record(state, record, section);
         if (status == ST_OK) {
-            status = start(admin, request, record);
+            status = start_append(admin, request, record);
         }
     }
     json_decref(record);
     return status;
 }
 
-/* Serves a PUT or PATCH of a section by the key of this team. */
+/* Serves a PUT or PATCH of a section for an authenticated team. */
 void
 Ad_Publish(struct ad_admin *admin, struct hs_request *request,
            const char *team, const char *section, bool patch)
 {
     enum st_status status = publish(admin, request, team, section, patch);
     if (status != ST_OK) {
-        Ad_Refuse(request, status);
+        Ad_ReplyError(request, status);
     }
 }
 
-/* The audit trail of this daemon: who changed which section. */
+/* Writes the audit log: which team changed which section. */
 static void
 log_verdict(const struct ad_publish *publish, const struct sc_verdict *verdict)
 {
@@ -311,8 +315,8 @@
 }
 
 /*
- * To be called after records were applied to the sections: answers the
- * changes whose verdict is now known.
+ * Answers the pending changes that now have a verdict.  Call it after records
+ * were applied to the sections.
  */
 void
 Ad_Advanced(struct ad_admin *admin)
@@ -325,9 +329,9 @@
         if (publish->request == NULL || verdict == NULL) {
             continue;
         }
-        struct hs_request *request = take_request(publish);
+        struct hs_request *request = detach_request(publish);
         log_verdict(publish, verdict);
         answer_verdict(request, publish->section, verdict);
-        publish_settle(publish);
+        publish_free_if_ended(publish);
     }
 }
--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -27,7 +27,7 @@
 #define Dm_PULL_PERIOD_USEC (200 * Ck_USEC_PER_MSEC)
 /* Peers treat a daemon as silent after four intervals without demand. */
 #define Dm_DEMANDS_SKIPPED_MAX 2
-/* Appends a second of one daemon; claims.c sets the rate for claims. */
+/* Appends a second of one daemon; the claim keeper sets that of claims. */
 #define Dm_CONFIG_APPENDS_PER_SEC 5
 #define Dm_LEASE_APPENDS_PER_SEC 5
 #define Dm_EVIDENCE_APPENDS_PER_SEC 1
--- a/packages/gate/test/admin_test.cc
+++ b/packages/gate/test/admin_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int64_t kTickUsec = 2000;
-constexpr int kMostTicks = 10000; /* bounds every wait */
+constexpr int kTicksMax = 10000; /* limit of each wait */
 
 std::string
 digest(const std::string &key)
@@ -23,8 +23,8 @@
     return hex;
 }
 
-/* How the fake log treats the next appends. */
-enum Fault { kNone, kAnswerLost, kNotWritten, kOutOfReach };
+/* The fault that the fake log applies to the next appends. */
+enum Fault { kNone, kResponseLost, kNotWritten, kUnreachable };
 
 struct Pending {
     ad_appended_fn appended;
@@ -34,13 +34,13 @@
 
 struct Daemon;
 
-/* The log and its readers: every daemon reads what was appended. */
+/* A fake log that both daemons read. */
 struct Log {
     std::vector<std::string> records;
     std::vector<Pending> pending;
     std::vector<Daemon *> daemons;
     Fault fault = kNone;
-    bool paused = false; /* nobody reads */
+    bool paused = false; /* the daemons do not read */
     int appends = 0;
 };
 
@@ -63,11 +63,11 @@
 {
     Log *log = static_cast<Daemon *>(arg)->log;
     log->appends++;
-    if (log->fault == kOutOfReach) {
+    if (log->fault == kUnreachable) {
         return St_Fail(ST_UNAVAILABLE, "the log is out of reach: wait");
     }
     char *text = json_dumps(body, JSON_COMPACT);
-    if (log->fault == kNone || log->fault == kAnswerLost) {
+    if (log->fault == kNone || log->fault == kResponseLost) {
         log->records.push_back(text);
     }
     free(text);
@@ -225,7 +225,7 @@
     void
     Run()
     {
-        for (ticks = 0; left > 0 && ticks < kMostTicks;) {
+        for (ticks = 0; left > 0 && ticks < kTicksMax;) {
             Serve();
         }
         ASSERT_EQ(0, left);
@@ -234,7 +234,7 @@
     void
     WaitForAppends(int count)
     {
-        for (ticks = 0; log.appends < count && ticks < kMostTicks;) {
+        for (ticks = 0; log.appends < count && ticks < kTicksMax;) {
             Serve();
         }
         ASSERT_EQ(count, log.appends);
@@ -247,7 +247,7 @@
     Daemon daemons[2];
     int left = 0;
     int ticks = 0;
-    Call held; /* outlives the loop */
+    Call pending_call; /* must outlive the loop */
 };
 
 std::string
@@ -291,7 +291,7 @@
     }
 };
 
-TEST_F(Admin, OpenPathsNeedNoKey)
+TEST_F(Admin, PublicPathsNeedNoKey)
 {
     EXPECT_EQ(200, Do(0, "GET", "/healthz", "").code);
     EXPECT_EQ("requests_total 7\n", Do(0, "GET", "/metrics", "").body);
@@ -302,7 +302,7 @@
     EXPECT_EQ("the configuration is not read yet", call.body);
 }
 
-TEST_F(Started, BootstrapKeyOpensNothingOnceThereAreTeams)
+TEST_F(Started, BootstrapKeyIsInvalidOnceThereAreTeams)
 {
     Call call = Do(0, "PUT", kPlatform, "first", change(1, platform()));
     EXPECT_EQ(401, call.code);
@@ -311,11 +311,11 @@
 }
 
 /*
- * The first publish is in force, and its operator is told that the key is
- * unknown.  The answer was lost; by the time the change is sent again, the
- * key has lost its power by that very change.
+ * Guards against a wrong 401 for a change that is in force: the response to
+ * the first publish is lost, and the repetition uses a bootstrap key that the
+ * change itself has made invalid.
  */
-TEST_F(Admin, BootstrapKeyLearnsTheVerdictOnItsOwnChange)
+TEST_F(Admin, BootstrapKeyGetsTheVerdictOnItsOwnChange)
 {
     std::string body = change(0, platform(), "first-of-all");
     log.paused = true;
@@ -329,7 +329,7 @@
     EXPECT_EQ(1, log.appends);
 }
 
-struct Refused {
+struct ErrorCase {
     const char *method;
     const char *path;
     const char *key;
@@ -338,7 +338,7 @@
     const char *remedy;
 };
 
-const Refused kRefused[] = {
+const ErrorCase kErrorCases[] = {
     {"GET", "/admin/v1/status", "", "", 401, "CORNELGATE_ADMIN_KEY"},
     {"GET", "/admin/v1/status", "wrong", "", 401, "CORNELGATE_ADMIN_KEY"},
     {"GET", "/admin/v1/other", "d", "", 404, "INTERFACES"},
@@ -361,9 +361,9 @@
      400, "team/NAME"},
 };
 
-TEST_F(Started, RefusalsAreTypedAndNameTheRemedy)
+TEST_F(Started, ErrorsHaveATypeAndNameTheRemedy)
 {
-    for (const Refused &row : kRefused) {
+    for (const ErrorCase &row : kErrorCases) {
         Call call = Do(0, row.method, row.path, row.key, row.body);
         EXPECT_EQ(row.code, call.code) << row.path << row.body << call.body;
         EXPECT_NE(std::string::npos, call.body.find(row.remedy)) << call.body;
@@ -390,10 +390,10 @@
 }
 
 /*
- * Two operators change the same section at two daemons in the same moment.
- * Both daemons find the base fresh and append; the order of the log decides.
- * One operator is told 200, the other 409 with what to do; neither change is
- * lost in silence.
+ * Guards against a lost update: two operators change the same section at two
+ * daemons at the same time.  Both bases are current, so both daemons append,
+ * and the order of the log decides.  One operator must get 200, the other 409
+ * with the remedy.
  */
 TEST_F(Started, RaceHasOneWinnerAndOneRemedy)
 {
@@ -415,20 +415,20 @@
 }
 
 /*
- * An operator is told "failed" though the change came into force.  The append
- * took effect and its answer was lost; reading the log back settles it.
+ * Guards against a failure reported for a change that is in force: the append
+ * takes effect and its response is lost.  The verdict must come from the log.
  */
-TEST_F(Started, LostAnswerIsSettledByReading)
+TEST_F(Started, VerdictIsReadFromTheLogAfterALostResponse)
 {
-    log.fault = kAnswerLost;
+    log.fault = kResponseLost;
     Call call = Do(0, "PATCH", kDerwent, "d", change(2, customer("a")));
     EXPECT_EQ(200, call.code) << call.body;
     EXPECT_EQ(3U, Sc_SectionOffset(daemons[1].state, "team/derwent"));
 }
 
-TEST_F(Started, AppendThatWasNotWrittenIsSaid)
+TEST_F(Started, FailedAppendIsReported)
 {
-    for (Fault fault : {kNotWritten, kOutOfReach}) {
+    for (Fault fault : {kNotWritten, kUnreachable}) {
         log.fault = fault;
         Call call = Do(0, "PATCH", kDerwent, "d", change(2, customer("a")));
         EXPECT_EQ(503, call.code) << call.body;
@@ -437,14 +437,14 @@
 }
 
 /*
- * A change takes effect twice.  The append's answer was lost and nothing can
- * be read for a while; the operator is told that the outcome is unknown and
- * repeats the change with its id, at another daemon.  By then the first has
- * been read, and the repetition gets its verdict.
+ * Guards against a change that takes effect twice.  The response to the append
+ * is lost and the log cannot be read for a while, so the operator gets
+ * "unknown" and repeats the change with the same id at another daemon.  The
+ * repetition must get the verdict on the first append.
  */
-TEST_F(Started, UnknownOutcomeIsRepeatedWithoutSecondEffect)
+TEST_F(Started, RepeatedChangeTakesEffectOnce)
 {
-    log.fault = kAnswerLost;
+    log.fault = kResponseLost;
     log.paused = true;
     std::string body = change(2, customer("a"), "intent-7");
     Call call = Do(0, "PATCH", kDerwent, "d", body);
@@ -469,8 +469,8 @@
 }
 
 /*
- * An operator's fresh base is refused as stale by a daemon that lags.  The
- * daemon cannot tell; it leaves the decision to the log.
+ * Guards against a false conflict: a daemon that lags behind does not know the
+ * current base of a change, and must leave the decision to the log.
  */
 TEST_F(Started, LaggingDaemonLeavesTheDecisionToTheLog)
 {
@@ -488,8 +488,8 @@
 }
 
 /*
- * The daemon crashes when a change ends whose operator has hung up.  The
- * caller goes first, the append ends later.
+ * Guards against a crash when the append of a change ends after its caller has
+ * closed the connection.
  */
 TEST_F(Started, CallerMayLeaveBeforeTheVerdict)
 {
@@ -512,7 +512,7 @@
     ASSERT_EQ(ST_OK, Hc_Start(loop, &request, &kClientOps, &call, &started));
     WaitForAppends(1);
     Hc_Cancel(started);
-    for (ticks = 0; ticks < kMostTicks; Serve()) {
+    for (ticks = 0; ticks < kTicksMax; Serve()) {
         if (Ad_OpenRequests(daemons[0].admin) == 0) {
             break;
         }
@@ -523,11 +523,11 @@
     EXPECT_EQ(3U, Sc_SectionOffset(daemons[0].state, "team/derwent"));
 }
 
-/* Stopping with a change on its way neither answers nor leaks. */
-TEST_F(Started, StopForgetsChangesOnTheirWay)
+/* Guards against a leak of a change that is pending at the stop. */
+TEST_F(Started, StopDropsPendingChanges)
 {
     log.paused = true;
-    Start(&held, 0, "PATCH", kDerwent, "d", change(2, customer("a")));
+    Start(&pending_call, 0, "PATCH", kDerwent, "d", change(2, customer("a")));
     WaitForAppends(1);
     log.pending.clear();
     Ad_Stop(daemons[0].admin);
