--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -51,7 +51,7 @@
     if (Sp_Begun(daemon->stop)) {
         return "the daemon is stopping";
     }
-    if (!daemon->hosts_seen) {
+    if (!daemon->host_list_read) {
         return "the host list has not come yet";
     }
     if (daemon->gate.config == NULL) {
--- a/packages/gate/daemon_internal.h
+++ b/packages/gate/daemon_internal.h
@@ -40,7 +40,7 @@
     struct sp_stop *stop;
     struct lp_timer *tick;
     int64_t started;
-    bool hosts_seen;
+    bool host_list_read;
     bool peers_listed; /* the host list names other daemons */
     bool was_ready;
     int requests_cut;
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -49,10 +49,10 @@
 {
     struct dm_daemon *daemon = arg;
     note_peers(daemon, hosts, count);
-    if (!daemon->hosts_seen && daemon->peers_listed) {
+    if (!daemon->host_list_read && daemon->peers_listed) {
         In_Join(daemon->gate.intake);
     }
-    daemon->hosts_seen = true;
+    daemon->host_list_read = true;
     Ep_Sync(daemon->gate.endpoints, hosts, count);
     Pe_Seed(daemon->peers, hosts, count);
 }
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -25,9 +25,9 @@
 #define Pe_DEMAND_TTL_USEC (60 * Ck_USEC_PER_SEC)
 #define Pe_POISON_TTL_USEC (30 * Ck_USEC_PER_SEC)
 
-/* Entries for the endpoints of two data centres, and for all keyed jobs. */
-#define Pe_WATCH_CACHE 2048
-#define Pe_JOB_CACHE 64
+/* Room for the endpoints of two data centres, and for all keyed jobs. */
+#define Pe_WATCH_CACHE_ENTRIES 2048
+#define Pe_JOB_CACHE_ENTRIES 64
 
 /* Whether this daemon watches an endpoint, as of a table generation. */
 struct watch_memo {
@@ -52,8 +52,8 @@
     int64_t started;
     uint64_t highest_offset; /* of the config stream, at any daemon */
     bool pulling;            /* a call for a peer's configuration is open */
-    struct watch_memo watch_memos[Pe_WATCH_CACHE];
-    struct job_memo job_memos[Pe_JOB_CACHE];
+    struct watch_memo watch_memos[Pe_WATCH_CACHE_ENTRIES];
+    struct job_memo job_memos[Pe_JOB_CACHE_ENTRIES];
 };
 
 static void
@@ -681,7 +681,7 @@
 {
     uint64_t generation = Mb_Generation(Nd_Members(peers->node)) + 1;
     uint64_t hash = Hash_String(key, 0);
-    struct job_memo *memo = &peers->job_memos[hash % Pe_JOB_CACHE];
+    struct job_memo *memo = &peers->job_memos[hash % Pe_JOB_CACHE_ENTRIES];
     if (memo->key != hash || memo->generation != generation) {
         memo->key = hash;
         memo->generation = generation;
@@ -761,7 +761,8 @@
 {
     uint64_t generation = Mb_Generation(Nd_Members(peers->node)) + 1;
     uint64_t key = Hash_String(info->id, Hash_String(info->data_centre, 0));
-    struct watch_memo *memo = &peers->watch_memos[key % Pe_WATCH_CACHE];
+    struct watch_memo *memo =
+        &peers->watch_memos[key % Pe_WATCH_CACHE_ENTRIES];
     if (memo->key != key || memo->generation != generation) {
         memo->key = key;
         memo->generation = generation;
@@ -772,8 +773,8 @@
 
 /*
  * Whether a run of a daemon has ended: the daemon is dead, or has restarted
- * with another incarnation.  Always false for other daemons just after a
- * start, when this daemon does not know the membership yet.
+ * with another incarnation.  Always false just after a start, when this daemon
+ * does not know the membership yet.
  */
 bool
 Pe_RunEnded(const struct pe_peers *peers, const char *node,
--- a/packages/gate/test/admin_test.cc
+++ b/packages/gate/test/admin_test.cc
@@ -102,7 +102,7 @@
 struct Call {
     int code = 0;
     std::string body;
-    int *left = nullptr;
+    int *open_calls = nullptr;
 };
 
 void
@@ -113,7 +113,7 @@
     const char *body = Hc_Body(call, &len);
     c->code = result->code;
     c->body.assign(body != nullptr ? body : "", len);
-    --*c->left;
+    --*c->open_calls;
 }
 
 const struct hc_ops kClientOps = {nullptr, nullptr, on_done};
@@ -201,8 +201,8 @@
         request.body = body.data();
         request.body_len = body.size();
         request.total_usec = 20 * 1000000;
-        call->left = &left;
-        left++;
+        call->open_calls = &open_calls;
+        open_calls++;
         ASSERT_EQ(ST_OK, Hc_Start(loop, &request, &kClientOps, call, nullptr));
     }
 
@@ -225,10 +225,10 @@
     void
     Run()
     {
-        for (ticks = 0; left > 0 && ticks < kTicksMax;) {
+        for (ticks = 0; open_calls > 0 && ticks < kTicksMax;) {
             Serve();
         }
-        ASSERT_EQ(0, left);
+        ASSERT_EQ(0, open_calls);
     }
 
     void
@@ -245,7 +245,7 @@
     std::string bootstrap;
     Log log;
     Daemon daemons[2];
-    int left = 0;
+    int open_calls = 0;
     int ticks = 0;
     Call pending_call; /* must outlive the loop */
 };
@@ -277,7 +277,7 @@
 const char kDerwent[] = "/admin/v1/sections/team/derwent";
 const char kPlatform[] = "/admin/v1/sections/platform";
 
-class Started : public Admin {
+class WithTeams : public Admin {
   protected:
     void
     SetUp() override
@@ -302,7 +302,7 @@
     EXPECT_EQ("the configuration is not read yet", call.body);
 }
 
-TEST_F(Started, BootstrapKeyIsInvalidOnceThereAreTeams)
+TEST_F(WithTeams, BootstrapKeyIsInvalidOnceThereAreTeams)
 {
     Call call = Do(0, "PUT", kPlatform, "first", change(1, platform()));
     EXPECT_EQ(401, call.code);
@@ -361,7 +361,7 @@
      400, "team/NAME"},
 };
 
-TEST_F(Started, ErrorsHaveATypeAndNameTheRemedy)
+TEST_F(WithTeams, ErrorsHaveATypeAndNameTheRemedy)
 {
     for (const ErrorCase &row : kErrorCases) {
         Call call = Do(0, row.method, row.path, row.key, row.body);
@@ -377,7 +377,7 @@
     EXPECT_EQ(0, log.appends);
 }
 
-TEST_F(Started, TeamsSeeTheirOwnSections)
+TEST_F(WithTeams, TeamsSeeTheirOwnSections)
 {
     std::string mine = Do(0, "GET", "/admin/v1/config", "d").body;
     EXPECT_NE(std::string::npos, mine.find("team/derwent")) << mine;
@@ -395,7 +395,7 @@
  * and the order of the log decides.  One operator must get 200, the other 409
  * with the remedy.
  */
-TEST_F(Started, RaceHasOneWinnerAndOneRemedy)
+TEST_F(WithTeams, RaceHasOneWinnerAndOneRemedy)
 {
     log.paused = true;
     Call calls[2];
@@ -418,7 +418,7 @@
  * Guards against a failure reported for a change that is in force: the append
  * takes effect and its response is lost.  The verdict must come from the log.
  */
-TEST_F(Started, VerdictIsReadFromTheLogAfterALostResponse)
+TEST_F(WithTeams, VerdictIsReadFromTheLogAfterALostResponse)
 {
     log.fault = kResponseLost;
     Call call = Do(0, "PATCH", kDerwent, "d", change(2, customer("a")));
@@ -426,7 +426,7 @@
     EXPECT_EQ(3U, Sc_SectionOffset(daemons[1].state, "team/derwent"));
 }
 
-TEST_F(Started, FailedAppendIsReported)
+TEST_F(WithTeams, FailedAppendIsReported)
 {
     for (Fault fault : {kNotWritten, kUnreachable}) {
         log.fault = fault;
@@ -442,7 +442,7 @@
  * "unknown" and repeats the change with the same id at another daemon.  The
  * repetition must get the verdict on the first append.
  */
-TEST_F(Started, RepeatedChangeTakesEffectOnce)
+TEST_F(WithTeams, RepeatedChangeTakesEffectOnce)
 {
     log.fault = kResponseLost;
     log.paused = true;
@@ -472,7 +472,7 @@
  * Guards against a false conflict: a daemon that lags behind does not know the
  * current base of a change, and must leave the decision to the log.
  */
-TEST_F(Started, LaggingDaemonLeavesTheDecisionToTheLog)
+TEST_F(WithTeams, LaggingDaemonLeavesTheDecisionToTheLog)
 {
     ASSERT_EQ(200,
               Do(0, "PATCH", kDerwent, "d", change(2, customer("a"))).code);
@@ -491,7 +491,7 @@
  * Guards against a crash when the append of a change ends after its caller has
  * closed the connection.
  */
-TEST_F(Started, CallerMayLeaveBeforeTheVerdict)
+TEST_F(WithTeams, CallerMayLeaveBeforeTheVerdict)
 {
     log.paused = true;
     Call call;
@@ -508,7 +508,7 @@
     request.body = body.data();
     request.body_len = body.size();
     struct hc_call *started;
-    call.left = &left;
+    call.open_calls = &open_calls;
     ASSERT_EQ(ST_OK, Hc_Start(loop, &request, &kClientOps, &call, &started));
     WaitForAppends(1);
     Hc_Cancel(started);
@@ -524,7 +524,7 @@
 }
 
 /* Guards against a leak of a change that is pending at the stop. */
-TEST_F(Started, StopDropsPendingChanges)
+TEST_F(WithTeams, StopDropsPendingChanges)
 {
     log.paused = true;
     Start(&pending_call, 0, "PATCH", kDerwent, "d", change(2, customer("a")));
