--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -24,7 +24,7 @@
 #define Dm_LAG_USEC (1 * Ck_USEC_PER_SEC)
 #define Dm_POLLING_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
 #define Dm_HOSTS_PERIOD_USEC (500 * Ck_USEC_PER_MSEC)
-#define Dm_PULL_PERIOD_USEC (200 * Ck_USEC_PER_MSEC)
+#define Dm_FETCH_PERIOD_USEC (200 * Ck_USEC_PER_MSEC)
 /* Peers treat a daemon as silent after four intervals without demand. */
 #define Dm_DEMANDS_SKIPPED_MAX 2
 /* Appends a second of one daemon; the claim keeper sets that of claims. */
@@ -198,9 +198,9 @@
     }
     bool waited = daemon->gate.config == NULL ||
                   now - daemon->behind_since >= Dm_LAG_USEC;
-    if (waited && now >= daemon->next_pull) {
-        daemon->next_pull = now + Dm_PULL_PERIOD_USEC;
-        Pe_PullConfig(daemon->peers);
+    if (waited && now >= daemon->next_fetch) {
+        daemon->next_fetch = now + Dm_FETCH_PERIOD_USEC;
+        Pe_FetchConfig(daemon->peers);
     }
 }
 
--- a/packages/gate/daemon_internal.h
+++ b/packages/gate/daemon_internal.h
@@ -27,7 +27,7 @@
     size_t published_demands;
     size_t published_daemons; /* that the limits are divided by */
     int demands_skipped;
-    int64_t next_pull;
+    int64_t next_fetch;
     int64_t behind_since; /* peers have read the config stream further */
     int64_t next_polling_update;
     int64_t next_offset;
@@ -54,7 +54,7 @@
 extern const struct lw_ops dm_load_ops;
 
 /* Publishes the prompt parts that crash engines to the other daemons. */
-void Dm_PublishPoison(void *arg, const struct gq_word *word);
+void Dm_PublishPoison(void *arg, const struct gq_word *report);
 
 const char *Dm_NotReady(const struct dm_daemon *daemon);
 void Dm_ConfigApplied(void *arg, uint64_t offset);
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -98,8 +98,8 @@
            int64_t timeout_usec, gc_reply_fn reply, void *reply_arg)
 {
     struct dm_daemon *daemon = arg;
-    return Pe_AskClaim(daemon->peers, node, payload, len, timeout_usec, reply,
-                       reply_arg);
+    return Pe_CallClaimKeeper(daemon->peers, node, payload, len, timeout_usec,
+                              reply, reply_arg);
 }
 
 static bool
@@ -225,24 +225,24 @@
 }
 
 static void
-peer_evidence(void *arg, const char *text, size_t len)
+peer_move_report(void *arg, const char *text, size_t len)
 {
     struct dm_daemon *daemon = arg;
     Mo_HandleReport(daemon->gate.moves, text, len);
 }
 
 static void
-peer_poison(void *arg, const struct gq_word *word)
+peer_poison(void *arg, const struct gq_word *report)
 {
     struct dm_daemon *daemon = arg;
-    Gq_Hear(daemon->gate.quarantine, word);
+    Gq_Hear(daemon->gate.quarantine, report);
 }
 
 void
-Dm_PublishPoison(void *arg, const struct gq_word *word)
+Dm_PublishPoison(void *arg, const struct gq_word *report)
 {
     struct dm_daemon *daemon = arg;
-    Pe_PublishPoison(daemon->peers, word);
+    Pe_PublishPoison(daemon->peers, report);
 }
 
 const struct pe_ops dm_peer_ops = {
@@ -256,7 +256,7 @@
     .hosts_digest = peer_hosts_digest,
     .member = peer_member,
     .claim = peer_claim,
-    .evidence = peer_evidence,
+    .move_report = peer_move_report,
     .poison = peer_poison,
 };
 
@@ -277,7 +277,7 @@
         Mo_HandleReport(daemon->gate.moves, text, len);
         return;
     }
-    Pe_SendEvidence(daemon->peers, holder, text, len);
+    Pe_SendMoveReport(daemon->peers, holder, text, len);
 }
 
 static void
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -51,7 +51,7 @@
     uint64_t incarnation; /* of this run of the daemon */
     int64_t started;
     uint64_t highest_offset; /* of the config stream, at any daemon */
-    bool pulling;            /* a call for a peer's configuration is open */
+    bool fetching_config;    /* a call for a peer's configuration is open */
     struct watch_memo watch_memos[Pe_WATCH_CACHE_ENTRIES];
     struct job_memo job_memos[Pe_JOB_CACHE_ENTRIES];
 };
@@ -135,10 +135,10 @@
 poison_fact(void *arg, const struct fc_fact *fact)
 {
     struct pe_peers *peers = arg;
-    struct gq_word word;
+    struct gq_word report;
     if (strcmp(fact->owner, Nd_Id(peers->node)) != 0 &&
-        Pp_Read(fact->key, fact->value, fact->len, &word)) {
-        peers->ops->poison(peers->arg, &word);
+        Pp_Read(fact->key, fact->value, fact->len, &report)) {
+        peers->ops->poison(peers->arg, &report);
     }
 }
 
@@ -188,12 +188,12 @@
 }
 
 static void
-serve_evidence(void *arg, struct lk_request *request)
+serve_move_report(void *arg, struct lk_request *request)
 {
     struct pe_peers *peers = arg;
     size_t len;
     const char *text = Lk_Payload(request, &len);
-    peers->ops->evidence(peers->arg, text, len);
+    peers->ops->move_report(peers->arg, text, len);
     Lk_Reply(request, ST_OK, NULL, 0);
 }
 
@@ -228,7 +228,7 @@
         status = Lk_Handle(links, "claim", serve_claim, peers);
     }
     if (status == ST_OK) {
-        status = Lk_Handle(links, "evidence", serve_evidence, peers);
+        status = Lk_Handle(links, "evidence", serve_move_report, peers);
     }
     return status;
 }
@@ -397,7 +397,7 @@
 config_reply(void *arg, const struct lk_result *result)
 {
     struct pe_peers *peers = arg;
-    peers->pulling = false;
+    peers->fetching_config = false;
     if (result->answered && result->status == ST_OK) {
         peers->ops->config_received(peers->arg, result->payload, result->len);
     }
@@ -471,14 +471,15 @@
 
 /* Fetches the configuration of the furthest peer; one call at a time. */
 void
-Pe_PullConfig(struct pe_peers *peers)
+Pe_FetchConfig(struct pe_peers *peers)
 {
-    const char *from = peers->pulling ? NULL : furthest_peer(peers);
+    const char *from = peers->fetching_config ? NULL : furthest_peer(peers);
     if (from == NULL) {
         return;
     }
-    peers->pulling = Nd_Call(peers->node, from, "config", "", 0, Pe_CALL_USEC,
-                             config_reply, peers, NULL) == ST_OK;
+    peers->fetching_config =
+        Nd_Call(peers->node, from, "config", "", 0, Pe_CALL_USEC, config_reply,
+                peers, NULL) == ST_OK;
 }
 
 /*
@@ -571,7 +572,7 @@
 
 /* Publishes what this daemon knows of prompt parts that crash engines. */
 void
-Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *word)
+Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *report)
 {
     static const char *const keys[] = {Pp_ENDED, Pp_BEGUN, Pp_STOPPED};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
@@ -584,7 +585,7 @@
             .ttl_usec = Pe_POISON_TTL_USEC,
             .value = value,
         };
-        post.len = Pp_Write(keys[i], word, value, sizeof(value));
+        post.len = Pp_Write(keys[i], report, value, sizeof(value));
         if (post.len > 0) {
             publish(peers, &post);
         }
@@ -609,7 +610,7 @@
 }
 
 static void
-evidence_sent(void *arg, const struct lk_result *result)
+move_report_sent(void *arg, const struct lk_result *result)
 {
     (void)arg;
     (void)result;
@@ -621,11 +622,11 @@
  * does not bias the comparison.
  */
 void
-Pe_SendEvidence(struct pe_peers *peers, const char *node, const char *text,
-                size_t len)
+Pe_SendMoveReport(struct pe_peers *peers, const char *node, const char *text,
+                  size_t len)
 {
     (void)Nd_Call(peers->node, node, "evidence", text, len, Pe_CALL_USEC,
-                  evidence_sent, NULL, NULL);
+                  move_report_sent, NULL, NULL);
 }
 
 struct claim_call {
@@ -647,8 +648,9 @@
  * exactly once, later.
  */
 enum st_status
-Pe_AskClaim(struct pe_peers *peers, const char *node, const char *payload,
-            size_t len, int64_t timeout_usec, gc_reply_fn reply, void *arg)
+Pe_CallClaimKeeper(struct pe_peers *peers, const char *node,
+                   const char *payload, size_t len, int64_t timeout_usec,
+                   gc_reply_fn reply, void *arg)
 {
     struct claim_call *call = calloc(1, sizeof(*call));
     if (call == NULL) {
--- a/packages/gate/peers.h
+++ b/packages/gate/peers.h
@@ -42,9 +42,9 @@
      * network partition it may still serve its portion of the limits.
      */
     void (*member)(void *arg, const char *node, bool present);
-    void (*poison)(void *arg, const struct gq_word *word);
+    void (*poison)(void *arg, const struct gq_word *report);
     /* A router's report on a version move. */
-    void (*evidence)(void *arg, const char *text, size_t len);
+    void (*move_report)(void *arg, const char *text, size_t len);
     /* A remote call about claims; reply with Lk_Reply(). */
     void (*claim)(void *arg, struct lk_request *request);
 };
@@ -60,22 +60,23 @@
 void Pe_Leave(struct pe_peers *peers);
 void Pe_PublishHostsDigest(struct pe_peers *peers, uint64_t digest);
 void Pe_PublishConfigOffset(struct pe_peers *peers, uint64_t offset);
-void Pe_PullConfig(struct pe_peers *peers);
+void Pe_FetchConfig(struct pe_peers *peers);
 void Pe_PublishLoad(struct pe_peers *peers, const struct lw_report *report);
 void Pe_PublishHostLeaving(struct pe_peers *peers, const char *host,
                            int64_t left_usec);
 void Pe_PublishDistrust(struct pe_peers *peers, const char *service,
                         const char *version);
-void Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *word);
+void Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *report);
 void Pe_PublishDemand(struct pe_peers *peers,
                       const struct pf_demands *demands);
 void Pe_TellThrough(struct pe_peers *peers, const struct pf_through *tunnel,
                     int64_t ttl_usec);
-void Pe_SendEvidence(struct pe_peers *peers, const char *node,
-                     const char *text, size_t len);
-enum st_status Pe_AskClaim(struct pe_peers *peers, const char *node,
-                           const char *payload, size_t len,
-                           int64_t timeout_usec, gc_reply_fn reply, void *arg);
+void Pe_SendMoveReport(struct pe_peers *peers, const char *node,
+                       const char *text, size_t len);
+enum st_status Pe_CallClaimKeeper(struct pe_peers *peers, const char *node,
+                                  const char *payload, size_t len,
+                                  int64_t timeout_usec, gc_reply_fn reply,
+                                  void *arg);
 
 /* Queries. */
 uint16_t Pe_Port(const struct pe_peers *peers);
