--- a/packages/gate/moves_router.c
+++ b/packages/gate/moves_router.c
@@ -13,7 +13,7 @@
 #include "gate/events.h"
 #include "gate/moves_internal.h"
 
-#define Mo_CELLS_MAX 12
+#define Mo_NAMED_CELLS_MAX 12
 #define Mo_VERY_SLOW_FACTOR 8 /* times the target for the first token */
 #define Mo_VERSIONS 2
 
@@ -89,8 +89,8 @@
 count_outcome(struct mo_service *service, const struct mo_outcome *outcome,
               enum mv_side side)
 {
-    /* Once all cells are in use, the rest counts as route "other". */
-    bool full = service->report.count >= Mo_CELLS_MAX;
+    /* Once these cells are in use, the rest counts as route "other". */
+    bool full = service->report.count >= Mo_NAMED_CELLS_MAX;
     struct mv_cell *cell =
         find_or_add_cell(&service->report, full ? "other" : outcome->route,
                          outcome->patient ? 1 : 0);
