--- a/packages/gate/daemon_admin.c
+++ b/packages/gate/daemon_admin.c
@@ -1,4 +1,4 @@
-/* What the administration API asks of the daemon. */
+/* The operations that the administration API calls on the daemon. */
 #include <stdlib.h>
 
 #include "gate/daemon_internal.h"
@@ -77,7 +77,7 @@
         Sd_Services(&daemon->gate), "moves", Mo_Status(daemon->gate.moves),
         "work", "queued", In_Queued(daemon->gate.intake), "claim_slots",
         Gc_SlotsKept(daemon->gate.claims), "log_in_reach",
-        Cs_Reading(daemon->config));
+        Cs_IsLogReachable(daemon->config));
 }
 
 static void
@@ -86,7 +86,7 @@
     Mt_Set(Mt_Get(daemon->gate.metrics, MT_GAUGE, name, ""), value);
 }
 
-/* Brings the gauges up to date and copies the counters of other modules. */
+/* Updates the gauges and copies the counters of other modules. */
 static void
 refresh_metrics(struct dm_daemon *daemon)
 {
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -1,5 +1,5 @@
 /*
- * What the daemon does with the word of others: the host list, the other
+ * Connects the modules that receive external state: the host list, the other
  * daemons, load samples, claims and version moves.
  */
 #include <stdio.h>
@@ -10,25 +10,25 @@
 
 #define Dm_KEY_MAX 32
 /*
- * Gossip misses a few of a hundred; the exchange of all facts would bring it
- * half a minute later, while an operator waits.
+ * A new config offset is published twice.  Gossip misses a few daemons in a
+ * hundred; without the second time they would get it from the full exchange of
+ * facts half a minute later, while an operator waits.
  */
-#define Dm_RETELL_USEC (3 * Ck_USEC_PER_SEC)
+#define Dm_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 
 /*
- * Remembers whether there are other daemons, and takes those out of the
- * sharing of limits that are both dead and off the list.  A daemon that is
- * only out of reach keeps its part: it may be serving on its side of a cut.
+ * Records whether the list names other daemons.  Daemons that are both dead
+ * and off the list no longer count when limits are divided.  A daemon that is
+ * only unreachable still counts: it may be serving behind a network partition.
  */
 static void
-note_others(struct dm_daemon *daemon, const struct hl_host *hosts,
-            size_t count)
+note_peers(struct dm_daemon *daemon, const struct hl_host *hosts, size_t count)
 {
     const struct mb_table *members = Nd_Members(Pe_Node(daemon->peers));
-    daemon->others_listed = false;
+    daemon->peers_listed = false;
     for (size_t i = 0; i < count; i++) {
-        daemon->others_listed =
-            daemon->others_listed ||
+        daemon->peers_listed =
+            daemon->peers_listed ||
             (hosts[i].role == HL_ENTRY && hosts[i].state == HL_LIVE &&
              strcmp(hosts[i].id, daemon->gate.options->node_id) != 0);
     }
@@ -45,20 +45,20 @@
 }
 
 static void
-take_hosts(void *arg, const struct hl_host *hosts, size_t count)
+on_host_list(void *arg, const struct hl_host *hosts, size_t count)
 {
     struct dm_daemon *daemon = arg;
-    note_others(daemon, hosts, count);
-    if (!daemon->hosts_seen && daemon->others_listed) {
+    note_peers(daemon, hosts, count);
+    if (!daemon->host_list_read && daemon->peers_listed) {
         In_Join(daemon->gate.intake);
     }
-    daemon->hosts_seen = true;
+    daemon->host_list_read = true;
     Ep_Sync(daemon->gate.endpoints, hosts, count);
     Pe_Seed(daemon->peers, hosts, count);
 }
 
 static void
-take_notice(void *arg, const char *host, int64_t left_usec)
+on_notice(void *arg, const char *host, int64_t left_usec)
 {
     struct dm_daemon *daemon = arg;
     if (strcmp(host, daemon->gate.options->node_id) == 0) {
@@ -68,24 +68,24 @@
         return;
     }
     Ep_Leaving(daemon->gate.endpoints, host, left_usec);
-    Pe_HostLeaving(daemon->peers, host, left_usec);
+    Pe_PublishHostLeaving(daemon->peers, host, left_usec);
 }
 
 static void
-hosts_changed(void *arg, uint64_t digest)
+on_host_list_changed(void *arg, uint64_t digest)
 {
     struct dm_daemon *daemon = arg;
-    Pe_HostsDigest(daemon->peers, digest);
+    Pe_PublishHostsDigest(daemon->peers, digest);
 }
 
 const struct hw_ops dm_host_ops = {
-    .hosts = take_hosts,
-    .changed = hosts_changed,
-    .notice = take_notice,
+    .hosts = on_host_list,
+    .changed = on_host_list_changed,
+    .notice = on_notice,
 };
 
 static const char *
-slot_keeper(void *arg, int slot)
+claim_keeper(void *arg, int slot)
 {
     struct dm_daemon *daemon = arg;
     char key[Dm_KEY_MAX];
@@ -94,37 +94,37 @@
 }
 
 static enum st_status
-ask_keeper(void *arg, const char *node, const char *payload, size_t len,
+claim_call(void *arg, const char *node, const char *payload, size_t len,
            int64_t timeout_usec, gc_reply_fn reply, void *reply_arg)
 {
     struct dm_daemon *daemon = arg;
-    return Pe_AskClaim(daemon->peers, node, payload, len, timeout_usec, reply,
-                       reply_arg);
+    return Pe_CallClaimKeeper(daemon->peers, node, payload, len, timeout_usec,
+                              reply, reply_arg);
 }
 
 static bool
-run_ended(void *arg, const struct rc_writer *owner)
+claim_owner_ended(void *arg, const struct rc_writer *owner)
 {
     struct dm_daemon *daemon = arg;
     return Pe_RunEnded(daemon->peers, owner->node, owner->incarnation);
 }
 
 const struct gc_ops dm_claim_ops = {
-    .keeper = slot_keeper,
-    .ask = ask_keeper,
-    .dead = run_ended,
+    .keeper = claim_keeper,
+    .ask = claim_call,
+    .dead = claim_owner_ended,
 };
 
 /*
- * The config stream was read further: the others and waiting operators are
- * told.
+ * Publishes the new config offset to the other daemons, and answers operators
+ * who wait for the verdict on a change.
  */
 void
 Dm_ConfigApplied(void *arg, uint64_t offset)
 {
     struct dm_daemon *daemon = arg;
-    Pe_ConfigOffset(daemon->peers, offset);
-    daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_RETELL_USEC;
+    Pe_PublishConfigOffset(daemon->peers, offset);
+    daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_REPUBLISH_USEC;
     if (daemon->admin != NULL) {
         Ad_Advanced(daemon->admin);
     }
@@ -134,7 +134,7 @@
 peer_config_ahead(void *arg, uint64_t offset)
 {
     struct dm_daemon *daemon = arg;
-    Cs_Word(daemon->config, offset);
+    Cs_HandleNotice(daemon->config, offset);
 }
 
 static char *
@@ -145,7 +145,7 @@
 }
 
 static void
-peer_config_came(void *arg, const char *state, size_t len)
+peer_config_received(void *arg, const char *state, size_t len)
 {
     struct dm_daemon *daemon = arg;
     (void)Cs_Import(daemon->config, state, len);
@@ -191,11 +191,11 @@
 }
 
 static void
-peer_hosts(void *arg, uint64_t digest)
+peer_hosts_digest(void *arg, uint64_t digest)
 {
     struct dm_daemon *daemon = arg;
     if (daemon->hosts != NULL) {
-        Hw_Hear(daemon->hosts, digest);
+        Hw_HandlePeerDigest(daemon->hosts, digest);
     }
 }
 
@@ -225,38 +225,38 @@
 }
 
 static void
-peer_evidence(void *arg, const char *text, size_t len)
+peer_move_report(void *arg, const char *text, size_t len)
 {
     struct dm_daemon *daemon = arg;
-    Mo_Report(daemon->gate.moves, text, len);
+    Mo_HandleReport(daemon->gate.moves, text, len);
 }
 
 static void
-peer_poison(void *arg, const struct gq_word *word)
+peer_poison(void *arg, const struct gq_word *report)
 {
     struct dm_daemon *daemon = arg;
-    Gq_Hear(daemon->gate.quarantine, word);
+    Gq_Hear(daemon->gate.quarantine, report);
 }
 
 void
-Dm_TellPoison(void *arg, const struct gq_word *word)
+Dm_PublishPoison(void *arg, const struct gq_word *report)
 {
     struct dm_daemon *daemon = arg;
-    Pe_Poison(daemon->peers, word);
+    Pe_PublishPoison(daemon->peers, report);
 }
 
 const struct pe_ops dm_peer_ops = {
     .config_ahead = peer_config_ahead,
     .config_state = peer_config_state,
-    .config_came = peer_config_came,
+    .config_received = peer_config_received,
     .load = peer_load,
     .leaving = peer_leaving,
     .distrust = peer_distrust,
     .demand = peer_demand,
-    .hosts = peer_hosts,
+    .hosts_digest = peer_hosts_digest,
     .member = peer_member,
     .claim = peer_claim,
-    .evidence = peer_evidence,
+    .move_report = peer_move_report,
     .poison = peer_poison,
 };
 
@@ -269,22 +269,22 @@
 }
 
 static void
-move_report(void *arg, const char *job, const char *text, size_t len)
+move_send_report(void *arg, const char *job, const char *text, size_t len)
 {
     struct dm_daemon *daemon = arg;
     const char *holder = Pe_Responsible(daemon->peers, job);
     if (holder == NULL) {
-        Mo_Report(daemon->gate.moves, text, len);
+        Mo_HandleReport(daemon->gate.moves, text, len);
         return;
     }
-    Pe_SendEvidence(daemon->peers, holder, text, len);
+    Pe_SendMoveReport(daemon->peers, holder, text, len);
 }
 
 static void
 move_distrust(void *arg, const char *service, const char *version)
 {
     struct dm_daemon *daemon = arg;
-    Pe_Distrust(daemon->peers, service, version);
+    Pe_PublishDistrust(daemon->peers, service, version);
 }
 
 static size_t
@@ -296,16 +296,16 @@
 
 const struct mo_ops dm_move_ops = {
     .should_hold = move_should_hold,
-    .report = move_report,
+    .send_report = move_send_report,
     .distrust = move_distrust,
     .routers = move_routers,
 };
 
 static bool
-load_mine(void *arg, const struct ch_info *info)
+load_is_watcher(void *arg, const struct ch_info *info)
 {
     struct dm_daemon *daemon = arg;
-    return Pe_Watches(daemon->peers, info);
+    return Pe_IsWatcher(daemon->peers, info);
 }
 
 static void
@@ -313,7 +313,7 @@
 {
     struct dm_daemon *daemon = arg;
     peer_load(daemon, report);
-    Pe_Load(daemon->peers, report);
+    Pe_PublishLoad(daemon->peers, report);
 }
 
 static void
@@ -328,7 +328,7 @@
 }
 
 const struct lw_ops dm_load_ops = {
-    .mine = load_mine,
+    .mine = load_is_watcher,
     .report = load_report,
     .silent = load_silent,
 };
