--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -7,21 +7,22 @@
 #include "gate/claims_wire.h"
 
 /* How long another daemon may take before this one claims by itself. */
-#define Gc_ASK_USEC (1500 * Ck_USEC_PER_MSEC)
+#define Gc_PEER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
 /* The asked one gives up before its asker does. */
-#define Gc_SERVE_USEC (1000 * Ck_USEC_PER_MSEC)
+#define Gc_SERVE_TIMEOUT_USEC (1000 * Ck_USEC_PER_MSEC)
 /* Beyond the caller's deadline an endpoint may still answer for a while. */
 #define Gc_EXPIRE_SLACK_MS 90000
 /* How long a slot stays open after this daemon last had to keep it. */
-#define Gc_KEEP_USEC (10 * Ck_USEC_PER_SEC)
+#define Gc_CLOSE_DELAY_USEC (10 * Ck_USEC_PER_SEC)
 
 struct gc_claims {
     struct gc_options options;
     struct kp_keeper *keeper;
-    int64_t kept_at[Cl_SLOTS]; /* when a slot was last kept or used here */
+    int64_t last_used[Cl_SLOTS]; /* when a slot was last kept or used here */
     uint64_t next_attempt;
     TAILQ_HEAD(wait_list, gc_wait) waits;
-    size_t notes; /* results and releases on their way to other daemons */
+    size_t pending_updates; /* results and releases on their way to other
+                               daemons */
 };
 
 /* A claim whose verdict is awaited. */
@@ -32,18 +33,18 @@
     int64_t deadline;
     gc_done_fn done; /* NULL: given up; a claim won late is given back */
     void *arg;
-    bool unheard; /* another daemon may have appended it */
+    bool maybe_appended; /* another daemon may have appended it */
 };
 
 /* A result or a release on its way to another daemon. */
-struct note {
+struct update {
     struct gc_claims *claims;
     char *payload;
     size_t len;
 };
 
 /* A question of another daemon being served. */
-struct served {
+struct request {
     struct cl_claim claim;
     gc_answer_fn answer;
     void *arg;
@@ -108,15 +109,16 @@
     const struct gc_options *options = &claims->options;
     int64_t now = Ck_Now(options->gate->clock);
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
-        bool mine = options->ops->keeper(options->arg, slot) == NULL;
+        bool assigned = options->ops->keeper(options->arg, slot) == NULL;
         bool open = Kp_IsOpen(claims->keeper, slot);
-        if (mine) {
-            claims->kept_at[slot] = now;
+        if (assigned) {
+            claims->last_used[slot] = now;
         }
-        if (mine && !open) {
+        if (assigned && !open) {
             Kp_Open(claims->keeper, slot);
         }
-        else if (open && now - claims->kept_at[slot] >= Gc_KEEP_USEC) {
+        else if (open &&
+                 now - claims->last_used[slot] >= Gc_CLOSE_DELAY_USEC) {
             Kp_Close(claims->keeper, slot);
         }
     }
@@ -127,34 +129,34 @@
 bool
 Gc_Idle(const struct gc_claims *claims)
 {
-    return Kp_Pending(claims->keeper) == 0 && claims->notes == 0;
+    return Kp_Pending(claims->keeper) == 0 && claims->pending_updates == 0;
 }
 
 /* How many slots this daemon should keep. */
 int
 Gc_SlotsKept(const struct gc_claims *claims)
 {
-    int kept = 0;
+    int count = 0;
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
         if (claims->options.ops->keeper(claims->options.arg, slot) == NULL) {
-            kept++;
+            count++;
         }
     }
-    return kept;
+    return count;
 }
 
 static void release(struct gc_claims *claims, const struct cl_key *key,
                     const struct cl_attempt *attempt);
 
 static void
-wait_end(struct gc_wait *wait, const struct kp_answer *answer)
+finish_wait(struct gc_wait *wait, const struct kp_answer *answer)
 {
     struct gc_claims *claims = wait->claims;
     gc_done_fn done = wait->done;
     void *arg = wait->arg;
     TAILQ_REMOVE(&claims->waits, wait, link);
     bool won = answer->verdict == KP_WON;
-    if ((done == NULL && won) || (wait->unheard && !won)) {
+    if ((done == NULL && won) || (wait->maybe_appended && !won)) {
         /*
          * Nobody waits for it any more, or it may have been won at a daemon
          * whose word was lost: the key is free again.  This changes nothing
@@ -169,24 +171,24 @@
 }
 
 static void
-wait_fail(struct gc_wait *wait, const char *reason)
+fail_wait(struct gc_wait *wait, const char *reason)
 {
     struct kp_answer answer = {.verdict = KP_NOT_RUN, .reason = reason};
-    wait_end(wait, &answer);
+    finish_wait(wait, &answer);
 }
 
 static void
-keeper_answered(void *arg, const struct kp_answer *answer)
+local_claim_done(void *arg, const struct kp_answer *answer)
 {
-    wait_end(arg, answer);
+    finish_wait(arg, answer);
 }
 
 static enum st_status
-claim_here(struct gc_claims *claims, const struct cl_claim *claim,
-           int64_t deadline, kp_claim_fn done, void *arg)
+claim_locally(struct gc_claims *claims, const struct cl_claim *claim,
+              int64_t deadline, kp_claim_fn done, void *arg)
 {
     int slot = Cl_Slot(&claim->key);
-    claims->kept_at[slot] = Ck_Now(claims->options.gate->clock);
+    claims->last_used[slot] = Ck_Now(claims->options.gate->clock);
     if (!Kp_IsOpen(claims->keeper, slot)) {
         enum st_status status = Kp_Open(claims->keeper, slot);
         if (status != ST_OK) {
@@ -197,13 +199,13 @@
 }
 
 static void
-peer_answered(void *arg, enum st_status status, const char *payload,
-              size_t len)
+peer_claim_done(void *arg, enum st_status status, const char *payload,
+                size_t len)
 {
     struct gc_wait *wait = arg;
     struct cw_answer answer;
     if (status == ST_OK && Cw_ReadAnswer(payload, len, &answer) == ST_OK) {
-        wait_end(wait, &answer.answer);
+        finish_wait(wait, &answer.answer);
         Cw_FreeAnswer(&answer);
         return;
     }
@@ -213,24 +215,24 @@
      * first this one is told that the key is in progress, by this very
      * attempt: wait_end() then gives the key back.
      */
-    wait->unheard = true;
-    if (claim_here(wait->claims, &wait->claim, wait->deadline, keeper_answered,
-                   wait) != ST_OK) {
-        wait_fail(wait, "no daemon could settle the claim");
+    wait->maybe_appended = true;
+    if (claim_locally(wait->claims, &wait->claim, wait->deadline,
+                      local_claim_done, wait) != ST_OK) {
+        fail_wait(wait, "no daemon could settle the claim");
     }
 }
 
 static enum st_status
-claim_there(struct gc_wait *wait, const char *node)
+claim_remotely(struct gc_wait *wait, const char *node)
 {
     const struct gc_options *options = &wait->claims->options;
-    char *payload = Cw_ClaimAsk(&wait->claim);
+    char *payload = Cw_ClaimRequest(&wait->claim);
     if (payload == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
     enum st_status status =
         options->ops->ask(options->arg, node, payload, strlen(payload),
-                          Gc_ASK_USEC, peer_answered, wait);
+                          Gc_PEER_TIMEOUT_USEC, peer_claim_done, wait);
     free(payload);
     return status;
 }
@@ -272,11 +274,11 @@
     const char *node = options->ops->keeper(options->arg, Cl_Slot(&key->key));
     enum st_status status = ST_UNAVAILABLE;
     if (node != NULL) {
-        status = claim_there(wait, node);
+        status = claim_remotely(wait, node);
     }
     if (status != ST_OK) {
-        status =
-            claim_here(claims, &wait->claim, deadline, keeper_answered, wait);
+        status = claim_locally(claims, &wait->claim, deadline,
+                               local_claim_done, wait);
     }
     if (status != ST_OK) {
         free(wait);
@@ -295,14 +297,14 @@
 }
 
 static void
-here_done(void *arg, bool written)
+append_done(void *arg, bool written)
 {
     (void)arg;
     (void)written;
 }
 
 static enum st_status
-apply_here(struct gc_claims *claims, const struct cw_ask *ask)
+apply_locally(struct gc_claims *claims, const struct cw_ask *ask)
 {
     int slot = Cl_Slot(&ask->key);
     if (!Kp_IsOpen(claims->keeper, slot)) {
@@ -310,49 +312,49 @@
     }
     if (ask->kind == CW_RESULT) {
         return Kp_Result(claims->keeper, &ask->key, &ask->attempt,
-                         &ask->answer, here_done, NULL);
+                         &ask->answer, append_done, NULL);
     }
-    return Kp_Release(claims->keeper, &ask->key, &ask->attempt, here_done,
+    return Kp_Release(claims->keeper, &ask->key, &ask->attempt, append_done,
                       NULL);
 }
 
 static void
-note_done(void *arg, enum st_status status, const char *payload, size_t len)
+update_done(void *arg, enum st_status status, const char *payload, size_t len)
 {
-    struct note *note = arg;
+    struct update *update = arg;
     struct cw_ask ask;
-    note->claims->notes--;
+    update->claims->pending_updates--;
     /* Unheard: written from here.  Written twice does no harm. */
     if (status != ST_OK &&
-        Cw_ReadAsk(note->payload, note->len, &ask) == ST_OK) {
-        apply_here(note->claims, &ask);
+        Cw_ReadAsk(update->payload, update->len, &ask) == ST_OK) {
+        apply_locally(update->claims, &ask);
         Cw_FreeAsk(&ask);
     }
-    free(note->payload);
-    free(note);
+    free(update->payload);
+    free(update);
 }
 
 /* Sends a result or a release to the keeper of its slot; takes "payload". */
 static void
-send_note(struct gc_claims *claims, const struct cl_key *key, char *payload)
+send_update(struct gc_claims *claims, const struct cl_key *key, char *payload)
 {
     const struct gc_options *options = &claims->options;
-    struct note *note = calloc(1, sizeof(*note));
-    if (payload == NULL || note == NULL) {
+    struct update *update = calloc(1, sizeof(*update));
+    if (payload == NULL || update == NULL) {
         /* The claim's expiry settles it as unknown. */
         free(payload);
-        free(note);
+        free(update);
         return;
     }
-    note->claims = claims;
-    note->payload = payload;
-    note->len = strlen(payload);
-    claims->notes++;
+    update->claims = claims;
+    update->payload = payload;
+    update->len = strlen(payload);
+    claims->pending_updates++;
     const char *node = options->ops->keeper(options->arg, Cl_Slot(key));
-    if (node == NULL ||
-        options->ops->ask(options->arg, node, payload, note->len, Gc_ASK_USEC,
-                          note_done, note) != ST_OK) {
-        note_done(note, ST_UNAVAILABLE, NULL, 0);
+    if (node == NULL || options->ops->ask(options->arg, node, payload,
+                                          update->len, Gc_PEER_TIMEOUT_USEC,
+                                          update_done, update) != ST_OK) {
+        update_done(update, ST_UNAVAILABLE, NULL, 0);
     }
 }
 
@@ -370,7 +372,7 @@
 release(struct gc_claims *claims, const struct cl_key *key,
         const struct cl_attempt *attempt)
 {
-    send_note(claims, key, Cw_ReleaseAsk(key, attempt));
+    send_update(claims, key, Cw_ReleaseRequest(key, attempt));
 }
 
 /* Records the answer of a claim that was won, for repeats of the request. */
@@ -379,7 +381,8 @@
           const struct cl_answer *answer)
 {
     struct cl_attempt attempt = attempt_of(claims, key);
-    send_note(claims, &key->key, Cw_ResultAsk(&key->key, &attempt, answer));
+    send_update(claims, &key->key,
+                Cw_ResultRequest(&key->key, &attempt, answer));
 }
 
 /* Records that the outcome of a claim that was won cannot be known. */
@@ -399,32 +402,34 @@
 }
 
 static void
-serve_claim_done(void *arg, const struct kp_answer *answer)
+peer_claim_settled(void *arg, const struct kp_answer *answer)
 {
-    struct served *served = arg;
-    char *text = Cw_Answer(answer, &served->claim.key, &served->claim.attempt);
-    served->answer(served->arg, text != NULL ? text : "",
-                   text != NULL ? strlen(text) : 0);
+    struct request *request = arg;
+    char *text =
+        Cw_Answer(answer, &request->claim.key, &request->claim.attempt);
+    request->answer(request->arg, text != NULL ? text : "",
+                    text != NULL ? strlen(text) : 0);
     free(text);
-    free(served);
+    free(request);
 }
 
 static enum st_status
 serve_claim(struct gc_claims *claims, const struct cw_ask *ask,
             gc_answer_fn answer, void *arg)
 {
-    struct served *served = calloc(1, sizeof(*served));
-    if (served == NULL) {
+    struct request *request = calloc(1, sizeof(*request));
+    if (request == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
-    served->claim = ask->claim;
-    served->answer = answer;
-    served->arg = arg;
-    int64_t deadline = Ck_Now(claims->options.gate->clock) + Gc_SERVE_USEC;
-    enum st_status status =
-        claim_here(claims, &ask->claim, deadline, serve_claim_done, served);
+    request->claim = ask->claim;
+    request->answer = answer;
+    request->arg = arg;
+    int64_t deadline =
+        Ck_Now(claims->options.gate->clock) + Gc_SERVE_TIMEOUT_USEC;
+    enum st_status status = claim_locally(claims, &ask->claim, deadline,
+                                          peer_claim_settled, request);
     if (status != ST_OK) {
-        free(served);
+        free(request);
     }
     return status;
 }
@@ -443,7 +448,7 @@
         status = serve_claim(claims, &ask, answer, arg);
     }
     else {
-        status = apply_here(claims, &ask);
+        status = apply_locally(claims, &ask);
         if (status == ST_OK) {
             answer(arg, "", 0);
         }
--- a/packages/gate/claims_wire.c
+++ b/packages/gate/claims_wire.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const ask_names[] = {
+static const char *const request_names[] = {
     [CW_CLAIM] = "claim",
     [CW_RESULT] = "result",
     [CW_RELEASE] = "release",
@@ -16,13 +16,13 @@
 };
 
 #define Cw_VERDICTS (sizeof(verdict_names) / sizeof(verdict_names[0]))
-#define Cw_KINDS (sizeof(ask_names) / sizeof(ask_names[0]))
+#define Cw_KINDS (sizeof(request_names) / sizeof(request_names[0]))
 
 static char *
-dump_ask(enum cw_kind kind, json_t *body)
+dump_request(enum cw_kind kind, json_t *body)
 {
     json_t *root =
-        json_pack("{s:s,s:o}", "ask", ask_names[kind], "body", body);
+        json_pack("{s:s,s:o}", "ask", request_names[kind], "body", body);
     char *text = root != NULL ? json_dumps(root, JSON_COMPACT) : NULL;
     json_decref(root);
     return text;
@@ -30,24 +30,24 @@
 
 /* Asks for a claim; the caller frees the text, NULL without memory. */
 char *
-Cw_ClaimAsk(const struct cl_claim *claim)
+Cw_ClaimRequest(const struct cl_claim *claim)
 {
-    return dump_ask(CW_CLAIM, Cl_ClaimBody(claim));
+    return dump_request(CW_CLAIM, Cl_ClaimBody(claim));
 }
 
 /* Asks for a result to be recorded. */
 char *
-Cw_ResultAsk(const struct cl_key *key, const struct cl_attempt *attempt,
-             const struct cl_answer *answer)
+Cw_ResultRequest(const struct cl_key *key, const struct cl_attempt *attempt,
+                 const struct cl_answer *answer)
 {
-    return dump_ask(CW_RESULT, Cl_ResultBody(key, attempt, answer));
+    return dump_request(CW_RESULT, Cl_ResultBody(key, attempt, answer));
 }
 
 /* Asks for a claim to be given back. */
 char *
-Cw_ReleaseAsk(const struct cl_key *key, const struct cl_attempt *attempt)
+Cw_ReleaseRequest(const struct cl_key *key, const struct cl_attempt *attempt)
 {
-    return dump_ask(CW_RELEASE, Cl_ReleaseBody(key, attempt));
+    return dump_request(CW_RELEASE, Cl_ReleaseBody(key, attempt));
 }
 
 static int
@@ -68,7 +68,7 @@
     memset(out, 0, sizeof(*out));
     json_t *root = json_loadb(payload, len, 0, NULL);
     const json_t *body = json_object_get(root, "body");
-    int kind = index_of(ask_names, Cw_KINDS,
+    int kind = index_of(request_names, Cw_KINDS,
                         json_string_value(json_object_get(root, "ask")));
     enum st_status status = ST_OK;
     if (kind < 0 || !json_is_object(body)) {
@@ -83,7 +83,7 @@
         Cl_ReadAttempt(body, &out->attempt);
     }
     if (status == ST_OK && kind == CW_RESULT &&
-        !Cl_ReadAnswer(body, &out->answer, &out->bytes)) {
+        !Cl_ReadAnswer(body, &out->answer, &out->decoded_body)) {
         status = St_Fail(ST_INVALID, "a daemon sent a result without answer");
     }
     out->kind = kind < 0 ? CW_CLAIM : (enum cw_kind)kind;
@@ -95,8 +95,8 @@
 void
 Cw_FreeAsk(struct cw_ask *ask)
 {
-    free(ask->bytes);
-    ask->bytes = NULL;
+    free(ask->decoded_body);
+    ask->decoded_body = NULL;
 }
 
 /* The answer to a claim. */
@@ -132,11 +132,11 @@
     if (verdict != KP_DONE) {
         return ST_OK;
     }
-    if (!Cl_ReadAnswer(json_object_get(out->root, "kept"), &out->kept,
-                       &out->bytes)) {
+    if (!Cl_ReadAnswer(json_object_get(out->root, "kept"), &out->stored,
+                       &out->decoded_body)) {
         return St_Fail(ST_INVALID, "a daemon sent no kept answer");
     }
-    out->answer.answer = &out->kept;
+    out->answer.answer = &out->stored;
     return ST_OK;
 }
 
@@ -157,8 +157,8 @@
 void
 Cw_FreeAnswer(struct cw_answer *answer)
 {
-    free(answer->bytes);
+    free(answer->decoded_body);
     json_decref(answer->root);
-    answer->bytes = NULL;
+    answer->decoded_body = NULL;
     answer->root = NULL;
 }
--- a/packages/gate/claims_wire.h
+++ b/packages/gate/claims_wire.h
@@ -21,22 +21,23 @@
     struct cl_key key;         /* the others */
     struct cl_attempt attempt; /* the others */
     struct cl_answer answer;   /* CW_RESULT */
-    void *bytes;               /* body of the answer; freed by Cw_FreeAsk() */
+    void *decoded_body;        /* body of the answer; freed by Cw_FreeAsk() */
 };
 
 /* An answer as it is read from the wire. */
 struct cw_answer {
     struct kp_answer answer;
-    struct cl_answer kept;
-    void *bytes;
+    struct cl_answer stored;
+    void *decoded_body;
     json_t *root; /* holds the texts */
 };
 
-char *Cw_ClaimAsk(const struct cl_claim *claim);
-char *Cw_ResultAsk(const struct cl_key *key, const struct cl_attempt *attempt,
-                   const struct cl_answer *answer);
-char *Cw_ReleaseAsk(const struct cl_key *key,
-                    const struct cl_attempt *attempt);
+char *Cw_ClaimRequest(const struct cl_claim *claim);
+char *Cw_ResultRequest(const struct cl_key *key,
+                       const struct cl_attempt *attempt,
+                       const struct cl_answer *answer);
+char *Cw_ReleaseRequest(const struct cl_key *key,
+                        const struct cl_attempt *attempt);
 enum st_status Cw_ReadAsk(const char *payload, size_t len, struct cw_ask *out);
 void Cw_FreeAsk(struct cw_ask *ask);
 char *Cw_Answer(const struct kp_answer *answer, const struct cl_key *key,
--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -10,19 +10,19 @@
 /* An endpoint missing from this many lists in a row is forgotten. */
 #define Ep_MISSING_LISTS 3
 /* How long a notice is kept after its host was to go. */
-#define Ep_TOLD_KEEP (3600 * Ck_USEC_PER_SEC)
+#define Ep_NOTICE_TTL_USEC (3600 * Ck_USEC_PER_SEC)
 
 /*
  * Retries are paid for by successes, so that an outage does not turn each
  * request into several and keep the endpoints down.
  */
 #define Ep_RETRY_RATIO 0.2
-#define Ep_RETRY_MOST 50
+#define Ep_RETRY_MAX 50
 /* Data centres evacuated at the same time that are remembered. */
 #define Ep_EVACUATED_MAX 64
 
-struct known {
-    TAILQ_ENTRY(known) link;
+struct entry {
+    TAILQ_ENTRY(entry) link;
     char id[Hl_NAME_MAX];
     char version[Hl_NAME_MAX];
     bool leaving;
@@ -30,14 +30,14 @@
     int missing;
 };
 
-TAILQ_HEAD(known_list, known);
+TAILQ_HEAD(entry_list, entry);
 
 struct service {
     TAILQ_ENTRY(service) link;
     char name[Cf_NAME_MAX];
     struct ch_table *table;
     struct rt_budget retries;
-    struct known_list endpoints;
+    struct entry_list endpoints;
     bool shares_set;
 };
 
@@ -48,19 +48,19 @@
  * only after its notice, or lose it and bring it back as live, and then the
  * host would get new work until it dies.
  */
-struct told {
-    TAILQ_ENTRY(told) link;
+struct notice {
+    TAILQ_ENTRY(notice) link;
     char host[Hl_NAME_MAX];
     int64_t leaves_at;
 };
 
-TAILQ_HEAD(told_list, told);
+TAILQ_HEAD(notice_list, notice);
 
 struct ep_pool {
     struct gt_gate *gate;
     ep_leaving_fn leaving;
     struct service_list services;
-    struct told_list told;
+    struct notice_list notices;
     struct wu_hosts hosts;
     size_t evacuated_count;
     char evacuated[Ep_EVACUATED_MAX][Cf_NAME_MAX];
@@ -77,7 +77,7 @@
     pool->gate = gate;
     pool->leaving = leaving;
     TAILQ_INIT(&pool->services);
-    TAILQ_INIT(&pool->told);
+    TAILQ_INIT(&pool->notices);
     *out = pool;
     return ST_OK;
 }
@@ -85,10 +85,10 @@
 static void
 service_destroy(struct service *service)
 {
-    struct known *known;
-    while ((known = TAILQ_FIRST(&service->endpoints)) != NULL) {
-        TAILQ_REMOVE(&service->endpoints, known, link);
-        free(known);
+    struct entry *entry;
+    while ((entry = TAILQ_FIRST(&service->endpoints)) != NULL) {
+        TAILQ_REMOVE(&service->endpoints, entry, link);
+        free(entry);
     }
     Ch_Destroy(service->table);
     free(service);
@@ -96,43 +96,43 @@
 
 /* Forgets the notices of hosts that were to go before a moment. */
 static void
-forget_told(struct ep_pool *pool, int64_t before)
-{
-    struct told *told;
-    struct told *next;
-    TAILQ_FOREACH_SAFE (told, &pool->told, link, next) {
-        if (told->leaves_at < before) {
-            TAILQ_REMOVE(&pool->told, told, link);
-            free(told);
+drop_notices(struct ep_pool *pool, int64_t before)
+{
+    struct notice *notice;
+    struct notice *next;
+    TAILQ_FOREACH_SAFE (notice, &pool->notices, link, next) {
+        if (notice->leaves_at < before) {
+            TAILQ_REMOVE(&pool->notices, notice, link);
+            free(notice);
         }
     }
 }
 
-static struct told *
-find_told(const struct ep_pool *pool, const char *host)
+static struct notice *
+find_notice(const struct ep_pool *pool, const char *host)
 {
-    struct told *told;
-    TAILQ_FOREACH (told, &pool->told, link) {
-        if (strcmp(told->host, host) == 0) {
-            return told;
+    struct notice *notice;
+    TAILQ_FOREACH (notice, &pool->notices, link) {
+        if (strcmp(notice->host, host) == 0) {
+            return notice;
         }
     }
     return NULL;
 }
 
 static void
-remember_told(struct ep_pool *pool, const char *host, int64_t leaves_at)
+add_notice(struct ep_pool *pool, const char *host, int64_t leaves_at)
 {
-    if (find_told(pool, host) != NULL) {
+    if (find_notice(pool, host) != NULL) {
         return;
     }
-    struct told *told = calloc(1, sizeof(*told));
-    if (told == NULL) {
+    struct notice *notice = calloc(1, sizeof(*notice));
+    if (notice == NULL) {
         return;
     }
-    strlcpy(told->host, host, sizeof(told->host));
-    told->leaves_at = leaves_at;
-    TAILQ_INSERT_TAIL(&pool->told, told, link);
+    strlcpy(notice->host, host, sizeof(notice->host));
+    notice->leaves_at = leaves_at;
+    TAILQ_INSERT_TAIL(&pool->notices, notice, link);
 }
 
 /* Frees the pool; NULL is allowed. */
@@ -147,7 +147,7 @@
         TAILQ_REMOVE(&pool->services, service, link);
         service_destroy(service);
     }
-    forget_told(pool, INT64_MAX);
+    drop_notices(pool, INT64_MAX);
     free(pool);
 }
 
@@ -178,7 +178,7 @@
     Ch_Defaults(&settings);
     strlcpy(service->name, name, sizeof(service->name));
     TAILQ_INIT(&service->endpoints);
-    Rt_Init(&service->retries, Ep_RETRY_RATIO, Ep_RETRY_MOST);
+    Rt_Init(&service->retries, Ep_RETRY_RATIO, Ep_RETRY_MAX);
     service->table = Ch_Create(pool->gate->options->data_centre,
                                Ch_Predictive(), &settings);
     if (service->table == NULL) {
@@ -194,8 +194,8 @@
  * centre is taken back.
  */
 static void
-warm_up(struct ep_pool *pool, const struct cf_config *config,
-        const char *data_centre)
+mark_cold(struct ep_pool *pool, const struct cf_config *config,
+          const char *data_centre)
 {
     int64_t now = Ck_Now(pool->gate->clock);
     struct service *service;
@@ -226,12 +226,12 @@
 
 /* Notes which data centres get nothing new, and which do so again. */
 static void
-note_evacuated(struct ep_pool *pool, const struct cf_config *config)
+update_evacuated(struct ep_pool *pool, const struct cf_config *config)
 {
     for (size_t i = 0; i < pool->evacuated_count; i++) {
         if (!Cf_IsEvacuated(config, pool->evacuated[i])) {
             Ev_Log(&GT_RETURNED, "data_centre=%s", pool->evacuated[i]);
-            warm_up(pool, config, pool->evacuated[i]);
+            mark_cold(pool, config, pool->evacuated[i]);
         }
     }
     size_t count = 0;
@@ -259,7 +259,7 @@
 
 /* Whether an endpoint of the version is listed that does not leave. */
 static bool
-is_served(const struct ch_table *table, const char *version)
+has_live_endpoint(const struct ch_table *table, const char *version)
 {
     const struct ch_endpoint *endpoint = Ch_First(table);
     for (; endpoint != NULL; endpoint = Ch_Next(endpoint)) {
@@ -278,15 +278,15 @@
  * taken back.  That one serves only where nothing of the old one is left.
  */
 static void
-set_first_share(struct service *service, const struct cf_move *move)
+set_initial_share(struct service *service, const struct cf_move *move)
 {
     struct ch_share share = {.share = 1};
     if (service->shares_set || move->to[0] == '\0') {
         return;
     }
     bool moving = move->from[0] != '\0';
-    bool old = moving && (is_served(service->table, move->from) ||
-                          !is_served(service->table, move->to));
+    bool old = moving && (has_live_endpoint(service->table, move->from) ||
+                          !has_live_endpoint(service->table, move->to));
     strlcpy(share.version, old ? move->from : move->to, sizeof(share.version));
     Ch_SetShares(service->table, &share, 1);
 }
@@ -301,19 +301,19 @@
         if (service != NULL) {
             Ch_SetWarmup(service->table, wanted->cold_per_sec,
                          wanted->cold_usec, &pool->hosts);
-            set_first_share(service, &wanted->move);
+            set_initial_share(service, &wanted->move);
         }
     }
-    note_evacuated(pool, config);
+    update_evacuated(pool, config);
 }
 
-static struct known *
-find_known(struct service *service, const char *id)
+static struct entry *
+find_entry(struct service *service, const char *id)
 {
-    struct known *known;
-    TAILQ_FOREACH (known, &service->endpoints, link) {
-        if (strcmp(known->id, id) == 0) {
-            return known;
+    struct entry *entry;
+    TAILQ_FOREACH (entry, &service->endpoints, link) {
+        if (strcmp(entry->id, id) == 0) {
+            return entry;
         }
     }
     return NULL;
@@ -321,18 +321,18 @@
 
 static void
 mark_leaving(struct ep_pool *pool, struct service *service,
-             struct known *known, int64_t left_usec)
+             struct entry *entry, int64_t left_usec)
 {
     int64_t now = Ck_Now(pool->gate->clock);
-    Ch_SetState(service->table, known->id, CH_LEAVING, left_usec, now);
-    if (known->leaving) {
+    Ch_SetState(service->table, entry->id, CH_LEAVING, left_usec, now);
+    if (entry->leaving) {
         return;
     }
-    known->leaving = true;
+    entry->leaving = true;
     Ev_Log(&GT_ENDPOINT_LEAVING, "service=%s endpoint=%s left_ms=%lld",
-           service->name, known->id,
+           service->name, entry->id,
            (long long)(left_usec / Ck_USEC_PER_MSEC));
-    pool->leaving(pool->gate, service->name, known->id, left_usec);
+    pool->leaving(pool->gate, service->name, entry->id, left_usec);
 }
 
 static void
@@ -342,18 +342,18 @@
     if (service == NULL) {
         return;
     }
-    struct known *known = find_known(service, host->id);
-    bool fresh = known == NULL;
+    struct entry *entry = find_entry(service, host->id);
+    bool fresh = entry == NULL;
     if (fresh) {
-        known = calloc(1, sizeof(*known));
-        if (known == NULL) {
+        entry = calloc(1, sizeof(*entry));
+        if (entry == NULL) {
             return;
         }
-        strlcpy(known->id, host->id, sizeof(known->id));
-        TAILQ_INSERT_TAIL(&service->endpoints, known, link);
+        strlcpy(entry->id, host->id, sizeof(entry->id));
+        TAILQ_INSERT_TAIL(&service->endpoints, entry, link);
     }
-    known->listed = true;
-    known->missing = 0;
+    entry->listed = true;
+    entry->missing = 0;
     struct ch_info info = {
         .port = host->port,
         .price = host->price,
@@ -376,31 +376,31 @@
      * A list that lags may still say "live" after a notice has come: an
      * endpoint once known to leave stays leaving.
      */
-    const struct told *told = find_told(pool, host->id);
-    if (told != NULL && !known->leaving) {
-        int64_t left = told->leaves_at - Ck_Now(pool->gate->clock);
-        mark_leaving(pool, service, known, left > 0 ? left : 0);
+    const struct notice *notice = find_notice(pool, host->id);
+    if (notice != NULL && !entry->leaving) {
+        int64_t left = notice->leaves_at - Ck_Now(pool->gate->clock);
+        mark_leaving(pool, service, entry, left > 0 ? left : 0);
     }
-    else if (host->state == HL_LEAVING && !known->leaving) {
-        mark_leaving(pool, service, known, 0);
+    else if (host->state == HL_LEAVING && !entry->leaving) {
+        mark_leaving(pool, service, entry, 0);
     }
 }
 
 static void
-forget_missing(struct service *service)
+remove_missing(struct service *service)
 {
-    struct known *known;
-    struct known *next;
-    TAILQ_FOREACH_SAFE (known, &service->endpoints, link, next) {
-        if (known->listed) {
-            known->listed = false;
+    struct entry *entry;
+    struct entry *next;
+    TAILQ_FOREACH_SAFE (entry, &service->endpoints, link, next) {
+        if (entry->listed) {
+            entry->listed = false;
             continue;
         }
-        known->missing++;
-        if (known->missing >= Ep_MISSING_LISTS) {
-            Ch_Remove(service->table, known->id);
-            TAILQ_REMOVE(&service->endpoints, known, link);
-            free(known);
+        entry->missing++;
+        if (entry->missing >= Ep_MISSING_LISTS) {
+            Ch_Remove(service->table, entry->id);
+            TAILQ_REMOVE(&service->endpoints, entry, link);
+            free(entry);
         }
     }
 }
@@ -417,14 +417,14 @@
     const struct cf_config *config = pool->gate->config;
     struct service *service;
     TAILQ_FOREACH (service, &pool->services, link) {
-        forget_missing(service);
+        remove_missing(service);
         const struct cf_service *wanted =
             config != NULL ? Cf_ServiceByName(config, service->name) : NULL;
         if (wanted != NULL) {
-            set_first_share(service, &wanted->move);
+            set_initial_share(service, &wanted->move);
         }
     }
-    forget_told(pool, Ck_Now(pool->gate->clock) - Ep_TOLD_KEEP);
+    drop_notices(pool, Ck_Now(pool->gate->clock) - Ep_NOTICE_TTL_USEC);
 }
 
 /* A reclaim notice or a report says that a host leaves in left_usec. */
@@ -432,18 +432,18 @@
 Ep_Leaving(struct ep_pool *pool, const char *host, int64_t left_usec)
 {
     struct service *service;
-    remember_told(pool, host, Ck_Now(pool->gate->clock) + left_usec);
+    add_notice(pool, host, Ck_Now(pool->gate->clock) + left_usec);
     TAILQ_FOREACH (service, &pool->services, link) {
-        struct known *known = find_known(service, host);
-        if (known != NULL) {
-            mark_leaving(pool, service, known, left_usec);
+        struct entry *entry = find_entry(service, host);
+        if (entry != NULL) {
+            mark_leaving(pool, service, entry, left_usec);
         }
     }
 }
 
 /* An endpoint that was silent and reports again may get work again. */
 static void
-trust_again(struct ep_pool *pool, struct service *service, const char *id)
+clear_suspicion(struct ep_pool *pool, struct service *service, const char *id)
 {
     const struct ch_endpoint *endpoint = Ch_Find(service->table, id);
     if (endpoint != NULL && Ch_State(endpoint) == CH_SUSPECT) {
@@ -459,16 +459,16 @@
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
         if ((service == NULL || strcmp(at->name, service) == 0) &&
-            find_known(at, endpoint) != NULL) {
+            find_entry(at, endpoint) != NULL) {
             Ch_Report(at->table, endpoint, sample);
-            trust_again(pool, at, endpoint);
+            clear_suspicion(pool, at, endpoint);
         }
     }
 }
 
 static void
-note_brittle(struct ep_pool *pool, struct service *service,
-             const char *endpoint, int most, int64_t taken)
+set_brittle(struct ep_pool *pool, struct service *service,
+            const char *endpoint, int most, int64_t taken)
 {
     int64_t now = Ck_Now(pool->gate->clock);
     const struct ch_endpoint *found = Ch_Find(service->table, endpoint);
@@ -489,7 +489,7 @@
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
         if (service == NULL || strcmp(at->name, service) == 0) {
-            note_brittle(pool, at, endpoint, most, taken);
+            set_brittle(pool, at, endpoint, most, taken);
         }
     }
 }
@@ -551,7 +551,7 @@
 
 /* The retries a service may still make, or NULL when it is not known. */
 struct rt_budget *
-Ep_Budget(const struct ep_pool *pool, const char *service)
+Ep_RetryBudget(const struct ep_pool *pool, const char *service)
 {
     struct service *found = find_service(pool, service);
     return found != NULL ? &found->retries : NULL;
--- a/packages/gate/endpoints.h
+++ b/packages/gate/endpoints.h
@@ -44,7 +44,8 @@
 /* The "IP:PORT" of an endpoint of any service; false: there is none. */
 bool Ep_Address(const struct ep_pool *pool, const char *id, char *out,
                 size_t size);
-struct rt_budget *Ep_Budget(const struct ep_pool *pool, const char *service);
+struct rt_budget *Ep_RetryBudget(const struct ep_pool *pool,
+                                 const char *service);
 struct ch_table *Ep_Table(const struct ep_pool *pool, const char *service);
 
 #ifdef __cplusplus
--- a/packages/gate/intake.c
+++ b/packages/gate/intake.c
@@ -12,25 +12,25 @@
 /* Work of a request beside its tokens, in tokens. */
 #define In_BASE_COST 16
 
-struct line {
-    TAILQ_ENTRY(line) link;
+struct service_queue {
+    TAILQ_ENTRY(service_queue) link;
     char service[Cf_NAME_MAX];
     struct qu_queue *queue;
 };
 
-TAILQ_HEAD(line_list, line);
+TAILQ_HEAD(queue_list, service_queue);
 
 struct in_intake {
     struct gt_gate *gate;
     in_start_fn start;
     struct am_limits *limits;
-    struct line_list lines;
-    struct lp_timer *soon;
-    bool pumping;
+    struct queue_list queues;
+    struct lp_timer *dispatch_timer;
+    bool dispatching;
 };
 
 static void
-pump_soon(void *arg)
+on_dispatch(void *arg)
 {
     In_Pump(arg);
 }
@@ -45,10 +45,10 @@
     }
     intake->gate = gate;
     intake->start = start;
-    TAILQ_INIT(&intake->lines);
+    TAILQ_INIT(&intake->queues);
     intake->limits = Am_Create(gate->options->node_id);
-    intake->soon = Lp_TimerCreate(gate->loop, pump_soon, intake);
-    if (intake->limits == NULL || intake->soon == NULL) {
+    intake->dispatch_timer = Lp_TimerCreate(gate->loop, on_dispatch, intake);
+    if (intake->limits == NULL || intake->dispatch_timer == NULL) {
         In_Destroy(intake);
         return St_Fail(ST_NO_MEMORY, "no memory for the limits");
     }
@@ -63,48 +63,48 @@
     if (intake == NULL) {
         return;
     }
-    struct line *line;
-    while ((line = TAILQ_FIRST(&intake->lines)) != NULL) {
-        TAILQ_REMOVE(&intake->lines, line, link);
-        Qu_Destroy(line->queue);
-        free(line);
+    struct service_queue *service_queue;
+    while ((service_queue = TAILQ_FIRST(&intake->queues)) != NULL) {
+        TAILQ_REMOVE(&intake->queues, service_queue, link);
+        Qu_Destroy(service_queue->queue);
+        free(service_queue);
     }
-    Lp_TimerDestroy(intake->soon);
+    Lp_TimerDestroy(intake->dispatch_timer);
     Am_Destroy(intake->limits);
     free(intake);
 }
 
-static struct line *
-find_line(const struct in_intake *intake, const char *service)
+static struct service_queue *
+find_queue(const struct in_intake *intake, const char *service)
 {
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        if (strcmp(line->service, service) == 0) {
-            return line;
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        if (strcmp(service_queue->service, service) == 0) {
+            return service_queue;
         }
     }
     return NULL;
 }
 
 static void
-add_line(struct in_intake *intake, const char *service)
+add_queue(struct in_intake *intake, const char *service)
 {
-    if (find_line(intake, service) != NULL) {
+    if (find_queue(intake, service) != NULL) {
         return;
     }
-    struct line *line = calloc(1, sizeof(*line));
-    if (line == NULL) {
+    struct service_queue *service_queue = calloc(1, sizeof(*service_queue));
+    if (service_queue == NULL) {
         return;
     }
     struct qu_settings settings;
     Qu_Defaults(&settings);
-    line->queue = Qu_Create(&settings);
-    if (line->queue == NULL) {
-        free(line);
+    service_queue->queue = Qu_Create(&settings);
+    if (service_queue->queue == NULL) {
+        free(service_queue);
         return;
     }
-    strlcpy(line->service, service, sizeof(line->service));
-    TAILQ_INSERT_TAIL(&intake->lines, line, link);
+    strlcpy(service_queue->service, service, sizeof(service_queue->service));
+    TAILQ_INSERT_TAIL(&intake->queues, service_queue, link);
 }
 
 /* Takes over the customers' limits and weights of a new configuration. */
@@ -112,15 +112,16 @@
 In_Configure(struct in_intake *intake, const struct cf_config *config)
 {
     for (size_t i = 0; i < config->service_count; i++) {
-        add_line(intake, config->services[i].name);
+        add_queue(intake, config->services[i].name);
     }
     for (size_t i = 0; i < config->customer_count; i++) {
         const struct cf_customer *customer = &config->customers[i];
         Am_SetCustomer(intake->limits, customer->name,
                        customer->requests_per_sec, customer->max_in_flight);
-        struct line *line;
-        TAILQ_FOREACH (line, &intake->lines, link) {
-            Qu_SetWeight(line->queue, customer->name, customer->weight);
+        struct service_queue *service_queue;
+        TAILQ_FOREACH (service_queue, &intake->queues, link) {
+            Qu_SetWeight(service_queue->queue, customer->name,
+                         customer->weight);
         }
     }
 }
@@ -189,9 +190,9 @@
 In_Queued(const struct in_intake *intake)
 {
     int queued = 0;
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        queued += Qu_Length(line->queue);
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        queued += Qu_Length(service_queue->queue);
     }
     return queued;
 }
@@ -230,13 +231,13 @@
 }
 
 static void
-enqueue(struct in_intake *intake, struct line *line,
+enqueue(struct in_intake *intake, struct service_queue *service_queue,
         struct rq_request *request, const struct ch_capacity *capacity)
 {
     struct qu_refusal refusal = {0};
     fill_item(request);
     enum st_status status =
-        Qu_Push(line->queue, request->customer->name, &request->item,
+        Qu_Push(service_queue->queue, request->customer->name, &request->item,
                 capacity->per_sec, Ck_Now(intake->gate->clock), &refusal);
     if (refusal.evicted != NULL) {
         struct rq_request *evicted = refusal.evicted->request;
@@ -271,7 +272,8 @@
     request->admitted = true;
     struct ch_capacity capacity = {0};
     struct ch_table *table = Ep_Table(gate->endpoints, request->service->name);
-    struct line *line = find_line(intake, request->service->name);
+    struct service_queue *service_queue =
+        find_queue(intake, request->service->name);
     if (table != NULL) {
         Ch_Capacity(table, now, &capacity);
     }
@@ -279,22 +281,23 @@
      * With no endpoint in use waiting would not help: the choice of an
      * endpoint refuses the request, or tries those that are out of use.
      */
-    bool hopeless = capacity.endpoints == 0 || line == NULL;
-    if (hopeless ||
-        (Qu_Length(line->queue) == 0 && capacity.free_places > 0)) {
+    bool skip_queue = capacity.endpoints == 0 || service_queue == NULL;
+    if (skip_queue ||
+        (Qu_Length(service_queue->queue) == 0 && capacity.free_places > 0)) {
         intake->start(request);
         return;
     }
-    enqueue(intake, line, request, &capacity);
+    enqueue(intake, service_queue, request, &capacity);
 }
 
 /* A request ends or is given up: it leaves the queue and the limits. */
 void
-In_Leave(struct in_intake *intake, struct rq_request *request)
+In_Remove(struct in_intake *intake, struct rq_request *request)
 {
     if (request->queued) {
-        struct line *line = find_line(intake, request->service->name);
-        Qu_Remove(line->queue, &request->item);
+        struct service_queue *service_queue =
+            find_queue(intake, request->service->name);
+        Qu_Remove(service_queue->queue, &request->item);
         request->queued = false;
     }
     if (request->admitted) {
@@ -304,34 +307,36 @@
     }
     if (In_Queued(intake) > 0) {
         /* Later: whoever ends a request is in the middle of something. */
-        Lp_TimerSet(intake->soon, 0);
+        Lp_TimerSet(intake->dispatch_timer, 0);
     }
 }
 
 static void
-refuse_late(struct line *line, int64_t now)
+refuse_expired(struct service_queue *service_queue, int64_t now)
 {
     struct qu_item *item;
-    while ((item = Qu_Late(line->queue, now)) != NULL) {
+    while ((item = Qu_Late(service_queue->queue, now)) != NULL) {
         struct rq_request *request = item->request;
         request->queued = false;
         Rq_Refuse(request, AN_DEADLINE, In_RETRY_SOON_SEC,
                   "no endpoint of %s was free in time; come back later",
-                  line->service);
+                  service_queue->service);
     }
 }
 
 static void
-pump_line(struct in_intake *intake, struct line *line)
+dispatch_queue(struct in_intake *intake, struct service_queue *service_queue)
 {
     int64_t now = Ck_Now(intake->gate->clock);
-    struct ch_table *table = Ep_Table(intake->gate->endpoints, line->service);
-    refuse_late(line, now);
-    while (table != NULL && Qu_Length(line->queue) > 0) {
+    struct ch_table *table =
+        Ep_Table(intake->gate->endpoints, service_queue->service);
+    refuse_expired(service_queue, now);
+    while (table != NULL && Qu_Length(service_queue->queue) > 0) {
         struct ch_capacity capacity;
         Ch_Capacity(table, now, &capacity);
         bool may_start = capacity.free_places > 0 || capacity.endpoints == 0;
-        struct qu_item *item = may_start ? Qu_Pop(line->queue, now) : NULL;
+        struct qu_item *item =
+            may_start ? Qu_Pop(service_queue->queue, now) : NULL;
         if (item == NULL) {
             return;
         }
@@ -345,13 +350,13 @@
 void
 In_Pump(struct in_intake *intake)
 {
-    if (intake->pumping) {
+    if (intake->dispatching) {
         return;
     }
-    intake->pumping = true;
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        pump_line(intake, line);
+    intake->dispatching = true;
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        dispatch_queue(intake, service_queue);
     }
-    intake->pumping = false;
+    intake->dispatching = false;
 }
--- a/packages/gate/intake.h
+++ b/packages/gate/intake.h
@@ -32,7 +32,7 @@
 void In_Join(struct in_intake *intake);
 void In_Publish(struct in_intake *intake, struct pf_demands *out);
 void In_Submit(struct in_intake *intake, struct rq_request *request);
-void In_Leave(struct in_intake *intake, struct rq_request *request);
+void In_Remove(struct in_intake *intake, struct rq_request *request);
 void In_Pump(struct in_intake *intake);
 
 /* Queries. */
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -6,16 +6,16 @@
 
 #include "gate/endpoints.h"
 
-#define Lw_ROUND (200 * Ck_USEC_PER_MSEC)
-#define Lw_PERIOD (1 * Ck_USEC_PER_SEC)
-#define Lw_TIMEOUT (1 * Ck_USEC_PER_SEC)
-#define Lw_SILENT_AFTER 3
+#define Lw_ROUND_USEC (200 * Ck_USEC_PER_MSEC)
+#define Lw_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
+#define Lw_TIMEOUT_USEC (1 * Ck_USEC_PER_SEC)
+#define Lw_SILENT_FAILURES 3
 /*
  * Samples that all watchers of a data centre pass on in a second.  More
  * endpoints are told of less often each: every sample costs every daemon of
  * the data centre the same few hundred bytes.
  */
-#define Lw_SPREAD_PER_SEC 20
+#define Lw_GOSSIP_PER_SEC 20
 /* Rounds after which a poll of a vanished endpoint is forgotten. */
 #define Lw_FORGET_ROUNDS 10
 
@@ -25,9 +25,9 @@
     char service[Cf_NAME_MAX];
     char endpoint[Ch_NAME_MAX];
     struct jc_call *call;
-    int64_t due;
+    int64_t due_at;
     int failures;
-    int unseen;
+    int rounds_unseen;
 };
 
 TAILQ_HEAD(poll_list, poll);
@@ -65,8 +65,8 @@
     strlcpy(poll->service, service, sizeof(poll->service));
     strlcpy(poll->endpoint, endpoint, sizeof(poll->endpoint));
     /* Spread over the period, so that samples do not come in bursts. */
-    poll->due = Ck_Now(watch->gate->clock) +
-                Rn_Below(&watch->gate->random, (uint32_t)Lw_PERIOD);
+    poll->due_at = Ck_Now(watch->gate->clock) +
+                   Rn_Below(&watch->gate->random, (uint32_t)Lw_PERIOD_USEC);
     TAILQ_INSERT_TAIL(&watch->polls, poll, link);
     return poll;
 }
@@ -82,11 +82,11 @@
 }
 
 static void
-take_failure(struct poll *poll)
+count_failure(struct poll *poll)
 {
     struct lw_watch *watch = poll->watch;
     poll->failures++;
-    if (poll->failures == Lw_SILENT_AFTER) {
+    if (poll->failures == Lw_SILENT_FAILURES) {
         watch->ops->silent(watch->arg, poll->service, poll->endpoint);
     }
 }
@@ -98,10 +98,10 @@
 }
 
 static int64_t
-spread(const struct lw_watch *watch)
+gossip_interval(const struct lw_watch *watch)
 {
-    int64_t usec = watch->nearby * Ck_USEC_PER_SEC / Lw_SPREAD_PER_SEC;
-    return usec > Lw_PERIOD ? usec : Lw_PERIOD;
+    int64_t usec = watch->nearby * Ck_USEC_PER_SEC / Lw_GOSSIP_PER_SEC;
+    return usec > Lw_PERIOD_USEC ? usec : Lw_PERIOD_USEC;
 }
 
 static void
@@ -113,7 +113,7 @@
     poll->call = NULL;
     if (answer->status != ST_OK || answer->code != 200 ||
         !json_is_integer(json_object_get(body, "running"))) {
-        take_failure(poll);
+        count_failure(poll);
         return;
     }
     poll->failures = 0;
@@ -139,7 +139,7 @@
             json_is_integer(json_object_get(body, "refusals_borne"))
                 ? number(body, "refusals_borne")
                 : -1,
-        .spread_usec = spread(watch),
+        .spread_usec = gossip_interval(watch),
     };
     strlcpy(report.version, version != NULL ? version : "",
             sizeof(report.version));
@@ -147,20 +147,21 @@
 }
 
 static void
-poll_ask(struct poll *poll, const struct ch_info *info)
+start_poll(struct poll *poll, const struct ch_info *info)
 {
     struct lw_watch *watch = poll->watch;
     struct jc_target target = {.port = info->port};
     strlcpy(target.address, info->address, sizeof(target.address));
-    poll->due += Lw_PERIOD;
+    poll->due_at += Lw_PERIOD_USEC;
     if (Jc_Start(watch->gate->loop, &target, "GET", "/v1/load", NULL,
-                 Lw_TIMEOUT, poll_done, poll, &poll->call) != ST_OK) {
+                 Lw_TIMEOUT_USEC, poll_done, poll, &poll->call) != ST_OK) {
         poll->call = NULL;
     }
 }
 
 static void
-visit(struct lw_watch *watch, const char *service, const struct ch_info *info)
+poll_if_assigned(struct lw_watch *watch, const char *service,
+                 const struct ch_info *info)
 {
     if (!watch->ops->mine(watch->arg, info)) {
         return;
@@ -172,20 +173,20 @@
     if (poll == NULL) {
         return;
     }
-    poll->unseen = 0;
-    if (poll->call == NULL && Ck_Now(watch->gate->clock) >= poll->due) {
-        poll_ask(poll, info);
+    poll->rounds_unseen = 0;
+    if (poll->call == NULL && Ck_Now(watch->gate->clock) >= poll->due_at) {
+        start_poll(poll, info);
     }
 }
 
 static void
-forget_unseen(struct lw_watch *watch)
+remove_unseen(struct lw_watch *watch)
 {
     struct poll *poll;
     struct poll *next;
     TAILQ_FOREACH_SAFE (poll, &watch->polls, link, next) {
-        poll->unseen++;
-        if (poll->unseen > Lw_FORGET_ROUNDS) {
+        poll->rounds_unseen++;
+        if (poll->rounds_unseen > Lw_FORGET_ROUNDS) {
             TAILQ_REMOVE(&watch->polls, poll, link);
             poll_free(poll);
         }
@@ -193,7 +194,7 @@
 }
 
 static void
-round_due(void *arg)
+on_round(void *arg)
 {
     struct lw_watch *watch = arg;
     const struct cf_config *config = watch->gate->config;
@@ -210,12 +211,12 @@
         for (; endpoint != NULL; endpoint = Ch_Next(endpoint)) {
             const struct ch_info *info = Ch_Info(endpoint);
             nearby += strcmp(info->data_centre, here) == 0 ? 1 : 0;
-            visit(watch, service->name, info);
+            poll_if_assigned(watch, service->name, info);
         }
     }
     watch->nearby = nearby;
-    forget_unseen(watch);
-    Lp_TimerSet(watch->timer, Lw_ROUND);
+    remove_unseen(watch);
+    Lp_TimerSet(watch->timer, Lw_ROUND_USEC);
 }
 
 /* Starts to watch. */
@@ -231,7 +232,7 @@
     watch->ops = ops;
     watch->arg = arg;
     TAILQ_INIT(&watch->polls);
-    watch->timer = Lp_TimerCreate(gate->loop, round_due, watch);
+    watch->timer = Lp_TimerCreate(gate->loop, on_round, watch);
     if (watch->timer == NULL) {
         free(watch);
         return St_Fail(ST_NO_MEMORY, "no timer");
--- a/packages/gate/quarantine.c
+++ b/packages/gate/quarantine.c
@@ -8,17 +8,17 @@
 #include "gate/events.h"
 
 /* Often enough for those who joined, or missed a word. */
-#define Gq_RETELL_USEC (2 * Ck_USEC_PER_SEC)
-#define Gq_TELL_USEC (100 * Ck_USEC_PER_MSEC)
+#define Gq_REPUBLISH_USEC (2 * Ck_USEC_PER_SEC)
+#define Gq_PUBLISH_USEC (100 * Ck_USEC_PER_MSEC)
 
 struct gq_quarantine {
     struct gt_gate *gate;
-    gq_tell_fn tell;
+    gq_publish_fn publish;
     void *arg;
     struct pz_table *table;
-    struct lp_timer *close_timer;
-    int64_t told_at;
-    struct gq_word told;
+    struct lp_timer *cancel_timer;
+    int64_t published_at;
+    struct gq_word published;
 };
 
 /* The hosts' clocks agree well enough to tell one end from the next. */
@@ -29,19 +29,20 @@
 }
 
 static struct pz_request
-asked_of(const struct rq_request *request)
+describe(const struct rq_request *request)
 {
-    struct pz_request asked = {
+    struct pz_request described = {
         .service = (uint32_t)Hash_String(request->service->name, 0),
         .customer = (uint32_t)Hash_String(request->customer->name, 0) | 1,
         .id = (uint32_t)Hash_String(request->id, 0),
     };
-    while (asked.count < request->prompt.part_count &&
-           asked.count < Pz_PARTS_MAX) {
-        asked.parts[asked.count] = request->prompt.parts[asked.count];
-        asked.count++;
+    while (described.count < request->prompt.part_count &&
+           described.count < Pz_PARTS_MAX) {
+        described.parts[described.count] =
+            request->prompt.parts[described.count];
+        described.count++;
     }
-    return asked;
+    return described;
 }
 
 static void
@@ -53,7 +54,7 @@
            stop->key.part, stop->key.service, stop->key.customer, crashes,
            heard ? "peer" : "own");
     Gt_Count(quarantine->gate, "cg_parts_stopped_total", NULL, NULL);
-    Lp_TimerSet(quarantine->close_timer, 0);
+    Lp_TimerSet(quarantine->cancel_timer, 0);
 }
 
 static void
@@ -71,7 +72,7 @@
 
 /* What waits for its first token would end the engines where it is. */
 static void
-on_close(void *arg)
+on_cancel(void *arg)
 {
     struct gq_quarantine *quarantine = arg;
     struct rq_request *request;
@@ -79,14 +80,14 @@
     uint32_t part;
     TAILQ_FOREACH_SAFE (request, &quarantine->gate->requests, link, next) {
         if (request->engine != NULL &&
-            Gq_Refuses(quarantine, request, &part)) {
-            Rl_EngineStopped(request, part);
+            Gq_IsQuarantined(quarantine, request, &part)) {
+            Rl_EngineQuarantined(request, part);
         }
     }
 }
 
 enum st_status
-Gq_Create(struct gt_gate *gate, gq_tell_fn tell, void *arg,
+Gq_Create(struct gt_gate *gate, gq_publish_fn tell, void *arg,
           struct gq_quarantine **out)
 {
     struct gq_quarantine *quarantine = calloc(1, sizeof(*quarantine));
@@ -95,12 +96,13 @@
     }
     struct pz_rule rule = Pz_Rule();
     quarantine->gate = gate;
-    quarantine->tell = tell;
+    quarantine->publish = tell;
     quarantine->arg = arg;
     quarantine->table =
         Pz_Create(&rule, &table_ops, quarantine, Ck_Wall(gate->clock));
-    quarantine->close_timer = Lp_TimerCreate(gate->loop, on_close, quarantine);
-    if (quarantine->table == NULL || quarantine->close_timer == NULL) {
+    quarantine->cancel_timer =
+        Lp_TimerCreate(gate->loop, on_cancel, quarantine);
+    if (quarantine->table == NULL || quarantine->cancel_timer == NULL) {
         Gq_Destroy(quarantine);
         return St_Fail(ST_NO_MEMORY, "no memory for the stopped parts");
     }
@@ -112,8 +114,8 @@
 Gq_Destroy(struct gq_quarantine *quarantine)
 {
     if (quarantine != NULL) {
-        if (quarantine->close_timer != NULL) {
-            Lp_TimerDestroy(quarantine->close_timer);
+        if (quarantine->cancel_timer != NULL) {
+            Lp_TimerDestroy(quarantine->cancel_timer);
         }
         Pz_Destroy(quarantine->table);
         free(quarantine);
@@ -121,59 +123,60 @@
 }
 
 void
-Gq_Began(struct gq_quarantine *quarantine, const struct rq_request *request)
+Gq_RecordFirstToken(struct gq_quarantine *quarantine,
+                    const struct rq_request *request)
 {
-    struct pz_request asked = asked_of(request);
-    Pz_Began(quarantine->table, &asked, wall_now(quarantine));
+    struct pz_request described = describe(request);
+    Pz_Began(quarantine->table, &described, wall_now(quarantine));
 }
 
 void
-Gq_Broke(struct gq_quarantine *quarantine, const struct rq_request *request,
-         const struct gq_break *broke)
+Gq_RecordBreak(struct gq_quarantine *quarantine,
+               const struct rq_request *request, const struct gq_break *broke)
 {
-    struct pz_request asked = asked_of(request);
+    struct pz_request described = describe(request);
     int64_t now = wall_now(quarantine);
     struct pz_crash crash = {
         .endpoint = (uint32_t)Hash_String(broke->endpoint, 0),
-        .begun = broke->begun,
+        .begun = broke->head_received,
         .sent_at = now - (Ck_Now(quarantine->gate->clock) - broke->sent_at),
         .ended_at = now,
     };
-    Pz_Ended(quarantine->table, &asked, &crash);
+    Pz_Ended(quarantine->table, &described, &crash);
     Pz_Judge(quarantine->table, now);
 }
 
 void
-Gq_Lives(struct gq_quarantine *quarantine, const char *endpoint)
+Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint)
 {
     Pz_Lives(quarantine->table, (uint32_t)Hash_String(endpoint, 0),
              wall_now(quarantine));
 }
 
 void
-Gq_Dead(struct gq_quarantine *quarantine, const char *endpoint)
+Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint)
 {
     Pz_Dead(quarantine->table, (uint32_t)Hash_String(endpoint, 0));
     Pz_Judge(quarantine->table, wall_now(quarantine));
 }
 
 bool
-Gq_Refuses(struct gq_quarantine *quarantine, const struct rq_request *request,
-           uint32_t *part)
+Gq_IsQuarantined(struct gq_quarantine *quarantine,
+                 const struct rq_request *request, uint32_t *part)
 {
-    struct pz_request asked = asked_of(request);
+    struct pz_request described = describe(request);
     const struct pz_stop *stop =
-        Pz_Refuses(quarantine->table, &asked, wall_now(quarantine));
+        Pz_Refuses(quarantine->table, &described, wall_now(quarantine));
     *part = stop == NULL ? 0 : stop->key.part;
     return stop != NULL;
 }
 
 bool
-Gq_Doubts(const struct gq_quarantine *quarantine,
-          const struct rq_request *request)
+Gq_DeniesRetry(const struct gq_quarantine *quarantine,
+               const struct rq_request *request)
 {
-    struct pz_request asked = asked_of(request);
-    return Pz_Doubts(quarantine->table, &asked, wall_now(quarantine));
+    struct pz_request described = describe(request);
+    return Pz_Doubts(quarantine->table, &described, wall_now(quarantine));
 }
 
 void
@@ -191,7 +194,7 @@
 }
 
 static void
-fill(const struct gq_quarantine *quarantine, struct gq_word *word)
+collect(const struct gq_quarantine *quarantine, struct gq_word *word)
 {
     int64_t now = wall_now(quarantine);
     memset(word, 0, sizeof(*word));
@@ -205,13 +208,13 @@
 
 /* The newest row comes first. */
 static bool
-has_news(const struct gq_word *word, const struct gq_word *told)
+has_changed(const struct gq_word *word, const struct gq_word *published)
 {
-    return word->crash_count != told->crash_count ||
-           word->clear_count != told->clear_count ||
-           word->stop_count != told->stop_count ||
+    return word->crash_count != published->crash_count ||
+           word->clear_count != published->clear_count ||
+           word->stop_count != published->stop_count ||
            (word->crash_count > 0 &&
-            word->crashes[0].ended_at != told->crashes[0].ended_at);
+            word->crashes[0].ended_at != published->crashes[0].ended_at);
 }
 
 /* Daemons with nothing to say say nothing. */
@@ -220,16 +223,17 @@
 {
     int64_t now = Ck_Now(quarantine->gate->clock);
     Pz_Judge(quarantine->table, wall_now(quarantine));
-    if (now - quarantine->told_at < Gq_TELL_USEC) {
+    if (now - quarantine->published_at < Gq_PUBLISH_USEC) {
         return;
     }
     struct gq_word word;
-    fill(quarantine, &word);
+    collect(quarantine, &word);
     bool any = word.crash_count + word.clear_count + word.stop_count > 0;
-    bool news = has_news(&word, &quarantine->told);
-    if (any && (news || now - quarantine->told_at >= Gq_RETELL_USEC)) {
-        quarantine->told_at = now;
-        quarantine->told = word;
-        quarantine->tell(quarantine->arg, &word);
+    bool changed = has_changed(&word, &quarantine->published);
+    if (any &&
+        (changed || now - quarantine->published_at >= Gq_REPUBLISH_USEC)) {
+        quarantine->published_at = now;
+        quarantine->published = word;
+        quarantine->publish(quarantine->arg, &word);
     }
 }
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -31,34 +31,35 @@
     struct pz_stop stops[Gq_STOPS_MAX];
 };
 
-typedef void (*gq_tell_fn)(void *arg, const struct gq_word *word);
+typedef void (*gq_publish_fn)(void *arg, const struct gq_word *word);
 
-enum st_status Gq_Create(struct gt_gate *gate, gq_tell_fn tell, void *arg,
+enum st_status Gq_Create(struct gt_gate *gate, gq_publish_fn tell, void *arg,
                          struct gq_quarantine **out);
 void Gq_Destroy(struct gq_quarantine *quarantine);
 void Gq_Tick(struct gq_quarantine *quarantine);
 
 /* The first token of a request came. */
-void Gq_Began(struct gq_quarantine *quarantine,
-              const struct rq_request *request);
+void Gq_RecordFirstToken(struct gq_quarantine *quarantine,
+                         const struct rq_request *request);
 /* Its connection to an engine broke before that; times of the steady clock. */
 struct gq_break {
     const char *endpoint;
-    bool begun; /* the answer had begun */
+    bool head_received; /* the answer had begun */
     int64_t sent_at;
 };
 
-void Gq_Broke(struct gq_quarantine *quarantine,
-              const struct rq_request *request, const struct gq_break *broke);
+void Gq_RecordBreak(struct gq_quarantine *quarantine,
+                    const struct rq_request *request,
+                    const struct gq_break *broke);
 /* An engine answers, or refuses connections. */
-void Gq_Lives(struct gq_quarantine *quarantine, const char *endpoint);
-void Gq_Dead(struct gq_quarantine *quarantine, const char *endpoint);
+void Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint);
+void Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint);
 /* Whether a request is not to be sent; "part" is why. */
-bool Gq_Refuses(struct gq_quarantine *quarantine,
-                const struct rq_request *request, uint32_t *part);
+bool Gq_IsQuarantined(struct gq_quarantine *quarantine,
+                      const struct rq_request *request, uint32_t *part);
 /* Whether it is to be sent to no further engine. */
-bool Gq_Doubts(const struct gq_quarantine *quarantine,
-               const struct rq_request *request);
+bool Gq_DeniesRetry(const struct gq_quarantine *quarantine,
+                    const struct rq_request *request);
 /* Another daemon's word. */
 void Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *word);
 
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -12,16 +12,16 @@
 #include "web/dial.h"
 #include "web/through.h"
 
-#define Rh_MOST 256 /* connections made for others at the same time */
+#define Rh_RELAYED_MAX 256 /* connections made for others at the same time */
 #define Rh_PEERS_MAX 512
 /* Longer than a daemon takes that is asked. */
-#define Rh_ASK_USEC (600 * Ck_USEC_PER_MSEC)
-#define Rh_TRIAL_USEC (300 * Ck_USEC_PER_MSEC)
+#define Rh_PEER_CONNECT_USEC (600 * Ck_USEC_PER_MSEC)
+#define Rh_PROBE_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Rh_TICK_USEC (100 * Ck_USEC_PER_MSEC)
-#define Rh_FACT_TTL (3600 * Ck_USEC_PER_SEC)
-#define Rh_TELL_USEC (1200 * Ck_USEC_PER_SEC)
+#define Rh_FACT_TTL_USEC (3600 * Ck_USEC_PER_SEC)
+#define Rh_PUBLISH_USEC (1200 * Ck_USEC_PER_SEC)
 /* Gossip misses a few of a hundred. */
-#define Rh_RETELL_USEC (3 * Ck_USEC_PER_SEC)
+#define Rh_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 #define Rh_USER "daemon:"
 /* Links that have not been used for so long are forgotten. */
 #define Rh_FORGET_USEC (600 * Ck_USEC_PER_SEC)
@@ -31,8 +31,8 @@
     TAILQ_ENTRY(link) link;
     struct rh_reach *reach;
     char endpoint[Ch_NAME_MAX];
-    struct wy_link way;
-    struct di_dial *trial;
+    struct wy_link path;
+    struct di_dial *probe;
     int64_t used_at;
 };
 
@@ -46,8 +46,8 @@
     struct wy_failures failures; /* by the hash of an identity */
     char credentials[sizeof(Rh_USER) + Hash_DIGEST_HEX];
     bool any_cut;
-    bool told_cut;
-    int64_t next_tell;
+    bool published_cut;
+    int64_t next_publish;
     int64_t next_tick;
 };
 
@@ -85,7 +85,7 @@
 drop_link(struct rh_reach *reach, struct link *link)
 {
     TAILQ_REMOVE(&reach->links, link, link);
-    Di_Cancel(link->trial);
+    Di_Cancel(link->probe);
     free(link);
 }
 
@@ -101,7 +101,7 @@
         *port = '\0';
     }
     const struct link *link = find_link(reach, name);
-    if (reach->gate->draining || (link != NULL && link->way.cut)) {
+    if (reach->gate->draining || (link != NULL && link->path.cut)) {
         return false;
     }
     return Ep_Address(reach->gate->endpoints, name, address, size);
@@ -151,7 +151,7 @@
         .loop = gate->loop,
         .clock = gate->clock,
         .address = address,
-        .most = Rh_MOST,
+        .most = Rh_RELAYED_MAX,
         .credentials = reach->credentials,
         .ops = &through_ops,
         .arg = reach,
@@ -206,17 +206,17 @@
     const struct mb_record *member = Mb_First(members);
     for (; member != NULL && out->count < Rh_PEERS_MAX;
          member = Mb_Next(member)) {
-        struct pf_through told;
+        struct pf_through fact;
         if (member->state != MB_ALIVE || !Mb_Usable(members, member) ||
             strcmp(member->id, Nd_Id(node)) == 0 ||
-            !Pe_Through(reach->peers, member->id, &told)) {
+            !Pe_Through(reach->peers, member->id, &fact)) {
             continue;
         }
         out->rows[out->count].member = member;
-        out->rows[out->count].port = told.port;
+        out->rows[out->count].port = fact.port;
         out->peers[out->count++] = (struct wy_peer){
             .near = strcmp(member->data_centre, own) == 0,
-            .cut = told.cut,
+            .cut = fact.cut,
             .failed_at =
                 Wy_FailedAt(&reach->failures, Hash_String(member->id, 0)),
         };
@@ -225,8 +225,8 @@
 
 /* Names the daemon that is asked; false: there is none. */
 static bool
-pick_daemon(struct rh_reach *reach, const struct link *link,
-            struct rh_tries *tries)
+pick_peer(struct rh_reach *reach, const struct link *link,
+          struct rh_tries *tries)
 {
     static struct candidates candidates;
     list_candidates(reach, &candidates);
@@ -234,11 +234,12 @@
         return false;
     }
     struct gt_gate *gate = reach->gate;
-    size_t picked = Wy_PickPeer(&link->way, candidates.peers, candidates.count,
-                                Rn_Unit(&gate->random), Ck_Now(gate->clock));
+    size_t picked =
+        Wy_PickPeer(&link->path, candidates.peers, candidates.count,
+                    Rn_Unit(&gate->random), Ck_Now(gate->clock));
     const struct mb_record *member = candidates.rows[picked].member;
-    strlcpy(tries->asked, member->id, sizeof(tries->asked));
-    snprintf(tries->daemon, sizeof(tries->daemon), "%s@%s:%u",
+    strlcpy(tries->peer_id, member->id, sizeof(tries->peer_id));
+    snprintf(tries->peer_address, sizeof(tries->peer_address), "%s@%s:%u",
              reach->credentials, member->address,
              candidates.rows[picked].port);
     return true;
@@ -260,35 +261,36 @@
     struct link *link = get_link(reach, info->id);
     enum wy_order order =
         link == NULL ? WY_DIRECT_ONLY
-                     : Wy_Order(&link->way, Ck_Now(reach->gate->clock));
-    if (order != WY_DIRECT_ONLY && !pick_daemon(reach, link, tries)) {
+                     : Wy_Order(&link->path, Ck_Now(reach->gate->clock));
+    if (order != WY_DIRECT_ONLY && !pick_peer(reach, link, tries)) {
         order = WY_DIRECT_ONLY;
     }
     if (order == WY_DIRECT_FIRST) {
         add_step(tries, false, Wy_PATIENCE);
     }
     if (order != WY_DIRECT_ONLY) {
-        add_step(tries, true, Rh_ASK_USEC);
+        add_step(tries, true, Rh_PEER_CONNECT_USEC);
     }
     /* One that is only slow to connect still gets its whole time. */
     add_step(tries, false, 0);
 }
 
 void
-Rh_Fill(struct rh_tries *tries, struct hc_request *call)
+Rh_FillCall(struct rh_tries *tries, struct hc_request *call)
 {
     call->connect_usec = tries->steps[tries->step].connect_usec;
     if (tries->steps[tries->step].through) {
-        tries->through = (struct hc_through){tries->daemon, tries->endpoint};
+        tries->through =
+            (struct hc_through){tries->peer_address, tries->endpoint};
         call->through = &tries->through;
     }
 }
 
 /* Where one link is back, others may be as well. */
 static void
-note_change(struct rh_reach *reach, const struct link *changed, bool silent)
+log_change(struct rh_reach *reach, const struct link *changed, bool silent)
 {
-    if (changed->way.cut) {
+    if (changed->path.cut) {
         Ev_Log(&GT_LINK_CUT, "endpoint=%s silent=%d", changed->endpoint,
                silent);
         return;
@@ -296,30 +298,32 @@
     Ev_Log(&GT_LINK_REGAINED, "endpoint=%s", changed->endpoint);
     struct link *link;
     TAILQ_FOREACH (link, &reach->links, link) {
-        if (link->way.cut) {
-            Wy_TrySoon(&link->way);
+        if (link->path.cut) {
+            Wy_TrySoon(&link->path);
         }
     }
 }
 
 static void
-settle(struct rh_reach *reach, const struct rh_tries *tries)
+record_outcome(struct rh_reach *reach, const struct rh_tries *tries)
 {
     struct link *link = find_link(reach, tries->endpoint);
-    if (link != NULL && Wy_Ended(&link->way, tries->direct, tries->peer,
-                                 Ck_Now(reach->gate->clock))) {
-        note_change(reach, link, tries->direct == WY_OVERDUE);
+    if (link != NULL &&
+        Wy_Ended(&link->path, tries->direct_outcome, tries->peer_outcome,
+                 Ck_Now(reach->gate->clock))) {
+        log_change(reach, link, tries->direct_outcome == WY_OVERDUE);
     }
 }
 
 void
-Rh_Came(struct rh_reach *reach, struct rh_tries *tries)
+Rh_Connected(struct rh_reach *reach, struct rh_tries *tries)
 {
-    if (!tries->came) {
-        tries->came = true;
-        *(tries->steps[tries->step].through ? &tries->peer : &tries->direct) =
+    if (!tries->connected) {
+        tries->connected = true;
+        *(tries->steps[tries->step].through ? &tries->peer_outcome
+                                            : &tries->direct_outcome) =
             WY_CAME;
-        settle(reach, tries);
+        record_outcome(reach, tries);
     }
 }
 
@@ -328,81 +332,82 @@
         const struct hc_result *result)
 {
     if (result->stage != HC_CONNECTING) {
-        Rh_Came(reach, tries);
+        Rh_Connected(reach, tries);
         return false;
     }
     bool through = tries->steps[tries->step].through;
     if (through) {
-        tries->peer = WY_FAILED;
-        Wy_NoteFailure(&reach->failures, Hash_String(tries->asked, 0),
+        tries->peer_outcome = WY_FAILED;
+        Wy_NoteFailure(&reach->failures, Hash_String(tries->peer_id, 0),
                        Ck_Now(reach->gate->clock));
     }
     else {
-        tries->direct = result->status == ST_TIMEOUT ? WY_OVERDUE : WY_FAILED;
+        tries->direct_outcome =
+            result->status == ST_TIMEOUT ? WY_OVERDUE : WY_FAILED;
     }
     /* What refused a moment ago is not tried again. */
-    bool refused = through && tries->direct == WY_FAILED;
+    bool refused = through && tries->direct_outcome == WY_FAILED;
     if (tries->step + 1 < tries->count && !refused) {
         tries->step++;
         return true;
     }
-    settle(reach, tries);
+    record_outcome(reach, tries);
     return false;
 }
 
 static void
-on_tried(void *arg, const struct di_result *result)
+on_probed(void *arg, const struct di_result *result)
 {
     struct link *link = arg;
     struct rh_reach *reach = link->reach;
-    link->trial = NULL;
+    link->probe = NULL;
     if (result->sock == NULL) {
-        Wy_TrialFailed(&link->way);
+        Wy_TrialFailed(&link->path);
         return;
     }
     Sk_Close(result->sock);
-    if (Wy_Ended(&link->way, WY_CAME, WY_NOT_TRIED,
+    if (Wy_Ended(&link->path, WY_CAME, WY_NOT_TRIED,
                  Ck_Now(reach->gate->clock))) {
-        note_change(reach, link, false);
+        log_change(reach, link, false);
     }
 }
 
 /* Tries a cut link by a connection that carries nothing. */
 static void
-try_link(struct rh_reach *reach, struct link *link, int64_t now)
+probe_link(struct rh_reach *reach, struct link *link, int64_t now)
 {
-    if (link->trial != NULL) {
-        if (now - link->way.trial_at >= Rh_TRIAL_USEC) {
-            Di_Cancel(link->trial);
-            link->trial = NULL;
-            Wy_TrialFailed(&link->way);
+    if (link->probe != NULL) {
+        if (now - link->path.trial_at >= Rh_PROBE_TIMEOUT_USEC) {
+            Di_Cancel(link->probe);
+            link->probe = NULL;
+            Wy_TrialFailed(&link->path);
         }
         return;
     }
     struct di_plan plan = {.count = 1};
-    if (!Wy_TrialDue(&link->way, now) ||
+    if (!Wy_TrialDue(&link->path, now) ||
         !Ep_Address(reach->gate->endpoints, link->endpoint,
                     plan.ways[0].address, sizeof(plan.ways[0].address))) {
         return;
     }
-    Wy_TrialBegun(&link->way, now);
-    link->trial = Di_Start(reach->gate->loop, &plan, on_tried, link);
+    Wy_TrialBegun(&link->path, now);
+    link->probe = Di_Start(reach->gate->loop, &plan, on_probed, link);
 }
 
 static void
-tell(struct rh_reach *reach, int64_t now)
+publish(struct rh_reach *reach, int64_t now)
 {
-    bool changed = reach->any_cut != reach->told_cut;
-    if (now < reach->next_tell && !changed) {
+    bool changed = reach->any_cut != reach->published_cut;
+    if (now < reach->next_publish && !changed) {
         return;
     }
-    bool first = reach->next_tell == 0;
-    reach->next_tell =
-        now + (first || changed ? Rh_RETELL_USEC : Rh_TELL_USEC);
-    reach->told_cut = reach->any_cut;
-    struct pf_through told = {(uint16_t)Th_Port(reach->through),
+    bool first = reach->next_publish == 0;
+    reach->next_publish =
+        now + (first || changed ? Rh_REPUBLISH_USEC : Rh_PUBLISH_USEC);
+    reach->published_cut = reach->any_cut;
+    struct pf_through fact = {(uint16_t)Th_Port(reach->through),
                               reach->any_cut};
-    Pe_TellThrough(reach->peers, &told, Rh_FACT_TTL);
+    Pe_TellThrough(reach->peers, &fact, Rh_FACT_TTL_USEC);
 }
 
 void
@@ -422,8 +427,8 @@
             drop_link(reach, link);
             continue;
         }
-        reach->any_cut |= link->way.cut;
-        try_link(reach, link, now);
+        reach->any_cut |= link->path.cut;
+        probe_link(reach, link, now);
     }
-    tell(reach, now);
+    publish(reach, now);
 }
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -29,11 +29,11 @@
         bool through;
         int64_t connect_usec; /* 0: the client's own limit */
     } steps[Rh_STEPS_MAX];
-    enum wy_end direct;
-    enum wy_end peer;
-    bool came;
-    char daemon[Rh_DAEMON_MAX];
-    char asked[Mb_ID_MAX]; /* the daemon's identity */
+    enum wy_end direct_outcome;
+    enum wy_end peer_outcome;
+    bool connected;
+    char peer_address[Rh_DAEMON_MAX];
+    char peer_id[Mb_ID_MAX]; /* the daemon's identity */
     struct hc_through through;
 };
 
@@ -48,9 +48,9 @@
 void Rh_Begin(struct rh_reach *reach, struct rh_tries *tries,
               const struct ch_info *info);
 /* Says in a call how its connection is made. */
-void Rh_Fill(struct rh_tries *tries, struct hc_request *call);
+void Rh_FillCall(struct rh_tries *tries, struct hc_request *call);
 /* The call's connection is there. */
-void Rh_Came(struct rh_reach *reach, struct rh_tries *tries);
+void Rh_Connected(struct rh_reach *reach, struct rh_tries *tries);
 /*
  * The call has ended.  True: its connection did not come, no byte has left,
  * and it is to be made once more by the next way.
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -18,7 +18,7 @@
 #include "gate/events.h"
 #include "gate/quarantine.h"
 
-#define Rl_ATTEMPTS 6
+#define Rl_ATTEMPTS_MAX 6
 #define Rl_UNREACHED_MAX 16
 #define Rl_WAITS_MAX 16 /* for a place at those that have not failed it */
 #define Rl_EVENT_MAX ((size_t)64 << 10)
@@ -32,7 +32,7 @@
  * watcher does not reach it either.
  */
 #define Rl_STALL_USEC (5 * Ck_USEC_PER_SEC)
-#define Rl_STALL_CHECK (1 * Ck_USEC_PER_SEC)
+#define Rl_STALL_CHECK_USEC (1 * Ck_USEC_PER_SEC)
 #define Rl_URGENT_PRIORITY 10
 #define Rl_PATIENT_PRIORITY 1
 #define Rl_LABELS_MAX 200
@@ -46,8 +46,8 @@
 Re_EndFlight(struct rl_engine *relay, enum ch_outcome outcome)
 {
     if (relay->flight.endpoint != NULL) {
-        Rq_NoteVersion(relay->request, &relay->flight, outcome,
-                       relay->answered);
+        Rq_RecordOutcome(relay->request, &relay->flight, outcome,
+                         relay->first_token_usec);
         Ch_End(relay->table, &relay->flight, outcome,
                Ck_Now(relay->request->gate->clock));
         relay->flight.endpoint = NULL;
@@ -65,7 +65,7 @@
 }
 
 static bool
-keep_text(struct rl_engine *relay, const char *text)
+append_text(struct rl_engine *relay, const char *text)
 {
     size_t len = strlen(text);
     if (relay->text_len + len > Rl_TEXT_MAX) {
@@ -119,17 +119,17 @@
     struct rq_request *request = relay->request;
     int64_t now = Ck_Now(request->gate->clock);
     if (relay->tokens == 0) {
-        Mt_Observe(relay->first_token_time, now - request->arrived);
+        Mt_Observe(relay->first_token_time, now - request->arrived_at);
     }
     else {
-        Mt_Observe(relay->token_time, now - relay->last_token);
+        Mt_Observe(relay->token_time, now - relay->last_token_at);
     }
-    relay->last_token = now;
+    relay->last_token_at = now;
     if (relay->flight.endpoint != NULL && !relay->flight.first_token) {
-        relay->began = now;
-        relay->answered = now - relay->flight.started;
+        relay->first_token_at = now;
+        relay->first_token_usec = now - relay->flight.started;
         Ch_FirstToken(relay->table, &relay->flight, now);
-        Gq_Began(request->gate->quarantine, request);
+        Gq_RecordFirstToken(request->gate->quarantine, request);
     }
 }
 
@@ -141,8 +141,8 @@
         Gt_Count(request->gate, "cg_repeated_tokens_total", NULL, NULL);
         return;
     }
-    if (event->index > relay->tokens || !keep_text(relay, event->text)) {
-        relay->broken = true;
+    if (event->index > relay->tokens || !append_text(relay, event->text)) {
+        relay->invalid = true;
         return;
     }
     observe_token(relay);
@@ -163,7 +163,7 @@
 static void
 take_usage(struct rl_engine *relay, const struct en_event *event)
 {
-    relay->expected = relay->sent_on + event->usage.completion_tokens;
+    relay->expected = relay->tokens_at_start + event->usage.completion_tokens;
     relay->recomputed += event->usage.recomputed_tokens;
     relay->usage = event->usage;
     relay->usage.completion_tokens = relay->expected;
@@ -181,7 +181,7 @@
         relay->done = true;
     }
     else {
-        relay->broken = true;
+        relay->invalid = true;
     }
 }
 
@@ -191,11 +191,11 @@
     struct rl_engine *relay = arg;
     struct rq_request *request = relay->request;
     struct en_event event;
-    if (relay->done || relay->broken) {
+    if (relay->done || relay->invalid) {
         return;
     }
     if (En_ReadEvent(data, len, &event) != ST_OK) {
-        relay->broken = true;
+        relay->invalid = true;
         return;
     }
     if (event.kind == EN_DONE) {
@@ -215,7 +215,7 @@
         take_usage(relay, &event);
     }
     else {
-        relay->broken = true;
+        relay->invalid = true;
     }
     En_EventFree(&event);
 }
@@ -225,10 +225,10 @@
 {
     struct rl_engine *relay = arg;
     struct gt_gate *gate = relay->request->gate;
-    Rh_Came(gate->reach, &relay->tries);
+    Rh_Connected(gate->reach, &relay->tries);
     relay->code = code;
     if (relay->flight.endpoint != NULL) {
-        Gq_Lives(gate->quarantine, Ch_Info(relay->flight.endpoint)->id);
+        Gq_RecordAlive(gate->quarantine, Ch_Info(relay->flight.endpoint)->id);
     }
 }
 
@@ -277,7 +277,7 @@
     struct rq_request *request = relay->request;
     Re_DropMove(relay);
     Re_EndFlight(relay, CH_GOOD);
-    Rq_Succeeded(relay->request);
+    Rq_RecordSuccess(relay->request);
     count_tokens(relay);
     answer_caller(relay);
     Rq_Finish(request, AN_RAN);
@@ -313,26 +313,26 @@
 static bool
 may_have_run(const struct rl_engine *relay)
 {
-    int left = Rq_Sent(&relay->attempts);
+    int maybe_sent = Rq_SentCount(&relay->attempts);
     if (relay->call != NULL && Hc_Stage(relay->call) == HC_CONNECTING) {
-        left--;
+        maybe_sent--;
     }
-    return left > 0;
+    return maybe_sent > 0;
 }
 
 /* How a failure is told: as "not run" where that is known. */
 static enum an_kind
-failure_told(const struct rl_engine *relay)
+failure_kind_for_caller(const struct rl_engine *relay)
 {
     return may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE;
 }
 
 /* Whether as many tries in a row as may be have reached nobody. */
 static bool
-reached_nobody(const struct rl_engine *relay)
+is_unreachable(const struct rl_engine *relay)
 {
-    int tries =
-        may_have_run(relay) ? relay->astray : relay->attempts.unreached;
+    int tries = may_have_run(relay) ? relay->connect_failures
+                                    : relay->attempts.not_sent;
     return tries >= Rl_UNREACHED_MAX;
 }
 
@@ -344,18 +344,20 @@
 static bool
 should_wait(const struct rl_engine *relay)
 {
-    return relay->astray > 0 && may_have_run(relay) && !reached_nobody(relay);
+    return relay->connect_failures > 0 && may_have_run(relay) &&
+           !is_unreachable(relay);
 }
 
 static void
 wait_for_engine(struct rl_engine *relay)
 {
     Gt_Count(relay->request->gate, "cg_streams_waiting_total", NULL, NULL);
-    Lp_TimerSet(relay->again_timer, Rt_Gap(relay->astray + relay->waits));
+    Lp_TimerSet(relay->retry_timer,
+                Rt_Gap(relay->connect_failures + relay->capacity_waits));
 }
 
 static void
-again_due(void *arg)
+retry_due(void *arg)
 {
     struct rl_engine *relay = arg;
     attempt(relay);
@@ -367,14 +369,15 @@
 {
     struct gt_gate *gate = relay->request->gate;
     Re_DropMove(relay);
-    if (relay->tokens == 0 && Gq_Doubts(gate->quarantine, relay->request)) {
-        give_up(relay, failure_told(relay),
+    if (relay->tokens == 0 &&
+        Gq_DeniesRetry(gate->quarantine, relay->request)) {
+        give_up(relay, failure_kind_for_caller(relay),
                 "two engines ended under this request; it is sent to no "
                 "third");
         return;
     }
-    if (relay->attempts.failed >= Rl_ATTEMPTS || reached_nobody(relay)) {
-        give_up(relay, failure_told(relay),
+    if (relay->attempts.failed >= Rl_ATTEMPTS_MAX || is_unreachable(relay)) {
+        give_up(relay, failure_kind_for_caller(relay),
                 "several engines failed this request; it may be repeated");
         return;
     }
@@ -399,10 +402,11 @@
 {
     enum rt_stage stage = reached == HC_CONNECTING ? RT_NOT_SENT : RT_SENT;
     Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
-    relay->astray = stage == RT_NOT_SENT ? relay->astray + 1 : 0;
+    relay->connect_failures =
+        stage == RT_NOT_SENT ? relay->connect_failures + 1 : 0;
     if (relay->tokens == 0 &&
         !Rq_MayRetry(relay->request, stage, &relay->attempts)) {
-        give_up(relay, failure_told(relay),
+        give_up(relay, failure_kind_for_caller(relay),
                 "the engines of this service fail; the request may be "
                 "repeated later");
         return;
@@ -411,7 +415,7 @@
 }
 
 static enum ch_outcome
-failure_kind(enum hc_stage reached, int code)
+flight_outcome(enum hc_stage reached, int code)
 {
     if (reached == HC_CONNECTING) {
         return CH_UNREACHED;
@@ -421,20 +425,20 @@
 
 /* The engine may have ended before the first token. */
 static void
-note_broke(struct rl_engine *relay, const struct hc_result *result)
+report_break(struct rl_engine *relay, const struct hc_result *result)
 {
     struct rq_request *request = relay->request;
     /* What led through another daemon may have broken there. */
     if (result->stage == HC_CONNECTING || relay->flight.endpoint == NULL ||
-        relay->flight.first_token || relay->tries.peer == WY_CAME) {
+        relay->flight.first_token || relay->tries.peer_outcome == WY_CAME) {
         return;
     }
-    struct gq_break broke = {
+    struct gq_break connection_break = {
         .endpoint = Ch_Info(relay->flight.endpoint)->id,
-        .begun = relay->code == 200,
+        .head_received = relay->code == 200,
         .sent_at = relay->flight.started,
     };
-    Gq_Broke(request->gate->quarantine, request, &broke);
+    Gq_RecordBreak(request->gate->quarantine, request, &connection_break);
 }
 
 static void
@@ -456,7 +460,7 @@
      * a refusal among the tokens, after another engine has run it.
      */
     if (result->code >= 400 && result->code < 500 && result->code != 429 &&
-        Rq_Sent(&relay->attempts) == 1) {
+        Rq_SentCount(&relay->attempts) == 1) {
         Re_EndFlight(relay, CH_GOOD);
         Rq_Refuse(relay->request, AN_INVALID, 0,
                   "the engine refused the request with %d; check its fields",
@@ -464,13 +468,13 @@
         return;
     }
     if (result->code == 0 || result->code == 200) {
-        note_broke(relay, result);
+        report_break(relay, result);
     }
     if (result->stage == HC_CONNECTING && relay->flight.endpoint != NULL) {
-        Gq_Dead(relay->request->gate->quarantine,
-                Ch_Info(relay->flight.endpoint)->id);
+        Gq_RecordDead(relay->request->gate->quarantine,
+                      Ch_Info(relay->flight.endpoint)->id);
     }
-    Re_EndFlight(relay, failure_kind(result->stage, result->code));
+    Re_EndFlight(relay, flight_outcome(result->stage, result->code));
     attempt_failed(relay, result->stage);
 }
 
@@ -482,13 +486,13 @@
         return;
     }
     if (Ss_Feed(relay->parser, data, len, take_event, relay) != ST_OK) {
-        relay->broken = true;
+        relay->invalid = true;
     }
     if (relay->done) {
         Re_DropCall(relay);
         finish(relay);
     }
-    else if (relay->broken) {
+    else if (relay->invalid) {
         Re_DropCall(relay);
         Re_EndFlight(relay, CH_FAILED);
         attempt_failed(relay, HC_ANSWERED);
@@ -531,7 +535,7 @@
         .body = body,
         .body_len = strlen(body),
     };
-    Rh_Fill(&relay->tries, &call);
+    Rh_FillCall(&relay->tries, &call);
     enum st_status status =
         Hc_Start(request->gate->loop, &call, &call_ops, relay, &relay->call);
     free(body);
@@ -551,7 +555,7 @@
                                ? request->prompt.max_tokens
                                : Rl_EXPECTED_TOKENS;
     ask->budget = request->deadline - Ck_Now(request->gate->clock);
-    ask->again = relay->attempts.all > 0;
+    ask->again = relay->attempts.total > 0;
     ask->failed = Rq_HasFailed(&relay->attempts);
     Rq_Constrain(request, ask);
 }
@@ -562,19 +566,19 @@
 {
     Ss_Destroy(relay->parser);
     relay->parser = Ss_Create(Rl_EVENT_MAX);
-    relay->attempts.all++;
-    relay->broken = false;
+    relay->attempts.total++;
+    relay->invalid = false;
     relay->paused = false;
     relay->code = 0;
-    relay->sent_on = relay->tokens;
+    relay->tokens_at_start = relay->tokens;
     relay->expected = -1;
     snprintf(relay->attempt, sizeof(relay->attempt), "%s.%d",
-             relay->request->id, relay->attempts.all);
+             relay->request->id, relay->attempts.total);
     strlcpy(relay->kv, kv != NULL ? kv : "", sizeof(relay->kv));
     Rh_Begin(relay->request->gate->reach, &relay->tries,
              Ch_Info(relay->flight.endpoint));
     if (relay->parser == NULL || send_call(relay) != ST_OK) {
-        relay->attempts.unreached++;
+        relay->attempts.not_sent++;
         give_up(relay, may_have_run(relay) ? AN_UNKNOWN : AN_OVERLOADED,
                 "this host is out of memory; come back later");
     }
@@ -591,7 +595,7 @@
     struct rq_request *request = relay->request;
     enum st_status status =
         Rq_Choose(request, relay->table, ask, &relay->flight);
-    if (status == ST_OVERLOAD && relay->waits >= Rl_WAITS_MAX) {
+    if (status == ST_OVERLOAD && relay->capacity_waits >= Rl_WAITS_MAX) {
         status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
     }
     return status;
@@ -606,12 +610,12 @@
     relay->table = Ep_Table(request->gate->endpoints, request->service->name);
     enum st_status status = choose(relay, &ask);
     if (status == ST_OVERLOAD && may_have_run(relay)) {
-        relay->waits++;
+        relay->capacity_waits++;
         wait_for_engine(relay);
         return;
     }
     if (status != ST_OK) {
-        relay->astray++;
+        relay->connect_failures++;
         if (should_wait(relay)) {
             wait_for_engine(relay);
             return;
@@ -619,11 +623,11 @@
         char message[Rl_MESSAGE_MAX];
         snprintf(message, sizeof(message),
                  "no engine of this service %s; come back later",
-                 Rq_WhyNone(request, relay->table));
-        give_up(relay, failure_told(relay), message);
+                 Rq_WhyUnavailable(request, relay->table));
+        give_up(relay, failure_kind_for_caller(relay), message);
         return;
     }
-    relay->waits = 0;
+    relay->capacity_waits = 0;
     Re_Launch(relay, NULL);
 }
 
@@ -634,7 +638,7 @@
         return false;
     }
     if (relay->flight.first_token) {
-        return now - relay->last_token >= Rl_STALL_USEC;
+        return now - relay->last_token_at >= Rl_STALL_USEC;
     }
     return Ch_State(relay->flight.endpoint) == CH_SUSPECT &&
            now - relay->flight.started >= Rl_STALL_USEC;
@@ -645,7 +649,7 @@
 {
     struct rl_engine *relay = arg;
     struct gt_gate *gate = relay->request->gate;
-    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK);
+    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK_USEC);
     if (is_stalled(relay, Ck_Now(gate->clock))) {
         Gt_Count(gate, "cg_streams_stalled_total", NULL, NULL);
         enum hc_stage reached =
@@ -684,14 +688,14 @@
     relay->plan_timer = Lp_TimerCreate(request->gate->loop, Re_PlanDue, relay);
     relay->stall_timer =
         Lp_TimerCreate(request->gate->loop, stall_check, relay);
-    relay->again_timer = Lp_TimerCreate(request->gate->loop, again_due, relay);
+    relay->retry_timer = Lp_TimerCreate(request->gate->loop, retry_due, relay);
     if (relay->plan_timer == NULL || relay->stall_timer == NULL ||
-        relay->again_timer == NULL) {
+        relay->retry_timer == NULL) {
         give_up(relay, AN_OVERLOADED,
                 "this host is out of memory; come back later");
         return;
     }
-    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK);
+    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK_USEC);
     find_metrics(relay);
     attempt(relay);
 }
@@ -718,7 +722,7 @@
 }
 
 void
-Rl_EngineStopped(struct rq_request *request, uint32_t part)
+Rl_EngineQuarantined(struct rq_request *request, uint32_t part)
 {
     struct rl_engine *relay = request->engine;
     if (relay->tokens > 0) {
@@ -727,7 +731,7 @@
     char message[Rl_MESSAGE_MAX];
     snprintf(message, sizeof(message), "part %08x of the prompt ends engines",
              part);
-    give_up(relay, failure_told(relay), message);
+    give_up(relay, failure_kind_for_caller(relay), message);
 }
 
 /* The caller has read what was sent; the engine may go on. */
@@ -754,7 +758,7 @@
     }
     Lp_TimerDestroy(relay->plan_timer);
     Lp_TimerDestroy(relay->stall_timer);
-    Lp_TimerDestroy(relay->again_timer);
+    Lp_TimerDestroy(relay->retry_timer);
     Ss_Destroy(relay->parser);
     free(relay->text);
     free(relay);
--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -25,27 +25,27 @@
     char kv[En_KV_MAX]; /* handle that this attempt goes on from; or empty */
     int code;
     bool paused;
-    bool streaming; /* the caller's stream has begun */
-    bool done;      /* the engine said the answer is whole */
-    bool broken;    /* this attempt sent what cannot be used */
-    int tokens;     /* given to the caller, or kept for it */
-    int sent_on;    /* tokens known when this attempt began */
-    int expected;   /* tokens of the whole answer, by the engine's count */
+    bool streaming;      /* the caller's stream has begun */
+    bool done;           /* the engine said the answer is whole */
+    bool invalid;        /* this attempt sent what cannot be used */
+    int tokens;          /* given to the caller, or kept for it */
+    int tokens_at_start; /* tokens known when this attempt began */
+    int expected; /* tokens of the whole answer, by the engine's count */
     char *text;
     size_t text_len;
     size_t text_size;
     struct en_usage usage;
     int recomputed;
-    int64_t last_token;
-    int64_t answered;  /* time to this attempt's first token */
-    int64_t began;     /* this attempt's first token */
-    int64_t leaving;   /* when its engine will be gone; 0: it stays */
-    enum sm_plan plan; /* what the timer will do about it */
+    int64_t last_token_at;
+    int64_t first_token_usec; /* time to this attempt's first token */
+    int64_t first_token_at;   /* this attempt's first token */
+    int64_t leaves_at;        /* when its engine will be gone; 0: it stays */
+    enum sm_plan plan;        /* what the timer will do about it */
     struct lp_timer *plan_timer;
     struct lp_timer *stall_timer;
-    struct lp_timer *again_timer; /* for a stream that found no engine */
-    int astray;                   /* attempts in a row that reached nobody */
-    int waits;                    /* in a row for a place at an engine */
+    struct lp_timer *retry_timer; /* for a stream that found no engine */
+    int connect_failures;         /* attempts in a row that reached nobody */
+    int capacity_waits;           /* in a row for a place at an engine */
     struct kv_move *move;         /* on its way to the target */
     struct ch_flight target;      /* reserved while the cache moves */
     struct mt_metric *first_token_time;
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_leave.c
@@ -11,7 +11,7 @@
 
 /* What moving a cache costs, until an engine has shown otherwise. */
 #define Rl_MOVE_USEC (20 * Ck_USEC_PER_MSEC)
-#define Rl_MOVE_PER_TOKEN 20
+#define Rl_MOVE_PER_TOKEN_USEC 20
 #define Rl_FIRST_GUESS_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
 
 static void decide(struct rl_engine *relay);
@@ -29,7 +29,7 @@
                Ck_Now(relay->request->gate->clock));
         relay->target.endpoint = NULL;
     }
-    relay->leaving = 0;
+    relay->leaves_at = 0;
     if (relay->plan_timer != NULL) {
         Lp_TimerCancel(relay->plan_timer);
     }
@@ -42,16 +42,17 @@
     const struct rq_request *request = relay->request;
     int whole = request->prompt.max_tokens > 0 ? request->prompt.max_tokens
                                                : Rl_EXPECTED_TOKENS;
-    int given_here = relay->tokens - relay->sent_on;
-    stream->left = relay->leaving - now;
+    int tokens_here = relay->tokens - relay->tokens_at_start;
+    stream->left = relay->leaves_at - now;
     stream->prompt_tokens =
         (int)(request->prompt.text_len / Rl_BYTES_PER_TOKEN);
     stream->tokens_given = relay->tokens;
     stream->tokens_expected =
         whole > relay->tokens ? whole - relay->tokens : 1;
-    stream->token_usec =
-        given_here > 1 ? (relay->last_token - relay->began) / (given_here - 1)
-                       : Rl_FIRST_GUESS_TOKEN_USEC;
+    stream->token_usec = tokens_here > 1
+                             ? (relay->last_token_at - relay->first_token_at) /
+                                   (tokens_here - 1)
+                             : Rl_FIRST_GUESS_TOKEN_USEC;
 }
 
 /* The engine that would take the stream over; no flight is started. */
@@ -71,7 +72,7 @@
     target->imports = true;
     target->wait = target->found ? flight->predicted : 0;
     target->move_usec = Rl_MOVE_USEC;
-    target->move_per_token = Rl_MOVE_PER_TOKEN;
+    target->move_per_token = Rl_MOVE_PER_TOKEN_USEC;
     target->prefill_per_token = settings.per_token;
 }
 
@@ -90,9 +91,9 @@
     Re_DropCall(relay);
     Re_EndFlight(relay, CH_CANCELLED);
     relay->flight = relay->target;
-    Rq_NoteSentTo(relay->request, Ch_Info(relay->flight.endpoint)->id);
+    Rq_RecordDispatch(relay->request, Ch_Info(relay->flight.endpoint)->id);
     relay->target.endpoint = NULL;
-    relay->leaving = 0;
+    relay->leaves_at = 0;
     Lp_TimerCancel(relay->plan_timer);
     Ev_Log(&GT_STREAM_MOVED, "request=%s tokens=%d how=kv", relay->request->id,
            relay->tokens);
@@ -123,7 +124,7 @@
     to_target(Ch_Info(relay->flight.endpoint), &source);
     to_target(Ch_Info(relay->target.endpoint), &target);
     if (Kv_Start(gate->loop, &source, &target, relay->attempt,
-                 relay->leaving - now, cache_moved, relay,
+                 relay->leaves_at - now, cache_moved, relay,
                  &relay->move) != ST_OK) {
         relay->move = NULL;
         Re_DropCall(relay);
@@ -187,7 +188,7 @@
             strcmp(Ch_Info(relay->flight.endpoint)->id, endpoint) != 0) {
             continue;
         }
-        relay->leaving = Ck_Now(gate->clock) + left_usec;
+        relay->leaves_at = Ck_Now(gate->clock) + left_usec;
         decide(relay);
     }
 }
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -23,7 +23,7 @@
 #define Rl_ANSWER_MAX ((size_t)4 << 20)
 #define Rl_RETRY_SOON_SEC 1
 /* How long an answer is still waited for when the caller no longer does. */
-#define Rl_LINGER (60 * Ck_USEC_PER_SEC)
+#define Rl_LINGER_USEC (60 * Ck_USEC_PER_SEC)
 
 struct rl_plain {
     struct hc_call *call;
@@ -33,15 +33,15 @@
     struct rq_attempts attempts;
     struct rh_tries tries;
     char type[Rl_TYPE_MAX];
-    bool matched; /* the answer carries this attempt's id */
+    bool id_matches; /* the answer carries this attempt's id */
     /*
      * A byte of an earlier attempt may have left, so that an endpoint may
      * have run it.  Without this a last attempt that found nobody would have
      * the whole request called "not run".
      */
-    bool left_before;
+    bool maybe_sent;
     bool lingering;
-    int64_t answered; /* time to the headers of the answer */
+    int64_t headers_usec; /* time to the headers of the answer */
 };
 
 static void
@@ -49,7 +49,8 @@
 {
     struct rl_plain *relay = request->plain;
     if (relay->flight.endpoint != NULL) {
-        Rq_NoteVersion(request, &relay->flight, outcome, relay->answered);
+        Rq_RecordOutcome(request, &relay->flight, outcome,
+                         relay->headers_usec);
         Ch_End(relay->table, &relay->flight, outcome,
                Ck_Now(request->gate->clock));
         relay->flight.endpoint = NULL;
@@ -61,14 +62,14 @@
 {
     struct rq_request *request = arg;
     struct rl_plain *relay = request->plain;
-    Rh_Came(request->gate->reach, &relay->tries);
+    Rh_Connected(request->gate->reach, &relay->tries);
     const char *type = Hc_Header(call, "content-type");
     strlcpy(relay->type, type != NULL ? type : "application/octet-stream",
             sizeof(relay->type));
     const char *id = Hc_Header(call, "x-request-id");
-    relay->matched = id != NULL && strcmp(id, relay->attempt) == 0;
+    relay->id_matches = id != NULL && strcmp(id, relay->attempt) == 0;
     int64_t now = Ck_Now(request->gate->clock);
-    relay->answered = now - relay->flight.started;
+    relay->headers_usec = now - relay->flight.started;
     Ch_FirstToken(relay->table, &relay->flight, now);
 }
 
@@ -130,7 +131,7 @@
 static bool
 may_have_run(const struct rl_plain *relay)
 {
-    return relay->left_before ||
+    return relay->maybe_sent ||
            (relay->call != NULL && Hc_Stage(relay->call) != HC_CONNECTING);
 }
 
@@ -148,15 +149,15 @@
         return;
     }
     bool complete = result->stage == HC_COMPLETE;
-    if (complete && relay->matched && result->code < 500) {
+    if (complete && relay->id_matches && result->code < 500) {
         end_flight(request, CH_GOOD);
-        Rq_Succeeded(request);
+        Rq_RecordSuccess(request);
         answer_caller(request, call, result->code);
         return;
     }
-    bool left = result->stage != HC_CONNECTING;
-    end_flight(request, left ? CH_FAILED : CH_UNREACHED);
-    if (complete && !relay->matched) {
+    bool maybe_sent = result->stage != HC_CONNECTING;
+    end_flight(request, maybe_sent ? CH_FAILED : CH_UNREACHED);
+    if (complete && !relay->id_matches) {
         /*
          * The endpoint mixed up two answers.  This one belongs to somebody
          * else and must not reach the caller.
@@ -165,18 +166,18 @@
                request->service->name);
         Gt_Count(request->gate, "cg_crossed_answers_total", NULL, NULL);
     }
-    relay->left_before = relay->left_before || left;
-    enum rt_stage stage = left ? RT_SENT : RT_NOT_SENT;
+    relay->maybe_sent = relay->maybe_sent || maybe_sent;
+    enum rt_stage stage = maybe_sent ? RT_SENT : RT_NOT_SENT;
     Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
     if (Rq_MayRetry(request, stage, &relay->attempts)) {
         attempt(request);
         return;
     }
-    if (complete && relay->matched) {
+    if (complete && relay->id_matches) {
         answer_caller(request, call, result->code);
         return;
     }
-    if (left && !request->repeatable) {
+    if (maybe_sent && !request->idempotent) {
         outcome_unknown(request);
         return;
     }
@@ -220,7 +221,7 @@
         .body_len = body_len,
         .collect_max = Rl_ANSWER_MAX,
     };
-    Rh_Fill(&relay->tries, &call);
+    Rh_FillCall(&relay->tries, &call);
     return Hc_Start(request->gate->loop, &call, &call_ops, request,
                     &relay->call);
 }
@@ -246,20 +247,21 @@
     int64_t now = Ck_Now(gate->clock);
     struct ch_request ask = {
         .budget = request->deadline - now,
-        .again = relay->attempts.all > 0,
+        .again = relay->attempts.total > 0,
         .failed = Rq_HasFailed(&relay->attempts),
     };
     relay->table = Ep_Table(gate->endpoints, request->service->name);
     if (choose(request, &ask) != ST_OK) {
         Rq_Refuse(request, may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE,
                   Rl_RETRY_SOON_SEC, "no endpoint of %s %s; come back later",
-                  request->service->name, Rq_WhyNone(request, relay->table));
+                  request->service->name,
+                  Rq_WhyUnavailable(request, relay->table));
         return;
     }
-    relay->attempts.all++;
-    relay->matched = false;
+    relay->attempts.total++;
+    relay->id_matches = false;
     snprintf(relay->attempt, sizeof(relay->attempt), "%s.%d", request->id,
-             relay->attempts.all);
+             relay->attempts.total);
     Rh_Begin(gate->reach, &relay->tries, Ch_Info(relay->flight.endpoint));
     if (send_call(request) != ST_OK) {
         end_flight(request, CH_CANCELLED);
@@ -289,18 +291,18 @@
 Rl_PlainCallerGone(struct rq_request *request)
 {
     struct rl_plain *relay = request->plain;
-    bool left = may_have_run(relay);
-    if (left && request->claimed) {
+    bool maybe_sent = may_have_run(relay);
+    if (maybe_sent && request->claimed) {
         relay->lingering = true;
-        Lp_TimerSet(request->timer, Rl_LINGER);
+        Lp_TimerSet(request->timer, Rl_LINGER_USEC);
         return;
     }
     end_flight(request, CH_CANCELLED);
-    if (!left && request->claimed) {
+    if (!maybe_sent && request->claimed) {
         Gc_Release(request->gate->claims, &request->key);
         request->claimed = false;
     }
-    Rq_Finish(request, left ? AN_OUTCOME_UNKNOWN : AN_NOT_RUN);
+    Rq_Finish(request, maybe_sent ? AN_OUTCOME_UNKNOWN : AN_NOT_RUN);
 }
 
 /* The caller's time is up: it gets its final answer at once. */
@@ -308,14 +310,14 @@
 Rl_PlainDeadline(struct rq_request *request)
 {
     struct rl_plain *relay = request->plain;
-    bool left = may_have_run(relay);
-    if (!left) {
+    bool maybe_sent = may_have_run(relay);
+    if (!maybe_sent) {
         end_flight(request, CH_FAILED);
         Rq_Refuse(request, AN_DEADLINE, Rl_RETRY_SOON_SEC,
                   "no endpoint could be reached in time; come back later");
         return;
     }
-    if (request->repeatable) {
+    if (request->idempotent) {
         end_flight(request, CH_FAILED);
         Rq_Refuse(request, AN_UNKNOWN, Rl_RETRY_SOON_SEC,
                   "the endpoint has not answered in time; this request may "
@@ -333,7 +335,7 @@
     Hs_SetUser(request->http, NULL);
     request->http = NULL;
     relay->lingering = true;
-    Lp_TimerSet(request->timer, Rl_LINGER);
+    Lp_TimerSet(request->timer, Rl_LINGER_USEC);
 }
 
 /* Frees the relay; its call is given up. */
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -17,12 +17,12 @@
 
 #define Rq_KEY_MAX 255
 #define Rq_DEADLINE_MAX_MS 3600000
-#define Rq_DEFAULT_DEADLINE (60 * Ck_USEC_PER_SEC)
+#define Rq_DEFAULT_DEADLINE_USEC (60 * Ck_USEC_PER_SEC)
 #define Rq_LABELS_MAX 200
 #define Rq_RETRY_SOON_SEC 1
 #define Rq_STATES_MAX 256
 #define Rq_STATE_MAX (2 * Ch_NAME_MAX + 64)
-#define Rq_MORE ",..."
+#define Rq_ELLIPSIS ",..."
 
 static void
 make_id(struct rq_request *request)
@@ -34,7 +34,7 @@
 }
 
 static void
-forget_tried(struct rq_request *request)
+clear_tried(struct rq_request *request)
 {
     for (size_t i = 0; i < request->tried_count; i++) {
         free((char *)request->tried[i]);
@@ -46,7 +46,7 @@
 request_free(struct rq_request *request)
 {
     TAILQ_REMOVE(&request->gate->requests, request, link);
-    In_Leave(request->gate->intake, request);
+    In_Remove(request->gate->intake, request);
     if (request->http != NULL) {
         Hs_SetUser(request->http, NULL);
     }
@@ -57,7 +57,7 @@
     Rl_PlainFree(request->plain);
     En_PromptFree(&request->prompt);
     Lp_TimerDestroy(request->timer);
-    forget_tried(request);
+    clear_tried(request);
     if (request->config != NULL) {
         Cf_Destroy(request->config);
     }
@@ -87,7 +87,7 @@
              request->patient ? "patient" : "urgent");
     Mt_Observe(
         Mt_Get(gate->metrics, MT_HISTOGRAM, "cg_request_seconds", labels),
-        Ck_Now(gate->clock) - request->arrived);
+        Ck_Now(gate->clock) - request->arrived_at);
     Gt_Count(gate, "cg_requests_total", "outcome", outcome);
 }
 
@@ -131,12 +131,13 @@
 append(char *list, size_t size, const char *item)
 {
     size_t len = strlen(list);
-    size_t more = strlen(Rq_MORE);
-    if (len >= more && strcmp(list + len - more, Rq_MORE) == 0) {
+    size_t ellipsis_len = strlen(Rq_ELLIPSIS);
+    if (len >= ellipsis_len &&
+        strcmp(list + len - ellipsis_len, Rq_ELLIPSIS) == 0) {
         return;
     }
-    if (len + strlen(item) + 1 + more >= size) {
-        strlcat(list, Rq_MORE, size);
+    if (len + strlen(item) + 1 + ellipsis_len >= size) {
+        strlcat(list, Rq_ELLIPSIS, size);
         return;
     }
     snprintf(list + len, size - len, "%s%s", len > 0 ? "," : "", item);
@@ -144,13 +145,13 @@
 
 /* Keeps where a dispatch goes, for the log. */
 void
-Rq_NoteSentTo(struct rq_request *request, const char *endpoint)
+Rq_RecordDispatch(struct rq_request *request, const char *endpoint)
 {
     append(request->sent_to, sizeof(request->sent_to), endpoint);
 }
 
 static void
-remember_tried(struct rq_request *request, const char *endpoint)
+add_tried(struct rq_request *request, const char *endpoint)
 {
     if (request->tried_count < Rq_TRIED_MAX) {
         request->tried[request->tried_count] = strdup(endpoint);
@@ -178,7 +179,8 @@
 
 /* Says why no endpoint was chosen, and logs where none may be. */
 const char *
-Rq_WhyNone(const struct rq_request *request, const struct ch_table *table)
+Rq_WhyUnavailable(const struct rq_request *request,
+                  const struct ch_table *table)
 {
     struct ch_request ask = {0};
     Rq_Constrain(request, &ask);
@@ -212,10 +214,10 @@
 {
     struct gt_gate *gate = request->gate;
     Ch_Start(table, flight, Ck_Now(gate->clock));
-    Rt_Cover(Ep_Budget(gate->endpoints, request->service->name),
+    Rt_Cover(Ep_RetryBudget(gate->endpoints, request->service->name),
              Ch_AllInFlight(table));
-    remember_tried(request, Ch_Info(flight->endpoint)->id);
-    Rq_NoteSentTo(request, Ch_Info(flight->endpoint)->id);
+    add_tried(request, Ch_Info(flight->endpoint)->id);
+    Rq_RecordDispatch(request, Ch_Info(flight->endpoint)->id);
 }
 
 /*
@@ -246,7 +248,7 @@
 Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
              struct ch_request *ask, struct ch_flight *flight)
 {
-    forget_tried(request);
+    clear_tried(request);
     enum st_status status = choose(request, table, ask, flight);
     if (status == ST_OK) {
         start_flight(request, table, flight);
@@ -256,16 +258,16 @@
 
 /* The dispatches that an endpoint may have run. */
 int
-Rq_Sent(const struct rq_attempts *attempts)
+Rq_SentCount(const struct rq_attempts *attempts)
 {
-    return attempts->all - attempts->unreached;
+    return attempts->total - attempts->not_sent;
 }
 
 /* Whether an endpoint has failed the request. */
 bool
 Rq_HasFailed(const struct rq_attempts *attempts)
 {
-    return attempts->failed_on_trial || attempts->failed > 0;
+    return attempts->trial_failed || attempts->failed > 0;
 }
 
 static bool
@@ -288,8 +290,8 @@
  * that it was: id:version:state:in flight/limit.
  */
 static void
-tell_states(const struct rq_request *request, const struct ch_table *table,
-            bool sent_to, char out[Rq_STATES_MAX])
+format_states(const struct rq_request *request, const struct ch_table *table,
+              bool sent_to, char out[Rq_STATES_MAX])
 {
     int64_t now = Ck_Now(request->gate->clock);
     const struct ch_endpoint *endpoint =
@@ -318,11 +320,11 @@
               enum rt_stage stage)
 {
     if (stage == RT_NOT_SENT) {
-        attempts->unreached++;
+        attempts->not_sent++;
     }
     else if (flight->on_trial && attempts->failed == 0 &&
-             !attempts->failed_on_trial) {
-        attempts->failed_on_trial = true;
+             !attempts->trial_failed) {
+        attempts->trial_failed = true;
     }
     else {
         attempts->failed++;
@@ -330,16 +332,16 @@
 }
 
 static void
-note_retry_refused(const struct rq_request *request,
-                   const struct rt_attempt *attempt, int sent,
-                   const char *reason, double tokens)
+log_retry_refused(const struct rq_request *request,
+                  const struct rt_attempt *attempt, int sent,
+                  const char *reason, double tokens)
 {
     const struct ch_table *table =
         Ep_Table(request->gate->endpoints, request->service->name);
-    char asked[Rq_STATES_MAX];
-    char others[Rq_STATES_MAX];
-    tell_states(request, table, true, asked);
-    tell_states(request, table, false, others);
+    char tried_states[Rq_STATES_MAX];
+    char other_states[Rq_STATES_MAX];
+    format_states(request, table, true, tried_states);
+    format_states(request, table, false, other_states);
     static const char *const stages[] = {"not-sent", "refused", "sent",
                                          "answered"};
     const char *last = request->tried_count > 0
@@ -352,7 +354,7 @@
            request->id, request->service->name, last, stages[attempt->stage],
            reason, sent, attempt->attempts, attempt->unreached,
            (long long)(attempt->left / Ck_USEC_PER_MSEC), tokens,
-           request->sent_to, asked, others);
+           request->sent_to, tried_states, other_states);
     Gt_Count(request->gate, "cg_retries_refused_total", NULL, NULL);
     Gt_Count(request->gate, "cg_retries_refused_by_reason_total", "reason",
              reason);
@@ -368,24 +370,24 @@
 {
     struct gt_gate *gate = request->gate;
     struct rt_budget *budget =
-        Ep_Budget(gate->endpoints, request->service->name);
+        Ep_RetryBudget(gate->endpoints, request->service->name);
     struct rt_attempt attempt = {
         .stage = stage,
-        .idempotent = request->repeatable,
-        .keyed = request->keyed,
+        .idempotent = request->idempotent,
+        .keyed = request->has_key,
         .attempts = attempts->failed,
-        .unreached = attempts->unreached,
+        .unreached = attempts->not_sent,
         .left = request->deadline - Ck_Now(gate->clock),
     };
     if (request->http == NULL || budget == NULL) {
-        note_retry_refused(request, &attempt, Rq_Sent(attempts),
-                           budget == NULL ? "no-service" : "caller-gone", 0);
+        log_retry_refused(request, &attempt, Rq_SentCount(attempts),
+                          budget == NULL ? "no-service" : "caller-gone", 0);
         return false;
     }
     enum rt_reason why = Rt_Why(budget, &attempt);
     if (Rt_Decide(budget, &attempt) != RT_RETRY) {
-        note_retry_refused(request, &attempt, Rq_Sent(attempts),
-                           Rt_ReasonName(why), budget->tokens);
+        log_retry_refused(request, &attempt, Rq_SentCount(attempts),
+                          Rt_ReasonName(why), budget->tokens);
         return false;
     }
     Gt_Count(gate, "cg_retries_total", NULL, NULL);
@@ -394,10 +396,10 @@
 
 /* An endpoint has answered well: it pays for a part of a later retry. */
 void
-Rq_Succeeded(struct rq_request *request)
+Rq_RecordSuccess(struct rq_request *request)
 {
     struct rt_budget *budget =
-        Ep_Budget(request->gate->endpoints, request->service->name);
+        Ep_RetryBudget(request->gate->endpoints, request->service->name);
     if (budget != NULL) {
         Rt_Success(budget);
     }
@@ -418,8 +420,8 @@
  * or refused for load says nothing about the version.
  */
 void
-Rq_NoteVersion(struct rq_request *request, const struct ch_flight *flight,
-               enum ch_outcome outcome, int64_t first_token_usec)
+Rq_RecordOutcome(struct rq_request *request, const struct ch_flight *flight,
+                 enum ch_outcome outcome, int64_t first_token_usec)
 {
     if (outcome != CH_GOOD && outcome != CH_FAILED &&
         outcome != CH_UNREACHED) {
@@ -474,7 +476,7 @@
     const char *text = Hs_Header(request->http, "cornelgate-deadline-ms");
     int64_t limit = request->service->deadline_usec;
     if (limit <= 0) {
-        limit = Rq_DEFAULT_DEADLINE;
+        limit = Rq_DEFAULT_DEADLINE_USEC;
     }
     if (text != NULL) {
         const char *problem = NULL;
@@ -486,7 +488,7 @@
                            problem, Rq_DEADLINE_MAX_MS);
         }
     }
-    request->deadline = request->arrived + limit;
+    request->deadline = request->arrived_at + limit;
     Lp_TimerSet(request->timer, limit);
     return ST_OK;
 }
@@ -536,7 +538,7 @@
         return St_Fail(ST_INVALID, "idempotency-key must have 1 to %d bytes",
                        Rq_KEY_MAX);
     }
-    request->keyed = true;
+    request->has_key = true;
     strlcpy(request->key.key.customer, request->customer->name,
             sizeof(request->key.key.customer));
     Hash_Digest(key, len, request->key.key.digest);
@@ -571,7 +573,7 @@
                       "no service has this path; see the configuration");
             return false;
         }
-        request->repeatable =
+        request->idempotent =
             request->service->idempotent || is_safe_method(method);
         return true;
     }
@@ -583,7 +585,7 @@
                   strcmp(method, "POST") != 0 ? "use POST" : St_Message());
         return false;
     }
-    request->repeatable = true;
+    request->idempotent = true;
     request->service = Cf_ServiceByName(config, request->prompt.model);
     if (request->service == NULL || request->service->kind != CF_ENGINE) {
         Rq_Refuse(request, AN_NOT_FOUND, 0,
@@ -595,10 +597,10 @@
 
 /* Whether it has been refused for a part of its prompt that ends engines. */
 static bool
-is_stopped(struct rq_request *request)
+refuse_if_quarantined(struct rq_request *request)
 {
     uint32_t part;
-    if (!Gq_Refuses(request->gate->quarantine, request, &part)) {
+    if (!Gq_IsQuarantined(request->gate->quarantine, request, &part)) {
         return false;
     }
     Rq_Refuse(request, AN_UNAVAILABLE, Gq_RETRY_SEC,
@@ -640,18 +642,18 @@
 }
 
 static void
-answer_kept(struct rq_request *request, const struct cl_answer *kept)
+answer_stored(struct rq_request *request, const struct cl_answer *stored)
 {
     struct web_header headers[] = {
         {"cornelgate-request-id", request->id},
         {"cornelgate-outcome", An_OutcomeName(AN_RAN)},
         {"cornelgate-repeated", "1"},
-        {"cornelgate-body-digest", kept->digest},
+        {"cornelgate-body-digest", stored->digest},
     };
     Hs_SetUser(request->http, NULL);
     /* A body too large to keep is named by its digest only. */
-    Hs_Reply(request->http, kept->code, kept->type, headers,
-             kept->truncated ? 4 : 3, kept->body, kept->len);
+    Hs_Reply(request->http, stored->code, stored->type, headers,
+             stored->truncated ? 4 : 3, stored->body, stored->len);
     request->http = NULL;
     Rq_Finish(request, AN_RAN);
 }
@@ -679,7 +681,7 @@
             refuse_unknown(request);
             return;
         }
-        answer_kept(request, answer->answer);
+        answer_stored(request, answer->answer);
         return;
     case KP_REUSED:
         Rq_Refuse(request, AN_KEY_REUSED, 0,
@@ -720,7 +722,7 @@
 void
 Rq_Dispatch(struct rq_request *request)
 {
-    if (!request->repeatable && request->keyed) {
+    if (!request->idempotent && request->has_key) {
         start_claim(request);
         return;
     }
@@ -736,7 +738,7 @@
     }
     request->gate = gate;
     request->http = http;
-    request->arrived = Ck_Now(gate->clock);
+    request->arrived_at = Ck_Now(gate->clock);
     if (gate->config != NULL) {
         request->config = Cf_Ref(gate->config);
     }
@@ -775,7 +777,7 @@
         Rq_Refuse(request, AN_INVALID, 0, "%s", St_Message());
         return;
     }
-    if (!is_stopped(request)) {
+    if (!refuse_if_quarantined(request)) {
         In_Submit(gate->intake, request);
     }
 }
--- a/packages/gate/request.h
+++ b/packages/gate/request.h
@@ -42,11 +42,11 @@
     const struct cf_service *service;
     char id[Rq_ID_MAX];
     enum rq_phase phase;
-    int64_t arrived;
+    int64_t arrived_at;
     int64_t deadline;
     bool patient;
-    bool repeatable; /* running it twice does no harm */
-    bool keyed;
+    bool idempotent; /* running it twice does no harm */
+    bool has_key;
     struct gc_key key;
     struct gc_wait *claim;
     bool admitted; /* counts against the customer's limits */
@@ -64,10 +64,10 @@
 
 /* The dispatches of a request so far. */
 struct rq_attempts {
-    int all;
-    int unreached;        /* those of which no byte can have left */
-    bool failed_on_trial; /* the first that failed was at such a version */
-    int failed;           /* the others that were sent and failed */
+    int total;
+    int not_sent;      /* those of which no byte can have left */
+    bool trial_failed; /* the first that failed was at such a version */
+    int failed;        /* the others that were sent and failed */
 };
 
 void Rq_Accept(struct gt_gate *gate, struct hs_request *http);
@@ -80,20 +80,21 @@
 enum st_status Rq_Choose(struct rq_request *request, struct ch_table *table,
                          struct ch_request *ask, struct ch_flight *flight);
 void Rq_Constrain(const struct rq_request *request, struct ch_request *ask);
-const char *Rq_WhyNone(const struct rq_request *request,
-                       const struct ch_table *table);
+const char *Rq_WhyUnavailable(const struct rq_request *request,
+                              const struct ch_table *table);
 enum st_status Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
                             struct ch_request *ask, struct ch_flight *flight);
-void Rq_NoteSentTo(struct rq_request *request, const char *endpoint);
-int Rq_Sent(const struct rq_attempts *attempts);
+void Rq_RecordDispatch(struct rq_request *request, const char *endpoint);
+int Rq_SentCount(const struct rq_attempts *attempts);
 bool Rq_HasFailed(const struct rq_attempts *attempts);
 void Rq_NoteFailed(struct rq_attempts *attempts,
                    const struct ch_flight *flight, enum rt_stage stage);
 bool Rq_MayRetry(struct rq_request *request, enum rt_stage stage,
                  const struct rq_attempts *attempts);
-void Rq_Succeeded(struct rq_request *request);
-void Rq_NoteVersion(struct rq_request *request, const struct ch_flight *flight,
-                    enum ch_outcome outcome, int64_t first_token_usec);
+void Rq_RecordSuccess(struct rq_request *request);
+void Rq_RecordOutcome(struct rq_request *request,
+                      const struct ch_flight *flight, enum ch_outcome outcome,
+                      int64_t first_token_usec);
 bool Rq_Idle(const struct gt_gate *gate);
 
 /* The relays; each ends the request by Rq_Refuse() or Rq_Finish(). */
@@ -101,7 +102,7 @@
 void Rl_EngineCallerGone(struct rq_request *request);
 void Rl_EngineDeadline(struct rq_request *request);
 /* A part of its prompt is stopped; it goes no further unless it has begun. */
-void Rl_EngineStopped(struct rq_request *request, uint32_t part);
+void Rl_EngineQuarantined(struct rq_request *request, uint32_t part);
 void Rl_EngineDrained(struct rq_request *request);
 void Rl_EngineFree(struct rl_engine *relay);
 void Rl_EndpointLeaving(void *arg, const char *service, const char *endpoint,
