--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -6,51 +6,49 @@
 
 #include "gate/claims_wire.h"
 
-/* How long another daemon may take before this one claims by itself. */
+/* Without a reply for so long the claim is appended by this daemon. */
 #define Gc_PEER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
-/* The asked one gives up before its asker does. */
+/* A served claim ends before the requesting daemon stops waiting for it. */
 #define Gc_SERVE_TIMEOUT_USEC (1000 * Ck_USEC_PER_MSEC)
-/* Beyond the caller's deadline an endpoint may still answer for a while. */
+/* Added to a claim's expiry: endpoints may answer after the deadline. */
 #define Gc_EXPIRE_SLACK_MS 90000
-/* How long a slot stays open after this daemon last had to keep it. */
+/* How long a slot stays open after its last use or assignment. */
 #define Gc_CLOSE_DELAY_USEC (10 * Ck_USEC_PER_SEC)
 
 struct gc_claims {
     struct gc_options options;
     struct kp_keeper *keeper;
-    int64_t last_used[Cl_SLOTS]; /* when a slot was last kept or used here */
+    int64_t last_used[Cl_SLOTS]; /* last use, or time while assigned */
     uint64_t next_attempt;
     TAILQ_HEAD(wait_list, gc_wait) waits;
-    size_t pending_updates; /* results and releases on their way to other
-                               daemons */
+    size_t pending_updates; /* updates sent and not yet acknowledged */
 };
 
-/* A claim whose verdict is awaited. */
+/* A claim whose verdict is pending. */
 struct gc_wait {
     TAILQ_ENTRY(gc_wait) link;
     struct gc_claims *claims;
     struct cl_claim claim;
     int64_t deadline;
-    gc_done_fn done; /* NULL: given up; a claim won late is given back */
+    gc_done_fn done; /* NULL: cancelled; a claim still won is released */
     void *arg;
-    bool maybe_appended; /* another daemon may have appended it */
+    bool maybe_appended; /* a peer may have appended it without a reply */
 };
 
-/* A result or a release on its way to another daemon. */
+/* A result or a release that is sent to the daemon of its slot. */
 struct update {
     struct gc_claims *claims;
     char *payload;
     size_t len;
 };
 
-/* A question of another daemon being served. */
+/* A claim that another daemon has requested. */
 struct request {
     struct cl_claim claim;
     gc_answer_fn answer;
     void *arg;
 };
 
-/* Creates the claims of this daemon. */
 enum st_status
 Gc_Create(const struct gc_options *options, struct gc_claims **out)
 {
@@ -77,7 +75,7 @@
     return ST_OK;
 }
 
-/* Stops; verdicts that are still awaited do not come any more. */
+/* Frees the claims; pending claims end without a call of "done". */
 void
 Gc_Destroy(struct gc_claims *claims)
 {
@@ -97,11 +95,11 @@
 }
 
 /*
- * Follows the slots this daemon should keep, so that it is ready when the
- * first claim comes, and closes those that others should keep: every daemon
- * starts alone and opens all of them, and each open one asks the log twice a
- * second.  One that was kept a moment ago stays open for a while, since
- * members that come and go would have it loaded again and again.
+ * Opens the slots assigned to this daemon, so that they are loaded before the
+ * first claim, and closes those assigned to other daemons.  A daemon that
+ * starts knows no peers yet and opens all slots; each open slot polls the log
+ * twice a second.  A slot is closed only after a delay, because membership
+ * changes would otherwise reload it again and again.
  */
 void
 Gc_Tick(struct gc_claims *claims)
@@ -125,14 +123,14 @@
     Kp_Tick(claims->keeper);
 }
 
-/* True when nothing is on its way to the log or to another daemon. */
+/* True when no append to the log and no update to a peer is pending. */
 bool
 Gc_Idle(const struct gc_claims *claims)
 {
     return Kp_Pending(claims->keeper) == 0 && claims->pending_updates == 0;
 }
 
-/* How many slots this daemon should keep. */
+/* The number of slots assigned to this daemon. */
 int
 Gc_SlotsKept(const struct gc_claims *claims)
 {
@@ -158,9 +156,10 @@
     bool won = answer->verdict == KP_WON;
     if ((done == NULL && won) || (wait->maybe_appended && !won)) {
         /*
-         * Nobody waits for it any more, or it may have been won at a daemon
-         * whose word was lost: the key is free again.  This changes nothing
-         * unless this attempt holds the key, and it is never dispatched.
+         * The claim was cancelled, or a peer whose reply was lost may have
+         * won it.  The request of this attempt is never dispatched, so the
+         * key is released.  A release has no effect unless this attempt
+         * holds the key.
          */
         release(claims, &wait->claim.key, &wait->claim.attempt);
     }
@@ -210,10 +209,10 @@
         return;
     }
     /*
-     * The other daemon may be gone, or may have appended the claim already.
-     * The same attempt is claimed from here.  If the other record comes
-     * first this one is told that the key is in progress, by this very
-     * attempt: wait_end() then gives the key back.
+     * The peer may have failed, or may have appended the claim before its
+     * reply was lost.  The same attempt is claimed locally.  If the peer's
+     * record comes first in the log, the local claim ends "in progress"
+     * although this attempt holds the key; finish_wait() then releases it.
      */
     wait->maybe_appended = true;
     if (claim_locally(wait->claims, &wait->claim, wait->deadline,
@@ -254,8 +253,9 @@
 }
 
 /*
- * Claims a key; "done" comes exactly once, later, unless it is cancelled.
- * "deadline" is on this daemon's clock.
+ * Claims a key.  On success "done" is called exactly once, after this function
+ * has returned, unless the claim is cancelled.  "deadline" is on the clock of
+ * this daemon.
  */
 enum st_status
 Gc_Claim(struct gc_claims *claims, struct gc_key *key, int64_t deadline,
@@ -289,7 +289,7 @@
     return ST_OK;
 }
 
-/* Nobody waits any more; if the claim is won all the same it is released. */
+/* Cancels a pending claim; it is released if it is won later. */
 void
 Gc_Cancel(struct gc_wait *wait)
 {
@@ -324,7 +324,7 @@
     struct update *update = arg;
     struct cw_ask ask;
     update->claims->pending_updates--;
-    /* Unheard: written from here.  Written twice does no harm. */
+    /* Without a reply the update is appended locally; it is idempotent. */
     if (status != ST_OK &&
         Cw_ReadAsk(update->payload, update->len, &ask) == ST_OK) {
         apply_locally(update->claims, &ask);
@@ -334,14 +334,17 @@
     free(update);
 }
 
-/* Sends a result or a release to the keeper of its slot; takes "payload". */
+/*
+ * Sends a result or a release to the daemon that its slot is assigned to.
+ * Takes ownership of "payload".
+ */
 static void
 send_update(struct gc_claims *claims, const struct cl_key *key, char *payload)
 {
     const struct gc_options *options = &claims->options;
     struct update *update = calloc(1, sizeof(*update));
     if (payload == NULL || update == NULL) {
-        /* The claim's expiry settles it as unknown. */
+        /* The claim expires later, with an unknown outcome. */
         free(payload);
         free(update);
         return;
@@ -375,7 +378,7 @@
     send_update(claims, key, Cw_ReleaseRequest(key, attempt));
 }
 
-/* Records the answer of a claim that was won, for repeats of the request. */
+/* Records the answer to a claimed request, for repeats under its key. */
 void
 Gc_Result(struct gc_claims *claims, const struct gc_key *key,
           const struct cl_answer *answer)
@@ -385,7 +388,7 @@
                 Cw_ResultRequest(&key->key, &attempt, answer));
 }
 
-/* Records that the outcome of a claim that was won cannot be known. */
+/* Records that the outcome of a claimed request is unknown. */
 void
 Gc_Unknown(struct gc_claims *claims, const struct gc_key *key)
 {
@@ -393,7 +396,7 @@
     Gc_Result(claims, key, &answer);
 }
 
-/* Gives a claim that was won back: nothing was sent to any endpoint. */
+/* Releases a claim that was won; only if no endpoint was sent the request. */
 void
 Gc_Release(struct gc_claims *claims, const struct gc_key *key)
 {
@@ -434,7 +437,10 @@
     return status;
 }
 
-/* Serves another daemon's question as the keeper of its slot. */
+/*
+ * Serves a request of another daemon about a claim.  On ST_OK "answer" is
+ * called once: at once for a result or a release, later for a claim.
+ */
 enum st_status
 Gc_Serve(struct gc_claims *claims, const char *payload, size_t len,
          gc_answer_fn answer, void *arg)
--- a/packages/gate/claims.h
+++ b/packages/gate/claims.h
@@ -1,11 +1,12 @@
 /*
- * At most once for the request path: claims an idempotency key through the
- * keeper of its slot, wherever that is, and records results.
+ * At-most-once execution: claims an idempotency key in the log before the
+ * request is sent, and records the result for repeats under the same key.
  *
- * Any daemon may keep a slot; rendezvous hashing only says which should, so
- * that the claims of all daemons share one append.  When that daemon cannot
- * be reached the claim goes through this one.  The order of records in the
- * log decides in any case.
+ * Keys are hashed to slots.  Rendezvous hashing assigns each slot to one
+ * daemon, which batches the claims of all daemons into one append.  The
+ * assignment is only an optimisation: when the assigned daemon cannot be
+ * reached, this daemon appends the claim itself.  The order of records in the
+ * log decides which claim wins.
  */
 #ifndef GATE_CLAIMS_H
 #define GATE_CLAIMS_H
@@ -18,14 +19,13 @@
 extern "C" {
 #endif
 
-/* Code of a result that says: the outcome cannot be known.  Not an HTTP code.
- */
+/* Code of a recorded result whose outcome is unknown; not an HTTP status. */
 #define Gc_UNKNOWN_CODE 1000
 
 struct gc_claims;
 struct gc_wait;
 
-/* Names a claim: one intent of one customer, and this try to win it. */
+/* Identifies a claim: the customer's idempotency key and the attempt. */
 struct gc_key {
     struct cl_key key;
     char body_digest[Hash_DIGEST_HEX];
@@ -36,15 +36,18 @@
 typedef void (*gc_reply_fn)(void *arg, enum st_status status,
                             const char *payload, size_t len);
 
-/* How the keepers of other daemons are reached. */
+/* Access to the other daemons. */
 struct gc_ops {
-    /* The daemon that should keep a slot; NULL: this one. */
+    /* The daemon that a slot is assigned to; NULL for this daemon. */
     const char *(*keeper)(void *arg, int slot);
-    /* Asks another daemon; "reply" comes exactly once, later. */
+    /*
+     * Sends a request to another daemon.  On ST_OK "reply" is called exactly
+     * once, after this function has returned.
+     */
     enum st_status (*ask)(void *arg, const char *node, const char *payload,
                           size_t len, int64_t timeout_usec, gc_reply_fn reply,
                           void *reply_arg);
-    /* Whether a daemon's run is known to have ended. */
+    /* Whether the daemon process that made a claim is known to have ended. */
     bool (*dead)(void *arg, const struct rc_writer *owner);
 };
 
@@ -73,7 +76,7 @@
 void Gc_Unknown(struct gc_claims *claims, const struct gc_key *key);
 void Gc_Release(struct gc_claims *claims, const struct gc_key *key);
 
-/* Serves another daemon's question; "answer" is called once, later. */
+/* Receives the reply to a request of another daemon; called once. */
 typedef void (*gc_answer_fn)(void *arg, const char *payload, size_t len);
 enum st_status Gc_Serve(struct gc_claims *claims, const char *payload,
                         size_t len, gc_answer_fn answer, void *arg);
--- a/packages/gate/claims_wire.c
+++ b/packages/gate/claims_wire.c
@@ -28,14 +28,14 @@
     return text;
 }
 
-/* Asks for a claim; the caller frees the text, NULL without memory. */
+/* Encodes a claim; the caller frees the text, which is NULL without memory. */
 char *
 Cw_ClaimRequest(const struct cl_claim *claim)
 {
     return dump_request(CW_CLAIM, Cl_ClaimBody(claim));
 }
 
-/* Asks for a result to be recorded. */
+/* Encodes a request to record a result. */
 char *
 Cw_ResultRequest(const struct cl_key *key, const struct cl_attempt *attempt,
                  const struct cl_answer *answer)
@@ -43,7 +43,7 @@
     return dump_request(CW_RESULT, Cl_ResultBody(key, attempt, answer));
 }
 
-/* Asks for a claim to be given back. */
+/* Encodes a request to release a claim. */
 char *
 Cw_ReleaseRequest(const struct cl_key *key, const struct cl_attempt *attempt)
 {
@@ -61,7 +61,7 @@
     return -1;
 }
 
-/* Reads a question; Cw_FreeAsk() frees it. */
+/* Decodes a request; Cw_FreeAsk() frees it. */
 enum st_status
 Cw_ReadAsk(const char *payload, size_t len, struct cw_ask *out)
 {
@@ -91,7 +91,6 @@
     return status;
 }
 
-/* Frees what Cw_ReadAsk() allocated. */
 void
 Cw_FreeAsk(struct cw_ask *ask)
 {
@@ -99,7 +98,7 @@
     ask->decoded_body = NULL;
 }
 
-/* The answer to a claim. */
+/* Encodes the reply to a claim; the caller frees the text. */
 char *
 Cw_Answer(const struct kp_answer *answer, const struct cl_key *key,
           const struct cl_attempt *attempt)
@@ -140,7 +139,7 @@
     return ST_OK;
 }
 
-/* Reads the answer to a claim; on success Cw_FreeAnswer() frees it. */
+/* Decodes the reply to a claim; on success Cw_FreeAnswer() frees it. */
 enum st_status
 Cw_ReadAnswer(const char *payload, size_t len, struct cw_answer *out)
 {
@@ -153,7 +152,6 @@
     return status;
 }
 
-/* Frees what Cw_ReadAnswer() allocated. */
 void
 Cw_FreeAnswer(struct cw_answer *answer)
 {
--- a/packages/gate/claims_wire.h
+++ b/packages/gate/claims_wire.h
@@ -1,6 +1,6 @@
 /*
- * What daemons say to each other about claims, as JSON: the bodies are those
- * of the log's records.
+ * Messages between daemons about claims, in JSON.  Their bodies have the form
+ * of the log records.
  */
 #ifndef GATE_CLAIMS_WIRE_H
 #define GATE_CLAIMS_WIRE_H
@@ -15,21 +15,22 @@
     CW_RELEASE,
 };
 
+/* A request that was read. */
 struct cw_ask {
     enum cw_kind kind;
     struct cl_claim claim;     /* CW_CLAIM */
-    struct cl_key key;         /* the others */
-    struct cl_attempt attempt; /* the others */
+    struct cl_key key;         /* CW_RESULT, CW_RELEASE */
+    struct cl_attempt attempt; /* CW_RESULT, CW_RELEASE */
     struct cl_answer answer;   /* CW_RESULT */
     void *decoded_body;        /* body of the answer; freed by Cw_FreeAsk() */
 };
 
-/* An answer as it is read from the wire. */
+/* A reply to a claim that was read. */
 struct cw_answer {
     struct kp_answer answer;
     struct cl_answer stored;
     void *decoded_body;
-    json_t *root; /* holds the texts */
+    json_t *root; /* owns the strings of the reply */
 };
 
 char *Cw_ClaimRequest(const struct cl_claim *claim);
--- a/packages/gate/peer_poison.c
+++ b/packages/gate/peer_poison.c
@@ -7,26 +7,26 @@
 #include "policy/poison_pack.h"
 
 size_t
-Pp_Write(const char *key, const struct gq_word *word, char *out, size_t size)
+Pp_Write(const char *key, const struct gq_word *rows, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    size_t rows = 0;
+    size_t count = 0;
     if (strcmp(key, Pp_ENDED) == 0) {
-        rows = word->crash_count;
-        Pz_PackCrashes(&packer, word->crashes, rows);
+        count = rows->crash_count;
+        Pz_PackCrashes(&packer, rows->crashes, count);
     }
     else if (strcmp(key, Pp_BEGUN) == 0) {
-        rows = word->clear_count;
-        Pz_PackClears(&packer, word->clears, rows);
+        count = rows->clear_count;
+        Pz_PackClears(&packer, rows->clears, count);
     }
     else {
-        rows = word->stop_count;
-        Pz_PackStops(&packer, word->stops, rows);
+        count = rows->stop_count;
+        Pz_PackStops(&packer, rows->stops, count);
     }
-    size_t len = rows > 0 && buffer.size <= size ? buffer.size : 0;
+    size_t len = count > 0 && buffer.size <= size ? buffer.size : 0;
     memcpy(out, buffer.data, len);
     msgpack_sbuffer_destroy(&buffer);
     return len;
--- a/packages/gate/peer_poison.h
+++ b/packages/gate/peer_poison.h
@@ -1,4 +1,4 @@
-/* What daemons say of parts that end engines, as facts in msgpack. */
+/* Encoding of the quarantine's rows as gossip values, in msgpack. */
 #ifndef GATE_PEER_POISON_H
 #define GATE_PEER_POISON_H
 
@@ -9,10 +9,13 @@
 #define Pp_BEGUN Pp_PREFIX "begun"
 #define Pp_STOPPED Pp_PREFIX "stopped"
 
-/* The rows of one key; 0 when there are none, or they do not fit. */
-size_t Pp_Write(const char *key, const struct gq_word *word, char *out,
+/*
+ * Encodes the rows that belong to a key.  Returns the length, or 0 when there
+ * are no such rows or they do not fit.
+ */
+size_t Pp_Write(const char *key, const struct gq_word *rows, char *out,
                 size_t size);
-/* Reads the rows of a key into an empty word. */
+/* Decodes the rows of a key; the other lists of "out" are left empty. */
 bool Pp_Read(const char *key, const void *value, size_t len,
              struct gq_word *out);
 
--- a/packages/gate/quarantine.c
+++ b/packages/gate/quarantine.c
@@ -7,7 +7,7 @@
 #include "base/hash.h"
 #include "gate/events.h"
 
-/* Often enough for those who joined, or missed a word. */
+/* Unchanged rows are repeated for daemons that joined or missed an update. */
 #define Gq_REPUBLISH_USEC (2 * Ck_USEC_PER_SEC)
 #define Gq_PUBLISH_USEC (100 * Ck_USEC_PER_MSEC)
 
@@ -21,7 +21,10 @@
     struct gq_word published;
 };
 
-/* The hosts' clocks agree well enough to tell one end from the next. */
+/*
+ * Crash times are compared between hosts, so they use the wall clock; clock
+ * skew is small against the time between two crashes of an engine.
+ */
 static int64_t
 wall_now(const struct gq_quarantine *quarantine)
 {
@@ -46,13 +49,13 @@
 }
 
 static void
-on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool heard)
+on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool from_peer)
 {
     struct gq_quarantine *quarantine = arg;
     Ev_Log(&GT_PART_STOPPED,
            "part=%08x service=%08x customer=%08x crashes=%d by=%s",
            stop->key.part, stop->key.service, stop->key.customer, crashes,
-           heard ? "peer" : "own");
+           from_peer ? "peer" : "own");
     Gt_Count(quarantine->gate, "cg_parts_stopped_total", NULL, NULL);
     Lp_TimerSet(quarantine->cancel_timer, 0);
 }
@@ -70,7 +73,10 @@
     .lifted = on_lifted,
 };
 
-/* What waits for its first token would end the engines where it is. */
+/*
+ * Refuses requests in flight that contain a quarantined part: those without a
+ * first token may crash the engine that they were sent to.
+ */
 static void
 on_cancel(void *arg)
 {
@@ -87,7 +93,7 @@
 }
 
 enum st_status
-Gq_Create(struct gt_gate *gate, gq_publish_fn tell, void *arg,
+Gq_Create(struct gt_gate *gate, gq_publish_fn publish, void *arg,
           struct gq_quarantine **out)
 {
     struct gq_quarantine *quarantine = calloc(1, sizeof(*quarantine));
@@ -96,7 +102,7 @@
     }
     struct pz_rule rule = Pz_Rule();
     quarantine->gate = gate;
-    quarantine->publish = tell;
+    quarantine->publish = publish;
     quarantine->arg = arg;
     quarantine->table =
         Pz_Create(&rule, &table_ops, quarantine, Ck_Wall(gate->clock));
@@ -180,44 +186,47 @@
 }
 
 void
-Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *word)
+Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *rows)
 {
-    for (size_t i = 0; i < word->clear_count; i++) {
-        Pz_HearClear(quarantine->table, &word->clears[i]);
+    for (size_t i = 0; i < rows->clear_count; i++) {
+        Pz_HearClear(quarantine->table, &rows->clears[i]);
     }
-    for (size_t i = 0; i < word->stop_count; i++) {
-        Pz_HearStop(quarantine->table, &word->stops[i], wall_now(quarantine));
+    for (size_t i = 0; i < rows->stop_count; i++) {
+        Pz_HearStop(quarantine->table, &rows->stops[i], wall_now(quarantine));
     }
-    for (size_t i = 0; i < word->crash_count; i++) {
-        Pz_HearCrash(quarantine->table, &word->crashes[i]);
+    for (size_t i = 0; i < rows->crash_count; i++) {
+        Pz_HearCrash(quarantine->table, &rows->crashes[i]);
     }
 }
 
 static void
-collect(const struct gq_quarantine *quarantine, struct gq_word *word)
+collect(const struct gq_quarantine *quarantine, struct gq_word *rows)
 {
     int64_t now = wall_now(quarantine);
-    memset(word, 0, sizeof(*word));
-    word->crash_count =
-        Pz_TellCrashes(quarantine->table, word->crashes, Gq_CRASHES_MAX, now);
-    word->clear_count =
-        Pz_TellClears(quarantine->table, word->clears, Gq_CLEARS_MAX, now);
-    word->stop_count =
-        Pz_TellStops(quarantine->table, word->stops, Gq_STOPS_MAX);
+    memset(rows, 0, sizeof(*rows));
+    rows->crash_count =
+        Pz_TellCrashes(quarantine->table, rows->crashes, Gq_CRASHES_MAX, now);
+    rows->clear_count =
+        Pz_TellClears(quarantine->table, rows->clears, Gq_CLEARS_MAX, now);
+    rows->stop_count =
+        Pz_TellStops(quarantine->table, rows->stops, Gq_STOPS_MAX);
 }
 
-/* The newest row comes first. */
+/* Compares the counts and the newest crash, which is in the first row. */
 static bool
-has_changed(const struct gq_word *word, const struct gq_word *published)
+has_changed(const struct gq_word *rows, const struct gq_word *published)
 {
-    return word->crash_count != published->crash_count ||
-           word->clear_count != published->clear_count ||
-           word->stop_count != published->stop_count ||
-           (word->crash_count > 0 &&
-            word->crashes[0].ended_at != published->crashes[0].ended_at);
+    return rows->crash_count != published->crash_count ||
+           rows->clear_count != published->clear_count ||
+           rows->stop_count != published->stop_count ||
+           (rows->crash_count > 0 &&
+            rows->crashes[0].ended_at != published->crashes[0].ended_at);
 }
 
-/* Daemons with nothing to say say nothing. */
+/*
+ * Evaluates the crashes and publishes the rows when they have changed, or
+ * again after a while.  Nothing is published while there are no rows.
+ */
 void
 Gq_Tick(struct gq_quarantine *quarantine)
 {
@@ -226,14 +235,14 @@
     if (now - quarantine->published_at < Gq_PUBLISH_USEC) {
         return;
     }
-    struct gq_word word;
-    collect(quarantine, &word);
-    bool any = word.crash_count + word.clear_count + word.stop_count > 0;
-    bool changed = has_changed(&word, &quarantine->published);
+    struct gq_word rows;
+    collect(quarantine, &rows);
+    bool any = rows.crash_count + rows.clear_count + rows.stop_count > 0;
+    bool changed = has_changed(&rows, &quarantine->published);
     if (any &&
         (changed || now - quarantine->published_at >= Gq_REPUBLISH_USEC)) {
         quarantine->published_at = now;
-        quarantine->published = word;
-        quarantine->publish(quarantine->arg, &word);
+        quarantine->published = rows;
+        quarantine->publish(quarantine->arg, &rows);
     }
 }
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -1,6 +1,7 @@
 /*
- * Parts of prompts that end engines (see policy/poison.h).  The parts of a
- * prompt are its messages, or its head, and the whole of it.
+ * Quarantine of prompt parts that crash engines (see policy/poison.h).  The
+ * parts of a prompt are each of its messages, or its beginning, and the whole
+ * prompt.  A request that contains a quarantined part is refused.
  */
 #ifndef GATE_QUARANTINE_H
 #define GATE_QUARANTINE_H
@@ -14,14 +15,16 @@
 
 struct gq_quarantine;
 
-/* A caller who comes back sooner is refused again. */
+/* A caller that retries sooner is refused again. */
 #define Gq_RETRY_SEC ((int)(Pz_STOP_LASTS_USEC / Ck_USEC_PER_SEC))
 
-/* What this daemon tells the others, as far as it fits a fact. */
+/* Rows that this daemon publishes; each list must fit one gossip value. */
 #define Gq_CRASHES_MAX 5
 #define Gq_CLEARS_MAX 8
 #define Gq_STOPS_MAX 7
 
+/* Crashes, cleared parts and quarantined parts, as one daemon publishes them.
+ */
 struct gq_word {
     size_t crash_count;
     struct pz_crash crashes[Gq_CRASHES_MAX];
@@ -31,37 +34,37 @@
     struct pz_stop stops[Gq_STOPS_MAX];
 };
 
-typedef void (*gq_publish_fn)(void *arg, const struct gq_word *word);
+typedef void (*gq_publish_fn)(void *arg, const struct gq_word *rows);
 
-enum st_status Gq_Create(struct gt_gate *gate, gq_publish_fn tell, void *arg,
-                         struct gq_quarantine **out);
+enum st_status Gq_Create(struct gt_gate *gate, gq_publish_fn publish,
+                         void *arg, struct gq_quarantine **out);
 void Gq_Destroy(struct gq_quarantine *quarantine);
 void Gq_Tick(struct gq_quarantine *quarantine);
 
-/* The first token of a request came. */
+/* Records that the first token of a request has arrived. */
 void Gq_RecordFirstToken(struct gq_quarantine *quarantine,
                          const struct rq_request *request);
-/* Its connection to an engine broke before that; times of the steady clock. */
+/* A connection to an engine that broke before the first token. */
 struct gq_break {
     const char *endpoint;
-    bool head_received; /* the answer had begun */
-    int64_t sent_at;
+    bool head_received; /* the response headers had arrived */
+    int64_t sent_at;    /* on the monotonic clock */
 };
 
 void Gq_RecordBreak(struct gq_quarantine *quarantine,
                     const struct rq_request *request,
                     const struct gq_break *broke);
-/* An engine answers, or refuses connections. */
+/* Records that an engine has answered, or cannot be connected to. */
 void Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint);
 void Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint);
-/* Whether a request is not to be sent; "part" is why. */
+/* Whether a request contains a quarantined part, which "part" receives. */
 bool Gq_IsQuarantined(struct gq_quarantine *quarantine,
                       const struct rq_request *request, uint32_t *part);
-/* Whether it is to be sent to no further engine. */
+/* Whether the request must not be sent to another engine. */
 bool Gq_DeniesRetry(const struct gq_quarantine *quarantine,
                     const struct rq_request *request);
-/* Another daemon's word. */
-void Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *word);
+/* Merges the rows that another daemon has published. */
+void Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *rows);
 
 #ifdef __cplusplus
 }
