--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -7,27 +7,28 @@
 #include "base/event.h"
 #include "gate/events.h"
 
-/* An endpoint missing from this many lists in a row is forgotten. */
+/* An endpoint missing from this many host lists in a row is removed. */
 #define Ep_MISSING_LISTS 3
-/* How long a notice is kept after its host was to go. */
+/* How long a reclaim notice is kept after the host's announced end. */
 #define Ep_NOTICE_TTL_USEC (3600 * Ck_USEC_PER_SEC)
 
 /*
- * Retries are paid for by successes, so that an outage does not turn each
- * request into several and keep the endpoints down.
+ * Retry budget: successful requests earn retries, so that an outage does not
+ * multiply the requests and keep the endpoints down.
  */
 #define Ep_RETRY_RATIO 0.2
 #define Ep_RETRY_MAX 50
-/* Data centres evacuated at the same time that are remembered. */
+/* Limit of data centres tracked as evacuated at the same time. */
 #define Ep_EVACUATED_MAX 64
 
+/* An endpoint of a service. */
 struct entry {
     TAILQ_ENTRY(entry) link;
     char id[Hl_NAME_MAX];
     char version[Hl_NAME_MAX];
     bool leaving;
-    bool listed;
-    int missing;
+    bool listed; /* in the current host list */
+    int missing; /* host lists in a row without it */
 };
 
 TAILQ_HEAD(entry_list, entry);
@@ -38,15 +39,16 @@
     struct ch_table *table;
     struct rt_budget retries;
     struct entry_list endpoints;
-    bool shares_set;
+    bool shares_set; /* by a version move */
 };
 
 TAILQ_HEAD(service_list, service);
 
 /*
- * A notice, kept beyond the host list.  The list lags: it may name a host
- * only after its notice, or lose it and bring it back as live, and then the
- * host would get new work until it dies.
+ * A reclaim notice.  It is kept apart from the host list, which lags: the list
+ * may first name a host after its notice, or drop the host and list it again
+ * as live.  Without the notice such a host would get new requests until it is
+ * reclaimed.
  */
 struct notice {
     TAILQ_ENTRY(notice) link;
@@ -94,7 +96,7 @@
     free(service);
 }
 
-/* Forgets the notices of hosts that were to go before a moment. */
+/* Drops the notices of hosts whose announced end is before a time. */
 static void
 drop_notices(struct ep_pool *pool, int64_t before)
 {
@@ -190,8 +192,8 @@
 }
 
 /*
- * Endpoints that were sent nothing for a while are cold when their data
- * centre is taken back.
+ * Marks the endpoints of a data centre as cold when its evacuation ends, since
+ * they have had no requests meanwhile.
  */
 static void
 mark_cold(struct ep_pool *pool, const struct cf_config *config,
@@ -224,7 +226,7 @@
     return false;
 }
 
-/* Notes which data centres get nothing new, and which do so again. */
+/* Logs which data centres are newly evacuated and which are back in use. */
 static void
 update_evacuated(struct ep_pool *pool, const struct cf_config *config)
 {
@@ -250,14 +252,14 @@
     pool->evacuated_count = count;
 }
 
-/* Who the other hosts are; decides which of them serve a cold endpoint. */
+/* The daemons among which the senders to a cold endpoint are selected. */
 struct wu_hosts *
 Ep_Hosts(struct ep_pool *pool)
 {
     return &pool->hosts;
 }
 
-/* Whether an endpoint of the version is listed that does not leave. */
+/* Whether the version has an endpoint that is not leaving. */
 static bool
 has_live_endpoint(const struct ch_table *table, const char *version)
 {
@@ -272,10 +274,11 @@
 }
 
 /*
- * The version that carries everything until shares are set.  With a move that
- * is the old one: a daemon that starts has read the configuration and the
- * hosts before it knows how the move stands, and the new version may have been
- * taken back.  That one serves only where nothing of the old one is left.
+ * Gives all requests to one version until a version move sets the shares.
+ * During a move this is the old version: a starting daemon has the
+ * configuration and the host list before it has the state of the move, and the
+ * new version may have been rolled back.  The new version is used only when
+ * it has an endpoint and the old one has none left.
  */
 static void
 set_initial_share(struct service *service, const struct cf_move *move)
@@ -291,7 +294,7 @@
     Ch_SetShares(service->table, &share, 1);
 }
 
-/* Makes a table for each service of a configuration. */
+/* Applies a configuration; each of its services gets a table. */
 void
 Ep_Configure(struct ep_pool *pool, const struct cf_config *config)
 {
@@ -368,13 +371,13 @@
     strlcpy(info.host_class, host->host_class, sizeof(info.host_class));
     Ch_Put(service->table, &info);
     if (fresh) {
-        /* The list lags: only its first word of a warm-up is news. */
+        /* The list lags, so its warm-up time only counts the first time. */
         Ch_Cold(service->table, host->id, host->cold_usec,
                 Ck_Now(pool->gate->clock));
     }
     /*
-     * A list that lags may still say "live" after a notice has come: an
-     * endpoint once known to leave stays leaving.
+     * The list lags and may still say "live" after a reclaim notice, so an
+     * endpoint that is leaving never becomes live again.
      */
     const struct notice *notice = find_notice(pool, host->id);
     if (notice != NULL && !entry->leaving) {
@@ -405,7 +408,7 @@
     }
 }
 
-/* Takes a host list in: new endpoints, changed ones, missing ones. */
+/* Applies a host list: adds, updates and removes endpoints. */
 void
 Ep_Sync(struct ep_pool *pool, const struct hl_host *hosts, size_t count)
 {
@@ -427,7 +430,7 @@
     drop_notices(pool, Ck_Now(pool->gate->clock) - Ep_NOTICE_TTL_USEC);
 }
 
-/* A reclaim notice or a report says that a host leaves in left_usec. */
+/* Marks a host, which will be reclaimed in left_usec, as leaving. */
 void
 Ep_Leaving(struct ep_pool *pool, const char *host, int64_t left_usec)
 {
@@ -441,7 +444,7 @@
     }
 }
 
-/* An endpoint that was silent and reports again may get work again. */
+/* Makes an endpoint that was suspect live again after a load report. */
 static void
 clear_suspicion(struct ep_pool *pool, struct service *service, const char *id)
 {
@@ -451,7 +454,7 @@
     }
 }
 
-/* Takes a load report in; "service" may be NULL when it is not known. */
+/* Applies a load report; "service" may be NULL when it is unknown. */
 void
 Ep_Report(struct ep_pool *pool, const char *service, const char *endpoint,
           const struct ch_sample *sample)
@@ -507,8 +510,9 @@
 }
 
 /*
- * A version gets no new work from now on.  A daemon that starts may hear so
- * before it has read of the service, and hears it once.
+ * Stops sending new requests to a version.  The service is created if it is
+ * missing: a starting daemon may learn this before the configuration that
+ * names the service, and learns it only once.
  */
 void
 Ep_Distrust(struct ep_pool *pool, const char *service, const char *version)
@@ -519,7 +523,7 @@
     }
 }
 
-/* Shares of the versions of a service while a move is in flight. */
+/* Sets the traffic shares of a service's versions during a version move. */
 void
 Ep_SetShares(struct ep_pool *pool, const char *service,
              const struct ch_share *shares, size_t count)
@@ -531,7 +535,7 @@
     }
 }
 
-/* The version of a service that is on trial, or NULL. */
+/* Sets the version of a service that is on trial; NULL for none. */
 void
 Ep_SetTrial(struct ep_pool *pool, const char *service, const char *version)
 {
@@ -541,7 +545,7 @@
     }
 }
 
-/* The table of a service, or NULL when none of its endpoints is known. */
+/* The table of a service, or NULL when the service is unknown. */
 struct ch_table *
 Ep_Table(const struct ep_pool *pool, const char *service)
 {
@@ -549,7 +553,7 @@
     return found != NULL ? found->table : NULL;
 }
 
-/* The retries a service may still make, or NULL when it is not known. */
+/* The retry budget of a service, or NULL when the service is unknown. */
 struct rt_budget *
 Ep_RetryBudget(const struct ep_pool *pool, const char *service)
 {
--- a/packages/gate/endpoints.h
+++ b/packages/gate/endpoints.h
@@ -1,6 +1,6 @@
 /*
- * The endpoints of every service as this daemon knows them: from the host
- * list, from reclaim notices, from load reports and from its own requests.
+ * The endpoints of every service, as the host list, reclaim notices, load
+ * reports and this daemon's own requests describe them.
  */
 #ifndef GATE_ENDPOINTS_H
 #define GATE_ENDPOINTS_H
@@ -16,7 +16,7 @@
 
 struct ep_pool;
 
-/* Called once for each endpoint that begins to leave. */
+/* Called once for each endpoint whose host is about to be reclaimed. */
 typedef void (*ep_leaving_fn)(void *arg, const char *service,
                               const char *endpoint, int64_t left_usec);
 
@@ -29,10 +29,14 @@
 void Ep_Leaving(struct ep_pool *pool, const char *host, int64_t left_usec);
 void Ep_Report(struct ep_pool *pool, const char *service, const char *endpoint,
                const struct ch_sample *sample);
-/* What a report taken at "taken" says of refusals; below 0: nothing. */
+/*
+ * Takes the number of refused requests a second that an endpoint and the
+ * others of its service can bear, from a load report taken at "taken".
+ * "most" below 0: the report does not contain the number.
+ */
 void Ep_Brittle(struct ep_pool *pool, const char *service,
                 const char *endpoint, int most, int64_t taken);
-/* How much longer an endpoint was cold, at "taken". */
+/* Sets how much longer an endpoint will be cold, as measured at "taken". */
 void Ep_Cold(struct ep_pool *pool, const char *service, const char *endpoint,
              int64_t left_usec, int64_t taken);
 void Ep_Distrust(struct ep_pool *pool, const char *service,
@@ -41,7 +45,10 @@
                   const struct ch_share *shares, size_t count);
 void Ep_SetTrial(struct ep_pool *pool, const char *service,
                  const char *version);
-/* The "IP:PORT" of an endpoint of any service; false: there is none. */
+/*
+ * Writes the "IP:PORT" of an endpoint of any service; returns false when no
+ * endpoint has the id.
+ */
 bool Ep_Address(const struct ep_pool *pool, const char *id, char *out,
                 size_t size);
 struct rt_budget *Ep_RetryBudget(const struct ep_pool *pool,
--- a/packages/gate/gate.c
+++ b/packages/gate/gate.c
@@ -16,9 +16,9 @@
 }
 
 /*
- * Puts a configuration in force and takes a reference of its own; requests
- * keep the one they began with.  One that is not newer than the one in force
- * is passed over: a daemon never goes back.
+ * Puts a configuration in force and takes a reference to it; requests keep the
+ * configuration they began with.  A configuration that is not newer than the
+ * one in force is ignored, so that a daemon never returns to an older one.
  */
 void
 Gt_SetConfig(struct gt_gate *gate, struct cf_config *config,
--- a/packages/gate/gate.h
+++ b/packages/gate/gate.h
@@ -1,5 +1,6 @@
 /*
- * What the parts of one daemon share.  Everything runs on the one loop.
+ * State shared by the modules of one daemon.  All of them run on one event
+ * loop.
  */
 #ifndef GATE_GATE_H
 #define GATE_GATE_H
@@ -30,7 +31,7 @@
 struct rh_reach;
 struct rq_request;
 
-/* What flags and environment variables say. */
+/* Options from the command line and the environment. */
 struct gt_options {
     const char *node_id;
     const char *address;
@@ -47,7 +48,7 @@
     struct jc_target cloud;
     struct jc_target weights;
     const char *bootstrap_digest; /* of the first operator's key; or NULL */
-    int64_t drain_usec;           /* longest planned stop */
+    int64_t drain_usec;           /* limit of a graceful stop */
 };
 
 TAILQ_HEAD(rq_list, rq_request);
@@ -59,7 +60,7 @@
     struct rn_random random;
     struct mt_registry *metrics;
     char incarnation[Gt_NAME_MAX]; /* new at each start */
-    struct cf_config *config;      /* NULL before the first */
+    struct cf_config *config;      /* NULL until the first is in force */
     struct ep_pool *endpoints;
     struct gc_claims *claims;
     struct in_intake *intake;
@@ -71,11 +72,15 @@
     bool draining;
 };
 
-/* How a configuration came here; what tells why one is late. */
+/* How a configuration reached this daemon, to find why one was late. */
 struct gt_origin {
-    const char *by;      /* "read", "word" of others and a read, "peer" */
-    int64_t age_usec;    /* since it was written; -1: not known */
-    int64_t word_usec;   /* since others told of it; -1: nobody did */
+    /*
+     * "read": from the log; "word": from the log, after a peer announced it;
+     * "peer": from a peer, without the log.
+     */
+    const char *by;
+    int64_t age_usec;    /* since it was written; -1: unknown */
+    int64_t word_usec;   /* since a peer announced it; -1: none did */
     int64_t unread_usec; /* since the log was last read to its end; or -1 */
 };
 
--- a/packages/gate/test/endpoints_test.cc
+++ b/packages/gate/test/endpoints_test.cc
@@ -1,4 +1,5 @@
-// Which version a daemon sends to before it knows how a move stands.
+// The version that a starting daemon sends requests to before it has the state
+// of a version move.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -49,7 +50,7 @@
         Ep_Configure(pool, &config);
     }
 
-    // One endpoint of each version named.
+    // Applies a host list with one endpoint of each version.
     void
     List(const std::vector<std::string> &versions)
     {
@@ -65,7 +66,8 @@
         Ep_Sync(pool, hosts.data(), hosts.size());
     }
 
-    // The versions that requests are sent to, by one letter each.
+    // The versions that 200 requests are sent to, joined in order of first
+    // use.
     std::string
     Chosen()
     {
@@ -94,9 +96,9 @@
     struct ep_pool *pool = nullptr;
 };
 
-// Guards against work for a version that was taken back, from a daemon that
-// has its configuration and hosts before it knows how the move stands.
-TEST_F(Endpoints, TheOldVersionServesUntilItIsKnownHowAMoveStands)
+// Guards against requests to a version that was rolled back: a starting daemon
+// has the configuration and the host list before the state of the move.
+TEST_F(Endpoints, TheOldVersionServesUntilTheStateOfTheMoveIsKnown)
 {
     Configure();
     List({"v1", "v2"});
@@ -105,19 +107,19 @@
     Ep_SetShares(pool, "rink", shares, 2);
     List({"v1", "v2"});
     Configure();
-    EXPECT_EQ(4U, Chosen().size()) << "what the log says is overruled";
+    EXPECT_EQ(4U, Chosen().size()) << "shares from the log are overridden";
 }
 
-TEST_F(Endpoints, TheOldVersionServesWhicheverIsReadFirst)
+TEST_F(Endpoints, TheOldVersionServesWhenHostsComeBeforeTheConfiguration)
 {
     List({"v1", "v2"});
     Configure();
     EXPECT_EQ("v1", Chosen());
 }
 
-// After a move that is done the old version's endpoints go, and a daemon that
-// starts without the log must still serve.
-TEST_F(Endpoints, TheNewVersionServesWhereNothingOfTheOldOneIsLeft)
+// After a completed move the old version's endpoints are removed, and a daemon
+// that starts while the log is unreachable must still serve.
+TEST_F(Endpoints, TheNewVersionServesWhenTheOldHasNoEndpointLeft)
 {
     Configure();
     List({"v2"});
@@ -129,9 +131,9 @@
     EXPECT_EQ("v2", Chosen());
 }
 
-// Guards against a daemon that forgets what it heard of a version since it
-// had not read of the service yet.
-TEST_F(Endpoints, DistrustHeardBeforeTheServiceIsKnownHolds)
+// Guards against a daemon that loses a distrust notice received from a peer
+// before the configuration that names the service.
+TEST_F(Endpoints, DistrustReceivedBeforeTheServiceIsConfiguredHolds)
 {
     Ep_Distrust(pool, "rink", "v2");
     Configure();
