--- a/packages/gate/intake.c
+++ b/packages/gate/intake.c
@@ -9,7 +9,7 @@
 
 #define In_RETRY_SOON_SEC 1
 #define In_EXPECTED_TOKENS 256
-/* Work of a request beside its tokens, in tokens. */
+/* Cost of a request besides its tokens, in tokens. */
 #define In_BASE_COST 16
 
 struct service_queue {
@@ -35,7 +35,7 @@
     In_Pump(arg);
 }
 
-/* Creates an intake that knows no customer yet. */
+/* Creates an intake without customers and queues. */
 enum st_status
 In_Create(struct gt_gate *gate, in_start_fn start, struct in_intake **out)
 {
@@ -107,7 +107,7 @@
     TAILQ_INSERT_TAIL(&intake->queues, service_queue, link);
 }
 
-/* Takes over the customers' limits and weights of a new configuration. */
+/* Applies the customers' limits and weights of a configuration. */
 void
 In_Configure(struct in_intake *intake, const struct cf_config *config)
 {
@@ -126,7 +126,7 @@
     }
 }
 
-/* Another daemon came, or has gone: it shares the limits, or no longer. */
+/* Adds or removes another daemon that the customer limits are divided by. */
 void
 In_Member(struct in_intake *intake, const char *node, bool present)
 {
@@ -138,7 +138,7 @@
     }
 }
 
-/* What another daemon's callers ask for. */
+/* Takes the customer demands that another daemon has published. */
 void
 In_Hear(struct in_intake *intake, const char *node,
         const struct pf_demands *demands)
@@ -148,14 +148,14 @@
     Am_HearCount(intake->limits, node, demands->daemons);
 }
 
-/* There are other daemons, and they do not know of this one yet. */
+/* Starts joining: other daemons exist but do not count this one yet. */
 void
 In_Join(struct in_intake *intake)
 {
     Am_Join(intake->limits, Ck_Now(intake->gate->clock));
 }
 
-/* What this daemon's callers ask for, to be told to the others. */
+/* Collects the customer demands of this daemon for the other daemons. */
 void
 In_Publish(struct in_intake *intake, struct pf_demands *out)
 {
@@ -164,28 +164,28 @@
     out->daemons = Am_Daemons(intake->limits);
 }
 
-/* Whether others may still be dividing the limits without this daemon. */
+/* Whether other daemons may still divide the limits without this one. */
 bool
 In_IsJoining(const struct in_intake *intake)
 {
     return Am_IsJoining(intake->limits, Ck_Now(intake->gate->clock));
 }
 
-/* Daemons that the limits are divided by. */
+/* The number of daemons that the customer limits are divided by. */
 size_t
 In_Daemons(const struct in_intake *intake)
 {
     return Am_Daemons(intake->limits);
 }
 
-/* How often to tell the others, in microseconds. */
+/* The interval between two publications of demands, in microseconds. */
 int64_t
 In_PublishInterval(const struct in_intake *intake)
 {
     return Am_Interval(intake->limits);
 }
 
-/* Requests waiting in all queues. */
+/* The number of requests waiting in all queues. */
 int
 In_Queued(const struct in_intake *intake)
 {
@@ -254,8 +254,8 @@
 }
 
 /*
- * Takes a request whose customer and service are known: it is refused at
- * once, dispatched at once, or waits its turn.
+ * Refuses, dispatches or queues a request whose customer and service are
+ * known.
  */
 void
 In_Submit(struct in_intake *intake, struct rq_request *request)
@@ -278,8 +278,8 @@
         Ch_Capacity(table, now, &capacity);
     }
     /*
-     * With no endpoint in use waiting would not help: the choice of an
-     * endpoint refuses the request, or tries those that are out of use.
+     * While no endpoint is in use, queueing would not help.  The dispatch
+     * refuses the request, or sends it to an endpoint that is out of use.
      */
     bool skip_queue = capacity.endpoints == 0 || service_queue == NULL;
     if (skip_queue ||
@@ -290,7 +290,7 @@
     enqueue(intake, service_queue, request, &capacity);
 }
 
-/* A request ends or is given up: it leaves the queue and the limits. */
+/* Removes a request that ends from its queue and from the customer limits. */
 void
 In_Remove(struct in_intake *intake, struct rq_request *request)
 {
@@ -306,7 +306,7 @@
         request->admitted = false;
     }
     if (In_Queued(intake) > 0) {
-        /* Later: whoever ends a request is in the middle of something. */
+        /* Deferred: In_Remove() runs in the middle of other callbacks. */
         Lp_TimerSet(intake->dispatch_timer, 0);
     }
 }
@@ -346,7 +346,7 @@
     }
 }
 
-/* Dispatches what has become possible; called when places may be free. */
+/* Dispatches queued requests as far as the endpoints have free capacity. */
 void
 In_Pump(struct in_intake *intake)
 {
--- a/packages/gate/intake.h
+++ b/packages/gate/intake.h
@@ -1,6 +1,6 @@
 /*
- * Between a caller's request and its dispatch: limits per customer that hold
- * over all daemons together, and a fair queue in front of each service.
+ * Admission of requests: customer limits that hold across all daemons, and a
+ * fair queue in front of each service.
  */
 #ifndef GATE_INTAKE_H
 #define GATE_INTAKE_H
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -11,14 +11,15 @@
 #define Lw_TIMEOUT_USEC (1 * Ck_USEC_PER_SEC)
 #define Lw_SILENT_FAILURES 3
 /*
- * Samples that all watchers of a data centre pass on in a second.  More
- * endpoints are told of less often each: every sample costs every daemon of
- * the data centre the same few hundred bytes.
+ * Samples that all daemons of a data centre together gossip in a second.  With
+ * more endpoints each is gossiped less often, because every sample costs every
+ * daemon of the data centre a few hundred bytes.
  */
 #define Lw_GOSSIP_PER_SEC 20
-/* Rounds after which a poll of a vanished endpoint is forgotten. */
+/* Rounds after which the poll of a missing endpoint is removed. */
 #define Lw_FORGET_ROUNDS 10
 
+/* The periodic poll of one endpoint. */
 struct poll {
     TAILQ_ENTRY(poll) link;
     struct lw_watch *watch;
@@ -26,8 +27,8 @@
     char endpoint[Ch_NAME_MAX];
     struct jc_call *call;
     int64_t due_at;
-    int failures;
-    int rounds_unseen;
+    int failures;      /* in a row */
+    int rounds_unseen; /* rounds since the endpoint was last assigned */
 };
 
 TAILQ_HEAD(poll_list, poll);
@@ -64,14 +65,14 @@
     poll->watch = watch;
     strlcpy(poll->service, service, sizeof(poll->service));
     strlcpy(poll->endpoint, endpoint, sizeof(poll->endpoint));
-    /* Spread over the period, so that samples do not come in bursts. */
+    /* A random offset in the period avoids bursts of polls. */
     poll->due_at = Ck_Now(watch->gate->clock) +
                    Rn_Below(&watch->gate->random, (uint32_t)Lw_PERIOD_USEC);
     TAILQ_INSERT_TAIL(&watch->polls, poll, link);
     return poll;
 }
 
-/* Frees a poll that is in no list any more. */
+/* Frees a poll, which must be out of the list. */
 static void
 poll_free(struct poll *poll)
 {
@@ -219,7 +220,7 @@
     Lp_TimerSet(watch->timer, Lw_ROUND_USEC);
 }
 
-/* Starts to watch. */
+/* Starts polling; "ops" and "arg" must outlive the watch. */
 enum st_status
 Lw_Create(struct gt_gate *gate, const struct lw_ops *ops, void *arg,
           struct lw_watch **out)
@@ -242,7 +243,7 @@
     return ST_OK;
 }
 
-/* Stops watching; call it before the loop is destroyed. */
+/* Stops polling; must be called before the loop is destroyed. */
 void
 Lw_Destroy(struct lw_watch *watch)
 {
--- a/packages/gate/loadwatch.h
+++ b/packages/gate/loadwatch.h
@@ -1,7 +1,7 @@
 /*
- * Samples the load of the model engines this daemon watches.  Each engine is
- * watched by a few daemons near it, not by all, and the samples are passed on
- * by gossip: 420 daemons asking 740 engines would be 310,800 pairs.
+ * Polls the load of the model engines that are assigned to this daemon.  A few
+ * daemons near an engine poll it, and gossip carries the samples to the
+ * others: if 420 daemons polled 740 engines there would be 310,800 pairs.
  */
 #ifndef GATE_LOADWATCH_H
 #define GATE_LOADWATCH_H
@@ -15,26 +15,26 @@
 
 struct lw_watch;
 
-/* What a load report says. */
+/* A load report of an engine. */
 struct lw_report {
     const char *service;
     const char *endpoint;
     struct ch_sample sample;
     bool leaving;
-    int64_t left_usec; /* when leaving */
-    bool tells_cold;
-    int64_t cold_usec;  /* how much longer it is cold, when taken */
-    int refusals_borne; /* in a second; below 0: it says nothing of it */
+    int64_t left_usec;  /* time until it is reclaimed, if leaving */
+    bool tells_cold;    /* cold_usec is valid */
+    int64_t cold_usec;  /* remaining warm-up time when sampled */
+    int refusals_borne; /* refusals a second it can bear; below 0: unknown */
     char version[Ch_NAME_MAX];
-    /* The samples of one endpoint that are passed on are this far apart. */
+    /* The shortest interval between two gossiped samples of one endpoint. */
     int64_t spread_usec;
 };
 
 struct lw_ops {
-    /* Whether this daemon watches the endpoint. */
+    /* Whether this daemon polls the endpoint. */
     bool (*mine)(void *arg, const struct ch_info *info);
     void (*report)(void *arg, const struct lw_report *report);
-    /* Several samples in a row failed. */
+    /* Called when several polls of an endpoint in a row have failed. */
     void (*silent)(void *arg, const char *service, const char *endpoint);
 };
 
