--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -12,21 +12,21 @@
 #include "web/dial.h"
 #include "web/through.h"
 
-#define Rh_RELAYED_MAX 256 /* connections made for others at the same time */
+#define Rh_RELAYED_MAX 256 /* concurrent connections made for peers */
 #define Rh_PEERS_MAX 512
-/* Longer than a daemon takes that is asked. */
+/* Longer than the time limit of the peer that makes the connection. */
 #define Rh_PEER_CONNECT_USEC (600 * Ck_USEC_PER_MSEC)
 #define Rh_PROBE_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Rh_TICK_USEC (100 * Ck_USEC_PER_MSEC)
 #define Rh_FACT_TTL_USEC (3600 * Ck_USEC_PER_SEC)
 #define Rh_PUBLISH_USEC (1200 * Ck_USEC_PER_SEC)
-/* Gossip misses a few of a hundred. */
+/* Repeated once soon after a change: gossip misses a few daemons in 100. */
 #define Rh_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 #define Rh_USER "daemon:"
-/* Links that have not been used for so long are forgotten. */
+/* Links unused for so long are removed. */
 #define Rh_FORGET_USEC (600 * Ck_USEC_PER_SEC)
 
-/* To one endpoint. */
+/* The network path from this daemon to one endpoint. */
 struct link {
     TAILQ_ENTRY(link) link;
     struct rh_reach *reach;
@@ -43,7 +43,7 @@
     struct pe_peers *peers;
     struct th_through *through;
     struct link_list links;
-    struct wy_failures failures; /* by the hash of an identity */
+    struct wy_failures failures; /* keyed by the hash of a daemon's id */
     char credentials[sizeof(Rh_USER) + Hash_DIGEST_HEX];
     bool any_cut;
     bool published_cut;
@@ -63,7 +63,7 @@
     return NULL;
 }
 
-/* The link to an endpoint; NULL without memory. */
+/* Finds or creates the link to an endpoint; NULL without memory. */
 static struct link *
 get_link(struct rh_reach *reach, const char *endpoint)
 {
@@ -93,7 +93,7 @@
 find_endpoint(void *arg, const char *id, char *address, size_t size)
 {
     struct rh_reach *reach = arg;
-    /* The client library puts a port behind the name. */
+    /* The client library appends a port to the name. */
     char name[Ch_NAME_MAX];
     strlcpy(name, id, sizeof(name));
     char *port = strrchr(name, ':');
@@ -119,7 +119,7 @@
     .made = on_made,
 };
 
-/* What daemons show each other follows from the key that they share. */
+/* Derives the credentials between daemons from the shared cluster key. */
 static void
 make_credentials(struct rh_reach *reach)
 {
@@ -186,7 +186,7 @@
     return Th_Count(reach->through);
 }
 
-/* Daemons that say where they take connections for others. */
+/* Peers that have published a port to connect through. */
 struct candidates {
     size_t count;
     struct wy_peer peers[Rh_PEERS_MAX];
@@ -223,7 +223,7 @@
     }
 }
 
-/* Names the daemon that is asked; false: there is none. */
+/* Selects the peer to connect through; false when there is none. */
 static bool
 pick_peer(struct rh_reach *reach, const struct link *link,
           struct rh_tries *tries)
@@ -271,7 +271,7 @@
     if (order != WY_DIRECT_ONLY) {
         add_step(tries, true, Rh_PEER_CONNECT_USEC);
     }
-    /* One that is only slow to connect still gets its whole time. */
+    /* Last without a shorter limit, for an endpoint slow to connect. */
     add_step(tries, false, 0);
 }
 
@@ -286,7 +286,10 @@
     }
 }
 
-/* Where one link is back, others may be as well. */
+/*
+ * Logs that a link was cut or restored.  When one is restored, the others that
+ * are cut are probed soon, since they may be restored as well.
+ */
 static void
 log_change(struct rh_reach *reach, const struct link *changed, bool silent)
 {
@@ -345,7 +348,10 @@
         tries->direct_outcome =
             result->status == ST_TIMEOUT ? WY_OVERDUE : WY_FAILED;
     }
-    /* What refused a moment ago is not tried again. */
+    /*
+     * A direct attempt that failed is not repeated after the peer's; one that
+     * only timed out is repeated without its short limit.
+     */
     bool refused = through && tries->direct_outcome == WY_FAILED;
     if (tries->step + 1 < tries->count && !refused) {
         tries->step++;
@@ -372,7 +378,7 @@
     }
 }
 
-/* Tries a cut link by a connection that carries nothing. */
+/* Probes a cut link with a direct connection that carries no data. */
 static void
 probe_link(struct rh_reach *reach, struct link *link, int64_t now)
 {
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -1,6 +1,7 @@
 /*
- * How this daemon reaches endpoints: by itself, or through a daemon that does
- * where its own links are cut.  What decides is policy/way.h.
+ * Connections to endpoints, made directly or, where this daemon's network path
+ * to an endpoint is cut, through a peer daemon that can connect to it.
+ * policy/way.h decides which.
  */
 #ifndef GATE_REACH_H
 #define GATE_REACH_H
@@ -20,14 +21,15 @@
 
 struct rh_reach;
 
-/* The tries of one attempt at one endpoint, until one connects. */
+/* The connection attempts of one dispatch, made in order until one connects.
+ */
 struct rh_tries {
     char endpoint[Ch_NAME_MAX];
-    size_t count;
-    size_t step;
+    size_t count; /* of steps */
+    size_t step;  /* the current one */
     struct {
-        bool through;
-        int64_t connect_usec; /* 0: the client's own limit */
+        bool through;         /* through a peer */
+        int64_t connect_usec; /* time limit; 0: the client's default */
     } steps[Rh_STEPS_MAX];
     enum wy_end direct_outcome;
     enum wy_end peer_outcome;
@@ -41,19 +43,20 @@
                          struct rh_reach **out);
 void Rh_Destroy(struct rh_reach *reach);
 void Rh_Tick(struct rh_reach *reach);
-/* Connections made for other daemons that are open. */
+/* The number of open connections that are made for other daemons. */
 size_t Rh_CountForPeers(const struct rh_reach *reach);
 
-/* Begins an attempt at an endpoint. */
+/* Plans the connection attempts to an endpoint. */
 void Rh_Begin(struct rh_reach *reach, struct rh_tries *tries,
               const struct ch_info *info);
-/* Says in a call how its connection is made. */
+/* Sets in a call how the current connection attempt is made. */
 void Rh_FillCall(struct rh_tries *tries, struct hc_request *call);
-/* The call's connection is there. */
+/* Records that the call is connected. */
 void Rh_Connected(struct rh_reach *reach, struct rh_tries *tries);
 /*
- * The call has ended.  True: its connection did not come, no byte has left,
- * and it is to be made once more by the next way.
+ * Takes the result of a call.  Returns true when the call did not connect, so
+ * that no byte of the request was sent, and must be started again with the
+ * next connection attempt.
  */
 bool Rh_Next(struct rh_reach *reach, struct rh_tries *tries,
              const struct hc_result *result);
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -1,10 +1,11 @@
 /*
- * Relays a completion to a model engine and makes its stream whole.
+ * Relays a completion to a model engine and resumes its stream after a
+ * failure.
  *
- * The engine always streams to us, each token with its number.  When the
- * stream breaks, or its engine is about to be reclaimed, the request goes on
- * at another engine from the tokens already given; the numbers make sure that
- * the caller sees neither a gap nor a repeat.
+ * Engines always stream to this daemon, with an index for each token.  When a
+ * stream breaks, or the host of its engine is about to be reclaimed, the
+ * request is resumed at another engine from the tokens received so far.  The
+ * indexes ensure that the caller gets no gap and no repeated token.
  */
 #include "gate/relay_engine.h"
 
@@ -20,16 +21,16 @@
 
 #define Rl_ATTEMPTS_MAX 6
 #define Rl_UNREACHED_MAX 16
-#define Rl_WAITS_MAX 16 /* for a place at those that have not failed it */
+#define Rl_WAITS_MAX 16 /* for capacity at engines without a failure */
 #define Rl_EVENT_MAX ((size_t)64 << 10)
 #define Rl_TEXT_MAX ((size_t)4 << 20)
 #define Rl_PENDING_MAX ((size_t)256 << 10)
 #define Rl_RETRY_SOON_SEC 1
 /*
- * A host that froze or lost its network sends no reset: its stream would stay
- * silent until the caller's deadline.  No engine pauses so long between
- * tokens; before the first it may be queueing, and is only given up when its
- * watcher does not reach it either.
+ * A host that froze or lost its network sends no reset, so its stream would
+ * stay silent until the caller's deadline.  No engine pauses so long between
+ * two tokens.  Before the first token the request may be queued at the engine;
+ * it is then given up only when load polls do not reach the engine either.
  */
 #define Rl_STALL_USEC (5 * Ck_USEC_PER_SEC)
 #define Rl_STALL_CHECK_USEC (1 * Ck_USEC_PER_SEC)
@@ -41,7 +42,7 @@
 static void attempt(struct rl_engine *relay);
 static enum st_status send_call(struct rl_engine *relay);
 
-/* Ends the attempt's place at its engine and tells what it showed. */
+/* Ends the attempt's flight and records its outcome. */
 void
 Re_EndFlight(struct rl_engine *relay, enum ch_outcome outcome)
 {
@@ -107,7 +108,7 @@
     Hs_StreamWrite(request->http, "\n\n", 2);
     if (Hs_Pending(request->http) > Rl_PENDING_MAX && relay->call != NULL &&
         !relay->paused) {
-        /* A caller that reads slowly holds its engine back, not our memory. */
+        /* Backpressure: a slow caller must not fill this host's memory. */
         Hc_Pause(relay->call, true);
         relay->paused = true;
     }
@@ -171,8 +172,9 @@
 }
 
 /*
- * The end mark alone does not make an answer whole: tokens may have been
- * dropped as another request's.  The engine's own count must agree.
+ * An end mark does not prove that the answer is complete, because events with
+ * another request's id have been dropped.  The engine's token count must match
+ * as well.
  */
 static void
 take_end(struct rl_engine *relay)
@@ -203,7 +205,7 @@
         return;
     }
     if (strcmp(event.id, relay->attempt) != 0) {
-        /* Another request's token, or a late one of an earlier attempt. */
+        /* An event of another request, or a late one of an earlier attempt. */
         Ev_Log(&GT_CROSSED, "request=%s service=%s", request->id,
                request->service->name);
         Gt_Count(request->gate, "cg_crossed_answers_total", NULL, NULL);
@@ -284,9 +286,9 @@
 }
 
 /*
- * Gives the request up.  A stream already begun cannot be refused any more;
- * it ends with an error event and without the end mark, so that the caller
- * cannot take it for a whole answer.
+ * Ends the request with an error.  A stream that has begun ends with an error
+ * event and without the end mark, so that the caller cannot take the answer
+ * for complete.
  */
 static void
 give_up(struct rl_engine *relay, enum an_kind kind, const char *message)
@@ -320,14 +322,14 @@
     return maybe_sent > 0;
 }
 
-/* How a failure is told: as "not run" where that is known. */
+/* The refusal for a failed request: "not run" only where that is certain. */
 static enum an_kind
-failure_kind_for_caller(const struct rl_engine *relay)
+refusal_kind(const struct rl_engine *relay)
 {
     return may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE;
 }
 
-/* Whether as many tries in a row as may be have reached nobody. */
+/* Whether the limit of attempts without a connection is reached. */
 static bool
 is_unreachable(const struct rl_engine *relay)
 {
@@ -337,9 +339,9 @@
 }
 
 /*
- * Whether to wait before the next try: a request that may have run can no
- * longer be refused as "not run", so that its caller is better off when it
- * goes on a little later at an engine that this host does not know of yet.
+ * Whether to wait before the next attempt.  A request that may have run can no
+ * longer be refused as "not run".  Its caller is served better by an attempt a
+ * little later, at an engine that this daemon has yet to learn of.
  */
 static bool
 should_wait(const struct rl_engine *relay)
@@ -363,7 +365,7 @@
     attempt(relay);
 }
 
-/* Goes on at another engine from the tokens given, or gives the request up. */
+/* Resumes the request at another engine, or gives it up. */
 void
 Re_NextAttempt(struct rl_engine *relay)
 {
@@ -371,13 +373,13 @@
     Re_DropMove(relay);
     if (relay->tokens == 0 &&
         Gq_DeniesRetry(gate->quarantine, relay->request)) {
-        give_up(relay, failure_kind_for_caller(relay),
+        give_up(relay, refusal_kind(relay),
                 "two engines ended under this request; it is sent to no "
                 "third");
         return;
     }
     if (relay->attempts.failed >= Rl_ATTEMPTS_MAX || is_unreachable(relay)) {
-        give_up(relay, failure_kind_for_caller(relay),
+        give_up(relay, refusal_kind(relay),
                 "several engines failed this request; it may be repeated");
         return;
     }
@@ -394,8 +396,8 @@
 }
 
 /*
- * An attempt failed.  Going on with a stream that the caller has begun to
- * read is always tried; starting anew is a retry and is paid for.
+ * Handles a failed attempt.  A request with tokens is always resumed; one
+ * without tokens is retried, which takes from the service's retry budget.
  */
 static void
 attempt_failed(struct rl_engine *relay, enum hc_stage reached)
@@ -406,7 +408,7 @@
         stage == RT_NOT_SENT ? relay->connect_failures + 1 : 0;
     if (relay->tokens == 0 &&
         !Rq_MayRetry(relay->request, stage, &relay->attempts)) {
-        give_up(relay, failure_kind_for_caller(relay),
+        give_up(relay, refusal_kind(relay),
                 "the engines of this service fail; the request may be "
                 "repeated later");
         return;
@@ -423,12 +425,12 @@
     return code == 429 || code == 503 ? CH_OVERLOADED : CH_FAILED;
 }
 
-/* The engine may have ended before the first token. */
+/* Reports a connection that broke before the first token to the quarantine. */
 static void
 report_break(struct rl_engine *relay, const struct hc_result *result)
 {
     struct rq_request *request = relay->request;
-    /* What led through another daemon may have broken there. */
+    /* A connection through a peer may have broken at the peer instead. */
     if (result->stage == HC_CONNECTING || relay->flight.endpoint == NULL ||
         relay->flight.first_token || relay->tries.peer_outcome == WY_CAME) {
         return;
@@ -455,9 +457,9 @@
         return;
     }
     /*
-     * Only the first engine's word counts as the request being invalid: an
-     * engine that refuses to go on with a stream would otherwise end it with
-     * a refusal among the tokens, after another engine has run it.
+     * A 4xx status refuses the request as invalid only on the first attempt.
+     * A later engine that rejects a resumption must not cause "not run" after
+     * another engine has run the request, nor a refusal inside a stream.
      */
     if (result->code >= 400 && result->code < 500 && result->code != 429 &&
         Rq_SentCount(&relay->attempts) == 1) {
@@ -542,7 +544,7 @@
     return status;
 }
 
-/* What the choice of an engine needs to know of the request as it stands. */
+/* Fills in what the choice of an engine depends on. */
 void
 Re_FillAsk(const struct rl_engine *relay, struct ch_request *ask)
 {
@@ -560,7 +562,7 @@
     Rq_Constrain(request, ask);
 }
 
-/* Sends the request to the engine of the flight that has been started. */
+/* Sends the request to the engine of the current flight. */
 void
 Re_Launch(struct rl_engine *relay, const char *kv)
 {
@@ -585,9 +587,9 @@
 }
 
 /*
- * Chooses the engine of the next attempt.  While those that have not failed
- * this request have no place free it waits for one; only then are the others
- * asked again.
+ * Chooses the engine of the next attempt.  Returns ST_OVERLOAD, for the caller
+ * to wait, while the engines that have not failed this request are busy.
+ * After Rl_WAITS_MAX waits the engines that failed it are allowed again.
  */
 static enum st_status
 choose(struct rl_engine *relay, struct ch_request *ask)
@@ -624,7 +626,7 @@
         snprintf(message, sizeof(message),
                  "no engine of this service %s; come back later",
                  Rq_WhyUnavailable(request, relay->table));
-        give_up(relay, failure_kind_for_caller(relay), message);
+        give_up(relay, refusal_kind(relay), message);
         return;
     }
     relay->capacity_waits = 0;
@@ -673,7 +675,7 @@
                                "cg_between_tokens_seconds", labels);
 }
 
-/* Sends the request to an engine; ends it sooner or later. */
+/* Starts relaying a request; the relay ends the request. */
 void
 Rl_EngineStart(struct rq_request *request)
 {
@@ -700,7 +702,7 @@
     attempt(relay);
 }
 
-/* Nobody waits any more: closing the connection stops the engine's work. */
+/* Ends a request without a caller; the closed connection stops the engine. */
 void
 Rl_EngineCallerGone(struct rq_request *request)
 {
@@ -711,7 +713,7 @@
     Rq_Finish(request, AN_OUTCOME_UNKNOWN);
 }
 
-/* The caller's time is up. */
+/* Ends a request whose deadline has passed. */
 void
 Rl_EngineDeadline(struct rq_request *request)
 {
@@ -731,10 +733,10 @@
     char message[Rl_MESSAGE_MAX];
     snprintf(message, sizeof(message), "part %08x of the prompt ends engines",
              part);
-    give_up(relay, failure_kind_for_caller(relay), message);
+    give_up(relay, refusal_kind(relay), message);
 }
 
-/* The caller has read what was sent; the engine may go on. */
+/* Resumes reading from the engine after the caller has read its backlog. */
 void
 Rl_EngineDrained(struct rq_request *request)
 {
@@ -745,7 +747,7 @@
     }
 }
 
-/* Frees the relay; its call is given up. */
+/* Cancels the call and frees the relay. */
 void
 Rl_EngineFree(struct rl_engine *relay)
 {
--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the engine relay only. */
+/* Internals of the engine relay. */
 #ifndef GATE_RELAY_ENGINE_H
 #define GATE_RELAY_ENGINE_H
 
@@ -22,32 +22,32 @@
     char attempt[Rl_ATTEMPT_MAX];
     struct rq_attempts attempts;
     struct rh_tries tries;
-    char kv[En_KV_MAX]; /* handle that this attempt goes on from; or empty */
-    int code;
-    bool paused;
-    bool streaming;      /* the caller's stream has begun */
-    bool done;           /* the engine said the answer is whole */
-    bool invalid;        /* this attempt sent what cannot be used */
-    int tokens;          /* given to the caller, or kept for it */
-    int tokens_at_start; /* tokens known when this attempt began */
-    int expected; /* tokens of the whole answer, by the engine's count */
-    char *text;
+    char kv[En_KV_MAX];  /* handle of the KV cache to resume from; or empty */
+    int code;            /* HTTP status of this attempt; 0: none yet */
+    bool paused;         /* the engine is held back while the caller reads */
+    bool streaming;      /* the response headers were sent to the caller */
+    bool done;           /* the answer is complete */
+    bool invalid;        /* this attempt sent an unusable event */
+    int tokens;          /* received in order, of all attempts */
+    int tokens_at_start; /* value of "tokens" when this attempt began */
+    int expected;        /* tokens of the answer as the engine counts them */
+    char *text;          /* of the tokens received */
     size_t text_len;
     size_t text_size;
     struct en_usage usage;
-    int recomputed;
+    int recomputed; /* tokens, of all attempts */
     int64_t last_token_at;
     int64_t first_token_usec; /* time to this attempt's first token */
-    int64_t first_token_at;   /* this attempt's first token */
-    int64_t leaves_at;        /* when its engine will be gone; 0: it stays */
-    enum sm_plan plan;        /* what the timer will do about it */
+    int64_t first_token_at;   /* of this attempt */
+    int64_t leaves_at;        /* when the engine is reclaimed; 0: it stays */
+    enum sm_plan plan;        /* what plan_timer carries out */
     struct lp_timer *plan_timer;
     struct lp_timer *stall_timer;
-    struct lp_timer *retry_timer; /* for a stream that found no engine */
-    int connect_failures;         /* attempts in a row that reached nobody */
-    int capacity_waits;           /* in a row for a place at an engine */
-    struct kv_move *move;         /* on its way to the target */
-    struct ch_flight target;      /* reserved while the cache moves */
+    struct lp_timer *retry_timer; /* runs while waiting for an engine */
+    int connect_failures;         /* attempts in a row without a connection */
+    int capacity_waits;           /* waits in a row for free capacity */
+    struct kv_move *move;         /* cache transfer to the target, or NULL */
+    struct ch_flight target;      /* reserved during a cache transfer */
     struct mt_metric *first_token_time;
     struct mt_metric *token_time;
 };
@@ -58,7 +58,7 @@
 void Re_Launch(struct rl_engine *relay, const char *kv);
 void Re_NextAttempt(struct rl_engine *relay);
 
-/* What becomes of a stream whose engine is leaving. */
+/* Streams whose engine is leaving; in relay_leave.c. */
 void Re_DropMove(struct rl_engine *relay);
 void Re_PlanDue(void *arg);
 
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_leave.c
@@ -1,6 +1,7 @@
 /*
- * Streams on an engine that is leaving: each finishes, moves its KV cache or
- * is resumed elsewhere, by the time left.
+ * Streams on an engine whose host is about to be reclaimed.  Depending on the
+ * time left, each finishes there, moves its KV cache to another engine, or is
+ * resumed at another engine from its tokens.
  */
 #include <bsd/string.h>
 #include <string.h>
@@ -9,14 +10,14 @@
 #include "gate/events.h"
 #include "gate/relay_engine.h"
 
-/* What moving a cache costs, until an engine has shown otherwise. */
+/* Estimated cost of moving a KV cache. */
 #define Rl_MOVE_USEC (20 * Ck_USEC_PER_MSEC)
 #define Rl_MOVE_PER_TOKEN_USEC 20
 #define Rl_FIRST_GUESS_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
 
 static void decide(struct rl_engine *relay);
 
-/* Gives up a cache on its way and the place kept for it. */
+/* Cancels a cache transfer and releases its reservation at the target. */
 void
 Re_DropMove(struct rl_engine *relay)
 {
@@ -55,7 +56,7 @@
                              : Rl_FIRST_GUESS_TOKEN_USEC;
 }
 
-/* The engine that would take the stream over; no flight is started. */
+/* Chooses the engine that would take over; does not start a flight on it. */
 static void
 fill_target(struct rl_engine *relay, int64_t now, struct sm_target *target,
             struct ch_flight *flight)
@@ -109,8 +110,8 @@
 }
 
 /*
- * Moves the cache while the stream goes on where it is.  If the engine dies
- * first, or the move fails, the stream is resumed from its tokens instead.
+ * Moves the KV cache while the stream continues at its engine.  If the engine
+ * ends first or the transfer fails, the stream is resumed from its tokens.
  */
 static void
 start_move(struct rl_engine *relay, const struct ch_flight *flight,
@@ -133,7 +134,7 @@
     }
 }
 
-/* Finish, move the cache, or resume elsewhere: chosen by the time left. */
+/* Decides whether the stream finishes, moves its cache or is resumed. */
 static void
 decide(struct rl_engine *relay)
 {
@@ -159,7 +160,7 @@
     Lp_TimerSet(relay->plan_timer, decision.act_after);
 }
 
-/* The time has come to act on what was decided, or to decide again. */
+/* Timer callback: carries out a planned resumption, or decides again. */
 void
 Re_PlanDue(void *arg)
 {
@@ -173,7 +174,7 @@
     Re_NextAttempt(relay);
 }
 
-/* An endpoint is leaving: what becomes of each stream on it is decided. */
+/* Decides for each stream on an endpoint that is leaving. */
 void
 Rl_EndpointLeaving(void *arg, const char *service, const char *endpoint,
                    int64_t left_usec)
