--- a/packages/gate/answer.c
+++ b/packages/gate/answer.c
@@ -18,7 +18,7 @@
     {AN_UNAUTHENTICATED, 401, "unauthenticated", AN_NOT_RUN},
     {AN_NOT_FOUND, 404, "not_found", AN_NOT_RUN},
     {AN_KEY_REUSED, 422, "key_reused", AN_NOT_RUN},
-    /* The first request with the key may be running: not "not run". */
+    /* The first request with the key may be running. */
     {AN_IN_PROGRESS, 409, "in_progress", AN_OUTCOME_UNKNOWN},
     {AN_OVERLOADED, 429, "overloaded", AN_NOT_RUN},
     {AN_DEADLINE, 503, "deadline", AN_NOT_RUN},
@@ -48,14 +48,13 @@
     return "unknown";
 }
 
-/* The type of a refusal on the wire. */
+/* The "type" in the JSON body of a refusal. */
 const char *
 An_TypeName(enum an_kind kind)
 {
     return row(kind)->type;
 }
 
-/* The outcome that a refusal of this kind states. */
 enum an_outcome
 An_Outcome(enum an_kind kind)
 {
@@ -74,8 +73,8 @@
 }
 
 /*
- * Refuses a request; the message names the remedy.  retry_after_sec of 0
- * leaves the header out: then waiting would not help.
+ * Refuses a request; the message names the remedy.  A retry_after_sec of 0
+ * omits the retry-after header, for refusals that waiting does not help.
  */
 void
 An_Refuse(struct hs_request *http, const char *request_id, enum an_kind kind,
--- a/packages/gate/answer.h
+++ b/packages/gate/answer.h
@@ -1,6 +1,6 @@
 /*
- * Refusals to callers: each kind has one HTTP status, one type on the wire
- * and one outcome, so that "not run" is only said where it is true.
+ * Refusals to callers.  Each kind has one HTTP status, one type in the JSON
+ * body and one outcome, so that "not run" is reported only where it is true.
  */
 #ifndef GATE_ANSWER_H
 #define GATE_ANSWER_H
@@ -26,6 +26,7 @@
 
 #define An_MESSAGE_MAX 512
 
+/* Whether an endpoint has run the request. */
 enum an_outcome {
     AN_RAN,
     AN_NOT_RUN,
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -1,9 +1,9 @@
 /*
  * Relays a request to an endpoint of a plain service.
  *
- * A call that must not run twice is sent once.  It is sent again only while
- * no byte of it can have left; when its answer is lost the caller is told
- * that the outcome is unknown.
+ * A request that must not run twice is sent once.  It is sent again only if no
+ * byte of it can have been sent before.  When its answer is lost the caller is
+ * told that the outcome is unknown.
  */
 #include <bsd/string.h>
 #include <stdio.h>
@@ -22,7 +22,7 @@
 #define Rl_URL_MAX 4096
 #define Rl_ANSWER_MAX ((size_t)4 << 20)
 #define Rl_RETRY_SOON_SEC 1
-/* How long an answer is still waited for when the caller no longer does. */
+/* How long to wait for an answer after the caller has gone. */
 #define Rl_LINGER_USEC (60 * Ck_USEC_PER_SEC)
 
 struct rl_plain {
@@ -33,14 +33,14 @@
     struct rq_attempts attempts;
     struct rh_tries tries;
     char type[Rl_TYPE_MAX];
-    bool id_matches; /* the answer carries this attempt's id */
+    bool id_matches; /* the answer has the id of this attempt */
     /*
-     * A byte of an earlier attempt may have left, so that an endpoint may
-     * have run it.  Without this a last attempt that found nobody would have
-     * the whole request called "not run".
+     * An earlier attempt may have been sent, so that an endpoint may have run
+     * it.  Otherwise a last attempt that did not connect would make the whole
+     * request "not run".
      */
     bool maybe_sent;
-    bool lingering;
+    bool lingering;       /* the caller has gone, but the answer is recorded */
     int64_t headers_usec; /* time to the headers of the answer */
 };
 
@@ -73,7 +73,7 @@
     Ch_FirstToken(relay->table, &relay->flight, now);
 }
 
-/* Keeps the answer, so that a repeat under the same key gets it too. */
+/* Records the answer for repeats of the request under the same key. */
 static void
 record_result(struct rq_request *request, int code, const char *body,
               size_t len)
@@ -110,7 +110,7 @@
     Rq_Finish(request, AN_RAN);
 }
 
-/* The endpoint may have run a call that must not run twice. */
+/* Refuses a request that must not run twice but may have run. */
 static void
 outcome_unknown(struct rq_request *request)
 {
@@ -127,7 +127,7 @@
               request->id);
 }
 
-/* True when an endpoint may have run any attempt. */
+/* Whether an endpoint may have run any attempt. */
 static bool
 may_have_run(const struct rl_plain *relay)
 {
@@ -159,8 +159,8 @@
     end_flight(request, maybe_sent ? CH_FAILED : CH_UNREACHED);
     if (complete && !relay->id_matches) {
         /*
-         * The endpoint mixed up two answers.  This one belongs to somebody
-         * else and must not reach the caller.
+         * The endpoint mixed up two answers: this one belongs to another
+         * request and must not reach the caller.
          */
         Ev_Log(&GT_CROSSED, "request=%s service=%s", request->id,
                request->service->name);
@@ -226,7 +226,11 @@
                     &relay->call);
 }
 
-/* No place is waited for: an endpoint that failed the request has to do. */
+/*
+ * Chooses the endpoint of the next attempt.  When all endpoints that have not
+ * failed the request are busy, those that failed it are allowed again, since a
+ * plain request does not wait for capacity.
+ */
 static enum st_status
 choose(struct rq_request *request, struct ch_request *ask)
 {
@@ -270,7 +274,7 @@
     }
 }
 
-/* Sends the request to an endpoint; ends it sooner or later. */
+/* Starts relaying a request; the relay ends the request. */
 void
 Rl_PlainStart(struct rq_request *request)
 {
@@ -284,8 +288,9 @@
 }
 
 /*
- * Nobody waits any more.  What may not run twice is waited for a while
- * longer, so that its result is kept for a repeat under the same key.
+ * Handles a caller that has gone.  A request that has claimed a key and may
+ * have run waits a while longer for its answer, which is recorded for a repeat
+ * under the same key.
  */
 void
 Rl_PlainCallerGone(struct rq_request *request)
@@ -305,7 +310,7 @@
     Rq_Finish(request, maybe_sent ? AN_OUTCOME_UNKNOWN : AN_NOT_RUN);
 }
 
-/* The caller's time is up: it gets its final answer at once. */
+/* Answers a caller whose deadline has passed. */
 void
 Rl_PlainDeadline(struct rq_request *request)
 {
@@ -338,7 +343,7 @@
     Lp_TimerSet(request->timer, Rl_LINGER_USEC);
 }
 
-/* Frees the relay; its call is given up. */
+/* Cancels the call and frees the relay. */
 void
 Rl_PlainFree(struct rl_plain *relay)
 {
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -65,8 +65,8 @@
 }
 
 /*
- * Gives the key back when it was claimed but nothing has been sent: the
- * caller may then repeat the request under the same key.
+ * Releases a claimed key, so that the caller can repeat the request under it.
+ * Must only be called when no endpoint has run the request.
  */
 static void
 release_claim(struct rq_request *request)
@@ -92,9 +92,9 @@
 }
 
 /*
- * Ends a request with a refusal and frees it.  A kind whose outcome is
- * "not-run" must only be used while nothing has been sent to an endpoint, or
- * when it is known that the endpoint ran nothing.
+ * Ends a request with a refusal and frees it.  A kind with the outcome
+ * "not-run" is allowed only if nothing has been sent to an endpoint, or if the
+ * endpoint is known not to have run the request.
  */
 void
 Rq_Refuse(struct rq_request *request, enum an_kind kind, int retry_after_sec,
@@ -118,7 +118,7 @@
     request_free(request);
 }
 
-/* Ends a request whose answer has been given, or whose caller has gone. */
+/* Ends a request that was answered, or whose caller has gone. */
 void
 Rq_Finish(struct rq_request *request, enum an_outcome outcome)
 {
@@ -126,7 +126,7 @@
     request_free(request);
 }
 
-/* Appends an item to a list; one that is full ends in dots. */
+/* Appends an item to a list; a list without room ends in Rq_ELLIPSIS. */
 static void
 append(char *list, size_t size, const char *item)
 {
@@ -143,7 +143,7 @@
     snprintf(list + len, size - len, "%s%s", len > 0 ? "," : "", item);
 }
 
-/* Keeps where a dispatch goes, for the log. */
+/* Records the endpoint of a dispatch, for the log. */
 void
 Rq_RecordDispatch(struct rq_request *request, const char *endpoint)
 {
@@ -159,7 +159,10 @@
     }
 }
 
-/* Not where an operator wants nothing new, nor outside of its regions. */
+/*
+ * Whether the endpoint is in an allowed region of the service and customer,
+ * and outside of evacuated data centres.
+ */
 static bool
 may_run_at(const void *arg, const struct ch_info *info)
 {
@@ -169,7 +172,7 @@
            Cf_IsIn(&request->customer->regions, info->region);
 }
 
-/* Sets where the request may run. */
+/* Restricts the choice to the endpoints that the request may run at. */
 void
 Rq_Constrain(const struct rq_request *request, struct ch_request *ask)
 {
@@ -177,7 +180,7 @@
     ask->allowed_arg = request;
 }
 
-/* Says why no endpoint was chosen, and logs where none may be. */
+/* Returns why no endpoint was chosen; logs it if none is allowed. */
 const char *
 Rq_WhyUnavailable(const struct rq_request *request,
                   const struct ch_table *table)
@@ -221,10 +224,10 @@
 }
 
 /*
- * Chooses an endpoint for the next attempt and starts the flight on it.  An
- * endpoint that failed this request is taken again only when no other is
- * left: with few replicas a second try beats a refusal.  ST_OVERLOAD: others
- * are left, but have no place free at the moment.
+ * Chooses an endpoint for the next attempt and starts a flight on it.  An
+ * endpoint that was tried is chosen again only when no other is left: with few
+ * replicas a second try is better than a refusal.  Returns ST_OVERLOAD when
+ * others are left but are busy.
  */
 enum st_status
 Rq_Choose(struct rq_request *request, struct ch_table *table,
@@ -243,7 +246,7 @@
     return status;
 }
 
-/* The same, but those that failed this request may be taken as well. */
+/* Like Rq_Choose(), but allows the endpoints that were tried as well. */
 enum st_status
 Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
              struct ch_request *ask, struct ch_flight *flight)
@@ -256,7 +259,7 @@
     return status;
 }
 
-/* The dispatches that an endpoint may have run. */
+/* The number of dispatches that an endpoint may have run. */
 int
 Rq_SentCount(const struct rq_attempts *attempts)
 {
@@ -286,8 +289,8 @@
 }
 
 /*
- * Tells how the endpoints stand that the request was not sent to, or those
- * that it was: id:version:state:in flight/limit.
+ * Formats the state of the endpoints that the request was sent to, or of the
+ * others, as id:version:state:in flight/limit.
  */
 static void
 format_states(const struct rq_request *request, const struct ch_table *table,
@@ -312,8 +315,8 @@
 }
 
 /*
- * Enters that an attempt has failed.  What a version on trial fails first says
- * nothing of the endpoints that the request is owed, and is not counted.
+ * Records a failed attempt.  The first failure is not counted if the version
+ * was on trial, so that it does not use up the attempts at the version in use.
  */
 void
 Rq_NoteFailed(struct rq_attempts *attempts, const struct ch_flight *flight,
@@ -361,8 +364,8 @@
 }
 
 /*
- * Whether a failed attempt may be followed by another; takes from the
- * service's budget when it may and the attempt reached somebody.
+ * Whether a failed attempt may be followed by another.  If so, and the attempt
+ * had connected, it takes from the service's retry budget.
  */
 bool
 Rq_MayRetry(struct rq_request *request, enum rt_stage stage,
@@ -394,7 +397,7 @@
     return true;
 }
 
-/* An endpoint has answered well: it pays for a part of a later retry. */
+/* Adds to the service's retry budget for a request that succeeded. */
 void
 Rq_RecordSuccess(struct rq_request *request)
 {
@@ -405,7 +408,7 @@
     }
 }
 
-/* The route of a request, as evidence is kept by: few and stable names. */
+/* The route by which outcomes are counted; the names are few and stable. */
 static const char *
 route_name(const struct rq_request *request)
 {
@@ -416,8 +419,9 @@
 }
 
 /*
- * Tells a version move what an attempt showed.  An attempt that was given up
- * or refused for load says nothing about the version.
+ * Reports the outcome of an attempt to the version moves.  An attempt that was
+ * cancelled or refused for load is left out, as it says nothing about the
+ * version.
  */
 void
 Rq_RecordOutcome(struct rq_request *request, const struct ch_flight *flight,
@@ -440,7 +444,7 @@
     Mo_Note(request->gate->moves, &note);
 }
 
-/* True when no request is under way. */
+/* Whether no request is in progress. */
 bool
 Rq_Idle(const struct gt_gate *gate)
 {
@@ -508,8 +512,8 @@
 }
 
 /*
- * The digest binds the key to the whole request, so that the same key with
- * another body or path is found out.
+ * Binds the idempotency key to the body and path, so that its reuse for
+ * another request is detected.
  */
 static void
 digest_body(struct rq_request *request)
@@ -559,7 +563,7 @@
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 }
 
-/* Finds the service; on failure the request has been refused. */
+/* Finds the service; returns false after refusing the request. */
 static bool
 route(struct rq_request *request)
 {
@@ -595,7 +599,7 @@
     return true;
 }
 
-/* Whether it has been refused for a part of its prompt that ends engines. */
+/* Refuses a request whose prompt has a quarantined part; true if it has. */
 static bool
 refuse_if_quarantined(struct rq_request *request)
 {
@@ -608,7 +612,7 @@
     return true;
 }
 
-/* Finds the customer; on failure the request has been refused. */
+/* Finds the customer; returns false after refusing the request. */
 static bool
 authenticate(struct rq_request *request)
 {
@@ -651,7 +655,7 @@
         {"cornelgate-body-digest", stored->digest},
     };
     Hs_SetUser(request->http, NULL);
-    /* A body too large to keep is named by its digest only. */
+    /* A body too large to store is sent as its digest only. */
     Hs_Reply(request->http, stored->code, stored->type, headers,
              stored->truncated ? 4 : 3, stored->body, stored->len);
     request->http = NULL;
@@ -718,7 +722,7 @@
     }
 }
 
-/* The request's turn has come: claim its key, or send it. */
+/* Starts a request that was admitted: claims its key first, or relays it. */
 void
 Rq_Dispatch(struct rq_request *request)
 {
@@ -749,7 +753,7 @@
     return request;
 }
 
-/* Takes a complete request of a caller; it is answered now or later. */
+/* Takes a complete request of a caller; the answer may come later. */
 void
 Rq_Accept(struct gt_gate *gate, struct hs_request *http)
 {
@@ -782,7 +786,7 @@
     }
 }
 
-/* The caller closed its connection before the answer ended. */
+/* Handles a caller that closed its connection before the answer ended. */
 void
 Rq_CallerGone(struct gt_gate *gate, struct hs_request *http)
 {
--- a/packages/gate/request.h
+++ b/packages/gate/request.h
@@ -1,8 +1,8 @@
 /*
- * One caller's request from its arrival to its one answer.
+ * A caller's request, from its arrival to its answer.
  *
- *   Rq_Accept -> authenticate, route -> limits and queue -> claim (when it
- *   must not run twice) -> relay -> Rq_Finish
+ *   Rq_Accept -> authenticate, route -> limits and queue -> claim of the
+ *   idempotency key (if it must not run twice) -> relay -> Rq_Finish
  */
 #ifndef GATE_REQUEST_H
 #define GATE_REQUEST_H
@@ -30,7 +30,7 @@
     RQ_ARRIVED,
     RQ_QUEUED,
     RQ_CLAIMING,
-    RQ_RUNNING, /* an endpoint has or may have it */
+    RQ_RUNNING, /* the relay may have sent it to an endpoint */
 };
 
 struct rq_request {
@@ -50,9 +50,9 @@
     struct gc_key key;
     struct gc_wait *claim;
     bool admitted; /* counts against the customer's limits */
-    bool queued;   /* "item" stands in a queue */
+    bool queued;   /* "item" is in a queue */
     struct qu_item item;
-    bool claimed; /* the claim was won and not given back */
+    bool claimed; /* the claim was won and is neither settled nor released */
     struct lp_timer *timer;
     const char *tried[Rq_TRIED_MAX]; /* endpoints, owned copies */
     size_t tried_count;
@@ -62,12 +62,12 @@
     struct rl_plain *plain;
 };
 
-/* The dispatches of a request so far. */
+/* Counts of a request's dispatches. */
 struct rq_attempts {
     int total;
-    int not_sent;      /* those of which no byte can have left */
-    bool trial_failed; /* the first that failed was at such a version */
-    int failed;        /* the others that were sent and failed */
+    int not_sent;      /* did not connect, so that no byte was sent */
+    bool trial_failed; /* the first failure was at a version on trial */
+    int failed;        /* sent and failed, without the first on trial */
 };
 
 void Rq_Accept(struct gt_gate *gate, struct hs_request *http);
@@ -97,11 +97,11 @@
                       int64_t first_token_usec);
 bool Rq_Idle(const struct gt_gate *gate);
 
-/* The relays; each ends the request by Rq_Refuse() or Rq_Finish(). */
+/* The relays; each ends the request with Rq_Refuse() or Rq_Finish(). */
 void Rl_EngineStart(struct rq_request *request);
 void Rl_EngineCallerGone(struct rq_request *request);
 void Rl_EngineDeadline(struct rq_request *request);
-/* A part of its prompt is stopped; it goes no further unless it has begun. */
+/* Refuses a request with a quarantined prompt part unless it has tokens. */
 void Rl_EngineQuarantined(struct rq_request *request, uint32_t part);
 void Rl_EngineDrained(struct rq_request *request);
 void Rl_EngineFree(struct rl_engine *relay);
