--- a/packages/gate/answer.c
+++ b/packages/gate/answer.c
@@ -33,7 +33,7 @@
     return &kinds[kind];
 }
 
-/* The value of the cornelgate-outcome header. */
+/* The value of an outcome in the cornelgate-outcome header. */
 const char *
 An_OutcomeName(enum an_outcome outcome)
 {
--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -6,7 +6,7 @@
 
 #include "gate/claims_wire.h"
 
-/* Without a reply for so long the claim is appended by this daemon. */
+/* Without a reply from the peer for so long this daemon appends the claim. */
 #define Gc_PEER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
 /* A served claim ends before the requesting daemon stops waiting for it. */
 #define Gc_SERVE_TIMEOUT_USEC (1000 * Ck_USEC_PER_MSEC)
@@ -21,7 +21,7 @@
     int64_t last_used[Cl_SLOTS]; /* last use, or time while assigned */
     uint64_t next_attempt;
     TAILQ_HEAD(wait_list, gc_wait) waits;
-    size_t pending_updates; /* updates sent and not yet acknowledged */
+    size_t pending_updates; /* sent and not yet acknowledged */
 };
 
 /* A claim whose verdict is pending. */
--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -21,7 +21,7 @@
 /* Limit of data centres tracked as evacuated at the same time. */
 #define Ep_EVACUATED_MAX 64
 
-/* An endpoint of a service. */
+/* An endpoint as the host list and reclaim notices describe it. */
 struct entry {
     TAILQ_ENTRY(entry) link;
     char id[Hl_NAME_MAX];
@@ -53,7 +53,7 @@
 struct notice {
     TAILQ_ENTRY(notice) link;
     char host[Hl_NAME_MAX];
-    int64_t leaves_at;
+    int64_t leaves_at; /* the host's announced end */
 };
 
 TAILQ_HEAD(notice_list, notice);
@@ -226,7 +226,10 @@
     return false;
 }
 
-/* Logs which data centres are newly evacuated and which are back in use. */
+/*
+ * Logs which data centres are newly evacuated and which are back in use, and
+ * marks the endpoints of the latter as cold.
+ */
 static void
 update_evacuated(struct ep_pool *pool, const struct cf_config *config)
 {
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -39,7 +39,7 @@
     void *arg;
     struct lp_timer *timer;
     struct poll_list polls;
-    int64_t nearby; /* endpoints of this data centre in the last round */
+    int64_t local_endpoints; /* in this data centre, as of the last round */
 };
 
 static struct poll *
@@ -101,7 +101,8 @@
 static int64_t
 gossip_interval(const struct lw_watch *watch)
 {
-    int64_t usec = watch->nearby * Ck_USEC_PER_SEC / Lw_GOSSIP_PER_SEC;
+    int64_t usec =
+        watch->local_endpoints * Ck_USEC_PER_SEC / Lw_GOSSIP_PER_SEC;
     return usec > Lw_PERIOD_USEC ? usec : Lw_PERIOD_USEC;
 }
 
@@ -200,7 +201,7 @@
     struct lw_watch *watch = arg;
     const struct cf_config *config = watch->gate->config;
     const char *here = watch->gate->options->data_centre;
-    int64_t nearby = 0;
+    int64_t local_endpoints = 0;
     for (size_t i = 0; config != NULL && i < config->service_count; i++) {
         const struct cf_service *service = &config->services[i];
         struct ch_table *table =
@@ -211,11 +212,11 @@
         struct ch_endpoint *endpoint = Ch_First(table);
         for (; endpoint != NULL; endpoint = Ch_Next(endpoint)) {
             const struct ch_info *info = Ch_Info(endpoint);
-            nearby += strcmp(info->data_centre, here) == 0 ? 1 : 0;
+            local_endpoints += strcmp(info->data_centre, here) == 0 ? 1 : 0;
             poll_if_assigned(watch, service->name, info);
         }
     }
-    watch->nearby = nearby;
+    watch->local_endpoints = local_endpoints;
     remove_unseen(watch);
     Lp_TimerSet(watch->timer, Lw_ROUND_USEC);
 }
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -18,18 +18,17 @@
 /* A caller that retries sooner is refused again. */
 #define Gq_RETRY_SEC ((int)(Pz_STOP_LASTS_USEC / Ck_USEC_PER_SEC))
 
-/* Rows that this daemon publishes; each list must fit one gossip value. */
+/* Rows that a daemon publishes; each list must fit one gossip value. */
 #define Gq_CRASHES_MAX 5
 #define Gq_CLEARS_MAX 8
 #define Gq_STOPS_MAX 7
 
-/* Crashes, cleared parts and quarantined parts, as one daemon publishes them.
- */
+/* The rows that one daemon publishes; a "stop" is a quarantined part. */
 struct gq_word {
     size_t crash_count;
-    struct pz_crash crashes[Gq_CRASHES_MAX];
+    struct pz_crash crashes[Gq_CRASHES_MAX]; /* newest first */
     size_t clear_count;
-    struct pz_clear clears[Gq_CLEARS_MAX];
+    struct pz_clear clears[Gq_CLEARS_MAX]; /* parts that got a token */
     size_t stop_count;
     struct pz_stop stops[Gq_STOPS_MAX];
 };
@@ -57,7 +56,7 @@
 /* Records that an engine has answered, or cannot be connected to. */
 void Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint);
 void Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint);
-/* Whether a request contains a quarantined part, which "part" receives. */
+/* Whether a request contains a quarantined part, which is stored in "part". */
 bool Gq_IsQuarantined(struct gq_quarantine *quarantine,
                       const struct rq_request *request, uint32_t *part);
 /* Whether the request must not be sent to another engine. */
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -20,7 +20,10 @@
 #define Rh_TICK_USEC (100 * Ck_USEC_PER_MSEC)
 #define Rh_FACT_TTL_USEC (3600 * Ck_USEC_PER_SEC)
 #define Rh_PUBLISH_USEC (1200 * Ck_USEC_PER_SEC)
-/* Repeated once soon after a change: gossip misses a few daemons in 100. */
+/*
+ * Repeated once, soon after a start or a change, because gossip misses a few
+ * daemons in 100.
+ */
 #define Rh_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 #define Rh_USER "daemon:"
 /* Links unused for so long are removed. */
@@ -33,7 +36,7 @@
     char endpoint[Ch_NAME_MAX];
     struct wy_link path;
     struct di_dial *probe;
-    int64_t used_at;
+    int64_t used_at; /* last planned connection */
 };
 
 TAILQ_HEAD(link_list, link);
@@ -45,7 +48,7 @@
     struct link_list links;
     struct wy_failures failures; /* keyed by the hash of a daemon's id */
     char credentials[sizeof(Rh_USER) + Hash_DIGEST_HEX];
-    bool any_cut;
+    bool any_cut; /* any link is cut */
     bool published_cut;
     int64_t next_publish;
     int64_t next_tick;
@@ -123,7 +126,7 @@
 static void
 make_credentials(struct rh_reach *reach)
 {
-    char text[Rh_DAEMON_MAX];
+    char text[Rh_ADDRESS_MAX];
     char digest[Hash_DIGEST_HEX];
     int len = snprintf(text, sizeof(text), "through %s",
                        reach->gate->options->cluster_key);
@@ -291,7 +294,7 @@
  * are cut are probed soon, since they may be restored as well.
  */
 static void
-log_change(struct rh_reach *reach, const struct link *changed, bool silent)
+handle_change(struct rh_reach *reach, const struct link *changed, bool silent)
 {
     if (changed->path.cut) {
         Ev_Log(&GT_LINK_CUT, "endpoint=%s silent=%d", changed->endpoint,
@@ -314,7 +317,7 @@
     if (link != NULL &&
         Wy_Ended(&link->path, tries->direct_outcome, tries->peer_outcome,
                  Ck_Now(reach->gate->clock))) {
-        log_change(reach, link, tries->direct_outcome == WY_OVERDUE);
+        handle_change(reach, link, tries->direct_outcome == WY_OVERDUE);
     }
 }
 
@@ -374,7 +377,7 @@
     Sk_Close(result->sock);
     if (Wy_Ended(&link->path, WY_CAME, WY_NOT_TRIED,
                  Ck_Now(reach->gate->clock))) {
-        log_change(reach, link, false);
+        handle_change(reach, link, false);
     }
 }
 
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -16,7 +16,7 @@
 extern "C" {
 #endif
 
-#define Rh_DAEMON_MAX 160
+#define Rh_ADDRESS_MAX 160
 #define Rh_STEPS_MAX 3
 
 struct rh_reach;
@@ -34,8 +34,8 @@
     enum wy_end direct_outcome;
     enum wy_end peer_outcome;
     bool connected;
-    char peer_address[Rh_DAEMON_MAX];
-    char peer_id[Mb_ID_MAX]; /* the daemon's identity */
+    char peer_address[Rh_ADDRESS_MAX]; /* "USER:SECRET@IP:PORT" */
+    char peer_id[Mb_ID_MAX];
     struct hc_through through;
 };
 
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -20,11 +20,12 @@
 #include "gate/quarantine.h"
 
 #define Rl_ATTEMPTS_MAX 6
-#define Rl_UNREACHED_MAX 16
-#define Rl_WAITS_MAX 16 /* for capacity at engines without a failure */
+#define Rl_UNREACHED_MAX 16 /* attempts without a connection */
+/* Waits in a row for capacity at the engines that have not failed. */
+#define Rl_CAPACITY_WAITS_MAX 16
 #define Rl_EVENT_MAX ((size_t)64 << 10)
 #define Rl_TEXT_MAX ((size_t)4 << 20)
-#define Rl_PENDING_MAX ((size_t)256 << 10)
+#define Rl_PENDING_MAX ((size_t)256 << 10) /* bytes the caller has to read */
 #define Rl_RETRY_SOON_SEC 1
 /*
  * A host that froze or lost its network sends no reset, so its stream would
@@ -120,10 +121,10 @@
     struct rq_request *request = relay->request;
     int64_t now = Ck_Now(request->gate->clock);
     if (relay->tokens == 0) {
-        Mt_Observe(relay->first_token_time, now - request->arrived_at);
+        Mt_Observe(relay->first_token_metric, now - request->arrived_at);
     }
     else {
-        Mt_Observe(relay->token_time, now - relay->last_token_at);
+        Mt_Observe(relay->token_metric, now - relay->last_token_at);
     }
     relay->last_token_at = now;
     if (relay->flight.endpoint != NULL && !relay->flight.first_token) {
@@ -164,11 +165,12 @@
 static void
 take_usage(struct rl_engine *relay, const struct en_event *event)
 {
-    relay->expected = relay->tokens_at_start + event->usage.completion_tokens;
-    relay->recomputed += event->usage.recomputed_tokens;
+    relay->expected_tokens =
+        relay->tokens_at_start + event->usage.completion_tokens;
+    relay->recomputed_tokens += event->usage.recomputed_tokens;
     relay->usage = event->usage;
-    relay->usage.completion_tokens = relay->expected;
-    relay->usage.recomputed_tokens = relay->recomputed;
+    relay->usage.completion_tokens = relay->expected_tokens;
+    relay->usage.recomputed_tokens = relay->recomputed_tokens;
 }
 
 /*
@@ -179,7 +181,7 @@
 static void
 take_end(struct rl_engine *relay)
 {
-    if (relay->expected == relay->tokens) {
+    if (relay->expected_tokens == relay->tokens) {
         relay->done = true;
     }
     else {
@@ -241,7 +243,7 @@
     Mt_Add(Mt_Get(gate->metrics, MT_COUNTER, "cg_tokens_total", ""),
            relay->tokens);
     Mt_Add(Mt_Get(gate->metrics, MT_COUNTER, "cg_tokens_recomputed_total", ""),
-           relay->recomputed);
+           relay->recomputed_tokens);
 }
 
 static void
@@ -311,7 +313,7 @@
     Rq_Refuse(request, kind, Rl_RETRY_SOON_SEC, "%s", message);
 }
 
-/* True when an engine may have run any part of the request. */
+/* Whether an engine may have run any part of the request. */
 static bool
 may_have_run(const struct rl_engine *relay)
 {
@@ -516,7 +518,7 @@
         .text = relay->text,
         .text_len = relay->text_len,
         .tokens = relay->tokens,
-        .kv = relay->kv[0] != '\0' ? relay->kv : NULL,
+        .kv = relay->kv_handle[0] != '\0' ? relay->kv_handle : NULL,
     };
     char *body = En_BuildRequest(
         &request->prompt,
@@ -573,10 +575,10 @@
     relay->paused = false;
     relay->code = 0;
     relay->tokens_at_start = relay->tokens;
-    relay->expected = -1;
+    relay->expected_tokens = -1;
     snprintf(relay->attempt, sizeof(relay->attempt), "%s.%d",
              relay->request->id, relay->attempts.total);
-    strlcpy(relay->kv, kv != NULL ? kv : "", sizeof(relay->kv));
+    strlcpy(relay->kv_handle, kv != NULL ? kv : "", sizeof(relay->kv_handle));
     Rh_Begin(relay->request->gate->reach, &relay->tries,
              Ch_Info(relay->flight.endpoint));
     if (relay->parser == NULL || send_call(relay) != ST_OK) {
@@ -589,7 +591,8 @@
 /*
  * Chooses the engine of the next attempt.  Returns ST_OVERLOAD, for the caller
  * to wait, while the engines that have not failed this request are busy.
- * After Rl_WAITS_MAX waits the engines that failed it are allowed again.
+ * After Rl_CAPACITY_WAITS_MAX waits the engines that failed it are allowed
+ * again.
  */
 static enum st_status
 choose(struct rl_engine *relay, struct ch_request *ask)
@@ -597,7 +600,8 @@
     struct rq_request *request = relay->request;
     enum st_status status =
         Rq_Choose(request, relay->table, ask, &relay->flight);
-    if (status == ST_OVERLOAD && relay->capacity_waits >= Rl_WAITS_MAX) {
+    if (status == ST_OVERLOAD &&
+        relay->capacity_waits >= Rl_CAPACITY_WAITS_MAX) {
         status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
     }
     return status;
@@ -669,10 +673,10 @@
     char labels[Rl_LABELS_MAX];
     snprintf(labels, sizeof(labels), "customer=\"%s\",class=\"%s\"",
              request->customer->name, request->patient ? "patient" : "urgent");
-    relay->first_token_time = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
-                                     "cg_first_token_seconds", labels);
-    relay->token_time = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
-                               "cg_between_tokens_seconds", labels);
+    relay->first_token_metric = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
+                                       "cg_first_token_seconds", labels);
+    relay->token_metric = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
+                                 "cg_between_tokens_seconds", labels);
 }
 
 /* Starts relaying a request; the relay ends the request. */
--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -22,20 +22,20 @@
     char attempt[Rl_ATTEMPT_MAX];
     struct rq_attempts attempts;
     struct rh_tries tries;
-    char kv[En_KV_MAX];  /* handle of the KV cache to resume from; or empty */
-    int code;            /* HTTP status of this attempt; 0: none yet */
+    char kv_handle[En_KV_MAX]; /* KV cache to resume from; or empty */
+    int code;                  /* HTTP status of this attempt; 0: none yet */
     bool paused;         /* the engine is held back while the caller reads */
     bool streaming;      /* the response headers were sent to the caller */
     bool done;           /* the answer is complete */
     bool invalid;        /* this attempt sent an unusable event */
     int tokens;          /* received in order, of all attempts */
     int tokens_at_start; /* value of "tokens" when this attempt began */
-    int expected;        /* tokens of the answer as the engine counts them */
+    int expected_tokens; /* tokens of the answer as the engine counts them */
     char *text;          /* of the tokens received */
     size_t text_len;
     size_t text_size;
     struct en_usage usage;
-    int recomputed; /* tokens, of all attempts */
+    int recomputed_tokens; /* tokens, of all attempts */
     int64_t last_token_at;
     int64_t first_token_usec; /* time to this attempt's first token */
     int64_t first_token_at;   /* of this attempt */
@@ -48,8 +48,8 @@
     int capacity_waits;           /* waits in a row for free capacity */
     struct kv_move *move;         /* cache transfer to the target, or NULL */
     struct ch_flight target;      /* reserved during a cache transfer */
-    struct mt_metric *first_token_time;
-    struct mt_metric *token_time;
+    struct mt_metric *first_token_metric;
+    struct mt_metric *token_metric;
 };
 
 void Re_EndFlight(struct rl_engine *relay, enum ch_outcome outcome);
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_leave.c
@@ -13,7 +13,7 @@
 /* Estimated cost of moving a KV cache. */
 #define Rl_MOVE_USEC (20 * Ck_USEC_PER_MSEC)
 #define Rl_MOVE_PER_TOKEN_USEC 20
-#define Rl_FIRST_GUESS_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
+#define Rl_DEFAULT_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
 
 static void decide(struct rl_engine *relay);
 
@@ -53,7 +53,7 @@
     stream->token_usec = tokens_here > 1
                              ? (relay->last_token_at - relay->first_token_at) /
                                    (tokens_here - 1)
-                             : Rl_FIRST_GUESS_TOKEN_USEC;
+                             : Rl_DEFAULT_TOKEN_USEC;
 }
 
 /* Chooses the engine that would take over; does not start a flight on it. */
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -40,7 +40,7 @@
      * request "not run".
      */
     bool maybe_sent;
-    bool lingering;       /* the caller has gone, but the answer is recorded */
+    bool lingering;       /* waits for the answer only to record it */
     int64_t headers_usec; /* time to the headers of the answer */
 };
 
