--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -24,7 +24,7 @@
     struct rh_tries tries;
     char kv_handle[En_KV_MAX]; /* KV cache to resume from; or empty */
     int code;                  /* HTTP status of this attempt; 0: none yet */
-    bool paused;         /* the engine is held back while the caller reads */
+    bool paused;               /* not reading from the engine: slow caller */
     bool streaming;      /* the response headers were sent to the caller */
     bool done;           /* the answer is complete */
     bool invalid;        /* this attempt sent an unusable event */
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_leave.c
@@ -13,6 +13,7 @@
 /* Estimated cost of moving a KV cache. */
 #define Rl_MOVE_USEC (20 * Ck_USEC_PER_MSEC)
 #define Rl_MOVE_PER_TOKEN_USEC 20
+/* Time between tokens, assumed until it can be measured. */
 #define Rl_DEFAULT_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
 
 static void decide(struct rl_engine *relay);
