--- a/packages/gate/intake.c
+++ b/packages/gate/intake.c
@@ -9,33 +9,33 @@
 
 #define In_RETRY_SOON_SEC 1
 #define In_EXPECTED_TOKENS 256
-/* Work of a request beside its tokens, in tokens. */
+/* Cost of a request besides its tokens, in tokens. */
 #define In_BASE_COST 16
 
-struct line {
-    TAILQ_ENTRY(line) link;
+struct service_queue {
+    TAILQ_ENTRY(service_queue) link;
     char service[Cf_NAME_MAX];
     struct qu_queue *queue;
 };
 
-TAILQ_HEAD(line_list, line);
+TAILQ_HEAD(queue_list, service_queue);
 
 struct in_intake {
     struct gt_gate *gate;
     in_start_fn start;
     struct am_limits *limits;
-    struct line_list lines;
-    struct lp_timer *soon;
-    bool pumping;
+    struct queue_list queues;
+    struct lp_timer *dispatch_timer;
+    bool dispatching;
 };
 
 static void
-pump_soon(void *arg)
+on_dispatch(void *arg)
 {
     In_Pump(arg);
 }
 
-/* Creates an intake that knows no customer yet. */
+/* Creates an intake without customers and queues. */
 enum st_status
 In_Create(struct gt_gate *gate, in_start_fn start, struct in_intake **out)
 {
@@ -45,10 +45,10 @@
     }
     intake->gate = gate;
     intake->start = start;
-    TAILQ_INIT(&intake->lines);
+    TAILQ_INIT(&intake->queues);
     intake->limits = Am_Create(gate->options->node_id);
-    intake->soon = Lp_TimerCreate(gate->loop, pump_soon, intake);
-    if (intake->limits == NULL || intake->soon == NULL) {
+    intake->dispatch_timer = Lp_TimerCreate(gate->loop, on_dispatch, intake);
+    if (intake->limits == NULL || intake->dispatch_timer == NULL) {
         In_Destroy(intake);
         return St_Fail(ST_NO_MEMORY, "no memory for the limits");
     }
@@ -63,69 +63,70 @@
     if (intake == NULL) {
         return;
     }
-    struct line *line;
-    while ((line = TAILQ_FIRST(&intake->lines)) != NULL) {
-        TAILQ_REMOVE(&intake->lines, line, link);
-        Qu_Destroy(line->queue);
-        free(line);
+    struct service_queue *service_queue;
+    while ((service_queue = TAILQ_FIRST(&intake->queues)) != NULL) {
+        TAILQ_REMOVE(&intake->queues, service_queue, link);
+        Qu_Destroy(service_queue->queue);
+        free(service_queue);
     }
-    Lp_TimerDestroy(intake->soon);
+    Lp_TimerDestroy(intake->dispatch_timer);
     Am_Destroy(intake->limits);
     free(intake);
 }
 
-static struct line *
-find_line(const struct in_intake *intake, const char *service)
+static struct service_queue *
+find_queue(const struct in_intake *intake, const char *service)
 {
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        if (strcmp(line->service, service) == 0) {
-            return line;
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        if (strcmp(service_queue->service, service) == 0) {
+            return service_queue;
         }
     }
     return NULL;
 }
 
 static void
-add_line(struct in_intake *intake, const char *service)
+add_queue(struct in_intake *intake, const char *service)
 {
-    if (find_line(intake, service) != NULL) {
+    if (find_queue(intake, service) != NULL) {
         return;
     }
-    struct line *line = calloc(1, sizeof(*line));
-    if (line == NULL) {
+    struct service_queue *service_queue = calloc(1, sizeof(*service_queue));
+    if (service_queue == NULL) {
         return;
     }
     struct qu_settings settings;
     Qu_Defaults(&settings);
-    line->queue = Qu_Create(&settings);
-    if (line->queue == NULL) {
-        free(line);
+    service_queue->queue = Qu_Create(&settings);
+    if (service_queue->queue == NULL) {
+        free(service_queue);
         return;
     }
-    strlcpy(line->service, service, sizeof(line->service));
-    TAILQ_INSERT_TAIL(&intake->lines, line, link);
+    strlcpy(service_queue->service, service, sizeof(service_queue->service));
+    TAILQ_INSERT_TAIL(&intake->queues, service_queue, link);
 }
 
-/* Takes over the customers' limits and weights of a new configuration. */
+/* Applies the customers' limits and weights of a configuration. */
 void
 In_Configure(struct in_intake *intake, const struct cf_config *config)
 {
     for (size_t i = 0; i < config->service_count; i++) {
-        add_line(intake, config->services[i].name);
+        add_queue(intake, config->services[i].name);
     }
     for (size_t i = 0; i < config->customer_count; i++) {
         const struct cf_customer *customer = &config->customers[i];
         Am_SetCustomer(intake->limits, customer->name,
                        customer->requests_per_sec, customer->max_in_flight);
-        struct line *line;
-        TAILQ_FOREACH (line, &intake->lines, link) {
-            Qu_SetWeight(line->queue, customer->name, customer->weight);
+        struct service_queue *service_queue;
+        TAILQ_FOREACH (service_queue, &intake->queues, link) {
+            Qu_SetWeight(service_queue->queue, customer->name,
+                         customer->weight);
         }
     }
 }
 
-/* Another daemon came, or has gone: it shares the limits, or no longer. */
+/* Adds or removes another daemon that the customer limits are divided by. */
 void
 In_Member(struct in_intake *intake, const char *node, bool present)
 {
@@ -137,7 +138,7 @@
     }
 }
 
-/* What another daemon's callers ask for. */
+/* Takes the customer demands that another daemon has published. */
 void
 In_Hear(struct in_intake *intake, const char *node,
         const struct pf_demands *demands)
@@ -147,14 +148,14 @@
     Am_HearCount(intake->limits, node, demands->daemons);
 }
 
-/* There are other daemons, and they do not know of this one yet. */
+/* Starts joining: other daemons exist but do not count this one yet. */
 void
 In_Join(struct in_intake *intake)
 {
     Am_Join(intake->limits, Ck_Now(intake->gate->clock));
 }
 
-/* What this daemon's callers ask for, to be told to the others. */
+/* Collects the customer demands of this daemon for the other daemons. */
 void
 In_Publish(struct in_intake *intake, struct pf_demands *out)
 {
@@ -163,35 +164,35 @@
     out->daemons = Am_Daemons(intake->limits);
 }
 
-/* Whether others may still be dividing the limits without this daemon. */
+/* Whether other daemons may still divide the limits without this one. */
 bool
 In_IsJoining(const struct in_intake *intake)
 {
     return Am_IsJoining(intake->limits, Ck_Now(intake->gate->clock));
 }
 
-/* Daemons that the limits are divided by. */
+/* The number of daemons that the customer limits are divided by. */
 size_t
 In_Daemons(const struct in_intake *intake)
 {
     return Am_Daemons(intake->limits);
 }
 
-/* How often to tell the others, in microseconds. */
+/* The interval between two publications of demands, in microseconds. */
 int64_t
 In_PublishInterval(const struct in_intake *intake)
 {
     return Am_Interval(intake->limits);
 }
 
-/* Requests waiting in all queues. */
+/* The number of requests waiting in all queues. */
 int
 In_Queued(const struct in_intake *intake)
 {
     int queued = 0;
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        queued += Qu_Length(line->queue);
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        queued += Qu_Length(service_queue->queue);
     }
     return queued;
 }
@@ -230,13 +231,13 @@
 }
 
 static void
-enqueue(struct in_intake *intake, struct line *line,
+enqueue(struct in_intake *intake, struct service_queue *service_queue,
         struct rq_request *request, const struct ch_capacity *capacity)
 {
     struct qu_refusal refusal = {0};
     fill_item(request);
     enum st_status status =
-        Qu_Push(line->queue, request->customer->name, &request->item,
+        Qu_Push(service_queue->queue, request->customer->name, &request->item,
                 capacity->per_sec, Ck_Now(intake->gate->clock), &refusal);
     if (refusal.evicted != NULL) {
         struct rq_request *evicted = refusal.evicted->request;
@@ -253,8 +254,8 @@
 }
 
 /*
- * Takes a request whose customer and service are known: it is refused at
- * once, dispatched at once, or waits its turn.
+ * Refuses, dispatches or queues a request whose customer and service are
+ * known.
  */
 void
 In_Submit(struct in_intake *intake, struct rq_request *request)
@@ -271,30 +272,32 @@
     request->admitted = true;
     struct ch_capacity capacity = {0};
     struct ch_table *table = Ep_Table(gate->endpoints, request->service->name);
-    struct line *line = find_line(intake, request->service->name);
+    struct service_queue *service_queue =
+        find_queue(intake, request->service->name);
     if (table != NULL) {
         Ch_Capacity(table, now, &capacity);
     }
     /*
-     * With no endpoint in use waiting would not help: the choice of an
-     * endpoint refuses the request, or tries those that are out of use.
+     * While no endpoint is in use, queueing would not help.  The dispatch
+     * refuses the request, or sends it to an endpoint that is out of use.
      */
-    bool hopeless = capacity.endpoints == 0 || line == NULL;
-    if (hopeless ||
-        (Qu_Length(line->queue) == 0 && capacity.free_places > 0)) {
+    bool skip_queue = capacity.endpoints == 0 || service_queue == NULL;
+    if (skip_queue ||
+        (Qu_Length(service_queue->queue) == 0 && capacity.free_places > 0)) {
         intake->start(request);
         return;
     }
-    enqueue(intake, line, request, &capacity);
+    enqueue(intake, service_queue, request, &capacity);
 }
 
-/* A request ends or is given up: it leaves the queue and the limits. */
+/* Removes a request that ends from its queue and from the customer limits. */
 void
-In_Leave(struct in_intake *intake, struct rq_request *request)
+In_Remove(struct in_intake *intake, struct rq_request *request)
 {
     if (request->queued) {
-        struct line *line = find_line(intake, request->service->name);
-        Qu_Remove(line->queue, &request->item);
+        struct service_queue *service_queue =
+            find_queue(intake, request->service->name);
+        Qu_Remove(service_queue->queue, &request->item);
         request->queued = false;
     }
     if (request->admitted) {
@@ -303,35 +306,37 @@
         request->admitted = false;
     }
     if (In_Queued(intake) > 0) {
-        /* Later: whoever ends a request is in the middle of something. */
-        Lp_TimerSet(intake->soon, 0);
+        /* Deferred: In_Remove() runs in the middle of other callbacks. */
+        Lp_TimerSet(intake->dispatch_timer, 0);
     }
 }
 
 static void
-refuse_late(struct line *line, int64_t now)
+refuse_expired(struct service_queue *service_queue, int64_t now)
 {
     struct qu_item *item;
-    while ((item = Qu_Late(line->queue, now)) != NULL) {
+    while ((item = Qu_Late(service_queue->queue, now)) != NULL) {
         struct rq_request *request = item->request;
         request->queued = false;
         Rq_Refuse(request, AN_DEADLINE, In_RETRY_SOON_SEC,
                   "no endpoint of %s was free in time; come back later",
-                  line->service);
+                  service_queue->service);
     }
 }
 
 static void
-pump_line(struct in_intake *intake, struct line *line)
+dispatch_queue(struct in_intake *intake, struct service_queue *service_queue)
 {
     int64_t now = Ck_Now(intake->gate->clock);
-    struct ch_table *table = Ep_Table(intake->gate->endpoints, line->service);
-    refuse_late(line, now);
-    while (table != NULL && Qu_Length(line->queue) > 0) {
+    struct ch_table *table =
+        Ep_Table(intake->gate->endpoints, service_queue->service);
+    refuse_expired(service_queue, now);
+    while (table != NULL && Qu_Length(service_queue->queue) > 0) {
         struct ch_capacity capacity;
         Ch_Capacity(table, now, &capacity);
         bool may_start = capacity.free_places > 0 || capacity.endpoints == 0;
-        struct qu_item *item = may_start ? Qu_Pop(line->queue, now) : NULL;
+        struct qu_item *item =
+            may_start ? Qu_Pop(service_queue->queue, now) : NULL;
         if (item == NULL) {
             return;
         }
@@ -341,17 +346,17 @@
     }
 }
 
-/* Dispatches what has become possible; called when places may be free. */
+/* Dispatches queued requests as far as the endpoints have free capacity. */
 void
 In_Pump(struct in_intake *intake)
 {
-    if (intake->pumping) {
+    if (intake->dispatching) {
         return;
     }
-    intake->pumping = true;
-    struct line *line;
-    TAILQ_FOREACH (line, &intake->lines, link) {
-        pump_line(intake, line);
+    intake->dispatching = true;
+    struct service_queue *service_queue;
+    TAILQ_FOREACH (service_queue, &intake->queues, link) {
+        dispatch_queue(intake, service_queue);
     }
-    intake->pumping = false;
+    intake->dispatching = false;
 }
--- a/packages/gate/intake.h
+++ b/packages/gate/intake.h
@@ -1,6 +1,6 @@
 /*
- * Between a caller's request and its dispatch: limits per customer that hold
- * over all daemons together, and a fair queue in front of each service.
+ * Admission of requests: customer limits that hold across all daemons, and a
+ * fair queue in front of each service.
  */
 #ifndef GATE_INTAKE_H
 #define GATE_INTAKE_H
@@ -32,7 +32,7 @@
 void In_Join(struct in_intake *intake);
 void In_Publish(struct in_intake *intake, struct pf_demands *out);
 void In_Submit(struct in_intake *intake, struct rq_request *request);
-void In_Leave(struct in_intake *intake, struct rq_request *request);
+void In_Remove(struct in_intake *intake, struct rq_request *request);
 void In_Pump(struct in_intake *intake);
 
 /* Queries. */
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -1,10 +1,11 @@
 /*
- * Relays a completion to a model engine and makes its stream whole.
+ * Relays a completion to a model engine and resumes its stream after a
+ * failure.
  *
- * The engine always streams to us, each token with its number.  When the
- * stream breaks, or its engine is about to be reclaimed, the request goes on
- * at another engine from the tokens already given; the numbers make sure that
- * the caller sees neither a gap nor a repeat.
+ * Engines always stream to this daemon, with an index for each token.  When a
+ * stream breaks, or the host of its engine is about to be reclaimed, the
+ * request is resumed at another engine from the tokens received so far.  The
+ * indexes ensure that the caller gets no gap and no repeated token.
  */
 #include "gate/relay_engine.h"
 
@@ -18,21 +19,22 @@
 #include "gate/events.h"
 #include "gate/quarantine.h"
 
-#define Rl_ATTEMPTS 6
-#define Rl_UNREACHED_MAX 16
-#define Rl_WAITS_MAX 16 /* for a place at those that have not failed it */
+#define Rl_ATTEMPTS_MAX 6
+#define Rl_UNREACHED_MAX 16 /* attempts without a connection */
+/* Waits in a row for capacity at the engines that have not failed. */
+#define Rl_CAPACITY_WAITS_MAX 16
 #define Rl_EVENT_MAX ((size_t)64 << 10)
 #define Rl_TEXT_MAX ((size_t)4 << 20)
-#define Rl_PENDING_MAX ((size_t)256 << 10)
+#define Rl_PENDING_MAX ((size_t)256 << 10) /* bytes the caller has to read */
 #define Rl_RETRY_SOON_SEC 1
 /*
- * A host that froze or lost its network sends no reset: its stream would stay
- * silent until the caller's deadline.  No engine pauses so long between
- * tokens; before the first it may be queueing, and is only given up when its
- * watcher does not reach it either.
+ * A host that froze or lost its network sends no reset, so its stream would
+ * stay silent until the caller's deadline.  No engine pauses so long between
+ * two tokens.  Before the first token the request may be queued at the engine;
+ * it is then given up only when load polls do not reach the engine either.
  */
 #define Rl_STALL_USEC (5 * Ck_USEC_PER_SEC)
-#define Rl_STALL_CHECK (1 * Ck_USEC_PER_SEC)
+#define Rl_STALL_CHECK_USEC (1 * Ck_USEC_PER_SEC)
 #define Rl_URGENT_PRIORITY 10
 #define Rl_PATIENT_PRIORITY 1
 #define Rl_LABELS_MAX 200
@@ -41,13 +43,13 @@
 static void attempt(struct rl_engine *relay);
 static enum st_status send_call(struct rl_engine *relay);
 
-/* Ends the attempt's place at its engine and tells what it showed. */
+/* Ends the attempt's flight and records its outcome. */
 void
 Re_EndFlight(struct rl_engine *relay, enum ch_outcome outcome)
 {
     if (relay->flight.endpoint != NULL) {
-        Rq_NoteVersion(relay->request, &relay->flight, outcome,
-                       relay->answered);
+        Rq_RecordOutcome(relay->request, &relay->flight, outcome,
+                         relay->first_token_usec);
         Ch_End(relay->table, &relay->flight, outcome,
                Ck_Now(relay->request->gate->clock));
         relay->flight.endpoint = NULL;
@@ -65,7 +67,7 @@
 }
 
 static bool
-keep_text(struct rl_engine *relay, const char *text)
+append_text(struct rl_engine *relay, const char *text)
 {
     size_t len = strlen(text);
     if (relay->text_len + len > Rl_TEXT_MAX) {
@@ -107,7 +109,7 @@
     Hs_StreamWrite(request->http, "\n\n", 2);
     if (Hs_Pending(request->http) > Rl_PENDING_MAX && relay->call != NULL &&
         !relay->paused) {
-        /* A caller that reads slowly holds its engine back, not our memory. */
+        /* Backpressure: a slow caller must not fill this host's memory. */
         Hc_Pause(relay->call, true);
         relay->paused = true;
     }
@@ -119,17 +121,17 @@
     struct rq_request *request = relay->request;
     int64_t now = Ck_Now(request->gate->clock);
     if (relay->tokens == 0) {
-        Mt_Observe(relay->first_token_time, now - request->arrived);
+        Mt_Observe(relay->first_token_metric, now - request->arrived_at);
     }
     else {
-        Mt_Observe(relay->token_time, now - relay->last_token);
+        Mt_Observe(relay->token_metric, now - relay->last_token_at);
     }
-    relay->last_token = now;
+    relay->last_token_at = now;
     if (relay->flight.endpoint != NULL && !relay->flight.first_token) {
-        relay->began = now;
-        relay->answered = now - relay->flight.started;
+        relay->first_token_at = now;
+        relay->first_token_usec = now - relay->flight.started;
         Ch_FirstToken(relay->table, &relay->flight, now);
-        Gq_Began(request->gate->quarantine, request);
+        Gq_RecordFirstToken(request->gate->quarantine, request);
     }
 }
 
@@ -141,8 +143,8 @@
         Gt_Count(request->gate, "cg_repeated_tokens_total", NULL, NULL);
         return;
     }
-    if (event->index > relay->tokens || !keep_text(relay, event->text)) {
-        relay->broken = true;
+    if (event->index > relay->tokens || !append_text(relay, event->text)) {
+        relay->invalid = true;
         return;
     }
     observe_token(relay);
@@ -163,25 +165,27 @@
 static void
 take_usage(struct rl_engine *relay, const struct en_event *event)
 {
-    relay->expected = relay->sent_on + event->usage.completion_tokens;
-    relay->recomputed += event->usage.recomputed_tokens;
+    relay->expected_tokens =
+        relay->tokens_at_start + event->usage.completion_tokens;
+    relay->recomputed_tokens += event->usage.recomputed_tokens;
     relay->usage = event->usage;
-    relay->usage.completion_tokens = relay->expected;
-    relay->usage.recomputed_tokens = relay->recomputed;
+    relay->usage.completion_tokens = relay->expected_tokens;
+    relay->usage.recomputed_tokens = relay->recomputed_tokens;
 }
 
 /*
- * The end mark alone does not make an answer whole: tokens may have been
- * dropped as another request's.  The engine's own count must agree.
+ * An end mark does not prove that the answer is complete, because events with
+ * another request's id have been dropped.  The engine's token count must match
+ * as well.
  */
 static void
 take_end(struct rl_engine *relay)
 {
-    if (relay->expected == relay->tokens) {
+    if (relay->expected_tokens == relay->tokens) {
         relay->done = true;
     }
     else {
-        relay->broken = true;
+        relay->invalid = true;
     }
 }
 
@@ -191,11 +195,11 @@
     struct rl_engine *relay = arg;
     struct rq_request *request = relay->request;
     struct en_event event;
-    if (relay->done || relay->broken) {
+    if (relay->done || relay->invalid) {
         return;
     }
     if (En_ReadEvent(data, len, &event) != ST_OK) {
-        relay->broken = true;
+        relay->invalid = true;
         return;
     }
     if (event.kind == EN_DONE) {
@@ -203,7 +207,7 @@
         return;
     }
     if (strcmp(event.id, relay->attempt) != 0) {
-        /* Another request's token, or a late one of an earlier attempt. */
+        /* An event of another request, or a late one of an earlier attempt. */
         Ev_Log(&GT_CROSSED, "request=%s service=%s", request->id,
                request->service->name);
         Gt_Count(request->gate, "cg_crossed_answers_total", NULL, NULL);
@@ -215,7 +219,7 @@
         take_usage(relay, &event);
     }
     else {
-        relay->broken = true;
+        relay->invalid = true;
     }
     En_EventFree(&event);
 }
@@ -225,10 +229,10 @@
 {
     struct rl_engine *relay = arg;
     struct gt_gate *gate = relay->request->gate;
-    Rh_Came(gate->reach, &relay->tries);
+    Rh_Connected(gate->reach, &relay->tries);
     relay->code = code;
     if (relay->flight.endpoint != NULL) {
-        Gq_Lives(gate->quarantine, Ch_Info(relay->flight.endpoint)->id);
+        Gq_RecordAlive(gate->quarantine, Ch_Info(relay->flight.endpoint)->id);
     }
 }
 
@@ -239,7 +243,7 @@
     Mt_Add(Mt_Get(gate->metrics, MT_COUNTER, "cg_tokens_total", ""),
            relay->tokens);
     Mt_Add(Mt_Get(gate->metrics, MT_COUNTER, "cg_tokens_recomputed_total", ""),
-           relay->recomputed);
+           relay->recomputed_tokens);
 }
 
 static void
@@ -277,16 +281,16 @@
     struct rq_request *request = relay->request;
     Re_DropMove(relay);
     Re_EndFlight(relay, CH_GOOD);
-    Rq_Succeeded(relay->request);
+    Rq_RecordSuccess(relay->request);
     count_tokens(relay);
     answer_caller(relay);
     Rq_Finish(request, AN_RAN);
 }
 
 /*
- * Gives the request up.  A stream already begun cannot be refused any more;
- * it ends with an error event and without the end mark, so that the caller
- * cannot take it for a whole answer.
+ * Ends the request with an error.  A stream that has begun ends with an error
+ * event and without the end mark, so that the caller cannot take the answer
+ * for complete.
  */
 static void
 give_up(struct rl_engine *relay, enum an_kind kind, const char *message)
@@ -309,72 +313,75 @@
     Rq_Refuse(request, kind, Rl_RETRY_SOON_SEC, "%s", message);
 }
 
-/* True when an engine may have run any part of the request. */
+/* Whether an engine may have run any part of the request. */
 static bool
 may_have_run(const struct rl_engine *relay)
 {
-    int left = Rq_Sent(&relay->attempts);
+    int maybe_sent = Rq_SentCount(&relay->attempts);
     if (relay->call != NULL && Hc_Stage(relay->call) == HC_CONNECTING) {
-        left--;
+        maybe_sent--;
     }
-    return left > 0;
+    return maybe_sent > 0;
 }
 
-/* How a failure is told: as "not run" where that is known. */
+/* The refusal for a failed request: "not run" only where that is certain. */
 static enum an_kind
-failure_told(const struct rl_engine *relay)
+refusal_kind(const struct rl_engine *relay)
 {
     return may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE;
 }
 
-/* Whether as many tries in a row as may be have reached nobody. */
+/* Whether the limit of attempts without a connection is reached. */
 static bool
-reached_nobody(const struct rl_engine *relay)
+is_unreachable(const struct rl_engine *relay)
 {
-    int tries =
-        may_have_run(relay) ? relay->astray : relay->attempts.unreached;
+    int tries = may_have_run(relay) ? relay->connect_failures
+                                    : relay->attempts.not_sent;
     return tries >= Rl_UNREACHED_MAX;
 }
 
 /*
- * Whether to wait before the next try: a request that may have run can no
- * longer be refused as "not run", so that its caller is better off when it
- * goes on a little later at an engine that this host does not know of yet.
+ * Whether to wait before the next attempt.  A request that may have run can no
+ * longer be refused as "not run".  Its caller is served better by an attempt a
+ * little later, at an engine that this daemon has yet to learn of.
  */
 static bool
 should_wait(const struct rl_engine *relay)
 {
-    return relay->astray > 0 && may_have_run(relay) && !reached_nobody(relay);
+    return relay->connect_failures > 0 && may_have_run(relay) &&
+           !is_unreachable(relay);
 }
 
 static void
 wait_for_engine(struct rl_engine *relay)
 {
     Gt_Count(relay->request->gate, "cg_streams_waiting_total", NULL, NULL);
-    Lp_TimerSet(relay->again_timer, Rt_Gap(relay->astray + relay->waits));
+    Lp_TimerSet(relay->retry_timer,
+                Rt_Gap(relay->connect_failures + relay->capacity_waits));
 }
 
 static void
-again_due(void *arg)
+retry_due(void *arg)
 {
     struct rl_engine *relay = arg;
     attempt(relay);
 }
 
-/* Goes on at another engine from the tokens given, or gives the request up. */
+/* Resumes the request at another engine, or gives it up. */
 void
 Re_NextAttempt(struct rl_engine *relay)
 {
     struct gt_gate *gate = relay->request->gate;
     Re_DropMove(relay);
-    if (relay->tokens == 0 && Gq_Doubts(gate->quarantine, relay->request)) {
-        give_up(relay, failure_told(relay),
+    if (relay->tokens == 0 &&
+        Gq_DeniesRetry(gate->quarantine, relay->request)) {
+        give_up(relay, refusal_kind(relay),
                 "two engines ended under this request; it is sent to no "
                 "third");
         return;
     }
-    if (relay->attempts.failed >= Rl_ATTEMPTS || reached_nobody(relay)) {
-        give_up(relay, failure_told(relay),
+    if (relay->attempts.failed >= Rl_ATTEMPTS_MAX || is_unreachable(relay)) {
+        give_up(relay, refusal_kind(relay),
                 "several engines failed this request; it may be repeated");
         return;
     }
@@ -391,18 +398,19 @@
 }
 
 /*
- * An attempt failed.  Going on with a stream that the caller has begun to
- * read is always tried; starting anew is a retry and is paid for.
+ * Handles a failed attempt.  A request with tokens is always resumed; one
+ * without tokens is retried, which takes from the service's retry budget.
  */
 static void
 attempt_failed(struct rl_engine *relay, enum hc_stage reached)
 {
     enum rt_stage stage = reached == HC_CONNECTING ? RT_NOT_SENT : RT_SENT;
     Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
-    relay->astray = stage == RT_NOT_SENT ? relay->astray + 1 : 0;
+    relay->connect_failures =
+        stage == RT_NOT_SENT ? relay->connect_failures + 1 : 0;
     if (relay->tokens == 0 &&
         !Rq_MayRetry(relay->request, stage, &relay->attempts)) {
-        give_up(relay, failure_told(relay),
+        give_up(relay, refusal_kind(relay),
                 "the engines of this service fail; the request may be "
                 "repeated later");
         return;
@@ -411,7 +419,7 @@
 }
 
 static enum ch_outcome
-failure_kind(enum hc_stage reached, int code)
+flight_outcome(enum hc_stage reached, int code)
 {
     if (reached == HC_CONNECTING) {
         return CH_UNREACHED;
@@ -419,22 +427,22 @@
     return code == 429 || code == 503 ? CH_OVERLOADED : CH_FAILED;
 }
 
-/* The engine may have ended before the first token. */
+/* Reports a connection that broke before the first token to the quarantine. */
 static void
-note_broke(struct rl_engine *relay, const struct hc_result *result)
+report_break(struct rl_engine *relay, const struct hc_result *result)
 {
     struct rq_request *request = relay->request;
-    /* What led through another daemon may have broken there. */
+    /* A connection through a peer may have broken at the peer instead. */
     if (result->stage == HC_CONNECTING || relay->flight.endpoint == NULL ||
-        relay->flight.first_token || relay->tries.peer == WY_CAME) {
+        relay->flight.first_token || relay->tries.peer_outcome == WY_CAME) {
         return;
     }
-    struct gq_break broke = {
+    struct gq_break connection_break = {
         .endpoint = Ch_Info(relay->flight.endpoint)->id,
-        .begun = relay->code == 200,
+        .head_received = relay->code == 200,
         .sent_at = relay->flight.started,
     };
-    Gq_Broke(request->gate->quarantine, request, &broke);
+    Gq_RecordBreak(request->gate->quarantine, request, &connection_break);
 }
 
 static void
@@ -451,12 +459,12 @@
         return;
     }
     /*
-     * Only the first engine's word counts as the request being invalid: an
-     * engine that refuses to go on with a stream would otherwise end it with
-     * a refusal among the tokens, after another engine has run it.
+     * A 4xx status refuses the request as invalid only on the first attempt.
+     * A later engine that rejects a resumption must not cause "not run" after
+     * another engine has run the request, nor a refusal inside a stream.
      */
     if (result->code >= 400 && result->code < 500 && result->code != 429 &&
-        Rq_Sent(&relay->attempts) == 1) {
+        Rq_SentCount(&relay->attempts) == 1) {
         Re_EndFlight(relay, CH_GOOD);
         Rq_Refuse(relay->request, AN_INVALID, 0,
                   "the engine refused the request with %d; check its fields",
@@ -464,13 +472,13 @@
         return;
     }
     if (result->code == 0 || result->code == 200) {
-        note_broke(relay, result);
+        report_break(relay, result);
     }
     if (result->stage == HC_CONNECTING && relay->flight.endpoint != NULL) {
-        Gq_Dead(relay->request->gate->quarantine,
-                Ch_Info(relay->flight.endpoint)->id);
+        Gq_RecordDead(relay->request->gate->quarantine,
+                      Ch_Info(relay->flight.endpoint)->id);
     }
-    Re_EndFlight(relay, failure_kind(result->stage, result->code));
+    Re_EndFlight(relay, flight_outcome(result->stage, result->code));
     attempt_failed(relay, result->stage);
 }
 
@@ -482,13 +490,13 @@
         return;
     }
     if (Ss_Feed(relay->parser, data, len, take_event, relay) != ST_OK) {
-        relay->broken = true;
+        relay->invalid = true;
     }
     if (relay->done) {
         Re_DropCall(relay);
         finish(relay);
     }
-    else if (relay->broken) {
+    else if (relay->invalid) {
         Re_DropCall(relay);
         Re_EndFlight(relay, CH_FAILED);
         attempt_failed(relay, HC_ANSWERED);
@@ -510,7 +518,7 @@
         .text = relay->text,
         .text_len = relay->text_len,
         .tokens = relay->tokens,
-        .kv = relay->kv[0] != '\0' ? relay->kv : NULL,
+        .kv = relay->kv_handle[0] != '\0' ? relay->kv_handle : NULL,
     };
     char *body = En_BuildRequest(
         &request->prompt,
@@ -531,14 +539,14 @@
         .body = body,
         .body_len = strlen(body),
     };
-    Rh_Fill(&relay->tries, &call);
+    Rh_FillCall(&relay->tries, &call);
     enum st_status status =
         Hc_Start(request->gate->loop, &call, &call_ops, relay, &relay->call);
     free(body);
     return status;
 }
 
-/* What the choice of an engine needs to know of the request as it stands. */
+/* Fills in what the choice of an engine depends on. */
 void
 Re_FillAsk(const struct rl_engine *relay, struct ch_request *ask)
 {
@@ -551,39 +559,40 @@
                                ? request->prompt.max_tokens
                                : Rl_EXPECTED_TOKENS;
     ask->budget = request->deadline - Ck_Now(request->gate->clock);
-    ask->again = relay->attempts.all > 0;
+    ask->again = relay->attempts.total > 0;
     ask->failed = Rq_HasFailed(&relay->attempts);
     Rq_Constrain(request, ask);
 }
 
-/* Sends the request to the engine of the flight that has been started. */
+/* Sends the request to the engine of the current flight. */
 void
 Re_Launch(struct rl_engine *relay, const char *kv)
 {
     Ss_Destroy(relay->parser);
     relay->parser = Ss_Create(Rl_EVENT_MAX);
-    relay->attempts.all++;
-    relay->broken = false;
+    relay->attempts.total++;
+    relay->invalid = false;
     relay->paused = false;
     relay->code = 0;
-    relay->sent_on = relay->tokens;
-    relay->expected = -1;
+    relay->tokens_at_start = relay->tokens;
+    relay->expected_tokens = -1;
     snprintf(relay->attempt, sizeof(relay->attempt), "%s.%d",
-             relay->request->id, relay->attempts.all);
-    strlcpy(relay->kv, kv != NULL ? kv : "", sizeof(relay->kv));
+             relay->request->id, relay->attempts.total);
+    strlcpy(relay->kv_handle, kv != NULL ? kv : "", sizeof(relay->kv_handle));
     Rh_Begin(relay->request->gate->reach, &relay->tries,
              Ch_Info(relay->flight.endpoint));
     if (relay->parser == NULL || send_call(relay) != ST_OK) {
-        relay->attempts.unreached++;
+        relay->attempts.not_sent++;
         give_up(relay, may_have_run(relay) ? AN_UNKNOWN : AN_OVERLOADED,
                 "this host is out of memory; come back later");
     }
 }
 
 /*
- * Chooses the engine of the next attempt.  While those that have not failed
- * this request have no place free it waits for one; only then are the others
- * asked again.
+ * Chooses the engine of the next attempt.  Returns ST_OVERLOAD, for the caller
+ * to wait, while the engines that have not failed this request are busy.
+ * After Rl_CAPACITY_WAITS_MAX waits the engines that failed it are allowed
+ * again.
  */
 static enum st_status
 choose(struct rl_engine *relay, struct ch_request *ask)
@@ -591,7 +600,8 @@
     struct rq_request *request = relay->request;
     enum st_status status =
         Rq_Choose(request, relay->table, ask, &relay->flight);
-    if (status == ST_OVERLOAD && relay->waits >= Rl_WAITS_MAX) {
+    if (status == ST_OVERLOAD &&
+        relay->capacity_waits >= Rl_CAPACITY_WAITS_MAX) {
         status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
     }
     return status;
@@ -606,12 +616,12 @@
     relay->table = Ep_Table(request->gate->endpoints, request->service->name);
     enum st_status status = choose(relay, &ask);
     if (status == ST_OVERLOAD && may_have_run(relay)) {
-        relay->waits++;
+        relay->capacity_waits++;
         wait_for_engine(relay);
         return;
     }
     if (status != ST_OK) {
-        relay->astray++;
+        relay->connect_failures++;
         if (should_wait(relay)) {
             wait_for_engine(relay);
             return;
@@ -619,11 +629,11 @@
         char message[Rl_MESSAGE_MAX];
         snprintf(message, sizeof(message),
                  "no engine of this service %s; come back later",
-                 Rq_WhyNone(request, relay->table));
-        give_up(relay, failure_told(relay), message);
+                 Rq_WhyUnavailable(request, relay->table));
+        give_up(relay, refusal_kind(relay), message);
         return;
     }
-    relay->waits = 0;
+    relay->capacity_waits = 0;
     Re_Launch(relay, NULL);
 }
 
@@ -634,7 +644,7 @@
         return false;
     }
     if (relay->flight.first_token) {
-        return now - relay->last_token >= Rl_STALL_USEC;
+        return now - relay->last_token_at >= Rl_STALL_USEC;
     }
     return Ch_State(relay->flight.endpoint) == CH_SUSPECT &&
            now - relay->flight.started >= Rl_STALL_USEC;
@@ -645,7 +655,7 @@
 {
     struct rl_engine *relay = arg;
     struct gt_gate *gate = relay->request->gate;
-    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK);
+    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK_USEC);
     if (is_stalled(relay, Ck_Now(gate->clock))) {
         Gt_Count(gate, "cg_streams_stalled_total", NULL, NULL);
         enum hc_stage reached =
@@ -663,13 +673,13 @@
     char labels[Rl_LABELS_MAX];
     snprintf(labels, sizeof(labels), "customer=\"%s\",class=\"%s\"",
              request->customer->name, request->patient ? "patient" : "urgent");
-    relay->first_token_time = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
-                                     "cg_first_token_seconds", labels);
-    relay->token_time = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
-                               "cg_between_tokens_seconds", labels);
+    relay->first_token_metric = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
+                                       "cg_first_token_seconds", labels);
+    relay->token_metric = Mt_Get(request->gate->metrics, MT_HISTOGRAM,
+                                 "cg_between_tokens_seconds", labels);
 }
 
-/* Sends the request to an engine; ends it sooner or later. */
+/* Starts relaying a request; the relay ends the request. */
 void
 Rl_EngineStart(struct rq_request *request)
 {
@@ -684,19 +694,19 @@
     relay->plan_timer = Lp_TimerCreate(request->gate->loop, Re_PlanDue, relay);
     relay->stall_timer =
         Lp_TimerCreate(request->gate->loop, stall_check, relay);
-    relay->again_timer = Lp_TimerCreate(request->gate->loop, again_due, relay);
+    relay->retry_timer = Lp_TimerCreate(request->gate->loop, retry_due, relay);
     if (relay->plan_timer == NULL || relay->stall_timer == NULL ||
-        relay->again_timer == NULL) {
+        relay->retry_timer == NULL) {
         give_up(relay, AN_OVERLOADED,
                 "this host is out of memory; come back later");
         return;
     }
-    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK);
+    Lp_TimerSet(relay->stall_timer, Rl_STALL_CHECK_USEC);
     find_metrics(relay);
     attempt(relay);
 }
 
-/* Nobody waits any more: closing the connection stops the engine's work. */
+/* Ends a request without a caller; the closed connection stops the engine. */
 void
 Rl_EngineCallerGone(struct rq_request *request)
 {
@@ -707,7 +717,7 @@
     Rq_Finish(request, AN_OUTCOME_UNKNOWN);
 }
 
-/* The caller's time is up. */
+/* Ends a request whose deadline has passed. */
 void
 Rl_EngineDeadline(struct rq_request *request)
 {
@@ -718,7 +728,7 @@
 }
 
 void
-Rl_EngineStopped(struct rq_request *request, uint32_t part)
+Rl_EngineQuarantined(struct rq_request *request, uint32_t part)
 {
     struct rl_engine *relay = request->engine;
     if (relay->tokens > 0) {
@@ -727,10 +737,10 @@
     char message[Rl_MESSAGE_MAX];
     snprintf(message, sizeof(message), "part %08x of the prompt ends engines",
              part);
-    give_up(relay, failure_told(relay), message);
+    give_up(relay, refusal_kind(relay), message);
 }
 
-/* The caller has read what was sent; the engine may go on. */
+/* Resumes reading from the engine after the caller has read its backlog. */
 void
 Rl_EngineDrained(struct rq_request *request)
 {
@@ -741,7 +751,7 @@
     }
 }
 
-/* Frees the relay; its call is given up. */
+/* Cancels the call and frees the relay. */
 void
 Rl_EngineFree(struct rl_engine *relay)
 {
@@ -754,7 +764,7 @@
     }
     Lp_TimerDestroy(relay->plan_timer);
     Lp_TimerDestroy(relay->stall_timer);
-    Lp_TimerDestroy(relay->again_timer);
+    Lp_TimerDestroy(relay->retry_timer);
     Ss_Destroy(relay->parser);
     free(relay->text);
     free(relay);
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_leave.c
@@ -1,6 +1,7 @@
 /*
- * Streams on an engine that is leaving: each finishes, moves its KV cache or
- * is resumed elsewhere, by the time left.
+ * Streams on an engine whose host is about to be reclaimed.  Depending on the
+ * time left, each finishes there, moves its KV cache to another engine, or is
+ * resumed at another engine from its tokens.
  */
 #include <bsd/string.h>
 #include <string.h>
@@ -9,14 +10,15 @@
 #include "gate/events.h"
 #include "gate/relay_engine.h"
 
-/* What moving a cache costs, until an engine has shown otherwise. */
+/* Estimated cost of moving a KV cache. */
 #define Rl_MOVE_USEC (20 * Ck_USEC_PER_MSEC)
-#define Rl_MOVE_PER_TOKEN 20
-#define Rl_FIRST_GUESS_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
+#define Rl_MOVE_PER_TOKEN_USEC 20
+/* Time between tokens, assumed until it can be measured. */
+#define Rl_DEFAULT_TOKEN_USEC (30 * Ck_USEC_PER_MSEC)
 
 static void decide(struct rl_engine *relay);
 
-/* Gives up a cache on its way and the place kept for it. */
+/* Cancels a cache transfer and releases its reservation at the target. */
 void
 Re_DropMove(struct rl_engine *relay)
 {
@@ -29,7 +31,7 @@
                Ck_Now(relay->request->gate->clock));
         relay->target.endpoint = NULL;
     }
-    relay->leaving = 0;
+    relay->leaves_at = 0;
     if (relay->plan_timer != NULL) {
         Lp_TimerCancel(relay->plan_timer);
     }
@@ -42,19 +44,20 @@
     const struct rq_request *request = relay->request;
     int whole = request->prompt.max_tokens > 0 ? request->prompt.max_tokens
                                                : Rl_EXPECTED_TOKENS;
-    int given_here = relay->tokens - relay->sent_on;
-    stream->left = relay->leaving - now;
+    int tokens_here = relay->tokens - relay->tokens_at_start;
+    stream->left = relay->leaves_at - now;
     stream->prompt_tokens =
         (int)(request->prompt.text_len / Rl_BYTES_PER_TOKEN);
     stream->tokens_given = relay->tokens;
     stream->tokens_expected =
         whole > relay->tokens ? whole - relay->tokens : 1;
-    stream->token_usec =
-        given_here > 1 ? (relay->last_token - relay->began) / (given_here - 1)
-                       : Rl_FIRST_GUESS_TOKEN_USEC;
+    stream->token_usec = tokens_here > 1
+                             ? (relay->last_token_at - relay->first_token_at) /
+                                   (tokens_here - 1)
+                             : Rl_DEFAULT_TOKEN_USEC;
 }
 
-/* The engine that would take the stream over; no flight is started. */
+/* Chooses the engine that would take over; does not start a flight on it. */
 static void
 fill_target(struct rl_engine *relay, int64_t now, struct sm_target *target,
             struct ch_flight *flight)
@@ -71,7 +74,7 @@
     target->imports = true;
     target->wait = target->found ? flight->predicted : 0;
     target->move_usec = Rl_MOVE_USEC;
-    target->move_per_token = Rl_MOVE_PER_TOKEN;
+    target->move_per_token = Rl_MOVE_PER_TOKEN_USEC;
     target->prefill_per_token = settings.per_token;
 }
 
@@ -90,9 +93,9 @@
     Re_DropCall(relay);
     Re_EndFlight(relay, CH_CANCELLED);
     relay->flight = relay->target;
-    Rq_NoteSentTo(relay->request, Ch_Info(relay->flight.endpoint)->id);
+    Rq_RecordDispatch(relay->request, Ch_Info(relay->flight.endpoint)->id);
     relay->target.endpoint = NULL;
-    relay->leaving = 0;
+    relay->leaves_at = 0;
     Lp_TimerCancel(relay->plan_timer);
     Ev_Log(&GT_STREAM_MOVED, "request=%s tokens=%d how=kv", relay->request->id,
            relay->tokens);
@@ -108,8 +111,8 @@
 }
 
 /*
- * Moves the cache while the stream goes on where it is.  If the engine dies
- * first, or the move fails, the stream is resumed from its tokens instead.
+ * Moves the KV cache while the stream continues at its engine.  If the engine
+ * ends first or the transfer fails, the stream is resumed from its tokens.
  */
 static void
 start_move(struct rl_engine *relay, const struct ch_flight *flight,
@@ -123,7 +126,7 @@
     to_target(Ch_Info(relay->flight.endpoint), &source);
     to_target(Ch_Info(relay->target.endpoint), &target);
     if (Kv_Start(gate->loop, &source, &target, relay->attempt,
-                 relay->leaving - now, cache_moved, relay,
+                 relay->leaves_at - now, cache_moved, relay,
                  &relay->move) != ST_OK) {
         relay->move = NULL;
         Re_DropCall(relay);
@@ -132,7 +135,7 @@
     }
 }
 
-/* Finish, move the cache, or resume elsewhere: chosen by the time left. */
+/* Decides whether the stream finishes, moves its cache or is resumed. */
 static void
 decide(struct rl_engine *relay)
 {
@@ -158,7 +161,7 @@
     Lp_TimerSet(relay->plan_timer, decision.act_after);
 }
 
-/* The time has come to act on what was decided, or to decide again. */
+/* Timer callback: carries out a planned resumption, or decides again. */
 void
 Re_PlanDue(void *arg)
 {
@@ -172,7 +175,7 @@
     Re_NextAttempt(relay);
 }
 
-/* An endpoint is leaving: what becomes of each stream on it is decided. */
+/* Decides for each stream on an endpoint that is leaving. */
 void
 Rl_EndpointLeaving(void *arg, const char *service, const char *endpoint,
                    int64_t left_usec)
@@ -187,7 +190,7 @@
             strcmp(Ch_Info(relay->flight.endpoint)->id, endpoint) != 0) {
             continue;
         }
-        relay->leaving = Ck_Now(gate->clock) + left_usec;
+        relay->leaves_at = Ck_Now(gate->clock) + left_usec;
         decide(relay);
     }
 }
