--- a/packages/policy/brittle.c
+++ b/packages/policy/brittle.c
@@ -18,21 +18,22 @@
 #define Br_TURN_USEC (500 * Ck_USEC_PER_MSEC)
 
 struct br_part
-Br_Part(int most, size_t hosts, size_t endpoints)
-{
-    size_t full_budget =
-        (size_t)(most + Br_FULL_HOSTS_DIVISOR - 1) / Br_FULL_HOSTS_DIVISOR;
-    struct br_part part = {.full_hosts =
-                               hosts < full_budget ? hosts : full_budget,
-                           .max_unconfirmed = 1};
-    if (part.full_hosts > 0 && full_budget / part.full_hosts > 1) {
-        part.max_unconfirmed = (int)(full_budget / part.full_hosts);
+Br_Part(int refusal_limit, size_t hosts, size_t endpoints)
+{
+    size_t full_budget = (size_t)(refusal_limit + Br_FULL_HOSTS_DIVISOR - 1) /
+                         Br_FULL_HOSTS_DIVISOR;
+    struct br_part quota = {.full_hosts =
+                                hosts < full_budget ? hosts : full_budget,
+                            .max_unconfirmed = 1};
+    if (quota.full_hosts > 0 && full_budget / quota.full_hosts > 1) {
+        quota.max_unconfirmed = (int)(full_budget / quota.full_hosts);
     }
-    part.half_hosts = part.full_hosts + ((size_t)most - full_budget);
-    part.half_hosts = part.half_hosts < hosts ? part.half_hosts : hosts;
-    part.hosts_per_endpoint =
+    quota.half_hosts =
+        quota.full_hosts + ((size_t)refusal_limit - full_budget);
+    quota.half_hosts = quota.half_hosts < hosts ? quota.half_hosts : hosts;
+    quota.hosts_per_endpoint =
         endpoints > 0 ? (hosts + endpoints - 1) / endpoints : hosts;
-    return part;
+    return quota;
 }
 
 static bool
@@ -42,91 +43,92 @@
 }
 
 static void
-record_limit(struct br_room *room, int most, int64_t now)
+record_limit(struct br_room *state, int refusal_limit, int64_t now)
 {
-    if (!Br_IsBrittle(room, now)) {
-        room->learned_at = now;
+    if (!Br_IsBrittle(state, now)) {
+        state->learned_at = now;
     }
-    room->most = most;
+    state->most = refusal_limit;
 }
 
 void
-Br_Told(struct br_room *room, int most, int64_t now)
+Br_Told(struct br_room *state, int refusal_limit, int64_t now)
 {
-    record_limit(room, most, now);
-    room->endpoint_report_at = now;
+    record_limit(state, refusal_limit, now);
+    state->endpoint_report_at = now;
 }
 
 void
-Br_Heard(struct br_room *room, int most, int64_t now)
+Br_Heard(struct br_room *state, int refusal_limit, int64_t now)
 {
-    record_limit(room, most, now);
-    room->peer_report_at = now;
+    record_limit(state, refusal_limit, now);
+    state->peer_report_at = now;
 }
 
 bool
-Br_IsOver(const struct br_room *room, int64_t sent_at)
+Br_IsOver(const struct br_room *state, int64_t sent_at)
 {
-    return room->said && sent_at > room->endpoint_report_at;
+    return state->said && sent_at > state->endpoint_report_at;
 }
 
 void
-Br_End(struct br_room *room)
+Br_End(struct br_room *state)
 {
-    room->endpoint_report_at = 0;
-    room->peer_report_at = 0;
-    room->said = false;
+    state->endpoint_report_at = 0;
+    state->peer_report_at = 0;
+    state->said = false;
 }
 
 bool
-Br_HeardLately(const struct br_room *room, int64_t now)
+Br_HeardLately(const struct br_room *state, int64_t now)
 {
-    return is_recent(room->peer_report_at, Br_PEER_REPORT_GAP_USEC, now);
+    return is_recent(state->peer_report_at, Br_PEER_REPORT_GAP_USEC, now);
 }
 
 bool
-Br_IsTold(const struct br_room *room, int64_t now)
+Br_IsTold(const struct br_room *state, int64_t now)
 {
-    return is_recent(room->endpoint_report_at, Br_PEER_REPORT_TTL_USEC, now);
+    return is_recent(state->endpoint_report_at, Br_PEER_REPORT_TTL_USEC, now);
 }
 
 bool
-Br_IsBrittle(const struct br_room *room, int64_t now)
+Br_IsBrittle(const struct br_room *state, int64_t now)
 {
-    return is_recent(room->endpoint_report_at, Br_ENDPOINT_REPORT_TTL_USEC,
+    return is_recent(state->endpoint_report_at, Br_ENDPOINT_REPORT_TTL_USEC,
                      now) ||
-           is_recent(room->peer_report_at, Br_PEER_REPORT_TTL_USEC, now);
+           is_recent(state->peer_report_at, Br_PEER_REPORT_TTL_USEC, now);
 }
 
 bool
-Br_RankIsOld(const struct br_room *room, int64_t now)
+Br_RankIsOld(const struct br_room *state, int64_t now)
 {
-    return room->rank_at == 0 || now - room->rank_at >= Br_RANK_TTL_USEC;
+    return state->rank_at == 0 || now - state->rank_at >= Br_RANK_TTL_USEC;
 }
 
 /* Requests of this host that the endpoint may still refuse. */
 static int
-unconfirmed_requests(const struct br_room *room, int64_t now)
+unconfirmed_requests(const struct br_room *state, int64_t now)
 {
-    return now - room->last_sent_at < Br_CONFIRM_USEC ? room->unconfirmed : 0;
+    return now - state->last_sent_at < Br_CONFIRM_USEC ? state->unconfirmed
+                                                       : 0;
 }
 
 /*
- * While more than half of the slots are free, a host may send at once an equal
- * part of half of the free slots: even if all hosts did so, the endpoint would
- * refuse none.
+ * While more than half of the slots are free, a host may send at once its
+ * equal fraction of half of the free slots: even if all hosts did so, the
+ * endpoint would refuse none.
  */
 static int
-unconfirmed_limit(const struct br_room *room, const struct br_part *part,
+unconfirmed_limit(const struct br_room *state, const struct br_part *quota,
                   int running, int slots)
 {
     int free_slots = slots - running;
-    int most = part->max_unconfirmed;
-    if (room->rank < part->full_hosts && free_slots * 2 > slots) {
-        int per_host = free_slots / 2 / (int)part->half_hosts;
-        most = per_host > most ? per_host : most;
+    int limit = quota->max_unconfirmed;
+    if (state->rank < quota->full_hosts && free_slots * 2 > slots) {
+        int per_host = free_slots / 2 / (int)quota->half_hosts;
+        limit = per_host > limit ? per_host : limit;
     }
-    return most;
+    return limit;
 }
 
 /*
@@ -135,45 +137,45 @@
  * once.
  */
 static bool
-has_turn(const struct br_room *room, const struct br_part *part, int64_t now)
+has_turn(const struct br_room *state, const struct br_part *quota, int64_t now)
 {
     int64_t first_turn =
-        (int64_t)(room->rank % part->hosts_per_endpoint + 1) * Br_TURN_USEC;
-    return now - room->learned_at >= first_turn &&
-           now - room->last_sent_at >=
-               (int64_t)part->hosts_per_endpoint * Br_TURN_USEC;
+        (int64_t)(state->rank % quota->hosts_per_endpoint + 1) * Br_TURN_USEC;
+    return now - state->learned_at >= first_turn &&
+           now - state->last_sent_at >=
+               (int64_t)quota->hosts_per_endpoint * Br_TURN_USEC;
 }
 
 bool
-Br_MaySend(const struct br_room *room, const struct br_part *part, int running,
-           int slots, int64_t now)
+Br_MaySend(const struct br_room *state, const struct br_part *quota,
+           int running, int slots, int64_t now)
 {
-    if (now < room->backoff_until ||
-        unconfirmed_requests(room, now) >=
-            unconfirmed_limit(room, part, running, slots)) {
+    if (now < state->backoff_until ||
+        unconfirmed_requests(state, now) >=
+            unconfirmed_limit(state, quota, running, slots)) {
         return false;
     }
-    if (room->rank < part->full_hosts) {
+    if (state->rank < quota->full_hosts) {
         return running < slots;
     }
-    if (!room->best) {
+    if (!state->best) {
         return false;
     }
-    if (room->rank < part->half_hosts) {
+    if (state->rank < quota->half_hosts) {
         return running * 2 < slots;
     }
-    return running * 4 < slots && has_turn(room, part, now);
+    return running * 4 < slots && has_turn(state, quota, now);
 }
 
 void
-Br_Sent(struct br_room *room, int64_t now)
+Br_Sent(struct br_room *state, int64_t now)
 {
-    room->unconfirmed = unconfirmed_requests(room, now) + 1;
-    room->last_sent_at = now;
+    state->unconfirmed = unconfirmed_requests(state, now) + 1;
+    state->last_sent_at = now;
 }
 
 void
-Br_Refused(struct br_room *room, int64_t now)
+Br_Refused(struct br_room *state, int64_t now)
 {
-    room->backoff_until = now + Br_BACKOFF_USEC;
+    state->backoff_until = now + Br_BACKOFF_USEC;
 }
--- a/packages/policy/brittle.h
+++ b/packages/policy/brittle.h
@@ -48,41 +48,41 @@
     size_t hosts_per_endpoint; /* hosts of lower rank that take turns */
 };
 
-struct br_part Br_Part(int most, size_t hosts, size_t endpoints);
+struct br_part Br_Part(int refusal_limit, size_t hosts, size_t endpoints);
 
 /*
- * Records that an endpoint of the service reported a refusal limit of "most",
- * which holds for all endpoints of the service.
+ * Records that an endpoint of the service reported a refusal limit, which
+ * holds for all endpoints of the service.
  */
-void Br_Told(struct br_room *room, int most, int64_t now);
+void Br_Told(struct br_room *state, int refusal_limit, int64_t now);
 /* Records that another host passed on such a report. */
-void Br_Heard(struct br_room *room, int most, int64_t now);
+void Br_Heard(struct br_room *state, int refusal_limit, int64_t now);
 /* Whether another host's report is so recent that a new one adds nothing. */
-bool Br_HeardLately(const struct br_room *room, int64_t now);
+bool Br_HeardLately(const struct br_room *state, int64_t now);
 /*
  * Whether an answer without a refusal limit, to a request sent at "sent_at",
  * shows that the endpoint is no longer brittle.  Only an endpoint that itself
  * reported the limit can withdraw it.
  */
-bool Br_IsOver(const struct br_room *room, int64_t sent_at);
+bool Br_IsOver(const struct br_room *state, int64_t sent_at);
 /* Clears the reports: the endpoint is no longer brittle. */
-void Br_End(struct br_room *room);
+void Br_End(struct br_room *state);
 /*
  * Whether to report the limit to other hosts: an endpoint of the service
  * reported it recently.
  */
-bool Br_IsTold(const struct br_room *room, int64_t now);
-bool Br_IsBrittle(const struct br_room *room, int64_t now);
+bool Br_IsTold(const struct br_room *state, int64_t now);
+bool Br_IsBrittle(const struct br_room *state, int64_t now);
 /* Whether the rank must be computed again, as hosts come and go. */
-bool Br_RankIsOld(const struct br_room *room, int64_t now);
+bool Br_RankIsOld(const struct br_room *state, int64_t now);
 /*
  * Whether this host may send a request to the endpoint now; "running" is its
  * estimate of the requests of all hosts there.
  */
-bool Br_MaySend(const struct br_room *room, const struct br_part *part,
+bool Br_MaySend(const struct br_room *state, const struct br_part *quota,
                 int running, int slots, int64_t now);
-void Br_Sent(struct br_room *room, int64_t now);
-void Br_Refused(struct br_room *room, int64_t now);
+void Br_Sent(struct br_room *state, int64_t now);
+void Br_Refused(struct br_room *state, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -165,12 +165,12 @@
 void Ch_Cold(struct ch_table *table, const char *id, int64_t left,
              int64_t now);
 /*
- * Records the refusal limit in a report of the endpoint taken at "at": if it
- * refuses more than "most" requests in a second, it fails.  The limit holds
- * for all endpoints of the table.  "most" below 0: the report names no limit.
+ * Records the refusal limit in a report of the endpoint taken at "at": if the
+ * endpoint refuses more requests than that in a second, it fails.  The limit
+ * holds for all endpoints of the table; below 0 the report names no limit.
  */
-enum st_status Ch_Brittle(struct ch_table *table, const char *id, int most,
-                          int64_t at);
+enum st_status Ch_Brittle(struct ch_table *table, const char *id,
+                          int refusal_limit, int64_t at);
 enum st_status Ch_Distrust(struct ch_table *table, const char *version);
 
 /* Steps of a request. */
--- a/packages/policy/choose_brittle.c
+++ b/packages/policy/choose_brittle.c
@@ -8,14 +8,15 @@
 
 /* Applies the refusal limit of one endpoint's report to the whole table. */
 enum st_status
-Ch_Brittle(struct ch_table *table, const char *id, int most, int64_t at)
+Ch_Brittle(struct ch_table *table, const char *id, int refusal_limit,
+           int64_t at)
 {
     struct ch_endpoint *reporter = Ch_Find(table, id);
     if (reporter == NULL) {
         return St_Fail(ST_NOT_FOUND, "endpoint %s is not in the table", id);
     }
-    bool over = most < 0 && Br_IsOver(&reporter->brittle, at);
-    if (most < 0 && !over) {
+    bool over = refusal_limit < 0 && Br_IsOver(&reporter->brittle, at);
+    if (refusal_limit < 0 && !over) {
         return ST_OK;
     }
     struct ch_endpoint *endpoint;
@@ -24,7 +25,7 @@
             Br_End(&endpoint->brittle);
         }
         else {
-            Br_Told(&endpoint->brittle, most, at);
+            Br_Told(&endpoint->brittle, refusal_limit, at);
         }
     }
     reporter->brittle.said = !over;
@@ -50,14 +51,14 @@
     struct ch_endpoint *best = NULL;
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
-        struct br_room *room = &endpoint->brittle;
-        room->rank = table->hosts == NULL
-                         ? 0
-                         : Wu_Rank(table->hosts, endpoint->id_hash);
-        room->rank_at = now;
-        room->best = false;
-        room->endpoints = table->count;
-        if (best == NULL || room->rank < best->brittle.rank) {
+        struct br_room *state = &endpoint->brittle;
+        state->rank = table->hosts == NULL
+                          ? 0
+                          : Wu_Rank(table->hosts, endpoint->id_hash);
+        state->rank_at = now;
+        state->best = false;
+        state->endpoints = table->count;
+        if (best == NULL || state->rank < best->brittle.rank) {
             best = endpoint;
         }
     }
@@ -70,15 +71,15 @@
 ch_is_brittle_blocked(const struct ch_endpoint *endpoint, int64_t now)
 {
     struct ch_table *table = endpoint->table;
-    const struct br_room *room = &endpoint->brittle;
-    if (!Br_IsBrittle(room, now)) {
+    const struct br_room *state = &endpoint->brittle;
+    if (!Br_IsBrittle(state, now)) {
         return false;
     }
-    if (Br_RankIsOld(room, now)) {
+    if (Br_RankIsOld(state, now)) {
         find_ranks(table, now);
     }
-    struct br_part part =
-        Br_Part(room->most, host_count(table), room->endpoints);
-    return !Br_MaySend(room, &part, (int)ch_load(endpoint, now),
+    struct br_part quota =
+        Br_Part(state->most, host_count(table), state->endpoints);
+    return !Br_MaySend(state, &quota, (int)ch_load(endpoint, now),
                        endpoint->info.slots, now);
 }
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -18,59 +18,59 @@
 // between that the endpoint is brittle.
 TEST(Brittle, EndpointReportExpiresAfter30Seconds)
 {
-    br_room room = {};
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow));
-    Br_Told(&room, 5, kNow);
-    EXPECT_TRUE(Br_IsBrittle(&room, kNow + 29999 * kMs));
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 30000 * kMs));
+    br_room state = {};
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow));
+    Br_Told(&state, 5, kNow);
+    EXPECT_TRUE(Br_IsBrittle(&state, kNow + 29999 * kMs));
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 30000 * kMs));
 }
 
 TEST(Brittle, PeerReportExpiresAfter3Seconds)
 {
-    br_room room = {};
-    Br_Heard(&room, 5, kNow);
-    EXPECT_FALSE(Br_IsTold(&room, kNow));
-    EXPECT_TRUE(Br_IsBrittle(&room, kNow + 2999 * kMs));
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 3000 * kMs));
+    br_room state = {};
+    Br_Heard(&state, 5, kNow);
+    EXPECT_FALSE(Br_IsTold(&state, kNow));
+    EXPECT_TRUE(Br_IsBrittle(&state, kNow + 2999 * kMs));
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 3000 * kMs));
 }
 
 // Guards against hosts that pass on reports of other hosts: the reports would
 // never expire.
 TEST(Brittle, OnlyARecentEndpointReportIsPassedOn)
 {
-    br_room room = {};
-    Br_Told(&room, 5, kNow);
-    Br_Heard(&room, 5, kNow + 2999 * kMs);
-    EXPECT_TRUE(Br_IsTold(&room, kNow + 2999 * kMs));
-    EXPECT_FALSE(Br_IsTold(&room, kNow + 3000 * kMs));
+    br_room state = {};
+    Br_Told(&state, 5, kNow);
+    Br_Heard(&state, 5, kNow + 2999 * kMs);
+    EXPECT_TRUE(Br_IsTold(&state, kNow + 2999 * kMs));
+    EXPECT_FALSE(Br_IsTold(&state, kNow + 3000 * kMs));
 }
 
 // Guards against a limit that is withdrawn for all endpoints by the answer to
 // an earlier request, or by an endpoint that never reported the limit.
 TEST(Brittle, IsOverWithAnAnswerOfTheSameEndpointToALaterRequest)
 {
-    br_room room = {};
-    Br_Told(&room, 5, kNow);
-    EXPECT_FALSE(Br_IsOver(&room, kNow + 1));
-    room.said = true;
-    EXPECT_FALSE(Br_IsOver(&room, kNow));
-    EXPECT_TRUE(Br_IsOver(&room, kNow + 1));
-    Br_End(&room);
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 1));
+    br_room state = {};
+    Br_Told(&state, 5, kNow);
+    EXPECT_FALSE(Br_IsOver(&state, kNow + 1));
+    state.said = true;
+    EXPECT_FALSE(Br_IsOver(&state, kNow));
+    EXPECT_TRUE(Br_IsOver(&state, kNow + 1));
+    Br_End(&state);
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 1));
 }
 
 // Guards against an endpoint that fails because each of many hosts sends it
 // one request a second.
 TEST(Brittle, UnconfirmedRequestsOfAllHostsStayWithinTheLimit)
 {
-    for (int most = 1; most <= 40; most++) {
+    for (int refusal_limit = 1; refusal_limit <= 40; refusal_limit++) {
         for (size_t hosts : {1, 2, 7, 60, 420}) {
-            br_part part = Br_Part(most, hosts, 9);
-            EXPECT_GE(part.full_hosts, 1u);
-            EXPECT_LE(part.full_hosts * (size_t)part.max_unconfirmed +
-                          part.half_hosts - part.full_hosts,
-                      (size_t)most)
-                << most << " by " << hosts;
+            br_part quota = Br_Part(refusal_limit, hosts, 9);
+            EXPECT_GE(quota.full_hosts, 1u);
+            EXPECT_LE(quota.full_hosts * (size_t)quota.max_unconfirmed +
+                          quota.half_hosts - quota.full_hosts,
+                      (size_t)refusal_limit)
+                << refusal_limit << " by " << hosts;
         }
     }
 }
@@ -79,60 +79,60 @@
 // endpoint counts refusals.
 TEST(Brittle, SendsNothingForASecondAfterARefusal)
 {
-    br_room room = {};
-    br_part part = {1, 1, 1, 1};
-    EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow));
-    Br_Refused(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow + 1000 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow + 1100 * kMs));
+    br_room state = {};
+    br_part quota = {1, 1, 1, 1};
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow));
+    Br_Refused(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + 1000 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow + 1100 * kMs));
 }
 
 TEST(Brittle, OneRequestAtATimeIsUnconfirmed)
 {
-    br_room room = {};
-    br_part part = {2, 1, 2, 1};
-    Br_Sent(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 1, 8, kNow + 49 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow + 50 * kMs));
+    br_room state = {};
+    br_part quota = {2, 1, 2, 1};
+    Br_Sent(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 1, 8, kNow + 49 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow + 50 * kMs));
 }
 
 TEST(Brittle, NextRanksUseOnlyHalfOfTheirBestEndpoint)
 {
-    br_room room = {};
-    br_part part = {2, 1, 3, 2};
-    room.rank = 2;
-    EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow));
-    room.best = true;
-    EXPECT_TRUE(Br_MaySend(&room, &part, 3, 8, kNow));
-    EXPECT_FALSE(Br_MaySend(&room, &part, 4, 8, kNow));
+    br_room state = {};
+    br_part quota = {2, 1, 3, 2};
+    state.rank = 2;
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow));
+    state.best = true;
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 3, 8, kNow));
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 4, 8, kNow));
 }
 
 TEST(Brittle, LowRanksUseANearlyIdleEndpointAtIntervals)
 {
-    br_room room = {};
-    br_part part = {2, 1, 3, 2};
-    room.rank = 3;
-    room.best = true;
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow));
-    EXPECT_FALSE(Br_MaySend(&room, &part, 2, 8, kNow));
-    Br_Sent(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 1, 8, kNow + 999 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow + 1000 * kMs));
+    br_room state = {};
+    br_part quota = {2, 1, 3, 2};
+    state.rank = 3;
+    state.best = true;
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow));
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 2, 8, kNow));
+    Br_Sent(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 1, 8, kNow + 999 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow + 1000 * kMs));
 }
 
 // Guards against hosts of low rank that all take their first turn at once, as
 // none of them has sent anything yet.
 TEST(Brittle, LowRanksTakeTheirFirstTurnsOneAfterTheOther)
 {
-    br_part part = {2, 1, 3, 2};
+    br_part quota = {2, 1, 3, 2};
     for (size_t rank = 3; rank <= 4; rank++) {
-        br_room room = {};
-        room.rank = rank;
-        room.best = true;
-        Br_Told(&room, 5, kNow);
+        br_room state = {};
+        state.rank = rank;
+        state.best = true;
+        Br_Told(&state, 5, kNow);
         int64_t turn = (rank % 2 == 0 ? 500 : 1000) * kMs;
-        EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow + turn - 1));
-        EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow + turn));
+        EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + turn - 1));
+        EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow + turn));
     }
 }
 
@@ -158,7 +158,7 @@
     size_t hosts;
     size_t endpoints;
     int slots;
-    int most;
+    int refusal_limit;
     double load;  // offered load as a share of all slots
     int64_t lag;  // until other hosts' requests are known, us
     int64_t work; // mean time of a request, us
@@ -175,14 +175,14 @@
     Model(const Scene &scene, Policy policy, Learning learning, unsigned seed)
         : scene_(scene), policy_(policy), learning_(learning), random_(seed),
           endpoints_(scene.endpoints),
-          rooms_(scene.hosts, std::vector<br_room>(scene.endpoints)),
+          states_(scene.hosts, std::vector<br_room>(scene.endpoints)),
           own_(scene.hosts, std::vector<int>(scene.endpoints)),
           reported_(scene.endpoints),
-          part_(Br_Part(scene.most, scene.hosts, scene.endpoints)),
+          quota_(Br_Part(scene.refusal_limit, scene.hosts, scene.endpoints)),
           begins_(learning == kKnown ? kNow : kNow + kBrittleAfter)
     {
         if (policy == kBackOff) {
-            part_ = {scene.hosts, 1000, scene.hosts, 1};
+            quota_ = {scene.hosts, 1000, scene.hosts, 1};
         }
         for (size_t host = 0; host < scene.hosts; host++) {
             Rank(host);
@@ -240,12 +240,12 @@
         }
         size_t best = 0;
         for (size_t e = 0; e < scene_.endpoints; e++) {
-            rooms_[host][e].rank = Wu_Rank(&hosts, e * 104729 + 3);
-            if (rooms_[host][e].rank < rooms_[host][best].rank) {
+            states_[host][e].rank = Wu_Rank(&hosts, e * 104729 + 3);
+            if (states_[host][e].rank < states_[host][best].rank) {
                 best = e;
             }
         }
-        rooms_[host][best].best = true;
+        states_[host][best].best = true;
     }
 
     void
@@ -289,13 +289,13 @@
     }
 
     bool
-    IsKnownBrittle(const br_room *room) const
+    IsKnownBrittle(const br_room *state) const
     {
         if (learning_ == kKnown) {
             return true;
         }
-        return Br_IsBrittle(room, now_) &&
-               (learning_ != kForgetful || Br_IsTold(room, now_));
+        return Br_IsBrittle(state, now_) &&
+               (learning_ != kForgetful || Br_IsTold(state, now_));
     }
 
     // An answer reports the refusal limit; it holds for all endpoints.
@@ -305,8 +305,8 @@
         if (now_ < begins_) {
             return;
         }
-        for (br_room &room : rooms_[host]) {
-            Br_Told(&room, scene_.most, now_);
+        for (br_room &state : states_[host]) {
+            Br_Told(&state, scene_.refusal_limit, now_);
         }
         first_report_ = std::min(first_report_, now_);
     }
@@ -318,9 +318,9 @@
         if (learning_ != kPeers || !due || now_ - scene_.lag < first_report_) {
             return;
         }
-        for (auto &rooms : rooms_) {
-            for (br_room &room : rooms) {
-                Br_Heard(&room, scene_.most, now_);
+        for (auto &states : states_) {
+            for (br_room &state : states) {
+                Br_Heard(&state, scene_.refusal_limit, now_);
             }
         }
     }
@@ -339,11 +339,11 @@
     {
         const int queue_factor = 3;
         int running = EstimatedRunning(host, e);
-        const br_room *room = &rooms_.data()[host].data()[e];
-        if (policy_ == kUnlimited || !IsKnownBrittle(room)) {
+        const br_room *state = &states_.data()[host].data()[e];
+        if (policy_ == kUnlimited || !IsKnownBrittle(state)) {
             return running < queue_factor * scene_.slots;
         }
-        return Br_MaySend(room, &part_, running, scene_.slots, now_);
+        return Br_MaySend(state, &quota_, running, scene_.slots, now_);
     }
 
     void
@@ -352,15 +352,15 @@
         result_.asked++;
         const size_t count = scene_.endpoints;
         const Endpoint *endpoints = endpoints_.data();
-        const br_room *rooms = rooms_[host].data();
+        const br_room *states = states_[host].data();
         size_t best = count;
         for (size_t e = 0; e < count; e++) {
             if (endpoints[e].down_until > now_ || !MaySend(host, e)) {
                 continue;
             }
-            bool backed_off = rooms[e].backoff_until > now_;
+            bool backed_off = states[e].backoff_until > now_;
             bool best_backed_off =
-                best < count && rooms[best].backoff_until > now_;
+                best < count && states[best].backoff_until > now_;
             if (best == count || (best_backed_off && !backed_off) ||
                 (best_backed_off == backed_off &&
                  EstimatedRunning(host, e) < EstimatedRunning(host, best))) {
@@ -376,7 +376,7 @@
     Send(size_t host, size_t e)
     {
         Endpoint &endpoint = endpoints_[e];
-        Br_Sent(&rooms_[host][e], now_);
+        Br_Sent(&states_[host][e], now_);
         RecordAnswer(host);
         if ((int)endpoint.runs.size() < (IsBrittle() ? 1 : 3) * scene_.slots) {
             std::exponential_distribution<double> work(1.0 /
@@ -386,12 +386,13 @@
             result_.served++;
             return;
         }
-        Br_Refused(&rooms_[host][e], now_);
+        Br_Refused(&states_[host][e], now_);
         endpoint.refused.push_back(now_);
         while (endpoint.refused.front() <= now_ - Ck_USEC_PER_SEC) {
             endpoint.refused.pop_front();
         }
-        if (IsBrittle() && (int)endpoint.refused.size() > scene_.most) {
+        if (IsBrittle() &&
+            (int)endpoint.refused.size() > scene_.refusal_limit) {
             result_.failures++;
             endpoint.refused.clear();
             endpoint.down_until = now_ + 3 * Ck_USEC_PER_SEC;
@@ -404,10 +405,10 @@
     int64_t first_report_ = INT64_MAX / 2;
     std::mt19937 random_;
     std::vector<Endpoint> endpoints_;
-    std::vector<std::vector<br_room>> rooms_;
+    std::vector<std::vector<br_room>> states_;
     std::vector<std::vector<int>> own_;
     std::vector<int> reported_; // running at each endpoint, after the lag
-    br_part part_;
+    br_part quota_;
     int64_t begins_; // when endpoints begin to report the limit
     int64_t now_ = kNow;
     Result result_;
@@ -484,7 +485,7 @@
         scene.hosts = sizes[random() % 5];
         scene.endpoints = 4 + random() % (scene.hosts > 24 ? 60 : 15);
         scene.slots = random() % 2 ? 6 : 32;
-        scene.most = 2 + (int)(random() % 20);
+        scene.refusal_limit = 2 + (int)(random() % 20);
         scene.load = 0.5 + (double)(random() % 20) / 10;
         scene.lag = (scene.hosts > 24 ? 400 : 100) * kMs;
         scene.work = (random() % 2 ? 30 : 600) * kMs;
@@ -493,13 +494,13 @@
         Sum ranked = RunScene(scene, kRanked);
         Sum learned = RunScene(scene, kRanked, kPeers);
         std::cout << scene.hosts << " hosts, " << scene.endpoints
-                  << " endpoints of " << scene.slots << ", bears "
-                  << scene.most << ", load " << scene.load << ", work "
-                  << scene.work / kMs << " ms: failures " << unlimited.worst
-                  << " / " << backed_off.worst << " / " << ranked.worst
-                  << " / " << learned.worst << ", served " << unlimited.served
-                  << " / " << backed_off.served << " / " << ranked.served
-                  << " / " << learned.served << "\n";
+                  << " endpoints of " << scene.slots << ", refusal limit "
+                  << scene.refusal_limit << ", load " << scene.load
+                  << ", work " << scene.work / kMs << " ms: failures "
+                  << unlimited.worst << " / " << backed_off.worst << " / "
+                  << ranked.worst << " / " << learned.worst << ", served "
+                  << unlimited.served << " / " << backed_off.served << " / "
+                  << ranked.served << " / " << learned.served << "\n";
         EXPECT_LE(ranked.worst, 2 + (int)scene.endpoints / 10);
         EXPECT_LE(learned.worst, 2 + (int)scene.endpoints / 10);
     }
