--- a/packages/edge/quota.c
+++ b/packages/edge/quota.c
@@ -10,20 +10,20 @@
 
 #define Qt_HASH_SEED 0x71756f74
 /*
- * A daemon that starts again does not know what was admitted before; with a
- * full bucket, all daemons killed in a row would admit the burst anew.
+ * A restarted daemon does not know what was admitted before. If every bucket
+ * started full, the daemons would admit the whole burst again when all of them
+ * are killed one after another.
  */
-#define Qt_RESTART_SHARE 0.05
-/* How long a word of others may take where that is not told. */
-#define Qt_FORESEE_SEC 0.7
+#define Qt_RESTART_FILL 0.05
+/* Assumed delay of peers' reports until Qt_SetPeers() is called. */
+#define Qt_PREDICT_DEFAULT_SEC 0.7
 /*
- * A record is up to a second old when all daemons die; what is in the newer
- * half of a window of eight seconds grows by a quarter in that time, and by
- * half when the load is rising.
+ * The record is up to a second old when all daemons die. Usage in the newer
+ * half of an eight-second window grows by a quarter in that time, and by half
+ * when the load is rising.
  */
-#define Qt_UNRECORDED 1.5
+#define Qt_UNRECORDED_FACTOR 1.5
 
-/* NULL without memory. */
 struct qt_quota *
 Qt_Create(const struct ck_clock *clock, bool first_start)
 {
@@ -31,8 +31,8 @@
     if (quota != NULL) {
         quota->clock = clock;
         quota->share = 1;
-        quota->foresee_sec = Qt_FORESEE_SEC;
-        quota->start_share = first_start ? 1 : Qt_RESTART_SHARE;
+        quota->predict_sec = Qt_PREDICT_DEFAULT_SEC;
+        quota->start_fill = first_start ? 1 : Qt_RESTART_FILL;
         quota->started_at = Ck_Now(clock);
     }
     return quota;
@@ -68,45 +68,45 @@
 }
 
 static const struct qt_recent *
-find_recalled(const struct qt_quota *quota, uint32_t hash)
+find_restored(const struct qt_quota *quota, uint32_t hash)
 {
-    for (size_t i = 0; i < quota->recalled_count; i++) {
-        if (quota->recalled[i].tenant == hash) {
-            return &quota->recalled[i];
+    for (size_t i = 0; i < quota->restored_count; i++) {
+        if (quota->restored[i].tenant == hash) {
+            return &quota->restored[i];
         }
     }
     return NULL;
 }
 
 /*
- * All daemons die under a customer that asks for several times its limit, and
- * with them what each had counted; with an empty window it would get its
- * limit a second time.  So the window before the start holds what the
- * holder's last record says, and what may have been spent since; without a
- * record it counts as full.
+ * When all daemons die while a customer requests several times its limit,
+ * their counters die with them. With an empty window the customer would get
+ * its limit a second time. So the window before the start is filled from the
+ * lease holder's last record, plus what may have been spent since that record.
+ * Without a record, the window counts as full.
  */
 static void
-assume_spent(const struct qt_quota *quota, struct qt_bucket *bucket)
+assume_past_usage(const struct qt_quota *quota, struct qt_bucket *bucket)
 {
-    double half = qt_limit(quota, bucket) / 2;
+    double half = qt_window_limit(quota, bucket) / 2;
     struct wn_past past = {half, half};
-    const struct qt_recent *recent = find_recalled(quota, bucket->hash);
+    const struct qt_recent *recent = find_restored(quota, bucket->hash);
     if (recent != NULL) {
         past.older = recent->past.older;
-        past.newer = recent->past.newer * Qt_UNRECORDED;
+        past.newer = recent->past.newer * Qt_UNRECORDED_FACTOR;
     }
     Wn_SetPast(&bucket->window, &past);
     if (recent != NULL) {
-        double most = fmin(bucket->burst, qt_room(bucket));
+        double most = fmin(bucket->burst, qt_window_room(bucket));
         bucket->level = fmax(bucket->level, most);
     }
 }
 
-/* Whether admissions of before the start may still count. */
+/* Whether requests admitted before the restart may still be in the window. */
 static bool
 just_restarted(const struct qt_quota *quota)
 {
-    return quota->start_share < 1 &&
+    return quota->start_fill < 1 &&
            Ck_Now(quota->clock) - quota->started_at < quota->window_usec;
 }
 
@@ -120,22 +120,22 @@
     Wn_Start(&bucket->window, quota->window_usec, bucket->per_sec,
              bucket->burst, Ck_Now(quota->clock));
     if (just_restarted(quota)) {
-        assume_spent(quota, bucket);
+        assume_past_usage(quota, bucket);
     }
 }
 
 void
 Qt_Recall(struct qt_quota *quota, const struct qt_recent *rows, size_t count)
 {
-    if (quota->recalled_count > 0 || !just_restarted(quota)) {
+    if (quota->restored_count > 0 || !just_restarted(quota)) {
         return;
     }
     for (size_t i = 0; i < count && i < Qt_RECENT_MAX; i++) {
-        quota->recalled[quota->recalled_count++] = rows[i];
+        quota->restored[quota->restored_count++] = rows[i];
         struct qt_bucket *bucket = qt_find(quota, rows[i].tenant);
         if (bucket != NULL && bucket->window.step_usec > 0) {
             qt_fill(quota, bucket);
-            assume_spent(quota, bucket);
+            assume_past_usage(quota, bucket);
         }
     }
 }
@@ -151,13 +151,13 @@
         }
         qt_fill(quota, bucket);
         struct wn_past past = Wn_Past(&bucket->window);
-        bool heavy = past.newer > qt_limit(quota, bucket) / 2;
+        bool heavy = past.newer > qt_window_limit(quota, bucket) / 2;
         out[count++] = (struct qt_recent){past, bucket->hash, heavy};
     }
     return count;
 }
 
-/* Takes the limits of a configuration; levels are kept. */
+/* Takes the limits of a configuration; bucket levels are kept. */
 void
 Qt_Configure(struct qt_quota *quota, const struct ec_config *config)
 {
@@ -170,7 +170,7 @@
             strlcpy(bucket->tenant, tenant->name, sizeof(bucket->tenant));
             bucket->hash = Qt_Hash(tenant->name);
             bucket->burst = tenant->burst;
-            bucket->level = tenant->burst * quota->start_share;
+            bucket->level = tenant->burst * quota->start_fill;
             bucket->filled_at = Ck_Now(quota->clock);
         }
         if (bucket == NULL) {
@@ -197,7 +197,8 @@
     }
     qt_fill(quota, bucket);
     struct wn_past past = Wn_Past(&bucket->window);
-    return (struct qt_use){past.older + past.newer, qt_limit(quota, bucket)};
+    return (struct qt_use){past.older + past.newer,
+                           qt_window_limit(quota, bucket)};
 }
 
 void
@@ -205,9 +206,9 @@
 {
     for (size_t i = 0; i < quota->count; i++) {
         const struct qt_bucket *bucket = &quota->buckets[i];
-        if (bucket->asked > 0) {
-            fn(arg, bucket->hash, (uint64_t)bucket->total,
-               (uint64_t)bucket->asked);
+        if (bucket->requested > 0) {
+            fn(arg, bucket->hash, (uint64_t)bucket->admitted,
+               (uint64_t)bucket->requested);
         }
     }
 }
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -1,12 +1,15 @@
 /*
- * Tenants' limits over all daemons together.  A limit is a rate and a burst:
- * in no window of a given length more than the rate times that length, and
- * the burst.  Each daemon runs every tenant's token bucket and window by
- * itself: what it admits leaves the bucket at once,
- * what others admit when they tell, by counts that only rise and so may be
- * lost or come twice.  The lag between daemons is covered by the bound's own
- * slack.  Daemons that are not heard may be cut off and admit as well; those
- * that hear each other keep to their share of the rate.
+ * Enforces each tenant's rate limit over all daemons together. A limit is a
+ * rate and a burst: in any window of a fixed length, a tenant may spend at
+ * most the rate times that length plus the burst.
+ *
+ * Each daemon keeps a token bucket and a sliding window for every tenant. A
+ * cost that this daemon admits is charged at once. A cost that a peer admits
+ * is charged when the peer reports it, as a counter that only rises, so a
+ * report may be lost or repeated. The slack that the bound allows covers the
+ * delay of these reports. Peers that cannot be reached may be on the other
+ * side of a network partition and still admit requests, so the daemons that
+ * reach each other use only their share of the rate.
  */
 #ifndef EDGE_QUOTA_H
 #define EDGE_QUOTA_H
@@ -25,11 +28,12 @@
 
 #define Qt_RECENT_MAX 64
 
-/* What a tenant spent in the window that ends now. */
+/* The usage of a tenant in the window that ends now. */
 struct qt_recent {
     struct wn_past past;
     uint32_t tenant;
-    bool heavy; /* over half of its limit in the newer half; not recorded */
+    bool heavy; /* more than half of the window's limit was spent in the newer
+                   half; not recorded */
 };
 
 struct qt_quota;
@@ -37,49 +41,67 @@
 struct qt_quota *Qt_Create(const struct ck_clock *clock, bool first_start);
 void Qt_Destroy(struct qt_quota *quota);
 /*
- * The length of the windows that limits hold for; before the first
- * configuration.  0: a limit is its bucket alone.
+ * Sets the length of the windows that limits hold for. To be called before the
+ * first configuration. 0: only the token bucket limits a tenant.
  */
 void Qt_SetWindow(struct qt_quota *quota, int64_t usec);
-/* How many daemons that are not heard may be admitting as well, and how often
-   those that are tell what they admitted. */
-void Qt_SetPeers(struct qt_quota *quota, size_t missing, int64_t gap_usec);
-/* One that was missing is heard again; before what it spent. */
+/*
+ * Sets how many unreachable daemons may be admitting requests, and the
+ * interval at which reachable ones report their usage.
+ */
+void Qt_SetPeers(struct qt_quota *quota, size_t unreachable,
+                 int64_t interval_usec);
+/*
+ * An unreachable daemon is reachable again. To be called before its usage is
+ * added.
+ */
 void Qt_Returned(struct qt_quota *quota);
 void Qt_Configure(struct qt_quota *quota, const struct ec_config *config);
-/* The share of the rate for this daemon and those that it hears, 0 to 1. */
+/*
+ * Sets the fraction of the rate, 0 to 1, that this daemon and the peers it
+ * reaches may use.
+ */
 void Qt_SetShare(struct qt_quota *quota, double share);
-/* Takes "cost"; false when it is over the limit, with the wait. */
+/*
+ * Charges "cost". False when that exceeds the limit; "wait_usec" is then the
+ * time after which to retry.
+ */
 bool Qt_Take(struct qt_quota *quota, const char *tenant, double cost,
              int64_t *wait_usec);
 void Qt_Refund(struct qt_quota *quota, const char *tenant, double cost);
-/* What a tenant has spent of its limit, as this daemon knows. */
+/* The usage of a tenant against its limit, as far as this daemon knows. */
 struct qt_use {
     double spent; /* in the window that ends now */
-    double limit; /* of a window; 0: none, or none that is known */
+    double limit; /* of a window; 0: no limit, or not known */
 };
 struct qt_use Qt_Use(struct qt_quota *quota, const char *tenant);
-/* What this daemon admitted since its start, and what a peer admitted. */
+/*
+ * Calls "fn" for each tenant with the costs that this daemon has admitted
+ * ("total") and was asked for ("asked") since its start.
+ */
 typedef void (*qt_each_fn)(void *arg, uint32_t tenant, uint64_t total,
                            uint64_t asked);
 void Qt_Each(const struct qt_quota *quota, qt_each_fn fn, void *arg);
-/* What callers asked of a peer, whether it was admitted or not. */
+/* Adds the cost of requests that callers sent to a peer, admitted or not. */
 void Qt_Asked(struct qt_quota *quota, uint32_t tenant, double cost);
-/* "apart": in a time in which the peer was not heard; that share of the rate
-   was left to it. */
+/*
+ * Adds a cost that a peer admitted. "while_unreachable": the peer was
+ * unreachable at that time, and part of the rate had been reserved for it.
+ */
 void Qt_Spent(struct qt_quota *quota, uint32_t tenant, double cost,
-              bool apart);
+              bool while_unreachable);
 /*
- * What a daemon that starts after all have died cannot know otherwise: what
- * tenants lately spent, as this daemon knows, and as a daemon before it
- * recorded.
+ * Recent usage of each tenant, which the lease holder records in the store,
+ * and which a daemon takes from that record after all daemons have died: their
+ * counters are lost then.
  */
 size_t Qt_Recent(struct qt_quota *quota, struct qt_recent out[Qt_RECENT_MAX]);
 void Qt_Recall(struct qt_quota *quota, const struct qt_recent *rows,
                size_t count);
 /*
- * What a tenant spent in the window that ends now, as a daemon says that was
- * there all the while.  A daemon that has just started has counted none of it.
+ * Takes the usage of a tenant in the window that ends now from a peer that has
+ * run for a whole window. A daemon that has just started has no count of its
+ * own.
  */
 void Qt_ToldPast(struct qt_quota *quota, uint32_t tenant,
                  const struct wn_past *past);
--- a/packages/edge/quota_bucket.c
+++ b/packages/edge/quota_bucket.c
@@ -1,82 +1,87 @@
-/* What a tenant's bucket and window hold at the present moment. */
+/* Computes the level of a tenant's bucket and the room in its window. */
 #include <math.h>
 
 #include "edge/quota_internal.h"
 
-/* How long what was left to unheard daemons waits for their word. */
-#define Qt_RESERVE_SEC 3.0
 /*
- * What a window still has room for is handed out over this part of it.  At
- * once, a customer that asks for several times its limit would have all of it
- * in two seconds and nothing in the six that follow, and again in each window
- * after: at a quarter, windows of such a flood held 0.81 to 0.98 of the limit,
- * at a half 0.88 to 0.96 (replay of seven daemons, four times the limit).
+ * Tokens reserved for unreachable daemons are released with this time
+ * constant, so that late reports of those daemons can still use them.
  */
-#define Qt_PACE_PART 0.5
+#define Qt_RESERVE_DECAY_SEC 3.0
+/*
+ * Room in the window is released to the bucket over this fraction of the
+ * window. If it were released at once, a customer that requests several times
+ * its limit would spend all of it in two seconds and nothing in the next six,
+ * again in every window. With a fraction of a quarter the windows of such an
+ * overload held 0.81 to 0.98 of the limit, with a half 0.88 to 0.96 (replay of
+ * seven daemons at four times the limit).
+ */
+#define Qt_RELEASE_WINDOWS 0.5
 
 void
-qt_spend(struct qt_bucket *bucket, double cost)
+qt_charge(struct qt_bucket *bucket, double cost)
 {
     bucket->level -= cost;
     Wn_Spend(&bucket->window, cost);
 }
 
 /*
- * Others tell what they admitted some tenths of a second late, with many
- * daemons up to a second; until then they are taken to go on as before.  When
- * nothing more is told it is given back.
+ * Peers report what they admitted some tenths of a second late, or up to a
+ * second late with many daemons. Until the next report they are assumed to go
+ * on at the same rate, and the predicted usage is charged in advance. When no
+ * more reports come, the predicted tokens are refunded.
  */
 static void
-foresee(const struct qt_quota *quota, struct qt_bucket *bucket, int64_t now,
-        double seconds)
+predict_peer_usage(const struct qt_quota *quota, struct qt_bucket *bucket,
+                   int64_t now, double seconds)
 {
-    if (now - bucket->told_at > quota->foresee_sec * Ck_USEC_PER_SEC) {
-        bucket->level += bucket->foreseen;
-        bucket->foreseen = 0;
-        bucket->others = 0;
+    if (now - bucket->peer_usage_at > quota->predict_sec * Ck_USEC_PER_SEC) {
+        bucket->level += bucket->predicted;
+        bucket->predicted = 0;
+        bucket->peer_rate = 0;
         return;
     }
-    double more = bucket->others * seconds;
-    double most = bucket->others * quota->foresee_sec;
-    if (bucket->foreseen + more > most) {
-        more = most > bucket->foreseen ? most - bucket->foreseen : 0;
+    double more = bucket->peer_rate * seconds;
+    double most = bucket->peer_rate * quota->predict_sec;
+    if (bucket->predicted + more > most) {
+        more = most > bucket->predicted ? most - bucket->predicted : 0;
     }
-    bucket->foreseen += more;
+    bucket->predicted += more;
     bucket->level -= more;
-    bucket->others *= exp(-seconds / Qt_OTHERS_SEC);
+    bucket->peer_rate *= exp(-seconds / Qt_PEER_RATE_SEC);
 }
 
-/* What the window still has room for, less what others are foreseen to take.
- */
+/* The room left in the window, less the usage predicted for peers. */
 double
-qt_room(const struct qt_bucket *bucket)
+qt_window_room(const struct qt_bucket *bucket)
 {
-    return Wn_Room(&bucket->window) - fmax(bucket->foreseen, bucket->echo);
+    return Wn_Room(&bucket->window) -
+           fmax(bucket->predicted, bucket->concurrent);
 }
 
-/* What all daemons together may spend in a window. */
+/* What all daemons together may admit in a window. */
 double
-qt_limit(const struct qt_quota *quota, const struct qt_bucket *bucket)
+qt_window_limit(const struct qt_quota *quota, const struct qt_bucket *bucket)
 {
     double seconds = (double)quota->window_usec / (double)Ck_USEC_PER_SEC;
     return bucket->per_sec * seconds + bucket->burst;
 }
 
 /*
- * What comes into the bucket, a second.  Where the limit is one of windows,
- * the burst comes back within a window too, and what the window has room for
- * sooner.
+ * Tokens a second that flow into the bucket. Where the limit applies to
+ * windows, the burst refills within a window as well, and room in the window
+ * is released sooner.
  */
 double
-qt_refill(const struct qt_quota *quota, const struct qt_bucket *bucket)
+qt_refill_rate(const struct qt_quota *quota, const struct qt_bucket *bucket)
 {
     if (bucket->window.step_usec == 0) {
         return bucket->per_sec * quota->share;
     }
     double seconds = (double)quota->window_usec / (double)Ck_USEC_PER_SEC;
-    double rate = qt_limit(quota, bucket) * quota->share / seconds;
-    double room = qt_room(bucket);
-    return room > 0 ? rate + room / (seconds * Qt_PACE_PART) : rate;
+    double rate = qt_window_limit(quota, bucket) * quota->share / seconds;
+    double room = qt_window_room(bucket);
+    return room > 0 ? rate + room / (seconds * Qt_RELEASE_WINDOWS) : rate;
 }
 
 void
@@ -86,27 +91,28 @@
     double seconds =
         (double)(now - bucket->filled_at) / (double)Ck_USEC_PER_SEC;
     bucket->filled_at = now;
-    foresee(quota, bucket, now, seconds);
-    bucket->echo *= exp(-seconds / quota->foresee_sec);
-    double part = exp(-seconds / Qt_OTHERS_SEC);
-    bucket->own_asked *= part;
-    bucket->others_asked *= part;
+    predict_peer_usage(quota, bucket, now, seconds);
+    bucket->concurrent *= exp(-seconds / quota->predict_sec);
+    double decay = exp(-seconds / Qt_PEER_RATE_SEC);
+    bucket->local_demand *= decay;
+    bucket->peer_demand *= decay;
     if (bucket->window.step_usec > 0) {
         Wn_Advance(&bucket->window, bucket->per_sec * quota->share,
                    bucket->burst * quota->share, now);
     }
     double most = bucket->burst * quota->share;
-    bucket->level += qt_refill(quota, bucket) * seconds;
+    bucket->level += qt_refill_rate(quota, bucket) * seconds;
     if (bucket->level > most) {
         bucket->level = most;
     }
-    double left = bucket->per_sec * seconds * (1 - quota->share);
-    bucket->reserve += left;
-    /* What was left earlier than a window ago is no longer in the window. */
-    double most_aside =
-        (qt_limit(quota, bucket) - bucket->burst) * (1 - quota->share);
-    bucket->aside = fmin(bucket->aside + left, most_aside);
+    double unreachable_part = bucket->per_sec * seconds * (1 - quota->share);
+    bucket->level_reserve += unreachable_part;
+    /* Tokens reserved more than a window ago have left the window. */
+    double reserve_max =
+        (qt_window_limit(quota, bucket) - bucket->burst) * (1 - quota->share);
+    bucket->window_reserve =
+        fmin(bucket->window_reserve + unreachable_part, reserve_max);
     if (quota->share >= 1) {
-        bucket->reserve *= exp(-seconds / Qt_RESERVE_SEC);
+        bucket->level_reserve *= exp(-seconds / Qt_RESERVE_DECAY_SEC);
     }
 }
--- a/packages/edge/quota_peers.c
+++ b/packages/edge/quota_peers.c
@@ -1,32 +1,43 @@
-/* What other daemons spend, may be spending, and are heard to have spent. */
+/*
+ * Accounts for usage of peers: what they reported, what they are predicted to
+ * admit, and what is reserved for those that cannot be reached.
+ */
 #include <math.h>
 
 #include "edge/quota_internal.h"
 
-/* What the gap between two words becomes with the time for the way and a tick
-   at each end. */
-#define Qt_FORESEE_MIN_SEC 0.15
-#define Qt_FORESEE_GAPS 1.5
-/* Nobody spends this multiple of a limit in a window. */
-#define Qt_PAST_MOST 4.0
-/* Words differ by this part of a limit as they come at different times. */
-#define Qt_PAST_LEAST 0.05
+/*
+ * A report's delay is the interval between two messages plus the network
+ * latency and one tick at each end.
+ */
+#define Qt_PREDICT_MIN_SEC 0.15
+#define Qt_PREDICT_INTERVALS 1.5
+/* A report of more than this many limits in a window is taken as invalid. */
+#define Qt_PAST_MAX_LIMITS 4.0
+/*
+ * Reports of two peers differ by up to this fraction of a limit because they
+ * are sent at different times.
+ */
+#define Qt_PAST_MIN_LIMITS 0.05
 
-/* With seven daemons words come ten times a second; to foresee more than what
-   they leave untold would leave a tenth of a limit unused. */
+/*
+ * With seven daemons, messages come ten times a second. Predicting usage
+ * beyond the delay of the reports would leave a tenth of a limit unused.
+ */
 void
-Qt_SetPeers(struct qt_quota *quota, size_t missing, int64_t gap_usec)
+Qt_SetPeers(struct qt_quota *quota, size_t unreachable, int64_t interval_usec)
 {
-    double gap = (double)gap_usec / (double)Ck_USEC_PER_SEC;
-    quota->missing = missing;
-    quota->foresee_sec = gap * Qt_FORESEE_GAPS + Qt_FORESEE_MIN_SEC;
+    double interval = (double)interval_usec / (double)Ck_USEC_PER_SEC;
+    quota->unreachable_count = unreachable;
+    quota->predict_sec = interval * Qt_PREDICT_INTERVALS + Qt_PREDICT_MIN_SEC;
 }
 
 /*
- * Hosts that are no longer heard may spend their share of what was left, too.
+ * Peers that have become unreachable may also spend their share of the tokens
+ * that were left, so those tokens are reserved.
  */
 static void
-leave_to_unheard(struct qt_bucket *bucket, double part)
+reserve_for_unreachable(struct qt_bucket *bucket, double part)
 {
     if (bucket->level > 0) {
         bucket->level *= 1 - part;
@@ -34,10 +45,10 @@
     if (bucket->window.step_usec == 0) {
         return;
     }
-    double room = qt_room(bucket);
+    double room = qt_window_room(bucket);
     if (room > 0) {
         Wn_Spend(&bucket->window, room * part);
-        bucket->aside += room * part;
+        bucket->window_reserve += room * part;
     }
 }
 
@@ -51,30 +62,32 @@
         struct qt_bucket *bucket = &quota->buckets[i];
         qt_fill(quota, bucket);
         if (share < quota->share) {
-            leave_to_unheard(bucket, 1 - share / quota->share);
+            reserve_for_unreachable(bucket, 1 - share / quota->share);
         }
     }
     quota->share = share;
 }
 
 /*
- * What was left to a daemon that is heard again is free, less what it then
- * says that it spent: nothing, if it had died.  Kept aside for the rest of
- * the window, a customer within its limit was refused for seconds after a cut
- * of two hosts in seven (107 of 646 requests against 23).
+ * What was reserved for a daemon is released when the daemon is reachable
+ * again. The usage that the daemon then reports is charged; after a crash that
+ * is nothing. When the tokens stayed reserved for the rest of the window, a
+ * customer within its limit was refused for seconds after two hosts in seven
+ * were partitioned off (107 of 646 requests against 23).
  */
 void
 Qt_Returned(struct qt_quota *quota)
 {
-    size_t missing = quota->missing > 0 ? quota->missing : 1;
+    size_t unreachable =
+        quota->unreachable_count > 0 ? quota->unreachable_count : 1;
     for (size_t i = 0; i < quota->count; i++) {
         struct qt_bucket *bucket = &quota->buckets[i];
         qt_fill(quota, bucket);
-        double back = bucket->aside / (double)missing;
-        bucket->aside -= back;
-        Wn_Spend(&bucket->window, -back);
+        double released = bucket->window_reserve / (double)unreachable;
+        bucket->window_reserve -= released;
+        Wn_Spend(&bucket->window, -released);
     }
-    quota->missing = missing - 1;
+    quota->unreachable_count = unreachable - 1;
 }
 
 void
@@ -83,31 +96,36 @@
     struct qt_bucket *bucket = qt_find(quota, tenant);
     if (bucket != NULL) {
         qt_fill(quota, bucket);
-        bucket->others_asked += cost / Qt_OTHERS_SEC;
+        bucket->peer_demand += cost / Qt_PEER_RATE_SEC;
     }
 }
 
 void
-Qt_Spent(struct qt_quota *quota, uint32_t tenant, double cost, bool apart)
+Qt_Spent(struct qt_quota *quota, uint32_t tenant, double cost,
+         bool while_unreachable)
 {
     struct qt_bucket *bucket = qt_find(quota, tenant);
     if (bucket == NULL) {
         return;
     }
     qt_fill(quota, bucket);
-    if (apart) {
-        /* The level was held back for it, the window is told the whole. */
-        double reserved = cost < bucket->reserve ? cost : bucket->reserve;
-        bucket->reserve -= reserved;
+    if (while_unreachable) {
+        /*
+         * Reserved tokens are not charged to the bucket again. The window is
+         * charged the whole cost.
+         */
+        double reserved =
+            cost < bucket->level_reserve ? cost : bucket->level_reserve;
+        bucket->level_reserve -= reserved;
         bucket->level -= cost - reserved;
         Wn_Spend(&bucket->window, cost);
         return;
     }
-    bucket->told_at = bucket->filled_at;
-    bucket->others += cost / Qt_OTHERS_SEC;
-    double known = cost < bucket->foreseen ? cost : bucket->foreseen;
-    bucket->foreseen -= known;
-    qt_spend(bucket, cost);
+    bucket->peer_usage_at = bucket->filled_at;
+    bucket->peer_rate += cost / Qt_PEER_RATE_SEC;
+    double known = cost < bucket->predicted ? cost : bucket->predicted;
+    bucket->predicted -= known;
+    qt_charge(bucket, cost);
     bucket->level += known;
 }
 
@@ -123,9 +141,9 @@
     qt_fill(quota, bucket);
     struct wn_past known = Wn_Past(&bucket->window);
     double more = past->older + past->newer - known.older - known.newer;
-    double limit = qt_limit(quota, bucket);
-    if (more > limit * Qt_PAST_LEAST &&
-        past->older + past->newer < limit * Qt_PAST_MOST) {
+    double limit = qt_window_limit(quota, bucket);
+    if (more > limit * Qt_PAST_MIN_LIMITS &&
+        past->older + past->newer < limit * Qt_PAST_MAX_LIMITS) {
         Wn_SetPast(&bucket->window, past);
         bucket->level -= more;
     }
--- a/packages/edge/quota_take.c
+++ b/packages/edge/quota_take.c
@@ -1,97 +1,112 @@
-/* Whether a request fits into its tenant's limit, and when it would. */
+/*
+ * Decides whether a request fits into its tenant's limit, and if not, when it
+ * would.
+ */
 #include <math.h>
 
 #include "edge/quota_internal.h"
 
 #define Qt_WAIT_MIN_USEC (100 * Ck_USEC_PER_MSEC)
 /*
- * Part of a window's limit that requests of the usual size and larger ones
- * leave to small ones.  With less, a customer at its limit gets a request
- * of a hundredth of the usual size refused as often as the others: 123 in
- * 1,850 against 10, at no gain for the large (a day with six times a
- * customer's usual load).
+ * Fraction of a window's limit that requests of mean cost and above leave to
+ * small ones. With a smaller reserve, a customer at its limit gets requests of
+ * a hundredth of the mean cost refused as often as others: 123 in 1,850
+ * against 10, at no gain for large requests (a day with six times a customer's
+ * usual load).
+ */
+#define Qt_SMALL_RESERVE_LIMITS 0.03
+/* Requests below this fraction of the mean cost count as small. */
+#define Qt_SMALL_MEAN_COSTS 0.25
+/*
+ * Where costs hardly vary, the reserve is at most this multiple of their mean
+ * deviation.
  */
-#define Qt_SMALL_PART 0.03
-/* Requests of this part of the usual size count as small. */
-#define Qt_SMALL_SIZE 0.25
-/* The same where sizes hardly differ, as a multiple of how much they do. */
-#define Qt_SMALL_SPREADS 16.0
-/* Weight of the newest request in the usual cost; about the last 64 count. */
-#define Qt_USUAL_WEIGHT (1.0 / 64)
-#define Qt_ECHO_PART 0.5
+#define Qt_SMALL_DEVIATIONS 16.0
+/* Weight of the newest request in the mean cost; about the last 64 count. */
+#define Qt_MEAN_WEIGHT (1.0 / 64)
+#define Qt_CONCURRENT_FACTOR 0.5
 
 static void
-note_cost(struct qt_bucket *bucket, double cost)
+record_cost(struct qt_bucket *bucket, double cost)
 {
-    if (bucket->usual <= 0) {
-        bucket->usual = cost;
+    if (bucket->mean_cost <= 0) {
+        bucket->mean_cost = cost;
     }
-    double off = fabs(cost - bucket->usual);
-    bucket->spread += (off - bucket->spread) * Qt_USUAL_WEIGHT;
-    bucket->usual += (cost - bucket->usual) * Qt_USUAL_WEIGHT;
-    bucket->asked += cost;
-    bucket->own_asked += cost / Qt_OTHERS_SEC;
+    double deviation = fabs(cost - bucket->mean_cost);
+    bucket->cost_deviation +=
+        (deviation - bucket->cost_deviation) * Qt_MEAN_WEIGHT;
+    bucket->mean_cost += (cost - bucket->mean_cost) * Qt_MEAN_WEIGHT;
+    bucket->requested += cost;
+    bucket->local_demand += cost / Qt_PEER_RATE_SEC;
 }
 
 /*
- * The room that a request needs to be let in.  At a customer's limit the room
- * comes back little by little; were it to hold the whole cost, small requests
- * would take it all and large ones hardly ever get in (267 of 2,173 prompts of
- * 17,000 tokens refused beside 51 of 3,701 of 1,500).  So all from the usual
- * size on need the same, and what one takes beyond is paid for afterwards.
+ * Room that a request needs to be admitted. At a customer's limit, room
+ * becomes free little by little. If each request needed room for its whole
+ * cost, small requests would take all of the room and large ones would hardly
+ * ever be admitted (267 of 2,173 prompts of 17,000 tokens were refused,
+ * against 51 of 3,701 prompts of 1,500). So all requests of a quarter of the
+ * mean cost and above need the same room. A cost beyond that room overdraws
+ * the bucket and is paid off by later refills.
  */
 static double
-need_of(const struct qt_quota *quota, const struct qt_bucket *bucket,
-        double cost)
+required_room(const struct qt_quota *quota, const struct qt_bucket *bucket,
+              double cost)
 {
     double most = bucket->burst * quota->share;
     double need = cost;
     if (bucket->window.step_usec > 0) {
-        double left =
-            fmin(bucket->spread * Qt_SMALL_SPREADS,
-                 qt_limit(quota, bucket) * quota->share * Qt_SMALL_PART);
-        double part = fmin(cost / (bucket->usual * Qt_SMALL_SIZE), 1);
-        need = part * (bucket->usual + left);
+        double small_reserve =
+            fmin(bucket->cost_deviation * Qt_SMALL_DEVIATIONS,
+                 qt_window_limit(quota, bucket) * quota->share *
+                     Qt_SMALL_RESERVE_LIMITS);
+        double part =
+            fmin(cost / (bucket->mean_cost * Qt_SMALL_MEAN_COSTS), 1);
+        need = part * (bucket->mean_cost + small_reserve);
     }
-    /* One request may exceed what a bucket can ever hold. */
+    /* One request may cost more than a bucket can ever hold. */
     return fmin(need, most);
 }
 
 static int64_t
-wait_for(const struct qt_quota *quota, const struct qt_bucket *bucket,
-         double need)
+wait_until_room(const struct qt_quota *quota, const struct qt_bucket *bucket,
+                double need)
 {
     int64_t wait = Qt_WAIT_MIN_USEC;
     if (bucket->level < need) {
-        double seconds = (need - bucket->level) / qt_refill(quota, bucket);
+        double seconds =
+            (need - bucket->level) / qt_refill_rate(quota, bucket);
         int64_t usec = (int64_t)(seconds * (double)Ck_USEC_PER_SEC);
         wait = usec > wait ? usec : wait;
     }
     if (bucket->window.step_usec > 0) {
-        int64_t usec = Wn_Wait(&bucket->window, bucket->per_sec * quota->share,
-                               need + fmax(bucket->foreseen, bucket->echo));
+        int64_t usec =
+            Wn_Wait(&bucket->window, bucket->per_sec * quota->share,
+                    need + fmax(bucket->predicted, bucket->concurrent));
         wait = usec > wait ? usec : wait;
     }
     return wait;
 }
 
 /*
- * When there is room again at a customer's limit all daemons see it at once,
- * and each lets in what comes until it hears of the others.  What one lets in
- * is a sample of what all do, as large a one as its part of what they are
- * asked for.  A customer that asks for less than its limit has no such herd:
- * with few requests a daemon each would stand for hundreds that never came.
+ * When room becomes free at a customer's limit, all daemons see it at once,
+ * and each admits requests until the reports of its peers arrive. The cost
+ * that peers admit meanwhile is estimated from what this daemon admits, in
+ * proportion to the demand on the peers. For a customer below its limit the
+ * estimate is 0: with few requests at each daemon, one request would stand for
+ * hundreds that were never sent.
  */
 static double
-echo_of(const struct qt_quota *quota, const struct qt_bucket *bucket,
-        double cost)
+estimate_concurrent(const struct qt_quota *quota,
+                    const struct qt_bucket *bucket, double cost)
 {
-    double asked = bucket->own_asked + bucket->others_asked;
+    double demand = bucket->local_demand + bucket->peer_demand;
     if (bucket->window.step_usec == 0 ||
-        asked < bucket->per_sec * quota->share) {
+        demand < bucket->per_sec * quota->share) {
         return 0;
     }
-    return cost * bucket->others_asked / bucket->own_asked * Qt_ECHO_PART;
+    return cost * bucket->peer_demand / bucket->local_demand *
+           Qt_CONCURRENT_FACTOR;
 }
 
 bool
@@ -103,25 +118,25 @@
         return true;
     }
     qt_fill(quota, bucket);
-    note_cost(bucket, cost);
-    double need = need_of(quota, bucket, cost);
-    bool full = bucket->window.step_usec > 0 && qt_room(bucket) < need;
+    record_cost(bucket, cost);
+    double need = required_room(quota, bucket, cost);
+    bool full = bucket->window.step_usec > 0 && qt_window_room(bucket) < need;
     if (full || bucket->level < need) {
-        *wait_usec = wait_for(quota, bucket, need);
+        *wait_usec = wait_until_room(quota, bucket, need);
         return false;
     }
-    bucket->total += cost;
-    bucket->echo += echo_of(quota, bucket, cost);
-    qt_spend(bucket, cost);
+    bucket->admitted += cost;
+    bucket->concurrent += estimate_concurrent(quota, bucket, cost);
+    qt_charge(bucket, cost);
     return true;
 }
 
-/* Gives back what a request took that was then not run. */
+/* Refunds the cost of a request that was admitted but not run. */
 void
 Qt_Refund(struct qt_quota *quota, const char *tenant, double cost)
 {
     struct qt_bucket *bucket = qt_find(quota, Qt_Hash(tenant));
     if (bucket != NULL && bucket->per_sec > 0) {
-        qt_spend(bucket, -cost);
+        qt_charge(bucket, -cost);
     }
 }
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -1,6 +1,6 @@
 /*
- * A load at its worst, replayed against the quota of many daemons: they tell
- * each other late what they admitted, as on the hosts.
+ * Replays overload against the quota of many daemons that report their usage
+ * to each other with the delay they have on real hosts.
  */
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Tokens a second; the burst is as much.
+// Tokens a second; the burst is as many tokens.
 constexpr double kRate = 385000;
 constexpr double kLargeRate = 1154000;
 constexpr int64_t kWindow = 8 * Ck_USEC_PER_SEC;
@@ -27,7 +27,7 @@
     return rate * 8 + rate;
 }
 
-// What the bound allows beyond, for what daemons hear late of each other.
+// The bound, with the slack that it allows for late reports between daemons.
 constexpr double
 Bound(double rate)
 {
@@ -36,7 +36,7 @@
 
 constexpr int64_t kStep = 10 * Ck_USEC_PER_MSEC;
 
-// A kind of request: its cost in tokens and its part of the requests.
+// A kind of request: its cost in tokens and its fraction of the requests.
 struct Kind {
     double cost;
     double part;
@@ -57,9 +57,9 @@
     Replay(size_t daemons, int64_t every_usec, double rate = kRate)
         : rate_(rate), every_(every_usec), tenants_(rate, rate),
           quotas_(daemons, nullptr),
-          told_(daemons, std::vector<uint64_t>(daemons, 0)),
+          reported_(daemons, std::vector<uint64_t>(daemons, 0)),
           asked_(daemons, std::vector<uint64_t>(daemons, 0)),
-          missed_(daemons, std::vector<bool>(daemons, false))
+          unreachable_(daemons, std::vector<bool>(daemons, false))
     {
         Start(true);
     }
@@ -82,20 +82,20 @@
             if (first) {
                 Qt_Configure(quotas_[i], tenants_.config);
             }
-            told_[i].assign(told_[i].size(), 0);
+            reported_[i].assign(reported_[i].size(), 0);
             asked_[i].assign(asked_[i].size(), 0);
         }
     }
 
-    // The holder records what it knows.
+    // Records recent usage as the lease holder does.
     void
     Record()
     {
         recorded_ = Qt_Recent(quotas_[0], record_);
     }
 
-    // All die and start again after "down"; the last record is left.  Each
-    // has heard nobody yet when it gets its configuration.
+    // All daemons die and start again after "down"; the last record survives.
+    // No daemon has a message from a peer yet when it gets its configuration.
     void
     RestartAll(int64_t down)
     {
@@ -111,8 +111,8 @@
         }
     }
 
-    // Some die and start again after "down"; the last record is left, and
-    // what the others know is told them or not.
+    // A fraction of the daemons dies and starts again after "down". The last
+    // record survives. "told": the other daemons report past usage to them.
     void
     RestartSome(double part, int64_t down, double load, bool told)
     {
@@ -126,36 +126,37 @@
             Qt_Configure(quotas_[i], tenants_.config);
             Qt_Recall(quotas_[i], record_, recorded_);
             for (size_t j = 0; j < quotas_.size(); j++) {
-                told_[i][j] = 0;
+                reported_[i][j] = 0;
                 asked_[i][j] = 0;
             }
         }
-        tell_past_to_ = told ? some : 0;
+        past_receivers_ = told ? some : 0;
     }
 
-    // The first "part" of the daemons hear nothing of the others any more;
-    // each side notices when words have been missing for a while.
+    // Partitions the first "part" of the daemons off. Each side adjusts its
+    // share after messages have been missing for a while.
     void
-    Cut(double part)
+    Partition(double part)
     {
-        cut_at_ = (size_t)((double)quotas_.size() * part);
+        partition_at_ = (size_t)((double)quotas_.size() * part);
         shares_at_ = clock_.boot + 2 * every_;
     }
 
-    // All hear each other again.
+    // Ends the partition.
     void
     Heal()
     {
         for (size_t i = 0; i < quotas_.size(); i++) {
             for (size_t j = 0; j < quotas_.size(); j++) {
-                missed_[i][j] = (i < cut_at_) != (j < cut_at_);
+                unreachable_[i][j] =
+                    (i < partition_at_) != (j < partition_at_);
             }
         }
-        cut_at_ = 0;
+        partition_at_ = 0;
         shares_at_ = clock_.boot + every_;
     }
 
-    // Requests for "load" times the limit's rate, at random daemons.
+    // Sends requests for "load" times the limit's rate to random daemons.
     void
     Run(int64_t usec, double load)
     {
@@ -169,15 +170,15 @@
                 SetShares();
             }
             for (int n = arrivals(random_); n > 0; n--) {
-                Ask();
+                Request();
             }
-            Tell();
+            Report();
         }
     }
 
-    // The most that was admitted in any window.
+    // The highest cost admitted in any window.
     double
-    Most() const
+    HighestWindow() const
     {
         double most = 0;
         double sum = 0;
@@ -212,9 +213,9 @@
         return (double)fine / all;
     }
 
-    // What was admitted in the last window.
+    // The cost admitted in the last window.
     double
-    Lately() const
+    LastWindow() const
     {
         double sum = 0;
         for (const Admitted &request : log) {
@@ -236,7 +237,7 @@
     };
 
     void
-    Ask()
+    Request()
     {
         double draw = unit_(random_);
         size_t kind = 0;
@@ -256,38 +257,39 @@
     void
     SetShares()
     {
-        double first = (double)cut_at_ / (double)quotas_.size();
+        double first = (double)partition_at_ / (double)quotas_.size();
         for (size_t i = 0; i < quotas_.size(); i++) {
-            double share = i < cut_at_ ? first : 1 - first;
+            double share = i < partition_at_ ? first : 1 - first;
             size_t heard = (size_t)(share * (double)quotas_.size() + 0.5);
             Qt_SetPeers(quotas_[i], quotas_.size() - heard, every_);
             Qt_SetShare(quotas_[i], share);
         }
     }
 
-    // One that was there all the while tells those that have just started.
+    // A daemon that has kept running reports past usage to the restarted ones.
     void
-    TellPast(size_t from)
+    ReportPast(size_t from)
     {
         struct qt_recent rows[Qt_RECENT_MAX];
         size_t count = Qt_Recent(quotas_[from], rows);
-        for (size_t j = 0; j < tell_past_to_ && from >= tell_past_to_; j++) {
+        for (size_t j = 0; j < past_receivers_ && from >= past_receivers_;
+             j++) {
             for (size_t k = 0; k < count; k++) {
                 Qt_ToldPast(quotas_[j], rows[k].tenant, &rows[k].past);
             }
         }
     }
 
-    // Each daemon tells all others its total, each at its own moments.
+    // Each daemon reports its total to all peers, each at times of its own.
     void
-    Tell()
+    Report()
     {
         int64_t step = clock_.boot / kStep;
         for (size_t i = 0; i < quotas_.size(); i++) {
             if ((step + (int64_t)i * 7) % (every_ / kStep) != 0) {
                 continue;
             }
-            TellPast(i);
+            ReportPast(i);
             Totals now{0, 0};
             Qt_Each(
                 quotas_[i],
@@ -297,22 +299,23 @@
                 &now);
             uint64_t total = now.admitted;
             for (size_t j = 0; j < quotas_.size(); j++) {
-                bool heard = (i < cut_at_) == (j < cut_at_);
+                bool heard = (i < partition_at_) == (j < partition_at_);
                 if (j != i && heard && now.asked > asked_[i][j]) {
                     Qt_Asked(quotas_[j], Qt_Hash("acme"),
                              (double)(now.asked - asked_[i][j]));
                     asked_[i][j] = now.asked;
                 }
-                if (j == i || !heard || total <= told_[i][j]) {
+                if (j == i || !heard || total <= reported_[i][j]) {
                     continue;
                 }
-                if (missed_[i][j]) {
+                if (unreachable_[i][j]) {
                     Qt_Returned(quotas_[j]);
                 }
                 Qt_Spent(quotas_[j], Qt_Hash("acme"),
-                         (double)(total - told_[i][j]), missed_[i][j]);
-                told_[i][j] = total;
-                missed_[i][j] = false;
+                         (double)(total - reported_[i][j]),
+                         unreachable_[i][j]);
+                reported_[i][j] = total;
+                unreachable_[i][j] = false;
             }
         }
     }
@@ -324,20 +327,20 @@
     int64_t every_;
     Tenants tenants_;
     std::vector<struct qt_quota *> quotas_;
-    std::vector<std::vector<uint64_t>> told_;
+    std::vector<std::vector<uint64_t>> reported_;
     std::vector<std::vector<uint64_t>> asked_;
-    std::vector<std::vector<bool>> missed_;
-    size_t cut_at_ = 0;
-    size_t tell_past_to_ = 0;
+    std::vector<std::vector<bool>> unreachable_;
+    size_t partition_at_ = 0;
+    size_t past_receivers_ = 0;
     int64_t shares_at_ = 0;
     std::mt19937 random_{11};
     std::uniform_real_distribution<double> unit_{0, 1};
 };
 
 /*
- * A customer asks for four times its limit for half a minute.  It is entitled
- * to its rate and its burst in each window, and got a tenth less: once spent,
- * the burst was never granted again.
+ * Guards against a customer at four times its limit that gets a tenth less
+ * than its rate and burst in each window because a spent burst is never
+ * granted again.
  */
 TEST(QuotaReplay, ACustomerAtItsLimitGetsItInEveryWindow)
 {
@@ -347,17 +350,17 @@
     replay.Run(2 * kWindow, 4);
     for (int i = 0; i < kTimes; i++) {
         replay.Run(kWindow / 3, 4);
-        EXPECT_GE(replay.Lately(), Limit(kRate) * 0.85) << i;
-        sum += replay.Lately();
+        EXPECT_GE(replay.LastWindow(), Limit(kRate) * 0.85) << i;
+        sum += replay.LastWindow();
     }
     EXPECT_GE(sum / kTimes, Limit(kRate) * 0.93);
-    EXPECT_LE(replay.Most(), Bound(kRate));
+    EXPECT_LE(replay.HighestWindow(), Bound(kRate));
 }
 
 /*
- * The same customer's long prompts are refused again and again while its
- * short ones pass: what comes back to the limit little by little is always
- * enough for a short one, and never for a long one.
+ * Guards against long prompts that are refused while short ones of the same
+ * customer pass, because the room that becomes free little by little is enough
+ * for a short prompt only.
  */
 TEST(QuotaReplay, LongRequestsAreServedAsOftenAsUsualOnes)
 {
@@ -368,14 +371,14 @@
     };
     EXPECT_GE(share(0), share(1) * 0.8);
     EXPECT_GE(share(0), share(2) * 0.5);
-    // One that costs next to nothing is hardly ever refused.
+    // A request of very small cost is hardly ever refused.
     EXPECT_GE(share(3), 0.9);
 }
 
 /*
- * The customer's flood, all daemons dead in the middle of it, and nobody left
- * who counted: what it had spent was granted a second time, and a service
- * sized for the limit got half as much again.
+ * Guards against a limit that is granted twice when all daemons die in the
+ * middle of an overload: with the counters lost, a service sized for the limit
+ * got half as much again.
  */
 TEST(QuotaReplay, ARestartOfAllGrantsNothingTwice)
 {
@@ -387,13 +390,13 @@
         replay.Run(300 * Ck_USEC_PER_MSEC, 4);
         replay.RestartAll(700 * Ck_USEC_PER_MSEC);
         replay.Run(8 * Ck_USEC_PER_SEC, 4);
-        EXPECT_LE(replay.Most(), Bound(kRate)) << before;
+        EXPECT_LE(replay.HighestWindow(), Bound(kRate)) << before;
     }
 }
 
 /*
- * The same while the store is away: there is no record, and nobody may be
- * refused everything for that.
+ * The same while the store is unavailable. There is no record then, and the
+ * daemons may not refuse every request for that reason.
  */
 TEST(QuotaReplay, WithoutARecordTheWindowCountsAsFull)
 {
@@ -411,9 +414,10 @@
 }
 
 /*
- * After such a restart a customer within its limit goes on being served.
+ * Guards against refusals of a customer within its limit after a restart of
+ * all daemons.
  */
-TEST(QuotaReplay, ARestartRefusesNobodyWithinTheLimit)
+TEST(QuotaReplay, ARestartRefusesNoCustomerWithinItsLimit)
 {
     Replay replay(7, 100 * Ck_USEC_PER_MSEC);
     replay.Run(10 * Ck_USEC_PER_SEC, 0.5);
@@ -426,28 +430,30 @@
 }
 
 /*
- * With many daemons each hears of the others most of a second late, and a
- * flood reaches all of them at once.
+ * Guards against exceeding the bound where each of many daemons gets the
+ * reports of the others most of a second late, and an overload reaches all of
+ * them at once.
  */
 TEST(QuotaReplay, TheBoundHoldsOverNinetyDaemons)
 {
     Replay replay(91, 750 * Ck_USEC_PER_MSEC, kLargeRate);
     replay.Run(10 * Ck_USEC_PER_SEC, 0.5);
     replay.Run(20 * Ck_USEC_PER_SEC, 3);
-    EXPECT_LE(replay.Most(), Bound(kLargeRate));
-    EXPECT_GE(replay.Lately(), Limit(kLargeRate) * 0.75);
+    EXPECT_LE(replay.HighestWindow(), Bound(kLargeRate));
+    EXPECT_GE(replay.LastWindow(), Limit(kLargeRate) * 0.75);
 }
 
 /*
- * Two hosts of seven are cut off for four seconds, and for eight more a
- * customer within its limit is refused on all of them: what was left to the
- * other side was kept aside though that had spent less.
+ * Guards against refusals of a customer within its limit for eight seconds
+ * after two hosts of seven were partitioned off for four seconds: what was
+ * reserved for the other side stayed reserved although that side had spent
+ * less.
  */
-TEST(QuotaReplay, AfterACutNobodyWithinTheLimitIsRefused)
+TEST(QuotaReplay, APartitionsEndRefusesNoCustomerWithinItsLimit)
 {
     Replay replay(7, 100 * Ck_USEC_PER_MSEC);
     replay.Run(10 * Ck_USEC_PER_SEC, 0.6);
-    replay.Cut(0.3);
+    replay.Partition(0.3);
     replay.Run(4 * Ck_USEC_PER_SEC, 0.6);
     replay.Heal();
     replay.Run(Ck_USEC_PER_SEC, 0.6);
@@ -457,27 +463,28 @@
 }
 
 /*
- * A third of the hosts is cut off from the others for twelve seconds, and a
- * customer floods both sides.  When they hear each other again each side took
- * the burst for unspent, the other's as well.
+ * Guards against granting the burst twice when a third of the hosts was
+ * partitioned off for twelve seconds under overload and each side then takes
+ * the burst of the other side for unspent.
  */
-TEST(QuotaReplay, ACutAndItsEndGrantNothingTwice)
+TEST(QuotaReplay, APartitionAndItsEndGrantNothingTwice)
 {
     for (size_t daemons : {7, 91}) {
         int64_t every = daemons == 7 ? 100 : 750;
         Replay replay(daemons, every * Ck_USEC_PER_MSEC, kLargeRate);
         replay.Run(10 * Ck_USEC_PER_SEC, 0.5);
-        replay.Cut(0.35);
+        replay.Partition(0.35);
         replay.Run(6 * Ck_USEC_PER_SEC, 0.5);
         replay.Run(6 * Ck_USEC_PER_SEC, 3.3);
         replay.Heal();
         replay.Run(8 * Ck_USEC_PER_SEC, 3.3);
-        EXPECT_LE(replay.Most(), Bound(kLargeRate)) << daemons;
+        EXPECT_LE(replay.HighestWindow(), Bound(kLargeRate)) << daemons;
     }
 }
 
-// Guards against a customer well within its limit that is refused because
-// what one of hundreds of daemons lets in is taken for what all do.
+// Guards against refusals of a customer well within its limit because what one
+// of hundreds of daemons admits is taken as a sample of what all of them
+// admit.
 TEST(QuotaReplay, FewCallersOverHundredsOfDaemonsAreNotRefused)
 {
     for (double rate : {40000.0, 100000.0, 300000.0}) {
@@ -490,8 +497,9 @@
     }
 }
 
-// Guards against a flood that is let in at each of hundreds of daemons before
-// they hear of each other, and against one that is held far below its limit.
+// Guards against an overload that each of hundreds of daemons admits before
+// the reports of the others arrive, and against holding a customer far below
+// its limit.
 TEST(QuotaReplay, TheBoundHoldsOverHundredsOfDaemons)
 {
     for (size_t callers : {40, 295}) {
@@ -504,18 +512,19 @@
             double sum = 0;
             for (int i = 0; i < kTimes; i++) {
                 replay.Run(kWindow / 3, 4);
-                sum += replay.Lately();
+                sum += replay.LastWindow();
             }
-            EXPECT_LE(replay.Most(), Bound(rate)) << callers << " " << rate;
+            EXPECT_LE(replay.HighestWindow(), Bound(rate))
+                << callers << " " << rate;
             EXPECT_GE(sum / kTimes, Limit(rate) * 0.75)
                 << callers << " " << rate;
         }
     }
 }
 
-// Guards against a limit granted again by daemons that were killed in the
-// middle of a flood and know only what was recorded before it.
-TEST(QuotaReplay, DaemonsThatComeBackInAFloodKnowWhatWasSpent)
+// Guards against granting a limit again at daemons that were killed in the
+// middle of an overload and know only the usage recorded before it.
+TEST(QuotaReplay, DaemonsRestartedInAnOverloadKnowPastUsage)
 {
     for (double part : {0.18, 0.35, 0.6}) {
         for (int64_t before : {500, 1500}) {
@@ -529,7 +538,7 @@
                 replay.RestartSome(part, 500 * Ck_USEC_PER_MSEC, 3, told);
                 replay.Recount();
                 replay.Run(11 * Ck_USEC_PER_SEC, 3);
-                most[told] = replay.Most() / Bound(kLargeRate);
+                most[told] = replay.HighestWindow() / Bound(kLargeRate);
                 served[told] = replay.ServedPart();
             }
             printf("%.2f of 69 killed after %lld ms: %.3f of the bound and "
--- a/packages/edge/test/quota_test.cc
+++ b/packages/edge/test/quota_test.cc
@@ -33,9 +33,9 @@
     static_cast<Seen *>(arg)->total = total;
 }
 
-// A tenant gets its quota once for each host: what the other hosts have
-// admitted must leave the bucket here as well.
-TEST(Quota, WhatOthersAdmitIsNotAdmittedAgain)
+// Guards against a tenant that gets its quota once for each host. What other
+// hosts have admitted must leave the bucket here as well.
+TEST(Quota, PeerUsageIsChargedHere)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -55,9 +55,9 @@
     Qt_Destroy(there);
 }
 
-// A tenant sends many times its usual, and what the other hosts admit is
-// heard half a second late: in that time it gets its quota twice.
-TEST(Quota, OthersAreTakenToGoOn)
+// Guards against a tenant that gets its quota twice while reports of other
+// hosts are half a second late.
+TEST(Quota, PeerUsageIsPredicted)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -73,8 +73,8 @@
     Qt_Destroy(quota);
 }
 
-// All hosts are killed and start again: each with a full bucket would admit
-// the burst anew, on top of what ran just before.
+// Guards against hosts that all restart with a full bucket and admit the burst
+// again on top of what they admitted just before.
 TEST(Quota, ARestartDoesNotGrantTheBurstAgain)
 {
     FakeClock clock;
@@ -85,8 +85,9 @@
     Qt_Destroy(quota);
 }
 
-// Hosts that are cut off from each other admit the whole rate on each side.
-TEST(Quota, AHostThatHearsFewKeepsToItsShare)
+// Guards against hosts on both sides of a network partition that admit the
+// whole rate each.
+TEST(Quota, APartitionedHostUsesItsShareOfTheRate)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -99,10 +100,10 @@
     Qt_Destroy(quota);
 }
 
-// A third of the hosts is cut off from the others, callers go on reaching both
-// sides, and a tenant at its limit gets more than a whole rate: the larger
-// side believed the smaller one dead.
-TEST(Quota, TwoSidesOfACutHandOutOneRate)
+// Guards against a tenant that gets more than its rate while a third of the
+// hosts is partitioned off and both sides serve callers. The larger side must
+// not take the smaller one for dead.
+TEST(Quota, TwoSidesOfAPartitionAdmitOneRate)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -123,9 +124,10 @@
     Qt_Destroy(small);
 }
 
-// A cut heals, and for seconds a tenant within its limit is refused: what the
-// other side handed out of its own share was taken from this side as well.
-TEST(Quota, WhatWasLeftToTheOtherSideIsNotTakenTwice)
+// Guards against refusals of a tenant within its limit for seconds after a
+// partition has ended, when the usage of the other side is charged to the rate
+// that had been reserved for it and to the bucket as well.
+TEST(Quota, ReservedUsageIsNotChargedTwice)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -141,16 +143,16 @@
     Qt_Spent(quota, Qt_Hash("acme"), 5 * 0.35 * kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_NEAR(TakeAll(quota, 10), kRate, 30);
-    // Beyond its share it does count.
+    // Usage beyond the reserve is charged.
     Qt_Spent(quota, Qt_Hash("acme"), kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_LT(TakeAll(quota, 10), 30);
     Qt_Destroy(quota);
 }
 
-// A caller that is over its quota comes back at once, again and again: it was
-// not told how long it takes until its request fits.
-TEST(Quota, TheWaitIsWhatTheBucketNeeds)
+// Guards against a wait that is shorter than the time after which the request
+// fits, with which a refused caller retries in vain.
+TEST(Quota, TheWaitIsUntilTheBucketHasRoom)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -165,9 +167,9 @@
     Qt_Destroy(quota);
 }
 
-// A lower limit takes effect with the configuration that brings it; what was
-// admitted before stays admitted.
-TEST(Quota, ALowerLimitHoldsFromThenOn)
+// A lower limit takes effect with the configuration that brings it, and what
+// was admitted before stays admitted.
+TEST(Quota, ALowerLimitAppliesAtOnce)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -181,9 +183,9 @@
     Qt_Destroy(quota);
 }
 
-// While all endpoints fail, every request is sent to a second one, and the
-// service gets twice the load it cannot carry.
-TEST(Budget, RepeatsAreAPartOfTheRequests)
+// Guards against a service that gets twice its load because every failed
+// request is sent to a second endpoint while all endpoints fail.
+TEST(Budget, RepeatsAreAFractionOfRequests)
 {
     FakeClock clock;
     struct bu_budget *budget =
@@ -199,8 +201,8 @@
     Bu_Destroy(budget);
 }
 
-// The fixed allowance is one for all hosts: seven hosts that each use the
-// whole of it exceed the bound sevenfold.
+// Guards against seven hosts that each use the whole fixed allowance, which is
+// meant for all hosts together.
 TEST(Budget, TheAllowanceIsDivided)
 {
     FakeClock clock;
