--- a/packages/edge/test/zones_test.cc
+++ b/packages/edge/test/zones_test.cc
@@ -1,4 +1,4 @@
-// What data centres tell each other of their sums.
+// Tests summaries between data centres.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -11,7 +11,7 @@
 
 constexpr uint32_t kTenant = 7;
 
-struct Heard {
+struct Charged {
     uint64_t total = 0;
     uint64_t asked = 0;
 };
@@ -38,47 +38,46 @@
         word_.spent[0] = {kTenant, total, 2 * total};
         word_.load_count = 1;
         word_.loads[0] = {1, (int)reporter, 0};
-        Zn_Take(zones_, &word_, Note, &heard_);
+        Zn_Take(zones_, &word_, Note, &charged_);
     }
 
     static void
     Note(void *arg, const struct ms_spent *more)
     {
-        Heard *heard = static_cast<Heard *>(arg);
-        heard->total += more->total;
-        heard->asked += more->asked;
+        Charged *charged = static_cast<Charged *>(arg);
+        charged->total += more->total;
+        charged->asked += more->asked;
     }
 
     FakeClock clock_;
     struct zn_zones *zones_;
     struct ms_word word_;
-    Heard heard_;
+    Charged charged_;
 };
 
-// Guards against a data centre's spending that counts from its start for a
-// daemon that has just come.
-TEST_F(Zones, WhatAReporterSaysFirstIsNotNew)
+// Guards against charging a data centre's usage since its start at a daemon
+// that has just started.
+TEST_F(Zones, FirstSummaryIsTheBaseline)
 {
     Summary(1, 1000, 10);
-    EXPECT_EQ(0u, heard_.total);
+    EXPECT_EQ(0u, charged_.total);
     Summary(1, 1200, 20);
-    EXPECT_EQ(200u, heard_.total);
-    EXPECT_EQ(400u, heard_.asked);
+    EXPECT_EQ(200u, charged_.total);
+    EXPECT_EQ(400u, charged_.asked);
 }
 
-// Guards against spending that counts twice when two daemons tell of one data
-// centre.
-TEST_F(Zones, OneReporterCountsAtATime)
+// Guards against charging usage twice when two daemons report one data centre.
+TEST_F(Zones, OneReporterIsUsedAtATime)
 {
     Summary(1, 1000, 10);
     Summary(2, 5000, 10);
     Summary(1, 1100, 20);
     Summary(2, 5100, 20);
-    EXPECT_EQ(100u, heard_.total);
+    EXPECT_EQ(100u, charged_.total);
 }
 
-// Guards against a limit that nobody of another data centre counts against
-// once its reporter has died.
+// Guards against a limit to which another data centre's usage is no longer
+// charged once its reporter has died.
 TEST_F(Zones, AnotherReporterTakesOver)
 {
     Summary(1, 1000, 10);
@@ -87,40 +86,40 @@
     EXPECT_FALSE(Zn_IsReported(zones_, "dc-b"));
     Summary(2, 5300, 20);
     EXPECT_TRUE(Zn_IsReported(zones_, "dc-b"));
-    EXPECT_EQ(300u, heard_.total);
+    EXPECT_EQ(300u, charged_.total);
     Summary(3, 9000, 10);
     Summary(2, 5400, 30);
-    EXPECT_EQ(400u, heard_.total);
+    EXPECT_EQ(400u, charged_.total);
 }
 
-// Guards against a limit that is granted again since what a data centre spent
-// between two reporters is never counted.
-TEST_F(Zones, WhatTheStandInToldMeanwhileCounts)
+// Guards against a limit that is granted again because usage between the last
+// summary of one reporter and the takeover by the next is never charged.
+TEST_F(Zones, UsageReportedBeforeATakeoverIsCharged)
 {
     Summary(1, 1000, 10);
     Summary(2, 5000, 10);
     Summary(1, 1100, 20);
-    EXPECT_EQ(100u, heard_.total);
+    EXPECT_EQ(100u, charged_.total);
     for (int i = 1; i <= 4; i++) {
         clock_.Advance(Ck_USEC_PER_SEC / 2);
         Summary(2, 5000 + 100 * (uint64_t)i, 10 + i);
     }
-    EXPECT_EQ(500u, heard_.total);
+    EXPECT_EQ(500u, charged_.total);
 }
 
-// Guards against a datagram that was overtaken: what came before it would
-// count again.
+// Guards against a summary that arrives after a newer one: the usage between
+// the two would be charged again.
 TEST_F(Zones, ALateSummaryIsDropped)
 {
     Summary(1, 1000, 10);
     Summary(1, 1500, 30);
     Summary(1, 1200, 20);
     Summary(1, 1600, 40);
-    EXPECT_EQ(600u, heard_.total);
+    EXPECT_EQ(600u, charged_.total);
 }
 
-// Guards against loads of a data centre that has fallen silent.
-TEST_F(Zones, LoadsAreThoseOfTheReporterThatCounts)
+// Guards against using the loads of a data centre that no longer reports.
+TEST_F(Zones, LoadsAreThoseOfTheCurrentReporter)
 {
     Summary(1, 1000, 10);
     Summary(2, 1000, 10);
@@ -136,8 +135,9 @@
     EXPECT_EQ(0, running);
 }
 
-// Guards against sums that leave out what this daemon or another admitted.
-TEST_F(Zones, ASummaryHoldsTheOwnAndTheOthers)
+// Guards against summaries that leave out what this daemon or another one
+// admitted.
+TEST_F(Zones, ASummaryAddsLocalAndPeerUsage)
 {
     struct ms_spent more = {kTenant, 30, 40};
     Zn_AddNear(zones_, &more);
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -4,22 +4,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One that stopped, and the one that stands in for it. */
+/* The current reporter, and the one that takes over from it. */
 #define Zn_REPORTERS 2
-/* A reporter not heard for this long has stopped. */
-#define Zn_SILENT_USEC (1500 * Ck_USEC_PER_MSEC)
+/* A reporter without a message for this long has stopped. */
+#define Zn_REPORTER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
 
-struct spent_rows {
+struct usage_rows {
     size_t count;
     struct ms_spent rows[Ms_SPENT_MAX];
 };
 
 struct reporter {
     uint64_t run;    /* 0: none */
-    int64_t up_usec; /* of the process, as it last said */
+    int64_t up_usec; /* age of the process in its last summary */
     int64_t heard_at;
-    struct spent_rows told;    /* last */
-    struct spent_rows counted; /* what of that has been counted */
+    struct usage_rows received; /* from its last summary */
+    struct usage_rows charged;  /* the part of "received" that was charged */
     size_t load_count;
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
 };
@@ -27,7 +27,7 @@
 struct zone {
     TAILQ_ENTRY(zone) link;
     char name[Nd_NAME_MAX];
-    size_t current; /* the reporter whose word counts */
+    size_t current; /* the one whose summaries are used */
     struct reporter reporters[Zn_REPORTERS];
 };
 
@@ -35,12 +35,12 @@
 
 struct zn_zones {
     const struct ck_clock *clock;
-    size_t near_count;
-    struct ms_spent near[Ms_SPENT_MAX]; /* of the others here */
+    size_t peer_usage_count;
+    struct ms_spent peer_usage[Ms_SPENT_MAX]; /* of other daemons here */
     struct zone_list zones;
 };
 
-/* NULL without memory. */
+/* NULL: out of memory. */
 struct zn_zones *
 Zn_Create(const struct ck_clock *clock)
 {
@@ -66,9 +66,9 @@
     free(zones);
 }
 
-/* NULL where there is neither one nor room for one. */
+/* NULL: the tenant has no row and the table is full. */
 static struct ms_spent *
-find_spent(struct ms_spent *rows, size_t *count, uint32_t tenant)
+find_or_add_usage(struct ms_spent *rows, size_t *count, uint32_t tenant)
 {
     for (size_t i = 0; i < *count; i++) {
         if (rows[i].tenant == tenant) {
@@ -83,9 +83,9 @@
 }
 
 static void
-add_spent(struct ms_spent *rows, size_t *count, const struct ms_spent *more)
+add_usage(struct ms_spent *rows, size_t *count, const struct ms_spent *more)
 {
-    struct ms_spent *row = find_spent(rows, count, more->tenant);
+    struct ms_spent *row = find_or_add_usage(rows, count, more->tenant);
     if (row != NULL) {
         row->total += more->total;
         row->asked += more->asked;
@@ -95,22 +95,22 @@
 void
 Zn_AddNear(struct zn_zones *zones, const struct ms_spent *more)
 {
-    add_spent(zones->near, &zones->near_count, more);
+    add_usage(zones->peer_usage, &zones->peer_usage_count, more);
 }
 
 void
 Zn_Summarize(const struct zn_zones *zones, struct ms_word *word)
 {
-    for (size_t i = 0; i < zones->near_count; i++) {
-        add_spent(word->spent, &word->spent_count, &zones->near[i]);
+    for (size_t i = 0; i < zones->peer_usage_count; i++) {
+        add_usage(word->spent, &word->spent_count, &zones->peer_usage[i]);
     }
 }
 
 static bool
-is_heard(const struct zn_zones *zones, const struct reporter *reporter)
+is_active(const struct zn_zones *zones, const struct reporter *reporter)
 {
-    return reporter->run != 0 &&
-           Ck_Now(zones->clock) - reporter->heard_at < Zn_SILENT_USEC;
+    return reporter->run != 0 && Ck_Now(zones->clock) - reporter->heard_at <
+                                     Zn_REPORTER_TIMEOUT_USEC;
 }
 
 static struct zone *
@@ -139,8 +139,7 @@
     return zone;
 }
 
-/* The entry of a reporter; a new one takes that of one whose word does not
-   count. */
+/* The entry of a reporter. A new reporter replaces one that is not current. */
 static struct reporter *
 find_reporter(struct zone *zone, uint64_t run)
 {
@@ -152,26 +151,27 @@
     return &zone->reporters[(zone->current + 1) % Zn_REPORTERS];
 }
 
-/* Counts what the reporter has told and was not counted yet. */
+/* Calls "fn" for the usage in the last summary that was not charged yet. */
 static void
-count_more(struct reporter *reporter, zn_spent_fn fn, void *arg)
+charge_increase(struct reporter *reporter, zn_spent_fn fn, void *arg)
 {
-    const struct spent_rows *counted = &reporter->counted;
-    for (size_t i = 0; i < reporter->told.count; i++) {
-        struct ms_spent more = Ms_SpentMore(&reporter->told.rows[i],
-                                            counted->rows, counted->count);
+    const struct usage_rows *charged = &reporter->charged;
+    for (size_t i = 0; i < reporter->received.count; i++) {
+        struct ms_spent more = Ms_SpentMore(&reporter->received.rows[i],
+                                            charged->rows, charged->count);
         fn(arg, &more);
     }
-    reporter->counted = reporter->told;
+    reporter->charged = reporter->received;
 }
 
 static void
-keep(struct reporter *reporter, const struct ms_word *summary, int64_t now)
+store_summary(struct reporter *reporter, const struct ms_word *summary,
+              int64_t now)
 {
-    reporter->told.count = summary->spent_count;
-    memcpy(reporter->told.rows, summary->spent, sizeof(summary->spent));
+    reporter->received.count = summary->spent_count;
+    memcpy(reporter->received.rows, summary->spent, sizeof(summary->spent));
     if (reporter->run != summary->run) {
-        reporter->counted = reporter->told;
+        reporter->charged = reporter->received;
     }
     reporter->run = summary->run;
     reporter->up_usec = summary->up_usec;
@@ -181,11 +181,12 @@
 }
 
 /*
- * Two reporters have counted from different moments on, so one counts at a
- * time.  What a new one says first is where it stands; only then is it known
- * what is more.  What one that stands in has told since the other was last
- * heard counts when it is believed, a second and a half later: a customer at
- * its limit would get that much of a data centre again.
+ * Two reporters have counted since different times, so only one is used at a
+ * time. The first summary of a new reporter is its baseline; only the increase
+ * from there on is charged. When the current reporter stops, the other takes
+ * over a second and a half later. What it reported in that time is then
+ * charged, or a customer at its limit would get that much of the data centre's
+ * usage again.
  */
 void
 Zn_Take(struct zn_zones *zones, const struct ms_word *summary, zn_spent_fn fn,
@@ -199,19 +200,19 @@
     size_t index = (size_t)(reporter - zone->reporters);
     if (reporter->run == summary->run &&
         reporter->up_usec > summary->up_usec) {
-        /* It was overtaken on the way. */
+        /* A newer summary has arrived before this one. */
         return;
     }
-    if (!is_heard(zones, &zone->reporters[zone->current])) {
+    if (!is_active(zones, &zone->reporters[zone->current])) {
         zone->current = index;
     }
-    keep(reporter, summary, Ck_Now(zones->clock));
+    store_summary(reporter, summary, Ck_Now(zones->clock));
     if (zone->current != index) {
         return;
     }
-    count_more(reporter, fn, arg);
+    charge_increase(reporter, fn, arg);
     for (size_t i = 0; i < Zn_REPORTERS; i++) {
-        zone->reporters[i].counted = zone->reporters[i].told;
+        zone->reporters[i].charged = zone->reporters[i].received;
     }
 }
 
@@ -219,7 +220,7 @@
 Zn_IsReported(const struct zn_zones *zones, const char *name)
 {
     const struct zone *zone = find_zone(zones, name);
-    return zone != NULL && is_heard(zones, &zone->reporters[zone->current]);
+    return zone != NULL && is_active(zones, &zone->reporters[zone->current]);
 }
 
 void
@@ -228,7 +229,7 @@
     const struct zone *zone;
     TAILQ_FOREACH (zone, &zones->zones, link) {
         const struct reporter *reporter = &zone->reporters[zone->current];
-        if (!is_heard(zones, reporter)) {
+        if (!is_active(zones, reporter)) {
             continue;
         }
         int64_t age = Ck_Now(zones->clock) - reporter->heard_at;
--- a/packages/edge/zones.h
+++ b/packages/edge/zones.h
@@ -1,9 +1,9 @@
 /*
- * What the daemons of each data centre have admitted and sent, as sums.  Own
- * sums are made of what the daemons of this data centre tell; those of another
- * come from one daemon there at a time.  Each daemon's sums start from zero at
- * its own start, so what counts is how much more one and the same reporter
- * says.
+ * Sums of what the daemons of each data centre have admitted and sent. The
+ * sums of this data centre are built from the messages of its daemons; those
+ * of another arrive as summaries, from one daemon there at a time, the
+ * reporter. Each daemon's sums start from zero when it starts, so only the
+ * increase between two summaries of the same reporter is charged.
  */
 #ifndef EDGE_ZONES_H
 #define EDGE_ZONES_H
@@ -19,18 +19,24 @@
 struct zn_zones *Zn_Create(const struct ck_clock *clock);
 void Zn_Destroy(struct zn_zones *zones);
 
-/* Another daemon of this data centre admitted so much more. */
+/* Adds usage that another daemon of this data centre admitted. */
 void Zn_AddNear(struct zn_zones *zones, const struct ms_spent *more);
-/* Adds what the others here admitted to what this daemon did. */
+/*
+ * Adds the usage of the other daemons in this data centre to that of this
+ * daemon.
+ */
 void Zn_Summarize(const struct zn_zones *zones, struct ms_word *word);
 
-/* Takes a summary; "fn" is called for what is new in it. */
+/* Applies a summary; "fn" is called for each increase in usage. */
 typedef void (*zn_spent_fn)(void *arg, const struct ms_spent *more);
 void Zn_Take(struct zn_zones *zones, const struct ms_word *summary,
              zn_spent_fn fn, void *arg);
-/* Whether a data centre's sums are being told. */
+/* Whether a data centre is currently reported by summaries. */
 bool Zn_IsReported(const struct zn_zones *zones, const char *zone);
-/* The requests sent from data centres whose sums are being told. */
+/*
+ * Calls "fn" for each load of the data centres that are currently reported by
+ * summaries.
+ */
 typedef void (*zn_load_fn)(void *arg, const struct ms_load *load,
                            int64_t age_usec);
 void Zn_EachLoad(const struct zn_zones *zones, zn_load_fn fn, void *arg);
