--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -1,4 +1,4 @@
-/* What the other daemons say of themselves, taken in and told. */
+/* Fills the messages to peers, and applies those of peers. */
 #include <bsd/string.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,12 +10,15 @@
 #include "edge/quarantine.h"
 
 /*
- * Hosts that do not hear each other hand out one rate together.  That a few
- * of many are not heard is no cut but a word that came late; what they may
- * spend is within the bound's allowance of a tenth.
+ * Two sides of a network partition share one rate. A few unreachable hosts of
+ * many are more likely late messages than a partition; what those hosts may
+ * spend is within the tenth that the bound allows.
+ */
+#define Pe_FULL_RATE_MIN_SHARE 0.95
+/*
+ * Daemons that were killed together are up again within this time of each
+ * other.
  */
-#define Pe_ALMOST_ALL 0.95
-/* Daemons killed together are back within this of each other. */
 #define Pe_SAME_START_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
@@ -31,7 +34,7 @@
 }
 
 static void
-fill_spent(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
+fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
 {
     struct ms_word *word = arg;
     if (word->spent_count < Ms_SPENT_MAX) {
@@ -40,9 +43,9 @@
     }
 }
 
-/* Daemons that have just started know of no spending before. */
+/* Daemons that have just started have no usage from before their start. */
 static void
-fill_pasts(struct ga_gate *gate, struct ms_word *word)
+fill_past_usage(struct ga_gate *gate, struct ms_word *word)
 {
     struct qt_recent rows[Qt_RECENT_MAX];
     size_t count = 0;
@@ -59,7 +62,7 @@
 }
 
 static void
-fill_counted(const struct ga_gate *gate, struct ms_word *word)
+fill_request_counts(const struct ga_gate *gate, struct ms_word *word)
 {
     int64_t now = Wo_Window(gate, Tt_Now(gate->time));
     for (int64_t window = now; window > now - 3; window--) {
@@ -74,7 +77,7 @@
 }
 
 static void
-fill(void *arg, struct ms_word *word)
+fill_message(void *arg, struct ms_word *word)
 {
     struct ga_gate *gate = arg;
     word->up_usec = Ga_Now(gate) - gate->started_at;
@@ -88,9 +91,9 @@
     word->entries_changed = Fe_Changed(gate->feed, AG_ENDPOINTS);
     word->lease = Du_Told(gate->duty);
     fill_loads(gate, word);
-    Qt_Each(gate->quota, fill_spent, word);
-    fill_pasts(gate, word);
-    fill_counted(gate, word);
+    Qt_Each(gate->quota, fill_usage, word);
+    fill_past_usage(gate, word);
+    fill_request_counts(gate, word);
     Bt_Fill(gate, word);
     Qn_Fill(gate->quarantine, word);
     word->rate_count = De_Own(gate->demand, word->rates);
@@ -100,9 +103,9 @@
         Ro_Standings(gate->moves, word->standings, Ro_MOVES_MAX);
 }
 
-/* Sums over this data centre in place of what this daemon has sent. */
+/* Replaces what this daemon has sent by the sums over its data centre. */
 static void
-summarize(void *arg, struct ms_word *word)
+fill_zone_summary(void *arg, struct ms_word *word)
 {
     struct ga_gate *gate = arg;
     Zn_Summarize(gate->zones, word);
@@ -122,50 +125,52 @@
 }
 
 static void
-spend(struct ga_gate *gate, const struct ms_spent *more, bool apart)
+charge_peer_usage(struct ga_gate *gate, const struct ms_spent *more,
+                  bool while_unreachable)
 {
     if (more->asked > 0) {
         Qt_Asked(gate->quota, more->tenant, (double)more->asked);
     }
     if (more->total > 0) {
-        Qt_Spent(gate->quota, more->tenant, (double)more->total, apart);
+        Qt_Spent(gate->quota, more->tenant, (double)more->total,
+                 while_unreachable);
     }
 }
 
 /*
- * What a peer admitted since its last word, or since its start.  That of a
- * data centre whose sums are told is in them.
+ * Charges what a peer admitted since its previous message, or since its start.
+ * The usage of peers in a data centre that reports summaries is part of those.
  */
 static void
-take_spent(struct ga_gate *gate, const struct ms_peer *peer,
-           const struct ms_word *word)
+apply_usage(struct ga_gate *gate, const struct ms_peer *peer,
+            const struct ms_word *word)
 {
-    bool same = peer->run == word->run;
-    bool back = peer->run != 0 && !Ms_Heard(gate->mesh, peer);
-    bool apart = same && back;
+    bool same_run = peer->run == word->run;
+    bool returned = peer->run != 0 && !Ms_Heard(gate->mesh, peer);
+    bool while_unreachable = same_run && returned;
     int64_t up_usec = Ga_Now(gate) - gate->started_at;
     if (peer->run == 0 && word->up_usec > up_usec + Pe_SAME_START_USEC) {
-        /* It admitted most of that before this daemon was there. */
+        /* The peer admitted most of that before this daemon started. */
         return;
     }
-    if (back) {
+    if (returned) {
         Qt_Returned(gate->quota);
     }
     bool near = strcmp(word->zone, gate->options.node->zone) == 0;
-    bool told = !near && Zn_IsReported(gate->zones, word->zone);
-    for (size_t i = 0; i < word->spent_count && !told; i++) {
+    bool reported = !near && Zn_IsReported(gate->zones, word->zone);
+    for (size_t i = 0; i < word->spent_count && !reported; i++) {
         struct ms_spent more = Ms_SpentMore(&word->spent[i], peer->spent,
-                                            same ? peer->spent_count : 0);
-        spend(gate, &more, apart);
+                                            same_run ? peer->spent_count : 0);
+        charge_peer_usage(gate, &more, while_unreachable);
         if (near) {
             Zn_AddNear(gate->zones, &more);
         }
     }
 }
 
-/* Only of a daemon that has seen a whole window. */
+/* Only from a daemon that has been up for a whole window. */
 static void
-take_pasts(struct ga_gate *gate, const struct ms_word *word)
+apply_past_usage(struct ga_gate *gate, const struct ms_word *word)
 {
     if (word->up_usec < gate->options.node->quota_window_usec) {
         return;
@@ -178,23 +183,23 @@
 }
 
 static void
-on_zone_spent(void *arg, const struct ms_spent *more)
+on_zone_usage(void *arg, const struct ms_spent *more)
 {
-    spend(arg, more, false);
+    charge_peer_usage(arg, more, false);
 }
 
 static void
-on_word(void *arg, const struct ms_peer *peer, const struct ms_word *word)
+on_message(void *arg, const struct ms_peer *peer, const struct ms_word *word)
 {
     struct ga_gate *gate = arg;
     Tt_Peer(gate->time, Hash_String(word->ip, 0), word->wall_usec);
     if (word->summary) {
-        Zn_Take(gate->zones, word, on_zone_spent, gate);
+        Zn_Take(gate->zones, word, on_zone_usage, gate);
     }
     else {
-        take_spent(gate, peer, word);
+        apply_usage(gate, peer, word);
     }
-    take_pasts(gate, word);
+    apply_past_usage(gate, word);
     for (size_t i = 0; i < word->counted_count; i++) {
         Us_Peer(gate->usage, word->run, word->counted[i].window,
                 word->counted[i].tenant, word->counted[i].count);
@@ -211,29 +216,29 @@
 }
 
 static const struct ms_ops mesh_ops = {
-    .fill = fill,
-    .summarize = summarize,
-    .word = on_word,
+    .fill = fill_message,
+    .summarize = fill_zone_summary,
+    .word = on_message,
 };
 
 /*
- * Hosts that are not heard may be cut off from this one and serve callers all
- * the same; were both sides to hand out the whole rate, a tenant at its limit
- * would get it twice.  Hosts that said that they stop do not count.
+ * Hosts that cannot be reached may be on the other side of a network partition
+ * and still serve callers. If both sides admitted the whole rate, a tenant at
+ * its limit would get it twice. Hosts that announced their stop do not count.
  */
 static void
-share_quota(struct ga_gate *gate)
+set_quota_share(struct ga_gate *gate)
 {
     size_t heard = Ms_CountHeard(gate->mesh);
     size_t expected = Ms_CountExpected(gate->mesh);
     double share = (double)heard / (double)expected;
-    Qt_SetShare(gate->quota, share < Pe_ALMOST_ALL ? share : 1);
+    Qt_SetShare(gate->quota, share < Pe_FULL_RATE_MIN_SHARE ? share : 1);
     Qt_SetPeers(gate->quota, expected - heard, Ms_Lag(gate->mesh));
     Bu_SetDaemons(gate->budget, Ms_CountKnown(gate->mesh));
 }
 
 static void
-sum_evidence(struct ga_gate *gate)
+sum_peer_evidence(struct ga_gate *gate)
 {
     Ro_ClearOthers(gate->moves);
     const struct ms_peer *peer;
@@ -273,7 +278,7 @@
 {
     if (peers != NULL) {
         pe_end_fetch(peers);
-        Bf_Free(&peers->packed.bytes);
+        Bf_Free(&peers->compressed.bytes);
         Sv_Destroy(peers->server);
         free(peers);
     }
@@ -285,8 +290,8 @@
     Ms_Tick(peers->gate->mesh);
     Sv_Tick(peers->server);
     pe_sum_loads(peers->gate);
-    sum_evidence(peers->gate);
-    share_quota(peers->gate);
-    pe_find_peers(peers);
-    pe_fetch_newer(peers);
+    sum_peer_evidence(peers->gate);
+    set_quota_share(peers->gate);
+    pe_discover_peers(peers);
+    pe_fetch_newer_state(peers);
 }
--- a/packages/edge/peers_find.c
+++ b/packages/edge/peers_find.c
@@ -1,12 +1,15 @@
-/* How daemons find each other: addresses in the store. */
+/* Discovers peers through addresses that daemons register in the store. */
 #include <string.h>
 
 #include "edge/peers_internal.h"
 
-/* Hosts whose addresses stand in the store. */
-#define Pe_ANNOUNCED 16
-/* When nobody is heard, the hosts' records in the store are read again. */
-#define Pe_LIST_EVERY_USEC (2 * Ck_USEC_PER_SEC)
+/* Addresses of this many hosts are kept in the store. */
+#define Pe_ADDRESSES_MIN 16
+/*
+ * While no peer is alive, the addresses in the store are read again at this
+ * interval.
+ */
+#define Pe_LIST_INTERVAL_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
 on_announced(void *arg, const struct ag_result *result)
@@ -46,26 +49,27 @@
             Ms_Know(peers->gate->mesh, ip);
         }
     }
-    if (result->count < Pe_ANNOUNCED) {
+    if (result->count < Pe_ADDRESSES_MIN) {
         announce(peers);
     }
 }
 
 /*
- * Seeds may all be down or gone; the store knows who has been there.  Some
- * addresses are enough to find all others by: the first hosts by name have
- * theirs there, and when one of them goes the next one follows.
+ * All seeds may be down or gone, so daemons also register their addresses in
+ * the store. A few addresses suffice to find all other hosts: the first hosts
+ * by name register theirs, and when one of them goes the next one does.
  */
 void
-pe_find_peers(struct pe_peers *peers)
+pe_discover_peers(struct pe_peers *peers)
 {
     struct ga_gate *gate = peers->gate;
     int64_t now = Ga_Now(gate);
-    if (peers->listed_at != 0 && now - peers->listed_at < Pe_LIST_EVERY_USEC) {
+    if (peers->listed_at != 0 &&
+        now - peers->listed_at < Pe_LIST_INTERVAL_USEC) {
         return;
     }
     bool alone = Ms_CountAlive(gate->mesh) <= 1;
-    if (peers->listed && (alone || Ms_Rank(gate->mesh) < Pe_ANNOUNCED)) {
+    if (peers->listed && (alone || Ms_Rank(gate->mesh) < Pe_ADDRESSES_MIN)) {
         announce(peers);
     }
     if ((!peers->listed || alone) && !peers->listing) {
--- a/packages/edge/peers_internal.h
+++ b/packages/edge/peers_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the peers only. */
+/* Shared by the peers files only. */
 #ifndef EDGE_PEERS_INTERNAL_H
 #define EDGE_PEERS_INTERNAL_H
 
@@ -6,8 +6,8 @@
 #include "edge/gate_internal.h"
 #include "web/channel.h"
 
-/* A configuration as it was last packed for peers that know up to "from". */
-struct packed_config {
+/* The configuration, compressed for peers that have it up to "from". */
+struct compressed_config {
     int64_t from;
     int64_t changed;
     struct bf_buffer bytes;
@@ -15,31 +15,30 @@
 
 struct pe_peers {
     struct ga_gate *gate;
-    struct packed_config packed;
+    struct compressed_config compressed;
     struct sv_server *server;
     struct cn_channel *fetch;
     int64_t fetch_at;
-    int64_t fetch_moved_at; /* last bytes of it */
-    struct bf_buffer answer;
-    bool answer_cut; /* the answer is not whole */
-    int64_t
-        config_wanted_at; /* since when a peer knows a newer one; 0: none */
-    int answer_status;
+    int64_t fetch_progress_at; /* when its last bytes arrived */
+    struct bf_buffer response;
+    bool response_truncated;     /* too long, or out of memory */
+    int64_t config_behind_since; /* 0: no peer has a newer one */
+    int response_status;
     int64_t listed_at;
     bool listing;
-    bool listed; /* once, whatever the listing held */
+    bool listed; /* whatever the listing held */
     bool announced;
     bool announcing;
 };
 
-/* Looks for other daemons, and lets itself be found. */
-void pe_find_peers(struct pe_peers *peers);
-/* Sums the requests of the others, by endpoint. */
+/* Finds other daemons through the store, and registers this one there. */
+void pe_discover_peers(struct pe_peers *peers);
+/* Sums the requests of peers at each endpoint. */
 void pe_sum_loads(struct ga_gate *gate);
-/* What is served to peers: the configuration and the endpoints known here. */
+/* Serves the configuration and the endpoints to peers. */
 extern const struct sv_ops pe_state_ops;
-/* Fetches what peers know more of, one fetch at a time. */
-void pe_fetch_newer(struct pe_peers *peers);
+/* Fetches newer state from peers, one fetch at a time. */
+void pe_fetch_newer_state(struct pe_peers *peers);
 void pe_end_fetch(struct pe_peers *peers);
 
 #endif
--- a/packages/edge/peers_loads.c
+++ b/packages/edge/peers_loads.c
@@ -1,19 +1,20 @@
-/* What the other daemons have sent to each endpoint. */
+/* Sums the load that peers have sent to each endpoint. */
 #include "edge/peers_internal.h"
 
 /*
- * A word is some tenths of a second old, with many daemons most of one; what
- * it told to be waiting has been read since, as far as the endpoint got.
- * Taken as it stands, endpoints that have long been idle look busy, and those
- * that are busy now cannot be told from them.
+ * A message is some tenths of a second old, and most of a second with many
+ * daemons. Of the prompt tokens that it reports as waiting, the endpoint has
+ * processed some since. Without this correction, endpoints that have long been
+ * idle look busy and cannot be told from busy ones.
  */
 static int64_t
-still_waiting(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
-              int64_t reading, int64_t age_usec)
+remaining_prefill(const struct ga_gate *gate,
+                  const struct fl_endpoint *endpoint, int64_t reading,
+                  int64_t age_usec)
 {
-    double read = De_ReadRate(gate->demand, endpoint->entry.service) *
-                  (double)age_usec / (double)Ck_USEC_PER_SEC;
-    return (double)reading > read ? reading - (int64_t)read : 0;
+    double processed = De_ReadRate(gate->demand, endpoint->entry.service) *
+                       (double)age_usec / (double)Ck_USEC_PER_SEC;
+    return (double)reading > processed ? reading - (int64_t)processed : 0;
 }
 
 static void
@@ -24,7 +25,8 @@
     if (endpoint == NULL) {
         return;
     }
-    int64_t reading = still_waiting(gate, endpoint, load->reading, age_usec);
+    int64_t reading =
+        remaining_prefill(gate, endpoint, load->reading, age_usec);
     endpoint->others_running += load->running;
     endpoint->others_reading += reading;
     if (near) {
@@ -34,12 +36,15 @@
 }
 
 static void
-add_summed_load(void *arg, const struct ms_load *load, int64_t age_usec)
+add_zone_load(void *arg, const struct ms_load *load, int64_t age_usec)
 {
     add_load(arg, load, age_usec, false);
 }
 
-/* The loads of another data centre are in its sums while those are told. */
+/*
+ * While a data centre reports summaries, the loads of its daemons are part of
+ * those.
+ */
 void
 pe_sum_loads(struct ga_gate *gate)
 {
@@ -55,5 +60,5 @@
             add_load(gate, &peer->loads[i], age, peer->near);
         }
     }
-    Zn_EachLoad(gate->zones, add_summed_load, gate);
+    Zn_EachLoad(gate->zones, add_zone_load, gate);
 }
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -1,6 +1,6 @@
 /*
- * What daemons have read of the store, told to those that the store does not
- * answer, and fetched where others know more.
+ * Serves what this daemon has read from the store to peers that the store does
+ * not answer, and fetches newer state from peers.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -12,67 +12,76 @@
 
 #define Pe_PATH_MAX 128
 #define Pe_STATE_PATH "/state?config="
-/* One fetch at a time, this long at the most, and not more often than so. */
-#define Pe_FETCH_USEC (500 * Ck_USEC_PER_MSEC)
-/* A large state through a narrow link takes longer, as long as it comes. */
-#define Pe_FETCH_MOST_USEC (4 * Ck_USEC_PER_SEC)
-#define Pe_FETCH_EVERY_USEC (100 * Ck_USEC_PER_MSEC)
+/* Limits of a fetch: without progress, as a whole, and between two starts. */
+#define Pe_FETCH_IDLE_USEC (500 * Ck_USEC_PER_MSEC)
+/*
+ * A large state over a slow link takes longer than the idle limit but makes
+ * progress.
+ */
+#define Pe_FETCH_MAX_USEC (4 * Ck_USEC_PER_SEC)
+#define Pe_FETCH_INTERVAL_USEC (100 * Ck_USEC_PER_MSEC)
 #define Pe_STATE_MAX (16u << 20)
-#define Pe_PACKED_LEAST 1024
-/* With fewer hosts the store is quicker, and asked little. */
-#define Pe_MANY_HOSTS 32
-/* Packed it is a quarter of that, some milliseconds of a narrow link. */
-#define Pe_SMALL_CONFIG ((size_t)64 << 10)
-#define Pe_CONFIG_PATIENCE_USEC (800 * Ck_USEC_PER_MSEC)
-/* An offset behind all: that part of the state is not wanted. */
-#define Pe_NOT_ASKED INT64_MAX
+#define Pe_COMPRESS_MIN_BYTES 1024
+/*
+ * With fewer hosts, reading from the store is faster and loads the store
+ * little.
+ */
+#define Pe_GOSSIP_MIN_HOSTS 32
+/*
+ * Compressed it is a quarter of that, which takes some milliseconds on a slow
+ * link.
+ */
+#define Pe_SMALL_CONFIG_BYTES ((size_t)64 << 10)
+#define Pe_CONFIG_GOSSIP_USEC (800 * Ck_USEC_PER_MSEC)
+/* An offset behind all others: this half of the state is not requested. */
+#define Pe_NOT_REQUESTED INT64_MAX
 
 /*
- * All peers ask for the same at once when the store is away, and a link may
- * be narrow: 400 kilobytes to 25 peers took ten seconds at 10 Mbit/s.  Packed
- * small, and once for all of them.
+ * When the store is unavailable, all peers request the same configuration at
+ * once, and a link may be slow: 400 kilobytes to 25 peers took ten seconds at
+ * 10 Mbit/s. So the configuration is compressed, once for all of them.
  */
 static void
 reply_config(struct pe_peers *peers, struct sv_request *request, int64_t from)
 {
     struct fe_feed *feed = peers->gate->feed;
-    struct packed_config *packed = &peers->packed;
+    struct compressed_config *compressed = &peers->compressed;
     int64_t changed = Fe_Changed(feed, AG_CONFIG);
-    if (packed->bytes.len == 0 || packed->from != from ||
-        packed->changed != changed) {
+    if (compressed->bytes.len == 0 || compressed->from != from ||
+        compressed->changed != changed) {
         char *state;
-        size_t len = Fe_Pack(feed, from, Pe_NOT_ASKED, &state);
-        Bf_Free(&packed->bytes);
-        bool fine = Df_Pack(state, len, &packed->bytes);
+        size_t len = Fe_Pack(feed, from, Pe_NOT_REQUESTED, &state);
+        Bf_Free(&compressed->bytes);
+        bool compressed_ok = Df_Pack(state, len, &compressed->bytes);
         free(state);
-        if (!fine) {
-            Bf_Free(&packed->bytes);
+        if (!compressed_ok) {
+            Bf_Free(&compressed->bytes);
             Sv_Reply(request, 503, "", "", 0);
             return;
         }
-        packed->from = from;
-        packed->changed = changed;
+        compressed->from = from;
+        compressed->changed = changed;
     }
-    Sv_Reply(request, 200, "", packed->bytes.at, packed->bytes.len);
+    Sv_Reply(request, 200, "", compressed->bytes.at, compressed->bytes.len);
 }
 
 /*
- * After a data centre was reclaimed a thousand entries differ by a few bytes
- * each; what is small costs more to pack than to send.
+ * After a data centre was reclaimed, a thousand entries differ by a few bytes
+ * each. A small state costs more to compress than to send.
  */
 static void
 reply_entries(struct pe_peers *peers, struct sv_request *request, int64_t from)
 {
     char *state;
-    size_t len = Fe_Pack(peers->gate->feed, Pe_NOT_ASKED, from, &state);
-    struct bf_buffer packed = {0};
-    if (len > Pe_PACKED_LEAST && Df_Pack(state, len, &packed)) {
-        Sv_Reply(request, 200, "", packed.at, packed.len);
+    size_t len = Fe_Pack(peers->gate->feed, Pe_NOT_REQUESTED, from, &state);
+    struct bf_buffer compressed = {0};
+    if (len > Pe_COMPRESS_MIN_BYTES && Df_Pack(state, len, &compressed)) {
+        Sv_Reply(request, 200, "", compressed.at, compressed.len);
     }
     else {
         Sv_Reply(request, 200, "", state, len);
     }
-    Bf_Free(&packed);
+    Bf_Free(&compressed);
     free(state);
 }
 
@@ -87,7 +96,7 @@
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    /* "CONFIG,ENTRIES": what the peer knows already. */
+    /* "CONFIG,ENTRIES": the offsets up to which the peer has both. */
     int64_t from[2] = {0, 0};
     size_t which = 0;
     for (size_t i = prefix; i < head->target.len && which < 2; i++) {
@@ -99,7 +108,7 @@
             from[which] = from[which] * 10 + (c - '0');
         }
     }
-    if (from[1] == Pe_NOT_ASKED) {
+    if (from[1] == Pe_NOT_REQUESTED) {
         reply_config(peers, request, from[0]);
         return;
     }
@@ -123,15 +132,15 @@
 {
     Cn_Close(peers->fetch);
     peers->fetch = NULL;
-    Bf_Free(&peers->answer);
-    peers->answer_cut = false;
+    Bf_Free(&peers->response);
+    peers->response_truncated = false;
 }
 
 static bool
 fetch_head(void *arg, const struct h1_head *head)
 {
     struct pe_peers *peers = arg;
-    peers->answer_status = head->status;
+    peers->response_status = head->status;
     return true;
 }
 
@@ -139,23 +148,24 @@
 fetch_body(void *arg, const char *data, size_t len)
 {
     struct pe_peers *peers = arg;
-    peers->fetch_moved_at = Ga_Now(peers->gate);
-    if (peers->answer.len + len > Pe_STATE_MAX ||
-        !Bf_Add(&peers->answer, data, len)) {
-        peers->answer_cut = true;
+    peers->fetch_progress_at = Ga_Now(peers->gate);
+    if (peers->response.len + len > Pe_STATE_MAX ||
+        !Bf_Add(&peers->response, data, len)) {
+        peers->response_truncated = true;
     }
 }
 
 static void
-take_packed(struct pe_peers *peers)
+apply_compressed(struct pe_peers *peers)
 {
     struct bf_buffer state = {0};
-    if (Df_Unpack(peers->answer.at, peers->answer.len, Pe_STATE_MAX, &state)) {
+    if (Df_Unpack(peers->response.at, peers->response.len, Pe_STATE_MAX,
+                  &state)) {
         Fe_Unpack(peers->gate->feed, state.at, state.len);
     }
     else {
         Ln_Log(LN_FAILURE, "state.unreadable", "\"bytes\":%zu",
-               peers->answer.len);
+               peers->response.len);
     }
     Bf_Free(&state);
 }
@@ -164,15 +174,15 @@
 fetch_done(void *arg, enum cn_outcome outcome)
 {
     struct pe_peers *peers = arg;
-    bool whole = outcome == CN_COMPLETE && peers->answer_status == 200 &&
-                 !peers->answer_cut;
-    bool packed = peers->answer.len > 0 &&
-                  !Fe_IsPack(peers->answer.at, peers->answer.len);
-    if (whole && packed) {
-        take_packed(peers);
+    bool complete = outcome == CN_COMPLETE && peers->response_status == 200 &&
+                    !peers->response_truncated;
+    bool compressed = peers->response.len > 0 &&
+                      !Fe_IsPack(peers->response.at, peers->response.len);
+    if (complete && compressed) {
+        apply_compressed(peers);
     }
-    else if (whole) {
-        Fe_Unpack(peers->gate->feed, peers->answer.at, peers->answer.len);
+    else if (complete) {
+        Fe_Unpack(peers->gate->feed, peers->response.at, peers->response.len);
     }
     pe_end_fetch(peers);
 }
@@ -198,7 +208,7 @@
     snprintf(address, sizeof(address), "%s:%d", peer->ip,
              gate->options.node->peer_port);
     peers->fetch_at = Ga_Now(gate);
-    peers->fetch_moved_at = peers->fetch_at;
+    peers->fetch_progress_at = peers->fetch_at;
     peers->fetch =
         Cn_Open(gate->options.loop, gate->options.clock, address, NULL, NULL);
     if (peers->fetch == NULL) {
@@ -210,8 +220,8 @@
         "GET " Pe_STATE_PATH "%" PRId64 ",%" PRId64 " HTTP/1.1\r\n"
         "Host: %s\r\n\r\n",
         with_config ? at_least_0(Fe_Changed(gate->feed, AG_CONFIG))
-                    : Pe_NOT_ASKED,
-        with_config ? Pe_NOT_ASKED
+                    : Pe_NOT_REQUESTED,
+        with_config ? Pe_NOT_REQUESTED
                     : at_least_0(Fe_Changed(gate->feed, AG_ENDPOINTS)),
         address);
     Ln_Log(LN_STATE, "state.fetched",
@@ -222,8 +232,8 @@
 }
 
 static bool
-knows_more(const struct ga_gate *gate, const struct ms_peer *peer,
-           enum ag_topic topic)
+is_newer(const struct ga_gate *gate, const struct ms_peer *peer,
+         enum ag_topic topic)
 {
     int64_t changed =
         topic == AG_CONFIG ? peer->config_changed : peer->entries_changed;
@@ -232,11 +242,11 @@
 }
 
 static bool
-others_know_more(const struct ga_gate *gate, enum ag_topic topic)
+any_peer_is_newer(const struct ga_gate *gate, enum ag_topic topic)
 {
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
-        if (knows_more(gate, peer, topic)) {
+        if (is_newer(gate, peer, topic)) {
             return true;
         }
     }
@@ -244,48 +254,48 @@
 }
 
 /*
- * Hundreds of hosts that each read a change from the store are most of what it
- * is asked for.  A small configuration goes from host to host: each that has
- * it passes it on.  One that does not come in time is read from the store.
+ * When each of hundreds of hosts reads a change from the store, these reads
+ * are most of the store's load. So hosts pass a small configuration on to each
+ * other. A host that does not get it in time reads it from the store.
  */
 static bool
-goes_round(struct pe_peers *peers)
+spreads_by_gossip(struct pe_peers *peers)
 {
     struct ga_gate *gate = peers->gate;
     size_t bytes = Fe_ConfigBytes(gate->feed);
-    return Ms_CountAlive(gate->mesh) >= Pe_MANY_HOSTS && bytes > 0 &&
-           bytes <= Pe_SMALL_CONFIG &&
-           Ga_Now(gate) - peers->config_wanted_at < Pe_CONFIG_PATIENCE_USEC;
+    return Ms_CountAlive(gate->mesh) >= Pe_GOSSIP_MIN_HOSTS && bytes > 0 &&
+           bytes <= Pe_SMALL_CONFIG_BYTES &&
+           Ga_Now(gate) - peers->config_behind_since < Pe_CONFIG_GOSSIP_USEC;
 }
 
-/* Whether a newer configuration has to come from a peer. */
+/* Whether a newer configuration has to be fetched from a peer. */
 static bool
-needs_config(struct pe_peers *peers)
+needs_config_from_peer(struct pe_peers *peers)
 {
     struct ga_gate *gate = peers->gate;
-    if (!others_know_more(gate, AG_CONFIG)) {
-        peers->config_wanted_at = 0;
+    if (!any_peer_is_newer(gate, AG_CONFIG)) {
+        peers->config_behind_since = 0;
         return false;
     }
-    if (peers->config_wanted_at == 0) {
-        peers->config_wanted_at = Ga_Now(gate);
+    if (peers->config_behind_since == 0) {
+        peers->config_behind_since = Ga_Now(gate);
     }
-    return goes_round(peers) || !Fe_Refresh(gate->feed);
+    return spreads_by_gossip(peers) || !Fe_Refresh(gate->feed);
 }
 
 /*
- * Any of those that know more.  The first of a list would be asked again and
- * again when it died after its last word, by all daemons that heard it, for
- * as long as they believe it alive.
+ * Picks one of the newer peers at random. If a fixed one were picked and had
+ * died after its last message, every daemon that got that message would
+ * request the state from it again and again until it counts as dead.
  */
 static const struct ms_peer *
-pick_newer(struct ga_gate *gate, enum ag_topic topic)
+pick_newer_peer(struct ga_gate *gate, enum ag_topic topic)
 {
     uint32_t count = 0;
     const struct ms_peer *picked = NULL;
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
-        if (knows_more(gate, peer, topic)) {
+        if (is_newer(gate, peer, topic)) {
             count++;
             if (Rn_Below(&gate->random, count) == 0) {
                 picked = peer;
@@ -296,27 +306,27 @@
 }
 
 /*
- * A daemon that the store turns away, or whose connection to it has fallen
- * silent, learns of what is newer from whoever has read it.
+ * A daemon that the store rejects, or whose connection to the store hangs,
+ * gets newer state from peers that have read it.
  */
 void
-pe_fetch_newer(struct pe_peers *peers)
+pe_fetch_newer_state(struct pe_peers *peers)
 {
     struct ga_gate *gate = peers->gate;
     int64_t now = Ga_Now(gate);
     if (peers->fetch != NULL) {
-        if (now - peers->fetch_moved_at > Pe_FETCH_USEC ||
-            now - peers->fetch_at > Pe_FETCH_MOST_USEC) {
+        if (now - peers->fetch_progress_at > Pe_FETCH_IDLE_USEC ||
+            now - peers->fetch_at > Pe_FETCH_MAX_USEC) {
             pe_end_fetch(peers);
         }
         return;
     }
-    if (now - peers->fetch_at < Pe_FETCH_EVERY_USEC) {
+    if (now - peers->fetch_at < Pe_FETCH_INTERVAL_USEC) {
         return;
     }
-    bool with_config = needs_config(peers);
+    bool with_config = needs_config_from_peer(peers);
     const struct ms_peer *peer =
-        pick_newer(gate, with_config ? AG_CONFIG : AG_ENDPOINTS);
+        pick_newer_peer(gate, with_config ? AG_CONFIG : AG_ENDPOINTS);
     if (peer != NULL) {
         start_fetch(peers, peer, with_config);
     }
