--- a/packages/edge/cloud.h
+++ b/packages/edge/cloud.h
@@ -1,6 +1,7 @@
 /*
- * What the platform does on order: it takes usage reports and provides
- * endpoints.  An adapter provides it; answers come later.
+ * Interface to the platform, which takes usage reports and provides endpoints.
+ * An adapter implements it; results are delivered later, never from within the
+ * call.
  */
 #ifndef EDGE_CLOUD_H
 #define EDGE_CLOUD_H
@@ -16,14 +17,14 @@
 
 enum cl_status {
     CL_DONE,
-    CL_FENCED,  /* refused: a higher fence was seen, or none to be had */
-    CL_BUSY,    /* refused for now, nothing was done */
-    CL_UNKNOWN, /* may be done, now or later */
+    CL_FENCED, /* refused: a higher fence was seen, or no fence could be had */
+    CL_BUSY,   /* refused for now, without effect */
+    CL_UNKNOWN, /* may have taken effect, or still will */
 };
 
 typedef void (*cl_fn)(void *arg, enum cl_status status);
 
-/* How many endpoints of a kind a data centre should have. */
+/* The number of endpoints of a kind that a data centre should have. */
 struct cl_order {
     const char *service;
     const char *zone;
--- a/packages/edge/node.c
+++ b/packages/edge/node.c
@@ -42,7 +42,9 @@
                      (double)Ck_USEC_PER_SEC);
 }
 
-/* "IP:PORT" entries; the port is another service's. */
+/*
+ * Entries are "IP:PORT"; the port belongs to another service and is dropped.
+ */
 static void
 read_seeds(const json_t *list, struct nd_node *out)
 {
@@ -84,22 +86,22 @@
 }
 
 static bool
-lists(const json_t *list, const char *word)
+list_contains(const json_t *list, const char *wanted)
 {
     size_t i;
     json_t *entry;
     json_array_foreach (list, i, entry) {
         const char *text = json_string_value(entry);
-        if (text != NULL && strcmp(text, word) == 0) {
+        if (text != NULL && strcmp(text, wanted) == 0) {
             return true;
         }
     }
     return false;
 }
 
-/* The figures that stand where a setting is absent are the common ones. */
+/* Defaults for absent settings are common values. */
 static void
-read_bounds(const json_t *file, struct nd_node *out)
+read_limits(const json_t *file, struct nd_node *out)
 {
     out->max_fds = (int)read_number(file, "max_fds", 1024);
     out->memory_bytes =
@@ -148,10 +150,10 @@
         (int)read_number(file, "through_port", out->peer_port + 2);
     out->first_start = json_is_true(json_object_get(file, "first_start"));
     const json_t *duties = json_object_get(file, "duties");
-    out->report_usage = lists(duties, "usage_report");
-    out->order_endpoints = lists(duties, "autoscale");
+    out->report_usage = list_contains(duties, "usage_report");
+    out->order_endpoints = list_contains(duties, "autoscale");
     read_seeds(json_object_get(file, "seeds"), out);
-    read_bounds(file, out);
+    read_limits(file, out);
     return read_regions(json_object_get(file, "regions"), out);
 }
 
--- a/packages/edge/node.h
+++ b/packages/edge/node.h
@@ -1,4 +1,4 @@
-/* What a daemon is told of itself and of what it may rely on. */
+/* The settings of a daemon. */
 #ifndef EDGE_NODE_H
 #define EDGE_NODE_H
 
@@ -16,7 +16,7 @@
 #define Nd_SEEDS_MAX 8
 #define Nd_ZONES_MAX 64
 
-/* Which region a data centre is in. */
+/* The region of a data centre. */
 struct nd_region {
     char zone[Nd_NAME_MAX];
     char region[Nd_NAME_MAX];
@@ -26,22 +26,23 @@
     char name[Nd_NAME_MAX];
     char ip[Nd_NAME_MAX];
     char zone[Nd_NAME_MAX];
-    char callers[Nd_NAME_MAX]; /* IP:PORT of the listener for callers */
+    char callers[Nd_NAME_MAX]; /* IP:PORT to listen on for callers */
     char ready[Nd_NAME_MAX];   /* IP:PORT of the readiness check */
     char store[Nd_NAME_MAX];
     char cloud[Nd_NAME_MAX];
     int peer_port; /* datagrams and state between daemons */
     int metrics_port;
-    int through_port; /* connections made for other daemons */
-    char seeds[Nd_SEEDS_MAX][Nd_NAME_MAX]; /* IP numbers of other hosts */
+    int through_port; /* connections forwarded for other daemons */
+    char seeds[Nd_SEEDS_MAX][Nd_NAME_MAX]; /* IP addresses of other hosts */
     size_t seed_count;
     size_t region_count;
     struct nd_region regions[Nd_ZONES_MAX];
-    bool first_start; /* the whole system starts for the first time */
+    bool first_start; /* first start of the whole system */
     int max_fds;
     int64_t memory_bytes;
-    int link_mbps;          /* of this host; 0: not known */
-    int64_t heartbeat_usec; /* of an endpoint's entry */
+    int link_mbps; /* of this host; 0: unknown */
+    int64_t
+        heartbeat_usec; /* interval at which an endpoint renews its entry */
     int64_t drain_usec;
     int64_t config_apply_usec;
     int64_t grace_usec;
@@ -58,12 +59,12 @@
 };
 
 /*
- * Reads the settings file.  ST_INVALID: the message names the setting and
- * the remedy.
+ * Reads the settings file. ST_INVALID: the error message names the setting and
+ * how to correct it.
  */
 enum st_status Nd_Read(const char *path, struct nd_node *out);
 
-/* The region of a data centre; empty where the settings do not say. */
+/* The region of a data centre; empty when the settings lack it. */
 const char *Nd_Region(const struct nd_node *node, const char *zone);
 
 #ifdef __cplusplus
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -1,7 +1,7 @@
 /*
- * The store that daemons agree through, as the product needs it: topics of
- * ordered records, appended under a condition, and the newest record of each
- * key.  An adapter provides it; answers come later, never from the call.
+ * Interface to the shared store: topics of ordered records, conditional
+ * appends, and listings of the newest record of each key. An adapter
+ * implements it; results are delivered later, never from within the call.
  */
 #ifndef EDGE_STORE_H
 #define EDGE_STORE_H
@@ -21,26 +21,26 @@
 #endif
 
 enum ag_topic {
-    AG_CONFIG,    /* keyed; what the operator wrote */
-    AG_ENDPOINTS, /* keyed; what endpoints wrote */
-    AG_HOSTS,     /* keyed; daemons by name */
-    AG_STATUS,    /* keyed; what operators are told */
+    AG_CONFIG,    /* keyed; written by operators */
+    AG_ENDPOINTS, /* keyed; written by endpoints */
+    AG_HOSTS,     /* keyed; addresses of daemons, by name */
+    AG_STATUS,    /* keyed; written for operators */
     AG_DUTY,      /* a log; leases and agreed usage */
-    AG_STOPS,     /* keyed; parts of prompts that are not to be sent */
+    AG_STOPS,     /* keyed; prompt prefixes that are blocked */
     AG_TOPICS,
 };
 
 enum ag_status {
     AG_OK,
-    AG_CONFLICT,    /* the topic does not end where the condition says */
-    AG_EXPIRED,     /* the records asked for are gone */
-    AG_UNAVAILABLE, /* nothing was done */
-    AG_UNKNOWN,     /* it may be done, now or later */
+    AG_CONFLICT,    /* the topic does not end at the expected offset */
+    AG_EXPIRED,     /* the requested records were dropped */
+    AG_UNAVAILABLE, /* no effect */
+    AG_UNKNOWN,     /* may have taken effect, or still will */
 };
 
 struct ag_record {
     int64_t offset;
-    const char *key; /* keyed topics; not terminated */
+    const char *key; /* keyed topics only; not null-terminated */
     size_t key_len;
     const void *value; /* NULL in a keyed topic: the key was removed */
     size_t len;
@@ -49,10 +49,10 @@
 struct ag_result {
     enum ag_status status;
     int64_t end;    /* offset of the next record */
-    int64_t offset; /* of the record appended */
+    int64_t offset; /* of the appended record */
     const struct ag_record *records;
     size_t count;
-    bool more; /* a listing goes on after its last key */
+    bool more; /* the listing continues after its last key */
 };
 
 typedef void (*ag_fn)(void *arg, const struct ag_result *result);
@@ -60,20 +60,23 @@
 struct ag_store;
 
 /*
- * A call is answered, or given up by the adapter, within this and the time
- * that a read waits.  The store answers in a few milliseconds; slowed
- * sixty-fold, in a quarter of a second.
+ * The adapter reports a result, or gives up, within this time plus the time
+ * that a read waits. The store answers in a few milliseconds, or in a quarter
+ * of a second when slowed sixty-fold.
  */
 #define Ag_ANSWER_USEC (1200 * Ck_USEC_PER_MSEC)
 
 struct ag_ops {
-    /* Records from an offset on; waits for one up to "wait_usec". */
+    /* Reads records from an offset on; waits for one up to "wait_usec". */
     void (*read)(struct ag_store *store, enum ag_topic topic, int64_t from,
                  int64_t wait_usec, ag_fn fn, void *arg);
-    /* The newest record of each key, after a key (NULL: from the first). */
+    /*
+     * Lists the newest record of each key after "after"; NULL: from the first
+     * key on.
+     */
     void (*newest)(struct ag_store *store, enum ag_topic topic,
                    const char *after, ag_fn fn, void *arg);
-    /* Appends if the topic ends at "at"; -1: in any case. */
+    /* Appends if the topic ends at "at"; -1: unconditionally. */
     void (*append)(struct ag_store *store, enum ag_topic topic, int64_t at,
                    const char *key, const void *value, size_t len, ag_fn fn,
                    void *arg);
@@ -88,10 +91,10 @@
 
 struct ag_store {
     const struct ag_ops *ops;
-    int64_t calls[AG_TOPICS][AG_CALLS]; /* made so far */
+    int64_t calls[AG_TOPICS][AG_CALLS]; /* number made so far */
 };
 
-/* The calls of "ops", counted. */
+/* Call "ops" and count the calls. */
 void Ag_Read(struct ag_store *store, enum ag_topic topic, int64_t from,
              int64_t wait_usec, ag_fn fn, void *arg);
 void Ag_Newest(struct ag_store *store, enum ag_topic topic, const char *after,
@@ -99,7 +102,7 @@
 void Ag_Append(struct ag_store *store, enum ag_topic topic, int64_t at,
                const char *key, const void *value, size_t len, ag_fn fn,
                void *arg);
-/* How many there were, as metrics and as a line of the log. */
+/* Exports the counts as metrics, and as a log line. */
 void Ag_ShowCalls(const struct ag_store *store, struct mt_registry *registry);
 void Ag_LogCalls(const struct ag_store *store);
 
@@ -109,20 +112,23 @@
     char value[Ec_NAME_MAX * 4];
 };
 
-/* What the records of others mean; the adapter knows their form. */
+/* Decodes records written by others, whose format the adapter knows. */
 struct ag_codec {
-    /* NULL: not a configuration. */
+    /* NULL: not a valid configuration. */
     struct ec_config *(*config)(const void *data, size_t len);
     bool (*is_config)(const char *key, size_t key_len);
-    /* False: not an order to move a service; "number" is not filled in. */
+    /* False: not an order to move a service. "number" is left unset. */
     bool (*order)(const char *key, size_t key_len, const void *data,
                   size_t len, struct ro_order *out);
-    /* Whether the key is that of a data centre's evacuation, and of which. */
+    /*
+     * Whether the key orders the evacuation of a data centre, and of which
+     * one.
+     */
     bool (*evacuation)(const char *key, size_t key_len,
                        char zone[Ec_NAME_MAX]);
-    /* The record that tells operators of a move; false: it does not fit. */
+    /* The record that shows a move to operators; false: it does not fit. */
     bool (*tell_move)(const struct ro_move *move, struct ag_told *out);
-    /* False: names no endpoint to use. */
+    /* False: not a valid endpoint entry. */
     bool (*entry)(const char *key, size_t key_len, const void *data,
                   size_t len, struct fl_entry *out);
 };
--- a/packages/edge/truetime.c
+++ b/packages/edge/truetime.c
@@ -4,18 +4,18 @@
 #include <stdlib.h>
 
 #define Tt_PEERS_MAX 32
-/* A peer's reading is dropped when it has not been renewed for this long. */
-#define Tt_FRESH_USEC (5 * Ck_USEC_PER_SEC)
+/* An offset that a peer has not renewed for this long is ignored. */
+#define Tt_EXPIRY_USEC (5 * Ck_USEC_PER_SEC)
 
-struct reading {
+struct peer_offset {
     uint64_t peer;
     int64_t offset;
-    int64_t taken_at;
+    int64_t received_at;
 };
 
 struct tt_time {
     const struct ck_clock *clock;
-    struct reading readings[Tt_PEERS_MAX];
+    struct peer_offset peer_offsets[Tt_PEERS_MAX];
     size_t count;
 };
 
@@ -35,32 +35,32 @@
     free(time);
 }
 
-/* Takes a peer's calendar time, read just now. */
+/* Records the calendar time of a peer's message that has just arrived. */
 void
 Tt_Peer(struct tt_time *time, uint64_t peer, int64_t wall_usec)
 {
     int64_t now = Ck_Now(time->clock);
-    struct reading *slot = NULL;
+    struct peer_offset *slot = NULL;
     for (size_t i = 0; i < time->count && slot == NULL; i++) {
-        if (time->readings[i].peer == peer) {
-            slot = &time->readings[i];
+        if (time->peer_offsets[i].peer == peer) {
+            slot = &time->peer_offsets[i];
         }
     }
     if (slot == NULL && time->count < Tt_PEERS_MAX) {
-        slot = &time->readings[time->count++];
+        slot = &time->peer_offsets[time->count++];
     }
     for (size_t i = 0; i < time->count && slot == NULL; i++) {
-        if (now - time->readings[i].taken_at > Tt_FRESH_USEC) {
-            slot = &time->readings[i];
+        if (now - time->peer_offsets[i].received_at > Tt_EXPIRY_USEC) {
+            slot = &time->peer_offsets[i];
         }
     }
     if (slot != NULL) {
-        *slot = (struct reading){peer, wall_usec - now, now};
+        *slot = (struct peer_offset){peer, wall_usec - now, now};
     }
 }
 
 static int
-compare(const void *a, const void *b)
+compare_offsets(const void *a, const void *b)
 {
     int64_t left = *(const int64_t *)a;
     int64_t right = *(const int64_t *)b;
@@ -75,10 +75,10 @@
     int64_t now = Ck_Now(time->clock);
     offsets[count++] = Ck_Wall(time->clock) - now;
     for (size_t i = 0; i < time->count; i++) {
-        if (now - time->readings[i].taken_at <= Tt_FRESH_USEC) {
-            offsets[count++] = time->readings[i].offset;
+        if (now - time->peer_offsets[i].received_at <= Tt_EXPIRY_USEC) {
+            offsets[count++] = time->peer_offsets[i].offset;
         }
     }
-    qsort(offsets, count, sizeof(offsets[0]), compare);
+    qsort(offsets, count, sizeof(offsets[0]), compare_offsets);
     return now + offsets[(count - 1) / 2];
 }
--- a/packages/edge/truetime.h
+++ b/packages/edge/truetime.h
@@ -1,7 +1,7 @@
 /*
- * Calendar time that a jump of one host's clock does not move: the median of
- * the offsets between this host's steady clock and the calendar clocks of
- * this host and its peers.
+ * Calendar time that is robust against a clock jump on one host. It is the
+ * monotonic time of this host plus the median of the offsets from it to the
+ * calendar clocks of this host and its peers.
  */
 #ifndef EDGE_TRUETIME_H
 #define EDGE_TRUETIME_H
