--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -5,140 +5,150 @@
 #include <string.h>
 
 /*
- * Configurations are few: one read waits for the next, for this part of the
- * time in which it must be in force.  A store that falls silent under a read
- * is noticed when the read and its answer are overdue; what is left is for
- * asking again.  Entries change with every heartbeat, and a waiting read
- * would return for each; they are read in rounds, this part of the time in
- * which an endpoint that leaves must be known everywhere: after a round comes
- * a word to the others, a fetch, and one of each again where a host that was
- * to pass it on has frozen.
+ * The configuration changes rarely, so a read waits in the store for the next
+ * change, for this fraction of the time in which a configuration must be in
+ * force. If the store hangs during such a read, the failure is noticed when
+ * read and answer are overdue; the rest of that time is left for retrying.
+ *
+ * Entries change with every heartbeat, so a waiting read would return for each
+ * of those. They are polled instead, at this fraction of the time in which a
+ * stopping endpoint must be known to all daemons. After a poll come a message
+ * to the peers and a fetch by them, and each of the two once more if a host
+ * that was to pass the state on has frozen.
  */
-#define Fe_CONFIG_PARTS 4
+#define Fe_CONFIG_WAIT_DIVISOR 4
 #define Fe_CONFIG_WAIT_USEC (500 * Ck_USEC_PER_MSEC)
-#define Fe_ENTRIES_ROUNDS 5
-#define Fe_ENTRIES_MOST_USEC (600 * Ck_USEC_PER_MSEC)
-#define Fe_ENTRIES_LEAST_USEC (200 * Ck_USEC_PER_MSEC)
-/* A store that is away is asked again after at most so many doublings. */
-#define Fe_RETRY_DOUBLINGS 3
+#define Fe_ENTRIES_DIVISOR 5
+#define Fe_ENTRIES_MAX_USEC (600 * Ck_USEC_PER_MSEC)
+#define Fe_ENTRIES_MIN_USEC (200 * Ck_USEC_PER_MSEC)
+/* The retry delay is doubled at most this many times. */
+#define Fe_RETRY_DOUBLINGS_MAX 3
 /*
- * A read because of a peer's word is answered within this; a store that then
- * still tells of something older lags behind.
+ * A read that was triggered by a peer's message completes within this time. If
+ * the store then still returns an older configuration, the store lags behind.
  */
 #define Fe_REFRESH_USEC (700 * Ck_USEC_PER_MSEC)
-/* How often a daemon that does not read asks whether it should. */
-#define Fe_ROLE_USEC (100 * Ck_USEC_PER_MSEC)
-/* Within this it has read which others there are. */
-#define Fe_MEET_USEC (100 * Ck_USEC_PER_MSEC)
-/* Within this a daemon that starts among others has heard of them. */
-#define Fe_JOIN_USEC (1 * Ck_USEC_PER_SEC)
-/* How long the second page of a first listing waits for a peer's pack. */
-#define Fe_PACK_USEC (400 * Ck_USEC_PER_MSEC)
-/* Entries lapse while the store is away, and return in this time. */
-#define Fe_DOUBT_USEC (2000 * Ck_USEC_PER_MSEC)
-#define Fe_AWAY_USEC (1000 * Ck_USEC_PER_MSEC)
-/* A store that nobody reached so lately was away, and entries have lapsed. */
-#define Fe_DARK_USEC                                                          \
-    ((Fe_RETRY_USEC << Fe_RETRY_DOUBLINGS) + 500 * Ck_USEC_PER_MSEC)
-/* A read that waits says nothing meanwhile; so much more is a lost one. */
+/* Interval at which a daemon that does not read checks whether it should. */
+#define Fe_ROLE_CHECK_USEC (100 * Ck_USEC_PER_MSEC)
+/* Within this time a starting daemon has read the addresses of other hosts. */
+#define Fe_DISCOVERY_USEC (100 * Ck_USEC_PER_MSEC)
+/*
+ * Within this time a starting daemon has received messages from other hosts.
+ */
+#define Fe_FIRST_MESSAGES_USEC (1 * Ck_USEC_PER_SEC)
+/* Time that the second page of a first listing waits for a peer's state. */
+#define Fe_PEER_STATE_USEC (400 * Ck_USEC_PER_MSEC)
+/*
+ * Entries expire while the store is down and are written again within this
+ * time after its return.
+ */
+#define Fe_HOLD_REMOVALS_USEC (2000 * Ck_USEC_PER_MSEC)
+#define Fe_OUTAGE_MIN_USEC (1000 * Ck_USEC_PER_MSEC)
+/*
+ * The store counts as down for all daemons, and entries as expired, if no
+ * daemon reached it up to this long ago.
+ */
+#define Fe_OUTAGE_RECENT_USEC                                                 \
+    ((Fe_RETRY_USEC << Fe_RETRY_DOUBLINGS_MAX) + 500 * Ck_USEC_PER_MSEC)
+/* A waiting read that takes this much longer than its wait is lost. */
 #define Fe_OVERDUE_USEC (1 * Ck_USEC_PER_SEC)
 
 int
-fe_compare(const struct known *a, const struct known *b)
+fe_compare(const struct cached *a, const struct cached *b)
 {
     return strcmp(a->key, b->key);
 }
 
-RB_GENERATE(known_tree, known, link, fe_compare);
+RB_GENERATE(record_tree, cached, link, fe_compare);
 
 static void step(void *arg);
 
-struct known *
-fe_find(struct follow *follow, const char *key)
+struct cached *
+fe_find(struct reader *reader, const char *key)
 {
-    struct known wanted = {.key = (char *)key};
-    return RB_FIND(known_tree, &follow->known, &wanted);
+    struct cached wanted = {.key = (char *)key};
+    return RB_FIND(record_tree, &reader->records, &wanted);
 }
 
 int64_t
-fe_later_of(int64_t a, int64_t b)
+fe_max(int64_t a, int64_t b)
 {
     return a > b ? a : b;
 }
 
 static int64_t
-entries_every(const struct fe_feed *feed)
+entries_interval(const struct fe_feed *feed)
 {
-    int64_t every = feed->options.drain_usec / Fe_ENTRIES_ROUNDS;
-    if (every <= 0 || every > Fe_ENTRIES_MOST_USEC) {
-        return Fe_ENTRIES_MOST_USEC;
+    int64_t interval = feed->options.drain_usec / Fe_ENTRIES_DIVISOR;
+    if (interval <= 0 || interval > Fe_ENTRIES_MAX_USEC) {
+        return Fe_ENTRIES_MAX_USEC;
     }
-    return fe_later_of(every, Fe_ENTRIES_LEAST_USEC);
+    return fe_max(interval, Fe_ENTRIES_MIN_USEC);
 }
 
 static int64_t
 config_wait(const struct fe_feed *feed)
 {
-    int64_t wait = feed->options.config_apply_usec / Fe_CONFIG_PARTS;
+    int64_t wait = feed->options.config_apply_usec / Fe_CONFIG_WAIT_DIVISOR;
     return wait > 0 ? wait : Fe_CONFIG_WAIT_USEC;
 }
 
-static struct known *
-find_or_add(struct follow *follow, const char *key)
+static struct cached *
+find_or_add_record(struct reader *reader, const char *key)
 {
-    struct known *known = fe_find(follow, key);
-    if (known != NULL) {
-        return known;
+    struct cached *cached = fe_find(reader, key);
+    if (cached != NULL) {
+        return cached;
     }
-    known = calloc(1, sizeof(*known));
-    if (known == NULL) {
+    cached = calloc(1, sizeof(*cached));
+    if (cached == NULL) {
         return NULL;
     }
-    known->key = strdup(key);
-    known->offset = -1;
-    if (known->key == NULL) {
-        free(known);
+    cached->key = strdup(key);
+    cached->offset = -1;
+    if (cached->key == NULL) {
+        free(cached);
         return NULL;
     }
-    struct known *other = RB_INSERT(known_tree, &follow->known, known);
+    struct cached *other = RB_INSERT(record_tree, &reader->records, cached);
     if (other != NULL) {
-        free(known->key);
-        free(known);
+        free(cached->key);
+        free(cached);
         return other;
     }
-    return known;
+    return cached;
 }
 
 static void
-take_order(struct fe_feed *feed, const struct known *known)
+apply_order(struct fe_feed *feed, const struct cached *cached)
 {
     struct ro_order order;
-    if (feed->options.codec->order(known->key, strlen(known->key),
-                                   known->value, known->len, &order)) {
-        order.number = known->offset;
+    if (feed->options.codec->order(cached->key, strlen(cached->key),
+                                   cached->value, cached->len, &order)) {
+        order.number = cached->offset;
         feed->options.ops->order(feed->options.arg, &order);
     }
 }
 
 static void
-take_config(struct fe_feed *feed, const struct known *known)
+apply_config(struct fe_feed *feed, const struct cached *cached)
 {
     char zone[Ec_NAME_MAX];
-    if (feed->options.codec->evacuation(known->key, strlen(known->key),
+    if (feed->options.codec->evacuation(cached->key, strlen(cached->key),
                                         zone)) {
         feed->options.ops->evacuation(feed->options.arg, zone,
-                                      known->value != NULL);
+                                      cached->value != NULL);
         return;
     }
-    if (known->value == NULL) {
+    if (cached->value == NULL) {
         return;
     }
-    if (!feed->options.codec->is_config(known->key, strlen(known->key))) {
-        take_order(feed, known);
+    if (!feed->options.codec->is_config(cached->key, strlen(cached->key))) {
+        apply_order(feed, cached);
         return;
     }
     struct ec_config *config =
-        feed->options.codec->config(known->value, known->len);
+        feed->options.codec->config(cached->value, cached->len);
     if (config == NULL) {
         return;
     }
@@ -152,139 +162,140 @@
 }
 
 static void
-take_entry(struct fe_feed *feed, const struct known *known)
+apply_entry(struct fe_feed *feed, const struct cached *cached)
 {
     struct fl_entry entry;
-    if (known->value == NULL) {
-        Fl_Remove(feed->options.fleet, known->key);
+    if (cached->value == NULL) {
+        Fl_Remove(feed->options.fleet, cached->key);
     }
-    else if (feed->options.codec->entry(known->key, strlen(known->key),
-                                        known->value, known->len, &entry)) {
+    else if (feed->options.codec->entry(cached->key, strlen(cached->key),
+                                        cached->value, cached->len, &entry)) {
         Fl_Apply(feed->options.fleet, &entry);
     }
 }
 
-/* Whether a record says the same as the one before it. */
+/* Whether a record has the same meaning as the cached one. */
 static bool
-says_the_same(const struct follow *follow, const struct known *known,
-              const void *value, size_t len)
+is_unchanged(const struct reader *reader, const struct cached *cached,
+             const void *value, size_t len)
 {
-    if (known->value == NULL || value == NULL) {
-        return known->value == NULL && value == NULL && known->offset >= 0;
+    if (cached->value == NULL || value == NULL) {
+        return cached->value == NULL && value == NULL && cached->offset >= 0;
     }
-    if (follow->topic == AG_CONFIG) {
+    if (reader->topic == AG_CONFIG) {
         return false;
     }
-    const struct ag_codec *codec = follow->feed->options.codec;
-    size_t key_len = strlen(known->key);
+    const struct ag_codec *codec = reader->feed->options.codec;
+    size_t key_len = strlen(cached->key);
     struct fl_entry before;
     struct fl_entry after;
-    bool was =
-        codec->entry(known->key, key_len, known->value, known->len, &before);
-    bool is = codec->entry(known->key, key_len, value, len, &after);
-    if (!was || !is) {
-        return was == is;
+    bool was_valid = codec->entry(cached->key, key_len, cached->value,
+                                  cached->len, &before);
+    bool is_valid = codec->entry(cached->key, key_len, value, len, &after);
+    if (!was_valid || !is_valid) {
+        return was_valid == is_valid;
     }
     return Fl_SameEntry(&before, &after);
 }
 
 /*
- * To a daemon that has just started every entry is new.  Its number would be
- * that of the last heartbeat, ahead of everybody's; all others would fetch its
- * records, and with its number pass over removals that it never saw.  When an
- * entry last changed is not known, only that it was not after the record that
- * is listed: with an older number others would take it for what they have.
+ * To a daemon that has just started, every entry looks like a change. Its
+ * changes_end would be the offset of the last heartbeat, ahead of all peers.
+ * They would fetch its records and, by taking over its changes_end, skip
+ * removals that it never saw. The first listing does not tell when an entry
+ * last changed, only that it was not after the listed record. With an older
+ * offset, peers would take the entry for one that they already have.
  */
 static bool
-first_listing(const struct follow *follow)
+is_first_listing(const struct reader *reader)
 {
-    return follow->topic == AG_ENDPOINTS && !follow->listed &&
-           follow->from < 0 && follow->waiting;
+    return reader->topic == AG_ENDPOINTS && !reader->listed &&
+           reader->next_offset < 0 && reader->reading;
 }
 
 int64_t
-fe_take(struct follow *follow, const char *key, int64_t offset,
-        const void *value, size_t len)
+fe_apply_record(struct reader *reader, const char *key, int64_t offset,
+                const void *value, size_t len)
 {
-    struct known *known = find_or_add(follow, key);
-    if (known == NULL) {
+    struct cached *cached = find_or_add_record(reader, key);
+    if (cached == NULL) {
         return 0;
     }
-    if (offset <= known->offset) {
-        /* A change that a listing, or a peer, showed before its turn. */
-        bool in_turn = offset == known->offset && offset == known->changed;
-        return in_turn ? offset + 1 : 0;
+    if (offset <= cached->offset) {
+        /* A change that a listing or a peer had delivered earlier. */
+        bool is_expected =
+            offset == cached->offset && offset == cached->changed;
+        return is_expected ? offset + 1 : 0;
     }
-    int64_t news = 0;
-    if (first_listing(follow)) {
-        known->changed = offset;
+    int64_t changes_end = 0;
+    if (is_first_listing(reader)) {
+        cached->changed = offset;
     }
-    else if (!says_the_same(follow, known, value, len)) {
-        known->changed = offset;
-        news = offset + 1;
+    else if (!is_unchanged(reader, cached, value, len)) {
+        cached->changed = offset;
+        changes_end = offset + 1;
     }
-    free(known->value);
-    known->value = NULL;
-    known->len = 0;
-    known->offset = offset;
+    free(cached->value);
+    cached->value = NULL;
+    cached->len = 0;
+    cached->offset = offset;
     if (value != NULL) {
-        known->value = malloc(len + 1);
-        if (known->value == NULL) {
+        cached->value = malloc(len + 1);
+        if (cached->value == NULL) {
             return 0;
         }
-        memcpy(known->value, value, len);
-        known->len = len;
+        memcpy(cached->value, value, len);
+        cached->len = len;
     }
-    if (offset + 1 > follow->highest) {
-        follow->highest = offset + 1;
+    if (offset + 1 > reader->newest_end) {
+        reader->newest_end = offset + 1;
     }
-    if (follow->topic == AG_CONFIG) {
-        take_config(follow->feed, known);
+    if (reader->topic == AG_CONFIG) {
+        apply_config(reader->feed, cached);
     }
     else {
-        take_entry(follow->feed, known);
+        apply_entry(reader->feed, cached);
     }
-    return news;
+    return changes_end;
 }
 
 /*
- * A configuration stays in force whatever a listing lacks; an endpoint, or the
- * evacuation of a data centre, that it lacks has been taken back.
+ * The configuration stays in force even if a listing lacks it. An endpoint, or
+ * the evacuation of a data centre, that a listing lacks has been removed.
  */
 static bool
-may_vanish(const struct follow *follow, const struct known *known)
+is_removable(const struct reader *reader, const struct cached *cached)
 {
     char zone[Ec_NAME_MAX];
-    return follow->topic == AG_ENDPOINTS ||
-           follow->feed->options.codec->evacuation(known->key,
-                                                   strlen(known->key), zone);
+    return reader->topic == AG_ENDPOINTS ||
+           reader->feed->options.codec->evacuation(cached->key,
+                                                   strlen(cached->key), zone);
 }
 
 bool
-fe_forget(struct follow *follow, struct known *known, int64_t before)
+fe_apply_removal(struct reader *reader, struct cached *cached, int64_t before)
 {
-    if (known->value == NULL || known->offset >= before ||
-        !may_vanish(follow, known)) {
+    if (cached->value == NULL || cached->offset >= before ||
+        !is_removable(reader, cached)) {
         return false;
     }
-    free(known->value);
-    known->value = NULL;
-    known->offset = before - 1;
-    known->changed = known->offset;
-    if (follow->topic == AG_ENDPOINTS) {
-        Fl_Remove(follow->feed->options.fleet, known->key);
+    free(cached->value);
+    cached->value = NULL;
+    cached->offset = before - 1;
+    cached->changed = cached->offset;
+    if (reader->topic == AG_ENDPOINTS) {
+        Fl_Remove(reader->feed->options.fleet, cached->key);
     }
     else {
-        take_config(follow->feed, known);
+        apply_config(reader->feed, cached);
     }
     return true;
 }
 
-/* Returns the offset behind the last record that says something new, or 0. */
 int64_t
-fe_take_records(struct follow *follow, const struct ag_result *result)
+fe_apply_records(struct reader *reader, const struct ag_result *result)
 {
-    int64_t news = 0;
+    int64_t changes_end = 0;
     for (size_t i = 0; i < result->count; i++) {
         const struct ag_record *record = &result->records[i];
         char key[Ec_NAME_MAX * 2];
@@ -293,14 +304,15 @@
         }
         memcpy(key, record->key, record->key_len);
         key[record->key_len] = '\0';
-        news = fe_later_of(news, fe_take(follow, key, record->offset,
-                                         record->value, record->len));
-        struct known *known = fe_find(follow, key);
-        if (known != NULL) {
-            known->listed = true;
+        changes_end =
+            fe_max(changes_end, fe_apply_record(reader, key, record->offset,
+                                                record->value, record->len));
+        struct cached *cached = fe_find(reader, key);
+        if (cached != NULL) {
+            cached->listed = true;
         }
     }
-    return news;
+    return changes_end;
 }
 
 static void
@@ -312,197 +324,202 @@
     }
 }
 
-/* The store answers again, here or at a daemon that reads for this one. */
 void
-fe_end_failure(struct follow *follow)
+fe_end_failure(struct reader *reader)
 {
-    struct fe_feed *feed = follow->feed;
+    struct fe_feed *feed = reader->feed;
     int64_t now = Ck_Now(feed->options.clock);
-    if (follow->failed_at != 0 && follow->topic == AG_ENDPOINTS &&
-        now - follow->failed_at > Fe_AWAY_USEC && follow->dark_at != 0 &&
-        now - follow->dark_at < Fe_DARK_USEC) {
-        Fl_Doubt(feed->options.fleet, Fe_DOUBT_USEC);
+    if (reader->failing_since != 0 && reader->topic == AG_ENDPOINTS &&
+        now - reader->failing_since > Fe_OUTAGE_MIN_USEC &&
+        reader->all_failed_at != 0 &&
+        now - reader->all_failed_at < Fe_OUTAGE_RECENT_USEC) {
+        Fl_Doubt(feed->options.fleet, Fe_HOLD_REMOVALS_USEC);
     }
-    follow->failed_at = 0;
-    follow->failures = 0;
+    reader->failing_since = 0;
+    reader->failures = 0;
 }
 
 void
-fe_note_answer(struct follow *follow)
+fe_note_success(struct reader *reader)
 {
-    struct fe_feed *feed = follow->feed;
-    follow->waiting = false;
-    fe_end_failure(follow);
-    follow->answered_at = Ck_Now(feed->options.clock);
-    set_reached(feed, feed->entry_follow.failed_at == 0 &&
-                          feed->config_follow.failed_at == 0);
+    struct fe_feed *feed = reader->feed;
+    reader->reading = false;
+    fe_end_failure(reader);
+    reader->answered_at = Ck_Now(feed->options.clock);
+    set_reached(feed, feed->entry_reader.failing_since == 0 &&
+                          feed->config_reader.failing_since == 0);
 }
 
 void
-fe_note_failure(struct follow *follow)
+fe_note_failure(struct reader *reader)
 {
-    int64_t now = Ck_Now(follow->feed->options.clock);
-    follow->waiting = false;
-    if (follow->failed_at == 0) {
-        follow->failed_at =
-            follow->answered_at != 0 ? follow->answered_at : now;
+    int64_t now = Ck_Now(reader->feed->options.clock);
+    reader->reading = false;
+    if (reader->failing_since == 0) {
+        reader->failing_since =
+            reader->answered_at != 0 ? reader->answered_at : now;
     }
-    if (!follow->feed->options.ops->others_reach(follow->feed->options.arg)) {
-        follow->dark_at = now;
+    if (!reader->feed->options.ops->others_reach(reader->feed->options.arg)) {
+        reader->all_failed_at = now;
     }
-    set_reached(follow->feed, false);
-    Lp_TimerSet(follow->timer, Fe_RETRY_USEC << follow->failures);
-    if (follow->failures < Fe_RETRY_DOUBLINGS) {
-        follow->failures++;
+    set_reached(reader->feed, false);
+    Lp_TimerSet(reader->timer, Fe_RETRY_USEC << reader->failures);
+    if (reader->failures < Fe_RETRY_DOUBLINGS_MAX) {
+        reader->failures++;
     }
 }
 
 static void
 on_read(void *arg, const struct ag_result *result)
 {
-    struct follow *follow = arg;
+    struct reader *reader = arg;
     if (result->status == AG_EXPIRED) {
-        follow->waiting = false;
-        follow->from = -1;
-        Lp_TimerSet(follow->timer, 0);
+        reader->reading = false;
+        reader->next_offset = -1;
+        Lp_TimerSet(reader->timer, 0);
         return;
     }
     if (result->status != AG_OK) {
-        fe_note_failure(follow);
+        fe_note_failure(reader);
         return;
     }
-    fe_note_answer(follow);
-    follow->changed =
-        fe_later_of(follow->changed, fe_take_records(follow, result));
+    fe_note_success(reader);
+    reader->changes_end =
+        fe_max(reader->changes_end, fe_apply_records(reader, result));
     if (result->count > 0) {
-        follow->from = result->records[result->count - 1].offset + 1;
+        reader->next_offset = result->records[result->count - 1].offset + 1;
     }
-    bool behind = follow->from < result->end && result->count > 0;
-    Lp_TimerSet(follow->timer, follow->topic == AG_CONFIG || behind
+    bool behind = reader->next_offset < result->end && result->count > 0;
+    Lp_TimerSet(reader->timer, reader->topic == AG_CONFIG || behind
                                    ? 0
-                                   : entries_every(follow->feed));
+                                   : entries_interval(reader->feed));
 }
 
 /*
- * A daemon that starts among others gets from one of them, in one piece, what
- * the store lists in many pages.  From then on it stands where that peer did:
- * should it have to read, what came later is still to be read.
+ * A daemon that starts among others gets from a peer, in one response, what
+ * the store lists in many pages. It continues from the offset of that peer: if
+ * it has to read the store later, it reads the records from there on.
  */
 static void
-take_pack_for_listing(struct follow *follow, int64_t now)
+use_state_for_listing(struct reader *reader, int64_t now)
 {
-    const struct fe_options *options = &follow->feed->options;
-    if (follow->listed || !follow->packed || follow->topic != AG_ENDPOINTS ||
-        !options->ops->others_read(options->arg, follow->topic)) {
+    const struct fe_options *options = &reader->feed->options;
+    if (reader->listed || !reader->state_applied ||
+        reader->topic != AG_ENDPOINTS ||
+        !options->ops->others_read(options->arg, reader->topic)) {
         return;
     }
-    follow->from = follow->changed;
-    follow->listed = true;
-    follow->listed_at = now;
-    follow->after[0] = '\0';
+    reader->next_offset = reader->changes_end;
+    reader->listed = true;
+    reader->listed_at = now;
+    reader->list_after[0] = '\0';
 }
 
-/* With the first page a daemon can serve; others may be about to be heard. */
+/*
+ * A daemon can serve with the first page of a listing, and the first messages
+ * of peers may be about to arrive.
+ */
 static bool
-awaits_pack(const struct follow *follow, int64_t now)
+awaits_peer_state(const struct reader *reader, int64_t now)
 {
-    const struct fe_options *options = &follow->feed->options;
-    return !follow->listed && follow->after[0] != '\0' &&
-           follow->topic == AG_ENDPOINTS &&
-           now - follow->paged_at < Fe_PACK_USEC &&
+    const struct fe_options *options = &reader->feed->options;
+    return !reader->listed && reader->list_after[0] != '\0' &&
+           reader->topic == AG_ENDPOINTS &&
+           now - reader->first_page_at < Fe_PEER_STATE_USEC &&
            options->ops->others_known(options->arg);
 }
 
 /*
- * Enough others read; or this daemon has just started and has yet to hear of
- * those who do.
+ * Enough peers read the topic, or this daemon has just started and their
+ * messages have yet to arrive.
  */
 static bool
-leaves_reading(const struct follow *follow, int64_t now)
+leaves_reading_to_peers(const struct reader *reader, int64_t now)
 {
-    const struct fe_options *options = &follow->feed->options;
-    int64_t up = now - follow->feed->started_at;
-    return options->ops->others_read(options->arg, follow->topic) ||
-           up < Fe_MEET_USEC ||
-           (up < Fe_JOIN_USEC && options->ops->others_known(options->arg));
+    const struct fe_options *options = &reader->feed->options;
+    int64_t up_usec = now - reader->feed->started_at;
+    return options->ops->others_read(options->arg, reader->topic) ||
+           up_usec < Fe_DISCOVERY_USEC ||
+           (up_usec < Fe_FIRST_MESSAGES_USEC &&
+            options->ops->others_known(options->arg));
 }
 
 static void
 step(void *arg)
 {
-    struct follow *follow = arg;
-    struct fe_feed *feed = follow->feed;
+    struct reader *reader = arg;
+    struct fe_feed *feed = reader->feed;
     struct ag_store *store = feed->options.store;
     int64_t now = Ck_Now(feed->options.clock);
-    take_pack_for_listing(follow, now);
-    if (awaits_pack(follow, now)) {
-        Lp_TimerSet(follow->timer, Fe_ROLE_USEC);
+    use_state_for_listing(reader, now);
+    if (awaits_peer_state(reader, now)) {
+        Lp_TimerSet(reader->timer, Fe_ROLE_CHECK_USEC);
         return;
     }
-    if (follow->from >= 0 && leaves_reading(follow, now)) {
-        fe_end_failure(follow);
-        follow->waiting = false;
-        Lp_TimerSet(follow->timer, Fe_ROLE_USEC);
+    if (reader->next_offset >= 0 && leaves_reading_to_peers(reader, now)) {
+        fe_end_failure(reader);
+        reader->reading = false;
+        Lp_TimerSet(reader->timer, Fe_ROLE_CHECK_USEC);
         return;
     }
-    if (now - follow->answered_at > Fe_RELIST_USEC &&
-        follow->topic == AG_ENDPOINTS) {
-        follow->from = -1;
+    if (now - reader->answered_at > Fe_RELIST_USEC &&
+        reader->topic == AG_ENDPOINTS) {
+        reader->next_offset = -1;
     }
-    fe_number_listing(follow, now);
-    follow->waiting = true;
-    if (follow->from < 0) {
-        Ag_Newest(store, follow->topic,
-                  follow->after[0] == '\0' ? NULL : follow->after,
-                  fe_on_listed, follow);
+    fe_publish_listing(reader, now);
+    reader->reading = true;
+    if (reader->next_offset < 0) {
+        Ag_Newest(store, reader->topic,
+                  reader->list_after[0] == '\0' ? NULL : reader->list_after,
+                  fe_on_listed, reader);
         return;
     }
-    Ag_Read(store, follow->topic, follow->from,
-            follow->topic == AG_CONFIG ? config_wait(feed) : 0, on_read,
-            follow);
+    Ag_Read(store, reader->topic, reader->next_offset,
+            reader->topic == AG_CONFIG ? config_wait(feed) : 0, on_read,
+            reader);
 }
 
 /*
- * A configuration may be hundreds of kilobytes, and the daemon that read it
- * first is one of hundreds: fetched from there by all others at once it takes
- * seconds, in which requests are served by the older one, and removals of
- * endpoints wait behind it.  The store has the bandwidth, for one call each.
+ * A configuration may be hundreds of kilobytes. If hundreds of daemons fetch
+ * it from the one that read it first, that takes seconds. Meanwhile requests
+ * are served by the older configuration, and removals of endpoints wait behind
+ * it. The store has the bandwidth, at one call for each daemon.
  */
 bool
 Fe_Refresh(struct fe_feed *feed)
 {
-    struct follow *follow = &feed->config_follow;
+    struct reader *reader = &feed->config_reader;
     int64_t now = Ck_Now(feed->options.clock);
-    bool lately = now - follow->refreshed_at < Fe_REFRESH_USEC;
-    if (follow->failed_at != 0) {
+    bool refreshed_recently = now - reader->refreshed_at < Fe_REFRESH_USEC;
+    if (reader->failing_since != 0) {
         return false;
     }
-    if (follow->waiting || (lately && follow->from < 0)) {
-        return lately;
+    if (reader->reading || (refreshed_recently && reader->next_offset < 0)) {
+        return refreshed_recently;
     }
-    if (lately) {
+    if (refreshed_recently) {
         return false;
     }
-    follow->refreshed_at = now;
-    follow->from = -1;
-    follow->after[0] = '\0';
-    Lp_TimerSet(follow->timer, 0);
+    reader->refreshed_at = now;
+    reader->next_offset = -1;
+    reader->list_after[0] = '\0';
+    Lp_TimerSet(reader->timer, 0);
     return true;
 }
 
 static bool
-follow_start(struct fe_feed *feed, struct follow *follow, enum ag_topic topic)
-{
-    follow->feed = feed;
-    follow->topic = topic;
-    follow->from = -1;
-    follow->changed = -1;
-    RB_INIT(&follow->known);
-    follow->timer = Lp_TimerCreate(feed->options.loop, step, follow);
-    if (follow->timer == NULL) {
+start_reader(struct fe_feed *feed, struct reader *reader, enum ag_topic topic)
+{
+    reader->feed = feed;
+    reader->topic = topic;
+    reader->next_offset = -1;
+    reader->changes_end = -1;
+    RB_INIT(&reader->records);
+    reader->timer = Lp_TimerCreate(feed->options.loop, step, reader);
+    if (reader->timer == NULL) {
         return false;
     }
-    Lp_TimerSet(follow->timer, 0);
+    Lp_TimerSet(reader->timer, 0);
     return true;
 }
 
@@ -515,8 +532,8 @@
     }
     feed->options = *options;
     feed->started_at = Ck_Now(options->clock);
-    if (!follow_start(feed, &feed->config_follow, AG_CONFIG) ||
-        !follow_start(feed, &feed->entry_follow, AG_ENDPOINTS)) {
+    if (!start_reader(feed, &feed->config_reader, AG_CONFIG) ||
+        !start_reader(feed, &feed->entry_reader, AG_ENDPOINTS)) {
         Fe_Destroy(feed);
         return NULL;
     }
@@ -524,32 +541,32 @@
 }
 
 static void
-follow_stop(struct follow *follow)
+stop_reader(struct reader *reader)
 {
-    Lp_TimerDestroy(follow->timer);
-    struct known *known;
-    struct known *next;
-    RB_FOREACH_SAFE (known, known_tree, &follow->known, next) {
-        RB_REMOVE(known_tree, &follow->known, known);
-        free(known->key);
-        free(known->value);
-        free(known);
+    Lp_TimerDestroy(reader->timer);
+    struct cached *cached;
+    struct cached *next;
+    RB_FOREACH_SAFE (cached, record_tree, &reader->records, next) {
+        RB_REMOVE(record_tree, &reader->records, cached);
+        free(cached->key);
+        free(cached->value);
+        free(cached);
     }
 }
 
-/* Answers of the store must not come any more. */
+/* No result of the store may be delivered after this call. */
 void
 Fe_Destroy(struct fe_feed *feed)
 {
     if (feed != NULL) {
-        follow_stop(&feed->config_follow);
-        follow_stop(&feed->entry_follow);
+        stop_reader(&feed->config_reader);
+        stop_reader(&feed->entry_reader);
         Ec_Release(feed->config);
         free(feed);
     }
 }
 
-/* The configuration in force; NULL before the first. */
+/* NULL before the first configuration. */
 struct ec_config *
 Fe_Config(const struct fe_feed *feed)
 {
@@ -559,11 +576,11 @@
 size_t
 Fe_ConfigBytes(const struct fe_feed *feed)
 {
-    const struct follow *follow = &feed->config_follow;
+    const struct reader *reader = &feed->config_reader;
     size_t most = 0;
-    struct known *known;
-    RB_FOREACH (known, known_tree, (struct known_tree *)&follow->known) {
-        most = known->len > most ? known->len : most;
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, (struct record_tree *)&reader->records) {
+        most = cached->len > most ? cached->len : most;
     }
     return feed->config == NULL ? 0 : most;
 }
@@ -571,12 +588,12 @@
 bool
 Fe_Reads(const struct fe_feed *feed, enum ag_topic topic)
 {
-    const struct follow *follow =
-        topic == AG_CONFIG ? &feed->config_follow : &feed->entry_follow;
-    int64_t patience = topic == AG_CONFIG ? config_wait(feed) + Fe_OVERDUE_USEC
-                                          : 2 * Fe_ENTRIES_MOST_USEC;
-    return follow->failed_at == 0 && follow->answered_at != 0 &&
-           Ck_Now(feed->options.clock) - follow->answered_at < patience;
+    const struct reader *reader =
+        topic == AG_CONFIG ? &feed->config_reader : &feed->entry_reader;
+    int64_t timeout = topic == AG_CONFIG ? config_wait(feed) + Fe_OVERDUE_USEC
+                                         : 2 * Fe_ENTRIES_MAX_USEC;
+    return reader->failing_since == 0 && reader->answered_at != 0 &&
+           Ck_Now(feed->options.clock) - reader->answered_at < timeout;
 }
 
 bool
@@ -593,8 +610,8 @@
 }
 
 int64_t
-Fe_Changed(const struct fe_feed *feed, enum ag_topic topic)
+Fe_ChangesEnd(const struct fe_feed *feed, enum ag_topic topic)
 {
-    return topic == AG_CONFIG ? feed->config_follow.changed
-                              : feed->entry_follow.changed;
+    return topic == AG_CONFIG ? feed->config_reader.changes_end
+                              : feed->entry_reader.changes_end;
 }
--- a/packages/edge/feed.h
+++ b/packages/edge/feed.h
@@ -1,7 +1,7 @@
 /*
- * Keeps the configuration and the endpoints up to date: from the store while
- * it answers, from peers while it does not.  What was learned is never
- * unlearned by an older reading, wherever it comes from.
+ * Keeps the configuration and the endpoints up to date, from the store while
+ * the store answers and from peers otherwise. A record is never replaced by an
+ * older one, whichever source that comes from.
  */
 #ifndef EDGE_FEED_H
 #define EDGE_FEED_H
@@ -25,20 +25,23 @@
 struct fe_ops {
     void (*config)(void *arg, struct ec_config *config);
     void (*order)(void *arg, const struct ro_order *order);
-    /* A data centre is to be sent nothing more, or that is taken back. */
-    void (*evacuation)(void *arg, const char *zone, bool asked);
+    /* A data centre is to be evacuated ("evacuate"), or is no longer. */
+    void (*evacuation)(void *arg, const char *zone, bool evacuate);
     void (*store)(void *arg, bool reached);
     /*
-     * Whether another daemon reaches the store.  Then it was not the store
-     * that was away, and no entries have lapsed.
+     * Whether another daemon reaches the store. The store was then not down,
+     * so no entries have expired.
      */
     bool (*others_reach)(void *arg);
     /*
-     * Whether enough other daemons read the topic.  Every read is a call to
-     * the store; what one daemon has read all others learn from it.
+     * Whether enough other daemons read the topic. Each read is a call to the
+     * store, and all daemons get from their peers what one of them has read.
      */
     bool (*others_read)(void *arg, enum ag_topic topic);
-    /* Whether there are so many daemons that some may soon be heard. */
+    /*
+     * Whether enough other daemons are known that a message from one of them
+     * is likely to arrive soon.
+     */
     bool (*others_known)(void *arg);
 };
 
@@ -48,10 +51,12 @@
     struct ag_store *store;
     const struct ag_codec *codec;
     struct fl_fleet *fleet;
-    /* Within this of its word nothing may be sent to an endpoint that leaves;
-       0: not known. */
+    /*
+     * No request may be sent to an endpoint this long after the endpoint
+     * announced its stop; 0: unknown.
+     */
     int64_t drain_usec;
-    /* Within this a configuration must be in force; 0: not known. */
+    /* A new configuration must be in force within this time; 0: unknown. */
     int64_t config_apply_usec;
     const struct fe_ops *ops;
     void *arg;
@@ -60,30 +65,38 @@
 struct fe_feed *Fe_Create(const struct fe_options *options);
 void Fe_Destroy(struct fe_feed *feed);
 struct ec_config *Fe_Config(const struct fe_feed *feed);
-/* Whether the store was reached so recently that nothing newer is unread. */
+/*
+ * Whether the configuration is read from the store, by this daemon or by
+ * peers, so that no newer one can have been missed.
+ */
 bool Fe_Current(const struct fe_feed *feed);
 bool Fe_Reached(const struct fe_feed *feed);
 /*
- * Somebody knows a newer configuration.  True: it is being read from the
- * store; false: it has to come from whoever knows it.
+ * To be called when a peer has a newer configuration. True: it is being read
+ * from the store. False: it has to be fetched from the peer.
  */
 bool Fe_Refresh(struct fe_feed *feed);
-/* Bytes of the largest record of the configuration; 0: none is in force. */
+/*
+ * Size of the largest configuration record; 0: no configuration is in force.
+ */
 size_t Fe_ConfigBytes(const struct fe_feed *feed);
-/* Whether this daemon reads the topic itself, and is answered. */
+/* Whether this daemon reads the topic itself and the store answers. */
 bool Fe_Reads(const struct fe_feed *feed, enum ag_topic topic);
 /*
- * Offset behind the last change that is known; heartbeats that change
- * nothing do not count.
+ * Offset behind the last known change of the topic. A heartbeat that changes
+ * nothing is no change.
  */
-int64_t Fe_Changed(const struct fe_feed *feed, enum ag_topic topic);
+int64_t Fe_ChangesEnd(const struct fe_feed *feed, enum ag_topic topic);
 
-/* What has changed since, packed for a peer that has less. */
-size_t Fe_Pack(const struct fe_feed *feed, int64_t config_from,
-               int64_t entries_from, char **out);
-/* Whether bytes look like a pack as it is, not deflated. */
-bool Fe_IsPack(const char *data, size_t len);
-void Fe_Unpack(struct fe_feed *feed, const char *data, size_t len);
+/*
+ * Packs the records that changed at or after the given offsets, for a peer
+ * that has the records before them.
+ */
+size_t Fe_PackState(const struct fe_feed *feed, int64_t config_from,
+                    int64_t entries_from, char **out);
+/* Whether the bytes are a packed state that is not compressed. */
+bool Fe_IsPackedState(const char *data, size_t len);
+void Fe_ApplyState(struct fe_feed *feed, const char *data, size_t len);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/feed_internal.h
+++ b/packages/edge/feed_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the feed only. */
+/* Shared by the feed files only. */
 #ifndef EDGE_FEED_INTERNAL_H
 #define EDGE_FEED_INTERNAL_H
 
@@ -8,91 +8,108 @@
 #include "edge/feed.h"
 
 /*
- * A store that is away or turns this daemon away is asked again after this,
- * twice as long after each failure: refused calls are paid for, and with many
- * daemons they are most of what the store has to answer.
+ * Delay before an unavailable store, or one that rejects this daemon, is
+ * called again. The delay doubles with each failure: rejected calls are
+ * charged too, and with many daemons they would be most of the store's load.
  */
 #define Fe_RETRY_USEC (250 * Ck_USEC_PER_MSEC)
-/* After such a pause a listing is shorter than what was missed. */
+/*
+ * After a pause this long, a new listing is shorter than the records that were
+ * missed.
+ */
 #define Fe_RELIST_USEC (3 * Ck_USEC_PER_SEC)
 
-struct known {
-    RB_ENTRY(known) link;
+struct cached {
+    RB_ENTRY(cached) link;
     char *key;
     int64_t offset;
-    int64_t changed; /* offset of the last record that said something new */
+    int64_t changed; /* offset of the last record that changed the value */
     char *value;     /* NULL: removed */
     size_t len;
-    bool listed; /* by the listing that is being read */
-    bool told;   /* by the pack that is being taken in */
+    bool listed;   /* seen in the current listing */
+    bool in_state; /* seen in the peer's state being applied */
 };
 
-RB_HEAD(known_tree, known);
+RB_HEAD(record_tree, cached);
 
-struct follow {
+struct reader {
     struct fe_feed *feed;
     enum ag_topic topic;
     struct lp_timer *timer;
-    int64_t from;     /* next offset to read; -1: list first */
-    int64_t highest;  /* no reading that ends before it is believed */
-    int64_t changed;  /* behind the last change; -1: nothing is known */
-    int64_t base;     /* removals before it may be unknown */
-    bool listed;      /* a whole listing was read, or a peer's whole pack */
-    bool packed;      /* a peer's whole pack was taken */
-    int64_t paged_at; /* when the first page of the first listing came */
+    int64_t next_offset; /* -1: list first */
+    int64_t newest_end;  /* a listing that ends before it is outdated */
+    int64_t changes_end; /* offset behind the last change; -1: no record yet */
+    int64_t base;        /* removals before this offset may be missing */
+    bool listed;         /* read whole from the store or from a peer */
+    bool state_applied;  /* a full state from a peer was applied */
+    int64_t first_page_at; /* of the first listing */
     int64_t listed_at;
     int64_t listing_end;
-    int64_t listing_changed; /* behind the newest change in the listing */
+    int64_t listing_changes_end; /* offset behind the last change listed */
     int64_t answered_at;
-    bool waiting;         /* a read is under way */
-    int64_t failed_at;    /* since when it fails; 0: it does not */
-    int64_t dark_at;      /* last failure while no daemon reached the store */
-    int failures;         /* in a row */
-    int64_t refreshed_at; /* last read because a peer knew more */
-    char after[Ec_NAME_MAX];
-    struct known_tree known;
+    bool reading;          /* a call to the store is in progress */
+    int64_t failing_since; /* 0: the store answers */
+    int64_t all_failed_at; /* last failure while no daemon reached the store */
+    int failures;          /* consecutive */
+    int64_t refreshed_at;  /* last read because a peer had a newer one */
+    char list_after[Ec_NAME_MAX];
+    struct record_tree records;
 };
 
 struct fe_feed {
     struct fe_options options;
     struct ec_config *config;
-    struct follow config_follow;
-    struct follow entry_follow;
+    struct reader config_reader;
+    struct reader entry_reader;
     bool reached;
     int64_t started_at;
 };
 
-int fe_compare(const struct known *a, const struct known *b);
-RB_PROTOTYPE(known_tree, known, link, fe_compare);
+int fe_compare(const struct cached *a, const struct cached *b);
+RB_PROTOTYPE(record_tree, cached, link, fe_compare);
 
-struct known *fe_find(struct follow *follow, const char *key);
+struct cached *fe_find(struct reader *reader, const char *key);
 
-/* The store answers again, here or at a daemon that reads for this one. */
-void fe_end_failure(struct follow *follow);
+/*
+ * Ends a failure: the store answers again, here or at a peer that reads for
+ * this daemon.
+ */
+void fe_end_failure(struct reader *reader);
 
 /*
- * Takes a record, from the store or from a peer.  Returns the offset behind it
- * when it says something new, else 0.
+ * Applies a record from the store or from a peer. Returns the offset behind
+ * the record if it is a change, else 0.
  */
-int64_t fe_take(struct follow *follow, const char *key, int64_t offset,
-                const void *value, size_t len);
+int64_t fe_apply_record(struct reader *reader, const char *key, int64_t offset,
+                        const void *value, size_t len);
 
 /*
- * Takes a record as removed where a whole listing of what stood before an
- * offset lacks it; false: it stays.
+ * Removes a record that is missing from a complete listing of the records
+ * before an offset. False: the record is kept.
  */
-bool fe_forget(struct follow *follow, struct known *known, int64_t before);
+bool fe_apply_removal(struct reader *reader, struct cached *cached,
+                      int64_t before);
 
-/* All records of a reading; what fe_take() returns for the last news. */
-int64_t fe_take_records(struct follow *follow, const struct ag_result *result);
-int64_t fe_later_of(int64_t a, int64_t b);
-/* The store answered, or did not; the next read is timed by that. */
-void fe_note_answer(struct follow *follow);
-void fe_note_failure(struct follow *follow);
+/*
+ * Applies all records of a result. Returns the offset behind the last change,
+ * or 0.
+ */
+int64_t fe_apply_records(struct reader *reader,
+                         const struct ag_result *result);
+int64_t fe_max(int64_t a, int64_t b);
+/*
+ * Note the outcome of a call to the store, which determines when the next one
+ * is made.
+ */
+void fe_note_success(struct reader *reader);
+void fe_note_failure(struct reader *reader);
 
-/* A page of the newest records has come. */
+/* Handles a page of a listing. */
 void fe_on_listed(void *arg, const struct ag_result *result);
-/* Gives the listing a number where nobody else has a newer one. */
-void fe_number_listing(struct follow *follow, int64_t now);
+/*
+ * Publishes the end of the last listing as changes_end if no peer has a newer
+ * one.
+ */
+void fe_publish_listing(struct reader *reader, int64_t now);
 
 #endif
--- a/packages/edge/feed_list.c
+++ b/packages/edge/feed_list.c
@@ -1,98 +1,108 @@
-/* Listings of all newest records, which come in pages. */
+/* Reads listings of the newest records, page by page. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "edge/feed_internal.h"
 
-#define Fe_HOSTS_USEC (30 * Ck_USEC_PER_MSEC)
+#define Fe_DISCOVERY_DELAY_USEC (30 * Ck_USEC_PER_MSEC)
 
-/* What a whole listing lacks was removed, unless it is newer than that. */
+/*
+ * A record that a complete listing lacks was removed, unless the record is
+ * newer than the listing.
+ */
 static void
-end_listing(struct follow *follow)
+end_listing(struct reader *reader)
 {
-    struct known *known;
-    RB_FOREACH (known, known_tree, &follow->known) {
-        if (!known->listed && fe_forget(follow, known, follow->listing_end) &&
-            follow->changed < follow->listing_end) {
-            follow->changed = follow->listing_end;
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, &reader->records) {
+        if (!cached->listed &&
+            fe_apply_removal(reader, cached, reader->listing_end) &&
+            reader->changes_end < reader->listing_end) {
+            reader->changes_end = reader->listing_end;
         }
     }
-    follow->from = follow->listing_end;
-    follow->base = follow->listing_end;
-    follow->listed = true;
-    follow->listed_at = Ck_Now(follow->feed->options.clock);
-    follow->changed = fe_later_of(follow->changed, follow->listing_changed);
-    follow->after[0] = '\0';
+    reader->next_offset = reader->listing_end;
+    reader->base = reader->listing_end;
+    reader->listed = true;
+    reader->listed_at = Ck_Now(reader->feed->options.clock);
+    reader->changes_end =
+        fe_max(reader->changes_end, reader->listing_changes_end);
+    reader->list_after[0] = '\0';
 }
 
 static void
-begin_listing(struct follow *follow, int64_t end)
+begin_listing(struct reader *reader, int64_t end)
 {
-    struct known *known;
-    RB_FOREACH (known, known_tree, &follow->known) {
-        known->listed = false;
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, &reader->records) {
+        cached->listed = false;
     }
-    follow->listing_end = end;
-    follow->listing_changed = 0;
+    reader->listing_end = end;
+    reader->listing_changes_end = 0;
 }
 
 void
 fe_on_listed(void *arg, const struct ag_result *result)
 {
-    struct follow *follow = arg;
+    struct reader *reader = arg;
     if (result->status != AG_OK) {
-        follow->after[0] = '\0';
-        fe_note_failure(follow);
+        reader->list_after[0] = '\0';
+        fe_note_failure(reader);
         return;
     }
-    fe_note_answer(follow);
-    follow->waiting = true;
-    if (follow->after[0] == '\0') {
-        if (result->end < follow->highest) {
-            /* A reading from before what is known already. */
-            Lp_TimerSet(follow->timer, Fe_RETRY_USEC);
+    fe_note_success(reader);
+    reader->reading = true;
+    if (reader->list_after[0] == '\0') {
+        if (result->end < reader->newest_end) {
+            /* The listing is older than records that were already applied. */
+            Lp_TimerSet(reader->timer, Fe_RETRY_USEC);
             return;
         }
-        begin_listing(follow, result->end);
+        begin_listing(reader, result->end);
     }
     /*
-     * The number stands for all that came before it; given before the last
-     * page, those who fetch from here would pass over what that page has.  A
-     * later page may show a record of after the listing's end; what came
-     * between is still to be read.
+     * changes_end stands for all changes before it. If it were raised before
+     * the last page, peers that fetch from this daemon would skip the changes
+     * on that page. A later page may hold a record from after the listing's
+     * end; the records between that end and the record are still to be read,
+     * so changes_end is limited to the listing's end.
      */
-    int64_t changed = fe_take_records(follow, result);
-    follow->listing_changed = fe_later_of(
-        follow->listing_changed,
-        changed < follow->listing_end ? changed : follow->listing_end);
+    int64_t changed = fe_apply_records(reader, result);
+    reader->listing_changes_end =
+        fe_max(reader->listing_changes_end,
+               changed < reader->listing_end ? changed : reader->listing_end);
     if (result->more && result->count > 0) {
         const struct ag_record *last = &result->records[result->count - 1];
-        size_t len = last->key_len < sizeof(follow->after) - 1
+        size_t len = last->key_len < sizeof(reader->list_after) - 1
                          ? last->key_len
-                         : sizeof(follow->after) - 1;
-        memcpy(follow->after, last->key, len);
-        follow->after[len] = '\0';
+                         : sizeof(reader->list_after) - 1;
+        memcpy(reader->list_after, last->key, len);
+        reader->list_after[len] = '\0';
     }
     else {
-        end_listing(follow);
+        end_listing(reader);
     }
-    /* The addresses of other hosts are on their way with the first page. */
-    bool first = follow->paged_at == 0;
+    /*
+     * The addresses of other hosts arrive at about the same time as the first
+     * page.
+     */
+    bool first = reader->first_page_at == 0;
     if (first) {
-        follow->paged_at = follow->answered_at;
+        reader->first_page_at = reader->answered_at;
     }
-    Lp_TimerSet(follow->timer, first && !follow->listed ? Fe_HOSTS_USEC : 0);
+    Lp_TimerSet(reader->timer,
+                first && !reader->listed ? Fe_DISCOVERY_DELAY_USEC : 0);
 }
 
 /*
- * Whoever still reads some seconds after its listing does so because nobody
- * else does: then its listing is the newest that there is.
+ * A daemon that still reads some seconds after its listing does so because too
+ * few others read, so its listing is the newest there is.
  */
 void
-fe_number_listing(struct follow *follow, int64_t now)
+fe_publish_listing(struct reader *reader, int64_t now)
 {
-    if (follow->from >= 0 && follow->changed < follow->base &&
-        now - follow->listed_at > Fe_RELIST_USEC) {
-        follow->changed = follow->base;
+    if (reader->next_offset >= 0 && reader->changes_end < reader->base &&
+        now - reader->listed_at > Fe_RELIST_USEC) {
+        reader->changes_end = reader->base;
     }
 }
--- a/packages/edge/feed_pack.c
+++ b/packages/edge/feed_pack.c
@@ -1,4 +1,4 @@
-/* What daemons fetch from each other, and how it is taken in. */
+/* Packs the state for peers, and applies that of a peer. */
 #include <msgpack.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,99 +7,108 @@
 #include "edge/feed_internal.h"
 #include "edge/packed.h"
 
-/* The first byte of a msgpack array of eight; none of deflate's. */
-#define Fe_PACK_HEAD 0x98
+/*
+ * First byte of a msgpack array of eight elements; never that of deflate
+ * output.
+ */
+#define Fe_STATE_FIRST_BYTE 0x98
 
 static size_t
-count_known(const struct follow *follow, int64_t from)
+count_changed(const struct reader *reader, int64_t from)
 {
     size_t count = 0;
-    struct known *known;
-    RB_FOREACH (known, known_tree, (struct known_tree *)&follow->known) {
-        count += known->changed >= from;
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, (struct record_tree *)&reader->records) {
+        count += cached->changed >= from;
     }
     return count;
 }
 
 static void
-pack_follow(msgpack_packer *packer, const struct follow *follow, int64_t from)
+pack_topic(msgpack_packer *packer, const struct reader *reader, int64_t from)
 {
-    bool full = from < follow->base;
+    bool full = from < reader->base;
     from = full ? 0 : from;
-    /* What was not asked for is not told, and its number says nothing. */
-    msgpack_pack_int64(packer, from > follow->changed ? -1 : follow->changed);
-    msgpack_pack_int64(packer, follow->base);
+    /*
+     * A topic that was not requested is sent without records, so its
+     * changes_end must not be used.
+     */
+    msgpack_pack_int64(packer,
+                       from > reader->changes_end ? -1 : reader->changes_end);
+    msgpack_pack_int64(packer, reader->base);
     msgpack_pack_int(packer, full);
-    msgpack_pack_array(packer, count_known(follow, from));
-    struct known *known;
-    RB_FOREACH (known, known_tree, (struct known_tree *)&follow->known) {
-        if (known->changed < from) {
+    msgpack_pack_array(packer, count_changed(reader, from));
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, (struct record_tree *)&reader->records) {
+        if (cached->changed < from) {
             continue;
         }
-        size_t key_len = strlen(known->key);
+        size_t key_len = strlen(cached->key);
         msgpack_pack_array(packer, 3);
         msgpack_pack_str(packer, key_len);
-        msgpack_pack_str_body(packer, known->key, key_len);
-        msgpack_pack_int64(packer, known->changed);
-        if (known->value == NULL) {
+        msgpack_pack_str_body(packer, cached->key, key_len);
+        msgpack_pack_int64(packer, cached->changed);
+        if (cached->value == NULL) {
             msgpack_pack_nil(packer);
         }
         else {
-            msgpack_pack_bin(packer, known->len);
-            msgpack_pack_bin_body(packer, known->value, known->len);
+            msgpack_pack_bin(packer, cached->len);
+            msgpack_pack_bin_body(packer, cached->value, cached->len);
         }
     }
 }
 
 /*
- * [changed, base, full, records] of the configuration and of the endpoints.
- * Whoever knows less than the last listing here gets all: a removal before it
- * may not be known here, and shows only by what is missing.
+ * Packs [changes_end, base, full, records] of the configuration and then of
+ * the endpoints. A peer whose records end before the last listing here gets
+ * all records: a removal before that listing may not be known here, and shows
+ * only by the missing record.
  */
 size_t
-Fe_Pack(const struct fe_feed *feed, int64_t config_from, int64_t entries_from,
-        char **out)
+Fe_PackState(const struct fe_feed *feed, int64_t config_from,
+             int64_t entries_from, char **out)
 {
     msgpack_sbuffer buffer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer packer;
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, 8);
-    pack_follow(&packer, &feed->config_follow, config_from);
-    pack_follow(&packer, &feed->entry_follow, entries_from);
+    pack_topic(&packer, &feed->config_reader, config_from);
+    pack_topic(&packer, &feed->entry_reader, entries_from);
     size_t len = buffer.size;
     *out = msgpack_sbuffer_release(&buffer);
     return len;
 }
 
 static void
-unpack_record(struct follow *follow, const msgpack_object *record)
+unpack_record(struct reader *reader, const msgpack_object *record)
 {
     if (record->type != MSGPACK_OBJECT_ARRAY || record->via.array.size != 3) {
         return;
     }
-    const msgpack_object *part = record->via.array.ptr;
+    const msgpack_object *field = record->via.array.ptr;
     char key[Ec_NAME_MAX * 2];
-    if (!Pk_Text(&part[0], key, sizeof(key)) ||
-        part[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+    if (!Pk_Text(&field[0], key, sizeof(key)) ||
+        field[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return;
     }
-    int64_t offset = (int64_t)part[1].via.u64;
-    const struct known *known = fe_find(follow, key);
-    if (follow->listed && offset < follow->base &&
-        (known == NULL || known->value == NULL)) {
+    int64_t offset = (int64_t)field[1].via.u64;
+    const struct cached *cached = fe_find(reader, key);
+    if (reader->listed && offset < reader->base &&
+        (cached == NULL || cached->value == NULL)) {
         /*
-         * The listing read here is newer and lacks it: it has gone, though
-         * the peer has not heard of that yet.
+         * The listing read by this daemon is newer and lacks the record, so it
+         * was removed. The peer has not learned of the removal yet.
          */
         return;
     }
-    bool has = part[2].type == MSGPACK_OBJECT_BIN;
-    fe_take(follow, key, offset, has ? part[2].via.bin.ptr : NULL,
-            has ? part[2].via.bin.size : 0);
-    struct known *taken = fe_find(follow, key);
-    if (taken != NULL) {
-        taken->told = true;
+    bool has_value = field[2].type == MSGPACK_OBJECT_BIN;
+    fe_apply_record(reader, key, offset,
+                    has_value ? field[2].via.bin.ptr : NULL,
+                    has_value ? field[2].via.bin.size : 0);
+    struct cached *applied = fe_find(reader, key);
+    if (applied != NULL) {
+        applied->in_state = true;
     }
 }
 
@@ -111,73 +120,79 @@
                : 0;
 }
 
-/* What a whole pack lacks was removed, unless it is newer than the pack. */
+/*
+ * A record that a full state lacks was removed, unless the record is newer
+ * than the state.
+ */
 static void
-remove_unlisted(struct follow *follow, int64_t before)
+remove_missing(struct reader *reader, int64_t before)
 {
-    struct known *known;
-    RB_FOREACH (known, known_tree, &follow->known) {
-        if (!known->told) {
-            (void)fe_forget(follow, known, before);
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, &reader->records) {
+        if (!cached->in_state) {
+            (void)fe_apply_removal(reader, cached, before);
         }
     }
 }
 
 static void
-unpack_follow(struct follow *follow, const msgpack_object *part)
+unpack_topic(struct reader *reader, const msgpack_object *field)
 {
-    int64_t changed = part[0].type == MSGPACK_OBJECT_POSITIVE_INTEGER
-                          ? get_number(&part[0])
+    int64_t changed = field[0].type == MSGPACK_OBJECT_POSITIVE_INTEGER
+                          ? get_number(&field[0])
                           : -1;
-    int64_t base = get_number(&part[1]);
-    bool full = get_number(&part[2]) != 0;
-    int64_t had = follow->changed;
-    const msgpack_object *records = &part[3];
+    int64_t base = get_number(&field[1]);
+    bool full = get_number(&field[2]) != 0;
+    int64_t previous_end = reader->changes_end;
+    const msgpack_object *records = &field[3];
     if (records->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
-    struct known *known;
-    RB_FOREACH (known, known_tree, &follow->known) {
-        known->told = false;
+    struct cached *cached;
+    RB_FOREACH (cached, record_tree, &reader->records) {
+        cached->in_state = false;
     }
     for (size_t i = 0; i < records->via.array.size; i++) {
-        unpack_record(follow, &records->via.array.ptr[i]);
+        unpack_record(reader, &records->via.array.ptr[i]);
     }
-    follow->packed |= full && changed > 0;
-    /* A listing read here since then is newer, and stands for more. */
-    if (full && had < base && follow->base < base) {
-        remove_unlisted(follow, base);
-        follow->base = base;
+    reader->state_applied |= full && changed > 0;
+    /* A listing that this daemon has read since is newer and more complete. */
+    if (full && previous_end < base && reader->base < base) {
+        remove_missing(reader, base);
+        reader->base = base;
     }
-    if (follow->changed < changed) {
-        follow->changed = changed;
+    if (reader->changes_end < changed) {
+        reader->changes_end = changed;
     }
 }
 
 /*
- * The peer may have reached the store again before this daemon asked; the
- * removals that it tells of are in doubt here as well.
+ * A peer may have reached the store again before this daemon retried. The
+ * removals in the peer's state may then be entries that expired during the
+ * outage, so they are held back here as well.
  */
 static void
-note_peer(struct follow *follow)
+clear_failure(struct reader *reader)
 {
-    const struct fe_options *options = &follow->feed->options;
-    if (follow->failed_at != 0 &&
-        options->ops->others_read(options->arg, follow->topic)) {
-        fe_end_failure(follow);
+    const struct fe_options *options = &reader->feed->options;
+    if (reader->failing_since != 0 &&
+        options->ops->others_read(options->arg, reader->topic)) {
+        fe_end_failure(reader);
     }
 }
 
-/* An array of eight, as Fe_Pack() begins. */
+/*
+ * Whether the bytes begin with an array of eight, as Fe_PackState() writes it.
+ */
 bool
-Fe_IsPack(const char *data, size_t len)
+Fe_IsPackedState(const char *data, size_t len)
 {
-    return len > 0 && (unsigned char)data[0] == Fe_PACK_HEAD;
+    return len > 0 && (unsigned char)data[0] == Fe_STATE_FIRST_BYTE;
 }
 
-/* Takes what a peer packed; bytes that make no sense are passed over. */
+/* Applies the packed state of a peer; malformed bytes are ignored. */
 void
-Fe_Unpack(struct fe_feed *feed, const char *data, size_t len)
+Fe_ApplyState(struct fe_feed *feed, const char *data, size_t len)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -186,10 +201,10 @@
             MSGPACK_UNPACK_SUCCESS &&
         unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
         unpacked.data.via.array.size == 8) {
-        const msgpack_object *part = unpacked.data.via.array.ptr;
-        note_peer(&feed->entry_follow);
-        unpack_follow(&feed->config_follow, &part[0]);
-        unpack_follow(&feed->entry_follow, &part[4]);
+        const msgpack_object *field = unpacked.data.via.array.ptr;
+        clear_failure(&feed->entry_reader);
+        unpack_topic(&feed->config_reader, &field[0]);
+        unpack_topic(&feed->entry_reader, &field[4]);
     }
     msgpack_unpacked_destroy(&unpacked);
 }
--- a/packages/edge/mesh.c
+++ b/packages/edge/mesh.c
@@ -20,10 +20,10 @@
 RB_GENERATE(ms_addresses, ms_peer, by_address, compare_addresses);
 
 static struct ms_peer *
-find(const struct ms_mesh *mesh, uint32_t address)
+find_peer(const struct ms_mesh *mesh, uint32_t address)
 {
     struct ms_peer wanted = {.address = address};
-    /* The tree's macro takes no const. */
+    /* RB_FIND() takes no const. */
     return RB_FIND(ms_addresses, (struct ms_addresses *)&mesh->addresses,
                    &wanted);
 }
@@ -31,19 +31,19 @@
 const struct ms_peer *
 Ms_Find(const struct ms_mesh *mesh, uint32_t address)
 {
-    return find(mesh, address);
+    return find_peer(mesh, address);
 }
 
-/* The peer at an address, known from now on; NULL: it is no other daemon's. */
+/* NULL: the address is invalid or that of this host. */
 static struct ms_peer *
-find_or_add(struct ms_mesh *mesh, const char *ip)
+find_or_add_peer(struct ms_mesh *mesh, const char *ip)
 {
     struct in_addr address;
     if (strcmp(ip, mesh->node->ip) == 0 ||
         inet_pton(AF_INET, ip, &address) != 1) {
         return NULL;
     }
-    struct ms_peer *peer = find(mesh, address.s_addr);
+    struct ms_peer *peer = find_peer(mesh, address.s_addr);
     if (peer != NULL) {
         return peer;
     }
@@ -61,70 +61,70 @@
 }
 
 void
-ms_take_word(struct ms_mesh *mesh, struct ms_peer *peer,
-             const struct ms_word *word)
+ms_apply_message(struct ms_mesh *mesh, struct ms_peer *peer,
+                 const struct ms_word *message)
 {
-    strlcpy(peer->name, word->name, sizeof(peer->name));
-    strlcpy(peer->zone, word->zone, sizeof(peer->zone));
-    peer->near = strcmp(word->zone, mesh->node->zone) == 0;
-    peer->link_mbps = word->link_mbps;
-    peer->ready = word->ready;
-    peer->stopping = word->stopping;
-    peer->store_reached = word->store_reached;
-    peer->cut = word->cut;
-    peer->reads_config = word->reads_config;
-    peer->reads_entries = word->reads_entries;
+    strlcpy(peer->name, message->name, sizeof(peer->name));
+    strlcpy(peer->zone, message->zone, sizeof(peer->zone));
+    peer->near = strcmp(message->zone, mesh->node->zone) == 0;
+    peer->link_mbps = message->link_mbps;
+    peer->ready = message->ready;
+    peer->stopping = message->stopping;
+    peer->store_reached = message->store_reached;
+    peer->cut = message->cut;
+    peer->reads_config = message->reads_config;
+    peer->reads_entries = message->reads_entries;
     peer->heard_at = mesh->now;
-    peer->started_at = mesh->now - word->up_usec;
-    peer->config_changed = word->config_changed;
-    peer->entries_changed = word->entries_changed;
-    if (word->summary) {
+    peer->started_at = mesh->now - message->up_usec;
+    peer->config_changed = message->config_changed;
+    peer->entries_changed = message->entries_changed;
+    if (message->summary) {
         return;
     }
-    if (peer->run != word->run) {
-        /* It has just started, and waits to hear what is known. */
-        peer->run = word->run;
+    if (peer->run != message->run) {
+        /* The peer has just started and waits for the state of others. */
+        peer->run = message->run;
         peer->due_at = 0;
     }
-    peer->load_count =
-        word->load_count < Ms_LOADS_MAX ? word->load_count : Ms_LOADS_MAX;
-    memcpy(peer->loads, word->loads,
-           peer->load_count * sizeof(word->loads[0]));
-    peer->spent_count = word->spent_count;
-    memcpy(peer->spent, word->spent,
-           word->spent_count * sizeof(word->spent[0]));
-    peer->rate_count = word->rate_count;
-    memcpy(peer->rates, word->rates,
-           word->rate_count * sizeof(word->rates[0]));
-    peer->evidence_count = word->evidence_count;
-    memcpy(peer->evidence, word->evidence,
-           word->evidence_count * sizeof(word->evidence[0]));
+    peer->load_count = message->load_count < Ms_LOADS_MAX ? message->load_count
+                                                          : Ms_LOADS_MAX;
+    memcpy(peer->loads, message->loads,
+           peer->load_count * sizeof(message->loads[0]));
+    peer->spent_count = message->spent_count;
+    memcpy(peer->spent, message->spent,
+           message->spent_count * sizeof(message->spent[0]));
+    peer->rate_count = message->rate_count;
+    memcpy(peer->rates, message->rates,
+           message->rate_count * sizeof(message->rates[0]));
+    peer->evidence_count = message->evidence_count;
+    memcpy(peer->evidence, message->evidence,
+           message->evidence_count * sizeof(message->evidence[0]));
 }
 
 static void
-take_datagram(struct ms_mesh *mesh, const char *data, size_t len)
+handle_datagram(struct ms_mesh *mesh, const char *data, size_t len)
 {
-    static struct ms_word word;
-    if (!Ms_Decode(data, len, &word) || word.run == mesh->run) {
+    static struct ms_word message;
+    if (!Ms_Decode(data, len, &message) || message.run == mesh->run) {
         return;
     }
-    struct ms_peer *peer = find_or_add(mesh, word.ip);
+    struct ms_peer *peer = find_or_add_peer(mesh, message.ip);
     if (peer == NULL) {
         return;
     }
-    mesh->ops->word(mesh->arg, peer, &word);
-    ms_take_word(mesh, peer, &word);
-    for (size_t i = 0; i < word.hint_count; i++) {
-        Ms_Know(mesh, word.hints[i]);
+    mesh->ops->message(mesh->arg, peer, &message);
+    ms_apply_message(mesh, peer, &message);
+    for (size_t i = 0; i < message.hint_count; i++) {
+        Ms_AddPeer(mesh, message.hints[i]);
     }
 }
 
 /*
- * Words come by the hundred a second, and none is so urgent that a wake-up
- * for each would pay: they are read in each tick, many by one call.
+ * Hundreds of messages arrive each second, and none is urgent enough to
+ * justify a wake-up. They are received once a tick, many with one system call.
  */
 void
-ms_receive(struct ms_mesh *mesh)
+ms_receive_all(struct ms_mesh *mesh)
 {
     static char data[Ms_BATCH][Ms_DATAGRAM_MAX];
     struct mmsghdr messages[Ms_BATCH];
@@ -139,12 +139,12 @@
         }
         count = recvmmsg(mesh->fd, messages, Ms_BATCH, MSG_DONTWAIT, NULL);
         for (int i = 0; i < count; i++) {
-            take_datagram(mesh, data[i], messages[i].msg_len);
+            handle_datagram(mesh, data[i], messages[i].msg_len);
         }
     } while (count == Ms_BATCH);
 }
 
-/* NULL when the port cannot be had; the message says why. */
+/* NULL when the port cannot be bound; the error message tells why. */
 struct ms_mesh *
 Ms_Create(const struct ck_clock *clock, const struct nd_node *node,
           uint64_t run, const struct ms_ops *ops, void *arg)
@@ -163,7 +163,7 @@
     TAILQ_INIT(&mesh->peers);
     RB_INIT(&mesh->addresses);
     mesh->now = Ck_Now(clock);
-    mesh->heard_count = mesh->expected_count = mesh->known_count = 1;
+    mesh->reachable_count = mesh->expected_count = mesh->known_count = 1;
     mesh->fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     struct sockaddr_in at = {.sin_family = AF_INET};
     at.sin_port = htons((uint16_t)node->peer_port);
@@ -174,7 +174,7 @@
         goto fail;
     }
     for (size_t i = 0; i < node->seed_count; i++) {
-        Ms_Know(mesh, node->seeds[i]);
+        Ms_AddPeer(mesh, node->seeds[i]);
     }
     return mesh;
 
@@ -187,7 +187,7 @@
 }
 
 void
-ms_forget(struct ms_mesh *mesh, struct ms_peer *peer)
+ms_remove(struct ms_mesh *mesh, struct ms_peer *peer)
 {
     TAILQ_REMOVE(&mesh->peers, peer, link);
     RB_REMOVE(ms_addresses, &mesh->addresses, peer);
@@ -204,15 +204,15 @@
     struct ms_peer *peer;
     struct ms_peer *next;
     TAILQ_FOREACH_SAFE (peer, &mesh->peers, link, next) {
-        ms_forget(mesh, peer);
+        ms_remove(mesh, peer);
     }
     close(mesh->fd);
     free(mesh);
 }
 
-/* A daemon may be at this address. */
+/* Adds the address of a possible peer. */
 void
-Ms_Know(struct ms_mesh *mesh, const char *ip)
+Ms_AddPeer(struct ms_mesh *mesh, const char *ip)
 {
-    (void)find_or_add(mesh, ip);
+    (void)find_or_add_peer(mesh, ip);
 }
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -1,13 +1,14 @@
 /*
- * What daemons tell each other, some times a second and without being asked:
- * that they live, what they have sent where, what they have admitted and
- * counted, how much of the store they know.  All of it is advice or a count
- * that only rises, so datagrams may be lost, late or twice.
+ * Gossip between daemons. Each daemon sends messages to its peers several
+ * times a second and unsolicited: that it is alive, the load it has sent to
+ * each endpoint, the usage it has admitted and counted, and how much of the
+ * store it has read. All of this is advisory or a counter that only rises, so
+ * datagrams may be lost, late or duplicated.
  *
- * The load it answers: hundreds of daemons, each with a few requests a
- * second, whose words to each other would come seconds apart.  Daemons of one
- * data centre tell each other more often, and each daemon gets the sums of
- * every other data centre (a summary) from one daemon there.
+ * With hundreds of daemons that handle a few requests a second each, messages
+ * between any two of them would be seconds apart. So daemons of one data
+ * centre send to each other more often, and each daemon gets summaries of
+ * every other data centre, from one daemon there.
  */
 #ifndef EDGE_MESH_H
 #define EDGE_MESH_H
@@ -42,71 +43,75 @@
 #define Ms_CLEARS_MAX 16
 #define Ms_STOPS_MAX 8
 
-/* Requests of one daemon at one endpoint. */
+/* Load of one daemon on one endpoint. */
 struct ms_load {
     uint32_t endpoint;
     int running;
     int64_t reading;
 };
 
-struct ms_spent {
+struct ms_usage {
     uint32_t tenant;
     uint64_t total; /* admitted since the daemon's start */
-    uint64_t asked; /* the same and what was refused */
+    uint64_t asked; /* admitted or refused since then */
 };
 
-/* How much more a row says than that of its tenant in an earlier word; never
-   less than 0. */
-struct ms_spent Ms_SpentMore(const struct ms_spent *now,
-                             const struct ms_spent *before, size_t count);
+/*
+ * The increase of a row since the row of the same tenant in an earlier
+ * message; 0 if it went down.
+ */
+struct ms_usage Ms_UsageIncrease(const struct ms_usage *now,
+                                 const struct ms_usage *before, size_t count);
 
-/* What a tenant has spent in the window that ends now, as the sender knows. */
-struct ms_past {
+/*
+ * What a tenant spent in the window that ends now, as far as the sender knows.
+ */
+struct ms_past_usage {
     uint32_t tenant;
     uint64_t older; /* in the older half of the window */
     uint64_t newer;
 };
 
-struct ms_counted {
+struct ms_request_count {
     int64_t window;
     uint32_t tenant;
     uint32_t count;
 };
 
-/* A service whose endpoints say how many refusals in a second they bear. */
+/* A service whose endpoints tell how many refusals a second they tolerate. */
 struct ms_brittle {
     uint32_t service;
     int most;
 };
 
-/* What one datagram says. */
+/* The content of one datagram. */
 struct ms_word {
     char name[Nd_NAME_MAX];
     char ip[Nd_NAME_MAX];
     char zone[Nd_NAME_MAX];
-    /* "spent" and "loads" are sums over the sender's data centre. */
+    /* Whether "spent" and "loads" are sums over the sender's data centre. */
     bool summary;
-    uint64_t run;    /* of the process: differs at each start */
+    uint64_t run;    /* of the process; differs after each restart */
     int64_t up_usec; /* since that start */
-    int link_mbps;   /* of the sender's host; 0: not known */
+    int link_mbps;   /* of the sender's host; 0: unknown */
     bool ready;
     bool stopping;
     bool store_reached;
-    bool cut; /* from some endpoints */
+    bool cut; /* the sender cannot connect to some endpoints */
     bool reads_config;
     bool reads_entries;
     int64_t wall_usec;
     int64_t config_changed;
     int64_t entries_changed;
-    struct du_told lease; /* of the duty */
+    struct du_told lease; /* the sender's lease, if it is the holder */
     size_t load_count;
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
     size_t spent_count;
-    struct ms_spent spent[Ms_SPENT_MAX];
+    struct ms_usage spent[Ms_SPENT_MAX];
     size_t past_count; /* 0: no daemon has just started */
-    struct ms_past pasts[Ms_SPENT_MAX];
+    struct ms_past_usage pasts[Ms_SPENT_MAX];
     size_t counted_count;
-    struct ms_counted counted[Ms_COUNTS_MAX];
+    struct ms_request_count counted[Ms_COUNTS_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
     size_t evidence_count;
@@ -132,7 +137,7 @@
     char ip[Nd_NAME_MAX];
     char name[Nd_NAME_MAX];
     char zone[Nd_NAME_MAX];
-    uint64_t hash; /* of the address */
+    uint64_t hash; /* of the IP address */
     uint64_t run;
     int link_mbps;
     bool near; /* in the same data centre */
@@ -144,7 +149,7 @@
     bool reads_entries;
     int64_t started_at;
     int64_t heard_at; /* 0: never */
-    int64_t due_at;   /* of the next word to it */
+    int64_t due_at;   /* when the next message is sent to the peer */
     int64_t summary_due_at;
     int64_t known_at;
     int64_t config_changed;
@@ -152,7 +157,7 @@
     size_t load_count;
     struct ms_load loads[Ms_LOADS_MAX];
     size_t spent_count;
-    struct ms_spent spent[Ms_SPENT_MAX];
+    struct ms_usage spent[Ms_SPENT_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
     size_t evidence_count;
@@ -162,13 +167,13 @@
 TAILQ_HEAD(ms_peers, ms_peer);
 
 struct ms_ops {
-    /* Fills what this daemon has to say. */
-    void (*fill)(void *arg, struct ms_word *word);
-    /* Puts the sums of the data centre in place of the daemon's own. */
-    void (*summarize)(void *arg, struct ms_word *word);
-    /* A word has come; "peer" is as it was before. */
-    void (*word)(void *arg, const struct ms_peer *peer,
-                 const struct ms_word *word);
+    /* Fills in the state of this daemon. */
+    void (*fill)(void *arg, struct ms_word *message);
+    /* Replaces the daemon's own sums by those of its data centre. */
+    void (*summarize)(void *arg, struct ms_word *message);
+    /* A message has arrived; "peer" holds the state before it. */
+    void (*message)(void *arg, const struct ms_peer *peer,
+                    const struct ms_word *message);
 };
 
 struct ms_mesh;
@@ -177,43 +182,57 @@
                           const struct nd_node *node, uint64_t run,
                           const struct ms_ops *ops, void *arg);
 void Ms_Destroy(struct ms_mesh *mesh);
-void Ms_Know(struct ms_mesh *mesh, const char *ip);
+void Ms_AddPeer(struct ms_mesh *mesh, const char *ip);
 /* To be called every Ms_TICK_USEC. */
 void Ms_Tick(struct ms_mesh *mesh);
 #define Ms_TICK_USEC (100 * Ck_USEC_PER_MSEC)
 
 const struct ms_peers *Ms_Peers(const struct ms_mesh *mesh);
-/* The peer at an IPv4 address, in network order; NULL: none is known. */
+/* The peer with an IPv4 address in network byte order; NULL: unknown. */
 const struct ms_peer *Ms_Find(const struct ms_mesh *mesh, uint32_t address);
 bool Ms_Alive(const struct ms_mesh *mesh, const struct ms_peer *peer);
-/* Heard so lately that what it reads is passed on in time. */
+/*
+ * Whether the peer's messages are recent enough to be a timely source of what
+ * it has read.
+ */
 bool Ms_Close(const struct ms_mesh *mesh, const struct ms_peer *peer);
-/* Whether data centres are told of each other's sums. */
+/* Whether data centres send summaries to each other. */
 bool Ms_Summarizes(const struct ms_mesh *mesh);
-/* How late the admissions of others are heard of. */
+/* The delay after which usage that peers admitted is reported here. */
 int64_t Ms_Lag(const struct ms_mesh *mesh);
-/* Heard so lately that what it spends is known; this one included. */
-size_t Ms_CountHeard(const struct ms_mesh *mesh);
-bool Ms_Heard(const struct ms_mesh *mesh, const struct ms_peer *peer);
+/*
+ * Daemons whose messages are recent enough that their usage is known,
+ * including this one.
+ */
+size_t Ms_CountReachable(const struct ms_mesh *mesh);
+bool Ms_IsReachable(const struct ms_mesh *mesh, const struct ms_peer *peer);
 size_t Ms_CountAlive(const struct ms_mesh *mesh); /* this one included */
 size_t Ms_CountKnown(const struct ms_mesh *mesh);
 /*
- * Daemons that may be admitting requests: those heard lately, and just after
- * the start also those that are only known of.
+ * Daemons that may be admitting requests: those that sent messages lately and,
+ * just after the start, also those of which only the address is known.
  */
 size_t Ms_CountExpected(const struct ms_mesh *mesh);
-/* All that were heard, or only known of, in the last minute, and this one. */
+/*
+ * All daemons that sent a message in the last minute or whose address became
+ * known in it, including this one.
+ */
 size_t Ms_CountAll(const struct ms_mesh *mesh);
-/* These, for their claims on cold endpoints; the caller knows its own start.
+/*
+ * Lists those peers for the selection of senders to cold endpoints. The caller
+ * adds its own start time.
  */
 void Ms_ListHosts(const struct ms_mesh *mesh, struct wu_hosts *out);
-/* Whether a daemon that is alive started less than "usec" ago. */
-bool Ms_AnyYounger(const struct ms_mesh *mesh, int64_t usec);
-/* Position of this daemon among those alive, by name. */
+/* Whether a peer that is alive started less than "usec" ago. */
+bool Ms_AnyStartedWithin(const struct ms_mesh *mesh, int64_t usec);
+/* Position of this daemon by name among those alive. */
 unsigned Ms_Rank(const struct ms_mesh *mesh);
 
-/* Bytes of a word; 0 when it does not fit.  False: not a word of ours. */
-size_t Ms_Encode(const struct ms_word *word, char *out, size_t size);
+/*
+ * The encoded size; 0 when the message does not fit. Ms_Decode() returns false
+ * for anything that is not a message of this format.
+ */
+size_t Ms_Encode(const struct ms_word *message, char *out, size_t size);
 bool Ms_Decode(const char *data, size_t len, struct ms_word *out);
 
 #ifdef __cplusplus
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -1,25 +1,33 @@
-/* Who is there, as far as they were heard. */
+/* Tells which daemons are there, from the messages they sent. */
 #include <string.h>
 
 #include "edge/mesh_internal.h"
 
-/* A peer that is not heard for this long is not counted on. */
+/* A peer without a message for this long does not count as alive. */
 #define Ms_ALIVE_USEC (1500 * Ck_USEC_PER_MSEC)
-/* With many peers the gap between two words grows; so does the patience. */
-#define Ms_ALIVE_GAPS 5
-/* The same where another daemon stands in at once; two lost words are few. */
-#define Ms_CLOSE_USEC (500 * Ck_USEC_PER_MSEC)
-#define Ms_CLOSE_GAPS 3
-/* What an unheard peer spends counts at once; that a word was lost costs a
-   hundredth of the rate for a moment. */
-#define Ms_HEARD_GAPS 2
-struct ms_spent
-Ms_SpentMore(const struct ms_spent *now, const struct ms_spent *before,
-             size_t count)
+/*
+ * With many peers the interval between messages grows, and the timeout with
+ * it.
+ */
+#define Ms_ALIVE_INTERVALS 5
+/*
+ * A shorter timeout, where another daemon can take over at once; two lost
+ * messages in a row are rare.
+ */
+#define Ms_RECENT_USEC (500 * Ck_USEC_PER_MSEC)
+#define Ms_CLOSE_INTERVALS 3
+/*
+ * The usage of an unreachable peer must be accounted for at once. A false
+ * alarm after a lost message costs a hundredth of the rate for a moment.
+ */
+#define Ms_REACHABLE_INTERVALS 2
+struct ms_usage
+Ms_UsageIncrease(const struct ms_usage *now, const struct ms_usage *before,
+                 size_t count)
 {
-    struct ms_spent more = *now;
+    struct ms_usage more = *now;
     for (size_t i = 0; i < count; i++) {
-        const struct ms_spent *row = &before[i];
+        const struct ms_usage *row = &before[i];
         if (row->tenant == now->tenant) {
             more.total = now->total > row->total ? now->total - row->total : 0;
             more.asked = now->asked > row->asked ? now->asked - row->asked : 0;
@@ -30,32 +38,32 @@
 }
 
 static bool
-heard_within(const struct ms_mesh *mesh, const struct ms_peer *peer,
-             int64_t least_usec, int gaps)
+received_within(const struct ms_mesh *mesh, const struct ms_peer *peer,
+                int64_t min_usec, int intervals)
 {
-    int64_t patience = ms_gap(mesh, peer->near) * gaps;
-    if (patience < least_usec) {
-        patience = least_usec;
+    int64_t timeout = ms_send_interval(mesh, peer->near) * intervals;
+    if (timeout < min_usec) {
+        timeout = min_usec;
     }
-    return peer->heard_at != 0 && mesh->now - peer->heard_at < patience;
+    return peer->heard_at != 0 && mesh->now - peer->heard_at < timeout;
 }
 
 bool
 Ms_Alive(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    return heard_within(mesh, peer, Ms_ALIVE_USEC, Ms_ALIVE_GAPS);
+    return received_within(mesh, peer, Ms_ALIVE_USEC, Ms_ALIVE_INTERVALS);
 }
 
 bool
 Ms_Close(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    return heard_within(mesh, peer, Ms_CLOSE_USEC, Ms_CLOSE_GAPS);
+    return received_within(mesh, peer, Ms_RECENT_USEC, Ms_CLOSE_INTERVALS);
 }
 
 bool
-Ms_Heard(const struct ms_mesh *mesh, const struct ms_peer *peer)
+Ms_IsReachable(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    return heard_within(mesh, peer, Ms_CLOSE_USEC, Ms_HEARD_GAPS);
+    return received_within(mesh, peer, Ms_RECENT_USEC, Ms_REACHABLE_INTERVALS);
 }
 
 const struct ms_peers *
@@ -65,9 +73,9 @@
 }
 
 size_t
-Ms_CountHeard(const struct ms_mesh *mesh)
+Ms_CountReachable(const struct ms_mesh *mesh)
 {
-    return mesh->heard_count;
+    return mesh->reachable_count;
 }
 
 size_t
@@ -81,7 +89,7 @@
     return count;
 }
 
-/* Daemons heard in the last minute, this one included. */
+/* Daemons that sent a message in the last minute, including this one. */
 size_t
 Ms_CountKnown(const struct ms_mesh *mesh)
 {
@@ -117,7 +125,7 @@
 }
 
 bool
-Ms_AnyYounger(const struct ms_mesh *mesh, int64_t usec)
+Ms_AnyStartedWithin(const struct ms_mesh *mesh, int64_t usec)
 {
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, &mesh->peers, link) {
--- a/packages/edge/mesh_send.c
+++ b/packages/edge/mesh_send.c
@@ -1,4 +1,4 @@
-/* Words as datagrams to those to whom one is due. */
+/* Sends messages as datagrams to the peers for which one is due. */
 #include <bsd/string.h>
 #include <netinet/in.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "edge/mesh_internal.h"
 
 static void
-add_hints(struct ms_mesh *mesh, struct ms_word *word)
+add_hints(struct ms_mesh *mesh, struct ms_word *message)
 {
     if (mesh->count == 0) {
         return;
@@ -19,14 +19,15 @@
             skip--;
             continue;
         }
-        if (Ms_Alive(mesh, peer) && word->hint_count < Ms_HINTS_MAX) {
-            strlcpy(word->hints[word->hint_count++], peer->ip, Nd_NAME_MAX);
+        if (Ms_Alive(mesh, peer) && message->hint_count < Ms_HINTS_MAX) {
+            strlcpy(message->hints[message->hint_count++], peer->ip,
+                    Nd_NAME_MAX);
         }
     }
 }
 
-/* One datagram, made when the first peer is due, and whom it goes to. */
-struct outgoing {
+/* One datagram, built when the first peer is due, and its receivers. */
+struct batch {
     bool summary;
     size_t len;
     char data[Ms_DATAGRAM_MAX];
@@ -35,28 +36,31 @@
 };
 
 static void
-make(struct ms_mesh *mesh, struct outgoing *out)
+build_datagram(struct ms_mesh *mesh, struct batch *out)
 {
-    static struct ms_word word;
-    memset(&word, 0, sizeof(word));
-    strlcpy(word.name, mesh->node->name, sizeof(word.name));
-    strlcpy(word.ip, mesh->node->ip, sizeof(word.ip));
-    strlcpy(word.zone, mesh->node->zone, sizeof(word.zone));
-    word.link_mbps = mesh->node->link_mbps;
-    word.run = mesh->run;
-    word.wall_usec = Ck_Wall(mesh->clock);
-    mesh->ops->fill(mesh->arg, &word);
+    static struct ms_word message;
+    memset(&message, 0, sizeof(message));
+    strlcpy(message.name, mesh->node->name, sizeof(message.name));
+    strlcpy(message.ip, mesh->node->ip, sizeof(message.ip));
+    strlcpy(message.zone, mesh->node->zone, sizeof(message.zone));
+    message.link_mbps = mesh->node->link_mbps;
+    message.run = mesh->run;
+    message.wall_usec = Ck_Wall(mesh->clock);
+    mesh->ops->fill(mesh->arg, &message);
     if (out->summary) {
-        word.summary = true;
-        mesh->ops->summarize(mesh->arg, &word);
+        message.summary = true;
+        mesh->ops->summarize(mesh->arg, &message);
     }
-    add_hints(mesh, &word);
-    out->len = Ms_Encode(&word, out->data, sizeof(out->data));
+    add_hints(mesh, &message);
+    out->len = Ms_Encode(&message, out->data, sizeof(out->data));
 }
 
-/* A lost datagram is made good by the next, and so is one not taken. */
+/*
+ * Send errors are ignored: the next message replaces one that was lost or
+ * could not be sent.
+ */
 static void
-flush(struct ms_mesh *mesh, struct outgoing *out)
+flush(struct ms_mesh *mesh, struct batch *out)
 {
     struct mmsghdr messages[Ms_BATCH];
     struct iovec part = {out->data, out->len};
@@ -74,10 +78,10 @@
 }
 
 static void
-send_to(struct ms_mesh *mesh, const struct ms_peer *peer, struct outgoing *out)
+send_to(struct ms_mesh *mesh, const struct ms_peer *peer, struct batch *out)
 {
     if (out->len == 0) {
-        make(mesh, out);
+        build_datagram(mesh, out);
     }
     out->to[out->count++] = (struct sockaddr_in){
         .sin_family = AF_INET,
@@ -92,27 +96,27 @@
 void
 Ms_Tick(struct ms_mesh *mesh)
 {
-    static struct outgoing word;
-    static struct outgoing summary;
-    word.len = 0;
+    static struct batch message;
+    static struct batch summary;
+    message.len = 0;
     summary.len = 0;
     summary.summary = true;
     ms_begin_tick(mesh);
-    ms_receive(mesh);
+    ms_receive_all(mesh);
     struct ms_peer *peer;
     struct ms_peer *next;
     TAILQ_FOREACH_SAFE (peer, &mesh->peers, link, next) {
-        if (ms_is_forgotten(mesh, peer)) {
-            ms_forget(mesh, peer);
+        if (ms_is_expired(mesh, peer)) {
+            ms_remove(mesh, peer);
             continue;
         }
-        if (ms_word_due(mesh, peer)) {
-            send_to(mesh, peer, &word);
+        if (ms_message_due(mesh, peer)) {
+            send_to(mesh, peer, &message);
         }
         if (ms_summary_due(mesh, peer)) {
             send_to(mesh, peer, &summary);
         }
     }
-    flush(mesh, &word);
+    flush(mesh, &message);
     flush(mesh, &summary);
 }
--- a/packages/edge/mesh_word.c
+++ b/packages/edge/mesh_word.c
@@ -9,7 +9,10 @@
 #include "edge/packed.h"
 #include "policy/poison_pack.h"
 
-/* Changed with the layout, so that daemons of two versions do not mix. */
+/*
+ * Changed with the layout, so that daemons of different versions ignore each
+ * other's messages.
+ */
 #define Ms_FORMAT 10
 #define Ms_MILLI 1000
 #define Ms_FIELDS 32
@@ -29,12 +32,14 @@
     msgpack_pack_str_body(packer, text, len);
 }
 
-/* The row of a tenant; its hash where it has none. */
+/*
+ * The index of a tenant's row in "spent", or the tenant's hash if it has none.
+ */
 static uint32_t
-short_tenant(const struct ms_word *word, uint32_t tenant)
+tenant_row(const struct ms_word *message, uint32_t tenant)
 {
-    for (size_t i = 0; i < word->spent_count; i++) {
-        if (word->spent[i].tenant == tenant) {
+    for (size_t i = 0; i < message->spent_count; i++) {
+        if (message->spent[i].tenant == tenant) {
             return (uint32_t)i;
         }
     }
@@ -42,83 +47,86 @@
 }
 
 static uint32_t
-long_tenant(const struct ms_word *word, uint32_t tenant)
+tenant_of_row(const struct ms_word *message, uint32_t tenant)
 {
-    return tenant < word->spent_count ? word->spent[tenant].tenant : tenant;
+    return tenant < message->spent_count ? message->spent[tenant].tenant
+                                         : tenant;
 }
 
 /*
- * Three windows of each tenant: the newest window, then for each row how far
- * its own lies before that, and which row of "spent" its tenant has.  With a
- * window's number and a tenant's hash in each they would be most of a word.
+ * Packs the counts of three windows for each tenant: the newest window's
+ * number, then for each row the distance of its window from the newest, and
+ * the index of the tenant's row in "spent". A window number and a tenant's
+ * hash in each row would make up most of a message.
  */
 static void
-pack_counted(msgpack_packer *packer, const struct ms_word *word)
+pack_counted(msgpack_packer *packer, const struct ms_word *message)
 {
     int64_t newest = 0;
-    for (size_t i = 0; i < word->counted_count; i++) {
-        int64_t window = word->counted[i].window;
+    for (size_t i = 0; i < message->counted_count; i++) {
+        int64_t window = message->counted[i].window;
         newest = window > newest ? window : newest;
     }
-    msgpack_pack_array(packer, 1 + word->counted_count * Ms_COUNTED_FIELDS);
+    msgpack_pack_array(packer, 1 + message->counted_count * Ms_COUNTED_FIELDS);
     msgpack_pack_int64(packer, newest);
-    for (size_t i = 0; i < word->counted_count; i++) {
-        const struct ms_counted *row = &word->counted[i];
+    for (size_t i = 0; i < message->counted_count; i++) {
+        const struct ms_request_count *row = &message->counted[i];
         msgpack_pack_int64(packer, newest - row->window);
-        msgpack_pack_uint32(packer, short_tenant(word, row->tenant));
+        msgpack_pack_uint32(packer, tenant_row(message, row->tenant));
         msgpack_pack_uint32(packer, row->count);
     }
 }
 
 static void
-pack_tables(msgpack_packer *packer, const struct ms_word *word)
+pack_rows(msgpack_packer *packer, const struct ms_word *message)
 {
-    msgpack_pack_array(packer, word->load_count * 3);
-    for (size_t i = 0; i < word->load_count; i++) {
-        msgpack_pack_uint32(packer, word->loads[i].endpoint);
-        msgpack_pack_int64(packer, word->loads[i].running);
-        msgpack_pack_int64(packer, word->loads[i].reading);
+    msgpack_pack_array(packer, message->load_count * 3);
+    for (size_t i = 0; i < message->load_count; i++) {
+        msgpack_pack_uint32(packer, message->loads[i].endpoint);
+        msgpack_pack_int64(packer, message->loads[i].running);
+        msgpack_pack_int64(packer, message->loads[i].reading);
     }
-    msgpack_pack_array(packer, word->spent_count * Ms_SPENT_FIELDS);
-    for (size_t i = 0; i < word->spent_count; i++) {
-        msgpack_pack_uint32(packer, word->spent[i].tenant);
-        msgpack_pack_uint64(packer, word->spent[i].total);
-        msgpack_pack_uint64(packer, word->spent[i].asked);
+    msgpack_pack_array(packer, message->spent_count * Ms_SPENT_FIELDS);
+    for (size_t i = 0; i < message->spent_count; i++) {
+        msgpack_pack_uint32(packer, message->spent[i].tenant);
+        msgpack_pack_uint64(packer, message->spent[i].total);
+        msgpack_pack_uint64(packer, message->spent[i].asked);
     }
-    pack_counted(packer, word);
-    msgpack_pack_array(packer, word->rate_count * Ms_RATE_FIELDS);
-    for (size_t i = 0; i < word->rate_count; i++) {
-        msgpack_pack_uint32(packer, word->rates[i].service);
-        msgpack_pack_int64(packer, (int64_t)word->rates[i].reading);
-        msgpack_pack_int64(packer, (int64_t)word->rates[i].in_long);
+    pack_counted(packer, message);
+    msgpack_pack_array(packer, message->rate_count * Ms_RATE_FIELDS);
+    for (size_t i = 0; i < message->rate_count; i++) {
+        msgpack_pack_uint32(packer, message->rates[i].service);
+        msgpack_pack_int64(packer, (int64_t)message->rates[i].reading);
+        msgpack_pack_int64(packer, (int64_t)message->rates[i].in_long);
+        msgpack_pack_int64(packer,
+                           (int64_t)(message->rates[i].running * Ms_MILLI));
+        msgpack_pack_int64(packer, (int64_t)message->rates[i].read_rate);
         msgpack_pack_int64(packer,
-                           (int64_t)(word->rates[i].running * Ms_MILLI));
-        msgpack_pack_int64(packer, (int64_t)word->rates[i].read_rate);
-        msgpack_pack_int64(packer, (int64_t)(word->rates[i].sent * Ms_MILLI));
+                           (int64_t)(message->rates[i].sent * Ms_MILLI));
     }
-    msgpack_pack_array(packer, word->hint_count);
-    for (size_t i = 0; i < word->hint_count; i++) {
-        pack_text(packer, word->hints[i]);
+    msgpack_pack_array(packer, message->hint_count);
+    for (size_t i = 0; i < message->hint_count; i++) {
+        pack_text(packer, message->hints[i]);
     }
 }
 
 static void
-pack_pasts(msgpack_packer *packer, const struct ms_word *word)
+pack_pasts(msgpack_packer *packer, const struct ms_word *message)
 {
-    msgpack_pack_array(packer, word->past_count * Ms_PAST_FIELDS);
-    for (size_t i = 0; i < word->past_count; i++) {
-        msgpack_pack_uint32(packer, word->pasts[i].tenant);
-        msgpack_pack_uint64(packer, word->pasts[i].older);
-        msgpack_pack_uint64(packer, word->pasts[i].newer);
+    msgpack_pack_array(packer, message->past_count * Ms_PAST_FIELDS);
+    for (size_t i = 0; i < message->past_count; i++) {
+        msgpack_pack_uint32(packer, message->pasts[i].tenant);
+        msgpack_pack_uint64(packer, message->pasts[i].older);
+        msgpack_pack_uint64(packer, message->pasts[i].newer);
     }
 }
 
 static void
-pack_moves(msgpack_packer *packer, const struct ms_word *word)
+pack_moves(msgpack_packer *packer, const struct ms_word *message)
 {
-    msgpack_pack_array(packer, word->evidence_count * Ms_EVIDENCE_FIELDS);
-    for (size_t i = 0; i < word->evidence_count; i++) {
-        const struct ro_evidence *row = &word->evidence[i];
+    msgpack_pack_array(packer, message->evidence_count * Ms_EVIDENCE_FIELDS);
+    for (size_t i = 0; i < message->evidence_count; i++) {
+        const struct ro_evidence *row = &message->evidence[i];
         msgpack_pack_uint32(packer, row->service);
         msgpack_pack_uint32(packer, row->route);
         msgpack_pack_int64(packer, row->order);
@@ -127,9 +135,9 @@
         msgpack_pack_uint32(packer, row->next.answers);
         msgpack_pack_uint32(packer, row->next.bad);
     }
-    msgpack_pack_array(packer, word->standing_count * Ms_STANDING_FIELDS);
-    for (size_t i = 0; i < word->standing_count; i++) {
-        const struct ro_standing *row = &word->standings[i];
+    msgpack_pack_array(packer, message->standing_count * Ms_STANDING_FIELDS);
+    for (size_t i = 0; i < message->standing_count; i++) {
+        const struct ro_standing *row = &message->standings[i];
         msgpack_pack_uint32(packer, row->service);
         msgpack_pack_int64(packer, row->order);
         msgpack_pack_int(packer, row->state);
@@ -138,25 +146,25 @@
 }
 
 static void
-pack_brittle(msgpack_packer *packer, const struct ms_word *word)
+pack_brittle(msgpack_packer *packer, const struct ms_word *message)
 {
-    msgpack_pack_array(packer, word->brittle_count * Ms_BRITTLE_FIELDS);
-    for (size_t i = 0; i < word->brittle_count; i++) {
-        msgpack_pack_uint32(packer, word->brittle[i].service);
-        msgpack_pack_int(packer, word->brittle[i].most);
+    msgpack_pack_array(packer, message->brittle_count * Ms_BRITTLE_FIELDS);
+    for (size_t i = 0; i < message->brittle_count; i++) {
+        msgpack_pack_uint32(packer, message->brittle[i].service);
+        msgpack_pack_int(packer, message->brittle[i].most);
     }
 }
 
 static void
-pack_poison(msgpack_packer *packer, const struct ms_word *word)
+pack_poison(msgpack_packer *packer, const struct ms_word *message)
 {
-    Pz_PackCrashes(packer, word->crashes, word->crash_count);
-    Pz_PackClears(packer, word->clears, word->clear_count);
-    Pz_PackStops(packer, word->stops, word->stop_count);
+    Pz_PackCrashes(packer, message->crashes, message->crash_count);
+    Pz_PackClears(packer, message->clears, message->clear_count);
+    Pz_PackStops(packer, message->stops, message->stop_count);
 }
 
 size_t
-Ms_Encode(const struct ms_word *word, char *out, size_t size)
+Ms_Encode(const struct ms_word *message, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_sbuffer_init(&buffer);
@@ -164,30 +172,30 @@
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, Ms_FIELDS);
     msgpack_pack_int(&packer, Ms_FORMAT);
-    pack_text(&packer, word->name);
-    pack_text(&packer, word->ip);
-    msgpack_pack_uint64(&packer, word->run);
-    msgpack_pack_int(&packer, word->ready);
-    msgpack_pack_int(&packer, word->stopping);
-    msgpack_pack_int64(&packer, word->wall_usec);
-    msgpack_pack_int64(&packer, word->config_changed);
-    msgpack_pack_int64(&packer, word->entries_changed);
-    msgpack_pack_int64(&packer, word->lease.fence);
-    pack_tables(&packer, word);
-    msgpack_pack_int(&packer, word->store_reached);
-    msgpack_pack_int(&packer, word->reads_config);
-    msgpack_pack_int(&packer, word->reads_entries);
-    msgpack_pack_int64(&packer, word->up_usec);
-    msgpack_pack_int64(&packer, word->lease.end);
-    msgpack_pack_int64(&packer, word->lease.left_usec);
-    pack_moves(&packer, word);
-    pack_text(&packer, word->zone);
-    msgpack_pack_int(&packer, word->summary);
-    pack_pasts(&packer, word);
-    msgpack_pack_int(&packer, word->link_mbps);
-    msgpack_pack_int(&packer, word->cut);
-    pack_brittle(&packer, word);
-    pack_poison(&packer, word);
+    pack_text(&packer, message->name);
+    pack_text(&packer, message->ip);
+    msgpack_pack_uint64(&packer, message->run);
+    msgpack_pack_int(&packer, message->ready);
+    msgpack_pack_int(&packer, message->stopping);
+    msgpack_pack_int64(&packer, message->wall_usec);
+    msgpack_pack_int64(&packer, message->config_changed);
+    msgpack_pack_int64(&packer, message->entries_changed);
+    msgpack_pack_int64(&packer, message->lease.fence);
+    pack_rows(&packer, message);
+    msgpack_pack_int(&packer, message->store_reached);
+    msgpack_pack_int(&packer, message->reads_config);
+    msgpack_pack_int(&packer, message->reads_entries);
+    msgpack_pack_int64(&packer, message->up_usec);
+    msgpack_pack_int64(&packer, message->lease.end);
+    msgpack_pack_int64(&packer, message->lease.left_usec);
+    pack_moves(&packer, message);
+    pack_text(&packer, message->zone);
+    msgpack_pack_int(&packer, message->summary);
+    pack_pasts(&packer, message);
+    msgpack_pack_int(&packer, message->link_mbps);
+    msgpack_pack_int(&packer, message->cut);
+    pack_brittle(&packer, message);
+    pack_poison(&packer, message);
     size_t len = buffer.size <= size ? buffer.size : 0;
     memcpy(out, buffer.data, len);
     msgpack_sbuffer_destroy(&buffer);
@@ -204,7 +212,7 @@
     return 0;
 }
 
-/* Entries of "width" numbers each; never more than "most". */
+/* The number of rows of "width" values each, limited to "most". */
 static size_t
 count_rows(const msgpack_object *object, size_t width, size_t most)
 {
@@ -215,7 +223,7 @@
     return rows < most ? rows : most;
 }
 
-/* The spent rows are there already. */
+/* Needs the "spent" rows, which are decoded first. */
 static void
 get_counted(const msgpack_object *field, struct ms_word *out)
 {
@@ -230,13 +238,13 @@
             &field->via.array.ptr[1 + i * Ms_COUNTED_FIELDS];
         out->counted[i].window = newest - get_number(&row[0]);
         out->counted[i].tenant =
-            long_tenant(out, (uint32_t)get_number(&row[1]));
+            tenant_of_row(out, (uint32_t)get_number(&row[1]));
         out->counted[i].count = (uint32_t)get_number(&row[2]);
     }
 }
 
 static void
-get_tables(const msgpack_object *field, struct ms_word *out)
+get_rows(const msgpack_object *field, struct ms_word *out)
 {
     out->load_count = count_rows(&field[0], 3, Ms_SUMMARY_LOADS_MAX);
     for (size_t i = 0; i < out->load_count; i++) {
@@ -343,7 +351,7 @@
 }
 
 static bool
-get_word(const msgpack_object *object, struct ms_word *out)
+get_message(const msgpack_object *object, struct ms_word *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size != Ms_FIELDS) {
@@ -363,7 +371,7 @@
     out->config_changed = get_number(&field[7]);
     out->entries_changed = get_number(&field[8]);
     out->lease.fence = get_number(&field[9]);
-    get_tables(&field[10], out);
+    get_rows(&field[10], out);
     out->store_reached = get_number(&field[15]) != 0;
     out->reads_config = get_number(&field[16]) != 0;
     out->reads_entries = get_number(&field[17]) != 0;
@@ -386,10 +394,10 @@
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool fine = Mp_CountsFit((const uint8_t *)data, len) &&
-                msgpack_unpack_next(&unpacked, data, len, NULL) ==
-                    MSGPACK_UNPACK_SUCCESS &&
-                get_word(&unpacked.data, out);
+    bool decoded = Mp_CountsFit((const uint8_t *)data, len) &&
+                   msgpack_unpack_next(&unpacked, data, len, NULL) ==
+                       MSGPACK_UNPACK_SUCCESS &&
+                   get_message(&unpacked.data, out);
     msgpack_unpacked_destroy(&unpacked);
-    return fine;
+    return decoded;
 }
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -22,12 +22,12 @@
 #define Pe_SAME_START_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
-fill_loads(const struct ga_gate *gate, struct ms_word *word)
+fill_loads(const struct ga_gate *gate, struct ms_word *message)
 {
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (endpoint->running > 0 && word->load_count < Ms_LOADS_MAX) {
-            word->loads[word->load_count++] = (struct ms_load){
+        if (endpoint->running > 0 && message->load_count < Ms_LOADS_MAX) {
+            message->loads[message->load_count++] = (struct ms_load){
                 endpoint->hash, endpoint->running, endpoint->reading};
         }
     }
@@ -36,88 +36,90 @@
 static void
 fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
 {
-    struct ms_word *word = arg;
-    if (word->spent_count < Ms_SPENT_MAX) {
-        word->spent[word->spent_count++] =
-            (struct ms_spent){tenant, total, asked};
+    struct ms_word *message = arg;
+    if (message->spent_count < Ms_SPENT_MAX) {
+        message->spent[message->spent_count++] =
+            (struct ms_usage){tenant, total, asked};
     }
 }
 
 /* Daemons that have just started have no usage from before their start. */
 static void
-fill_past_usage(struct ga_gate *gate, struct ms_word *word)
+fill_past_usage(struct ga_gate *gate, struct ms_word *message)
 {
     struct qt_recent rows[Qt_RECENT_MAX];
     size_t count = 0;
-    if (Ms_AnyYounger(gate->mesh, gate->options.node->quota_window_usec)) {
+    if (Ms_AnyStartedWithin(gate->mesh,
+                            gate->options.node->quota_window_usec)) {
         count = Qt_Recent(gate->quota, rows);
     }
-    for (size_t i = 0; i < count && word->past_count < Ms_SPENT_MAX; i++) {
+    for (size_t i = 0; i < count && message->past_count < Ms_SPENT_MAX; i++) {
         const struct wn_past *past = &rows[i].past;
         if (past->older + past->newer >= 1) {
-            word->pasts[word->past_count++] = (struct ms_past){
+            message->pasts[message->past_count++] = (struct ms_past_usage){
                 rows[i].tenant, (uint64_t)past->older, (uint64_t)past->newer};
         }
     }
 }
 
 static void
-fill_request_counts(const struct ga_gate *gate, struct ms_word *word)
+fill_request_counts(const struct ga_gate *gate, struct ms_word *message)
 {
     int64_t now = Wo_Window(gate, Tt_Now(gate->time));
     for (int64_t window = now; window > now - 3; window--) {
         struct us_count counts[Us_TENANTS_MAX];
         size_t count = Us_Own(gate->usage, window, counts);
-        for (size_t i = 0; i < count && word->counted_count < Ms_COUNTS_MAX;
+        for (size_t i = 0; i < count && message->counted_count < Ms_COUNTS_MAX;
              i++) {
-            word->counted[word->counted_count++] =
-                (struct ms_counted){window, counts[i].tenant, counts[i].count};
+            message->counted[message->counted_count++] =
+                (struct ms_request_count){window, counts[i].tenant,
+                                          counts[i].count};
         }
     }
 }
 
 static void
-fill_message(void *arg, struct ms_word *word)
+fill_message(void *arg, struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    word->up_usec = Ga_Now(gate) - gate->started_at;
-    word->ready = Ga_Ready(gate);
-    word->stopping = gate->stopping_at != 0;
-    word->store_reached = Fe_Reached(gate->feed);
-    word->cut = Pt_AnyCut(gate->paths);
-    word->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
-    word->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
-    word->config_changed = Fe_Changed(gate->feed, AG_CONFIG);
-    word->entries_changed = Fe_Changed(gate->feed, AG_ENDPOINTS);
-    word->lease = Du_Told(gate->duty);
-    fill_loads(gate, word);
-    Qt_Each(gate->quota, fill_usage, word);
-    fill_past_usage(gate, word);
-    fill_request_counts(gate, word);
-    Bt_Fill(gate, word);
-    Qn_Fill(gate->quarantine, word);
-    word->rate_count = De_Own(gate->demand, word->rates);
-    word->evidence_count =
-        Ro_Own(gate->moves, word->evidence, Ms_EVIDENCE_MAX);
-    word->standing_count =
-        Ro_Standings(gate->moves, word->standings, Ro_MOVES_MAX);
+    message->up_usec = Ga_Now(gate) - gate->started_at;
+    message->ready = Ga_Ready(gate);
+    message->stopping = gate->stopping_at != 0;
+    message->store_reached = Fe_Reached(gate->feed);
+    message->cut = Pt_AnyCut(gate->paths);
+    message->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
+    message->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
+    message->config_changed = Fe_ChangesEnd(gate->feed, AG_CONFIG);
+    message->entries_changed = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
+    message->lease = Du_Told(gate->duty);
+    fill_loads(gate, message);
+    Qt_Each(gate->quota, fill_usage, message);
+    fill_past_usage(gate, message);
+    fill_request_counts(gate, message);
+    Bt_Fill(gate, message);
+    Qn_Fill(gate->quarantine, message);
+    message->rate_count = De_Own(gate->demand, message->rates);
+    message->evidence_count =
+        Ro_Own(gate->moves, message->evidence, Ms_EVIDENCE_MAX);
+    message->standing_count =
+        Ro_Standings(gate->moves, message->standings, Ro_MOVES_MAX);
 }
 
 /* Replaces what this daemon has sent by the sums over its data centre. */
 static void
-fill_zone_summary(void *arg, struct ms_word *word)
+fill_zone_summary(void *arg, struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    Zn_Summarize(gate->zones, word);
-    word->counted_count = 0;
-    word->rate_count = 0;
-    word->evidence_count = 0;
-    word->load_count = 0;
+    Zn_Summarize(gate->zones, message);
+    message->counted_count = 0;
+    message->rate_count = 0;
+    message->evidence_count = 0;
+    message->load_count = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         int running = endpoint->running + endpoint->near_running;
-        if (running > 0 && word->load_count < Ms_SUMMARY_LOADS_MAX) {
-            word->loads[word->load_count++] =
+        if (running > 0 && message->load_count < Ms_SUMMARY_LOADS_MAX) {
+            message->loads[message->load_count++] =
                 (struct ms_load){endpoint->hash, running,
                                  endpoint->reading + endpoint->near_reading};
         }
@@ -125,15 +127,15 @@
 }
 
 static void
-charge_peer_usage(struct ga_gate *gate, const struct ms_spent *more,
+charge_peer_usage(struct ga_gate *gate, const struct ms_usage *more,
                   bool while_unreachable)
 {
     if (more->asked > 0) {
-        Qt_Asked(gate->quota, more->tenant, (double)more->asked);
+        Qt_AddPeerDemand(gate->quota, more->tenant, (double)more->asked);
     }
     if (more->total > 0) {
-        Qt_Spent(gate->quota, more->tenant, (double)more->total,
-                 while_unreachable);
+        Qt_AddPeerUsage(gate->quota, more->tenant, (double)more->total,
+                        while_unreachable);
     }
 }
 
@@ -143,82 +145,83 @@
  */
 static void
 apply_usage(struct ga_gate *gate, const struct ms_peer *peer,
-            const struct ms_word *word)
+            const struct ms_word *message)
 {
-    bool same_run = peer->run == word->run;
-    bool returned = peer->run != 0 && !Ms_Heard(gate->mesh, peer);
+    bool same_run = peer->run == message->run;
+    bool returned = peer->run != 0 && !Ms_IsReachable(gate->mesh, peer);
     bool while_unreachable = same_run && returned;
     int64_t up_usec = Ga_Now(gate) - gate->started_at;
-    if (peer->run == 0 && word->up_usec > up_usec + Pe_SAME_START_USEC) {
+    if (peer->run == 0 && message->up_usec > up_usec + Pe_SAME_START_USEC) {
         /* The peer admitted most of that before this daemon started. */
         return;
     }
     if (returned) {
-        Qt_Returned(gate->quota);
+        Qt_PeerReturned(gate->quota);
     }
-    bool near = strcmp(word->zone, gate->options.node->zone) == 0;
-    bool reported = !near && Zn_IsReported(gate->zones, word->zone);
-    for (size_t i = 0; i < word->spent_count && !reported; i++) {
-        struct ms_spent more = Ms_SpentMore(&word->spent[i], peer->spent,
-                                            same_run ? peer->spent_count : 0);
+    bool near = strcmp(message->zone, gate->options.node->zone) == 0;
+    bool reported = !near && Zn_IsReported(gate->zones, message->zone);
+    for (size_t i = 0; i < message->spent_count && !reported; i++) {
+        struct ms_usage more = Ms_UsageIncrease(
+            &message->spent[i], peer->spent, same_run ? peer->spent_count : 0);
         charge_peer_usage(gate, &more, while_unreachable);
         if (near) {
-            Zn_AddNear(gate->zones, &more);
+            Zn_AddLocalUsage(gate->zones, &more);
         }
     }
 }
 
 /* Only from a daemon that has been up for a whole window. */
 static void
-apply_past_usage(struct ga_gate *gate, const struct ms_word *word)
+apply_past_usage(struct ga_gate *gate, const struct ms_word *message)
 {
-    if (word->up_usec < gate->options.node->quota_window_usec) {
+    if (message->up_usec < gate->options.node->quota_window_usec) {
         return;
     }
-    for (size_t i = 0; i < word->past_count; i++) {
-        struct wn_past past = {(double)word->pasts[i].older,
-                               (double)word->pasts[i].newer};
-        Qt_ToldPast(gate->quota, word->pasts[i].tenant, &past);
+    for (size_t i = 0; i < message->past_count; i++) {
+        struct wn_past past = {(double)message->pasts[i].older,
+                               (double)message->pasts[i].newer};
+        Qt_ApplyPastUsage(gate->quota, message->pasts[i].tenant, &past);
     }
 }
 
 static void
-on_zone_usage(void *arg, const struct ms_spent *more)
+on_zone_usage(void *arg, const struct ms_usage *more)
 {
     charge_peer_usage(arg, more, false);
 }
 
 static void
-on_message(void *arg, const struct ms_peer *peer, const struct ms_word *word)
+on_message(void *arg, const struct ms_peer *peer,
+           const struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    Tt_Peer(gate->time, Hash_String(word->ip, 0), word->wall_usec);
-    if (word->summary) {
-        Zn_Take(gate->zones, word, on_zone_usage, gate);
+    Tt_Peer(gate->time, Hash_String(message->ip, 0), message->wall_usec);
+    if (message->summary) {
+        Zn_ApplySummary(gate->zones, message, on_zone_usage, gate);
     }
     else {
-        apply_usage(gate, peer, word);
+        apply_usage(gate, peer, message);
     }
-    apply_past_usage(gate, word);
-    for (size_t i = 0; i < word->counted_count; i++) {
-        Us_Peer(gate->usage, word->run, word->counted[i].window,
-                word->counted[i].tenant, word->counted[i].count);
+    apply_past_usage(gate, message);
+    for (size_t i = 0; i < message->counted_count; i++) {
+        Us_Peer(gate->usage, message->run, message->counted[i].window,
+                message->counted[i].tenant, message->counted[i].count);
     }
-    Bt_Take(gate, word);
-    Qn_Take(gate->quarantine, word);
-    if (word->lease.fence > 0) {
-        Du_Heard(gate->duty, &word->lease);
+    Bt_Take(gate, message);
+    Qn_Take(gate->quarantine, message);
+    if (message->lease.fence > 0) {
+        Du_Heard(gate->duty, &message->lease);
     }
-    for (size_t i = 0; i < word->standing_count; i++) {
-        Ro_Heard(gate->moves, &word->standings[i],
-                 word->lease.fence > 0 && word->lease.left_usec > 0);
+    for (size_t i = 0; i < message->standing_count; i++) {
+        Ro_Heard(gate->moves, &message->standings[i],
+                 message->lease.fence > 0 && message->lease.left_usec > 0);
     }
 }
 
 static const struct ms_ops mesh_ops = {
     .fill = fill_message,
     .summarize = fill_zone_summary,
-    .word = on_message,
+    .message = on_message,
 };
 
 /*
@@ -229,7 +232,7 @@
 static void
 set_quota_share(struct ga_gate *gate)
 {
-    size_t heard = Ms_CountHeard(gate->mesh);
+    size_t heard = Ms_CountReachable(gate->mesh);
     size_t expected = Ms_CountExpected(gate->mesh);
     double share = (double)heard / (double)expected;
     Qt_SetShare(gate->quota, share < Pe_FULL_RATE_MIN_SHARE ? share : 1);
--- a/packages/edge/peers_find.c
+++ b/packages/edge/peers_find.c
@@ -46,7 +46,7 @@
         if (record->value != NULL && record->len < sizeof(ip)) {
             memcpy(ip, record->value, record->len);
             ip[record->len] = '\0';
-            Ms_Know(peers->gate->mesh, ip);
+            Ms_AddPeer(peers->gate->mesh, ip);
         }
     }
     if (result->count < Pe_ADDRESSES_MIN) {
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -46,11 +46,11 @@
 {
     struct fe_feed *feed = peers->gate->feed;
     struct compressed_config *compressed = &peers->compressed;
-    int64_t changed = Fe_Changed(feed, AG_CONFIG);
+    int64_t changed = Fe_ChangesEnd(feed, AG_CONFIG);
     if (compressed->bytes.len == 0 || compressed->from != from ||
         compressed->changed != changed) {
         char *state;
-        size_t len = Fe_Pack(feed, from, Pe_NOT_REQUESTED, &state);
+        size_t len = Fe_PackState(feed, from, Pe_NOT_REQUESTED, &state);
         Bf_Free(&compressed->bytes);
         bool compressed_ok = Df_Pack(state, len, &compressed->bytes);
         free(state);
@@ -73,7 +73,8 @@
 reply_entries(struct pe_peers *peers, struct sv_request *request, int64_t from)
 {
     char *state;
-    size_t len = Fe_Pack(peers->gate->feed, Pe_NOT_REQUESTED, from, &state);
+    size_t len =
+        Fe_PackState(peers->gate->feed, Pe_NOT_REQUESTED, from, &state);
     struct bf_buffer compressed = {0};
     if (len > Pe_COMPRESS_MIN_BYTES && Df_Pack(state, len, &compressed)) {
         Sv_Reply(request, 200, "", compressed.at, compressed.len);
@@ -161,7 +162,7 @@
     struct bf_buffer state = {0};
     if (Df_Unpack(peers->response.at, peers->response.len, Pe_STATE_MAX,
                   &state)) {
-        Fe_Unpack(peers->gate->feed, state.at, state.len);
+        Fe_ApplyState(peers->gate->feed, state.at, state.len);
     }
     else {
         Ln_Log(LN_FAILURE, "state.unreadable", "\"bytes\":%zu",
@@ -176,13 +177,15 @@
     struct pe_peers *peers = arg;
     bool complete = outcome == CN_COMPLETE && peers->response_status == 200 &&
                     !peers->response_truncated;
-    bool compressed = peers->response.len > 0 &&
-                      !Fe_IsPack(peers->response.at, peers->response.len);
+    bool compressed =
+        peers->response.len > 0 &&
+        !Fe_IsPackedState(peers->response.at, peers->response.len);
     if (complete && compressed) {
         apply_compressed(peers);
     }
     else if (complete) {
-        Fe_Unpack(peers->gate->feed, peers->response.at, peers->response.len);
+        Fe_ApplyState(peers->gate->feed, peers->response.at,
+                      peers->response.len);
     }
     pe_end_fetch(peers);
 }
@@ -219,10 +222,10 @@
         head, sizeof(head),
         "GET " Pe_STATE_PATH "%" PRId64 ",%" PRId64 " HTTP/1.1\r\n"
         "Host: %s\r\n\r\n",
-        with_config ? at_least_0(Fe_Changed(gate->feed, AG_CONFIG))
+        with_config ? at_least_0(Fe_ChangesEnd(gate->feed, AG_CONFIG))
                     : Pe_NOT_REQUESTED,
         with_config ? Pe_NOT_REQUESTED
-                    : at_least_0(Fe_Changed(gate->feed, AG_ENDPOINTS)),
+                    : at_least_0(Fe_ChangesEnd(gate->feed, AG_ENDPOINTS)),
         address);
     Ln_Log(LN_STATE, "state.fetched",
            "\"peer\":\"%s\",\"config\":%lld,\"entries\":%lld", peer->name,
@@ -237,7 +240,7 @@
 {
     int64_t changed =
         topic == AG_CONFIG ? peer->config_changed : peer->entries_changed;
-    return changed > Fe_Changed(gate->feed, topic) && !peer->stopping &&
+    return changed > Fe_ChangesEnd(gate->feed, topic) && !peer->stopping &&
            Ms_Close(gate->mesh, peer);
 }
 
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -55,7 +55,7 @@
  * An unreachable daemon is reachable again. To be called before its usage is
  * added.
  */
-void Qt_Returned(struct qt_quota *quota);
+void Qt_PeerReturned(struct qt_quota *quota);
 void Qt_Configure(struct qt_quota *quota, const struct ec_config *config);
 /*
  * Sets the fraction of the rate, 0 to 1, that this daemon and the peers it
@@ -83,13 +83,13 @@
                            uint64_t asked);
 void Qt_Each(const struct qt_quota *quota, qt_each_fn fn, void *arg);
 /* Adds the cost of requests that callers sent to a peer, admitted or not. */
-void Qt_Asked(struct qt_quota *quota, uint32_t tenant, double cost);
+void Qt_AddPeerDemand(struct qt_quota *quota, uint32_t tenant, double cost);
 /*
  * Adds a cost that a peer admitted. "while_unreachable": the peer was
  * unreachable at that time, and part of the rate had been reserved for it.
  */
-void Qt_Spent(struct qt_quota *quota, uint32_t tenant, double cost,
-              bool while_unreachable);
+void Qt_AddPeerUsage(struct qt_quota *quota, uint32_t tenant, double cost,
+                     bool while_unreachable);
 /*
  * Recent usage of each tenant, which the lease holder records in the store,
  * and which a daemon takes from that record after all daemons have died: their
@@ -103,8 +103,8 @@
  * run for a whole window. A daemon that has just started has no count of its
  * own.
  */
-void Qt_ToldPast(struct qt_quota *quota, uint32_t tenant,
-                 const struct wn_past *past);
+void Qt_ApplyPastUsage(struct qt_quota *quota, uint32_t tenant,
+                       const struct wn_past *past);
 uint32_t Qt_Hash(const char *tenant);
 
 #ifdef __cplusplus
--- a/packages/edge/quota_peers.c
+++ b/packages/edge/quota_peers.c
@@ -76,7 +76,7 @@
  * were partitioned off (107 of 646 requests against 23).
  */
 void
-Qt_Returned(struct qt_quota *quota)
+Qt_PeerReturned(struct qt_quota *quota)
 {
     size_t unreachable =
         quota->unreachable_count > 0 ? quota->unreachable_count : 1;
@@ -91,7 +91,7 @@
 }
 
 void
-Qt_Asked(struct qt_quota *quota, uint32_t tenant, double cost)
+Qt_AddPeerDemand(struct qt_quota *quota, uint32_t tenant, double cost)
 {
     struct qt_bucket *bucket = qt_find(quota, tenant);
     if (bucket != NULL) {
@@ -101,8 +101,8 @@
 }
 
 void
-Qt_Spent(struct qt_quota *quota, uint32_t tenant, double cost,
-         bool while_unreachable)
+Qt_AddPeerUsage(struct qt_quota *quota, uint32_t tenant, double cost,
+                bool while_unreachable)
 {
     struct qt_bucket *bucket = qt_find(quota, tenant);
     if (bucket == NULL) {
@@ -130,8 +130,8 @@
 }
 
 void
-Qt_ToldPast(struct qt_quota *quota, uint32_t tenant,
-            const struct wn_past *past)
+Qt_ApplyPastUsage(struct qt_quota *quota, uint32_t tenant,
+                  const struct wn_past *past)
 {
     struct qt_bucket *bucket = qt_find(quota, tenant);
     if (bucket == NULL || bucket->window.step_usec == 0 ||
--- a/packages/edge/test/feed_model_test.cc
+++ b/packages/edge/test/feed_model_test.cc
@@ -50,7 +50,7 @@
     int64_t
     Number() const
     {
-        return Fe_Changed(feed, AG_ENDPOINTS);
+        return Fe_ChangesEnd(feed, AG_ENDPOINTS);
     }
 
     struct fl_fleet *fleet;
@@ -207,9 +207,9 @@
              ", fetches from " + Name(&peer) + " which knows " +
              std::to_string(peer.Number()));
         char *packed;
-        size_t len =
-            Fe_Pack(peer.feed, INT64_MAX, number > 0 ? number : 0, &packed);
-        Fe_Unpack(host->feed, packed, len);
+        size_t len = Fe_PackState(peer.feed, INT64_MAX,
+                                  number > 0 ? number : 0, &packed);
+        Fe_ApplyState(host->feed, packed, len);
         free(packed);
     }
 
--- a/packages/edge/test/feed_test.cc
+++ b/packages/edge/test/feed_test.cc
@@ -148,9 +148,10 @@
     Fetch(const Node &node, const Node &peer)
     {
         char *packed;
-        size_t len = Fe_Pack(peer.feed, INT64_MAX,
-                             Fe_Changed(node.feed, AG_ENDPOINTS), &packed);
-        Fe_Unpack(node.feed, packed, len);
+        size_t len =
+            Fe_PackState(peer.feed, INT64_MAX,
+                         Fe_ChangesEnd(node.feed, AG_ENDPOINTS), &packed);
+        Fe_ApplyState(node.feed, packed, len);
         free(packed);
     }
 
@@ -178,8 +179,8 @@
     Node other = Start();
     other.client->down = true;
     char *packed;
-    size_t len = Fe_Pack(reader.feed, 0, 0, &packed);
-    Fe_Unpack(other.feed, packed, len);
+    size_t len = Fe_PackState(reader.feed, 0, 0, &packed);
+    Fe_ApplyState(other.feed, packed, len);
     free(packed);
     EXPECT_EQ(Version(other), 9);
     store_.Topic(AG_CONFIG).pop_back();
@@ -247,9 +248,10 @@
     ASSERT_TRUE(evacuated["a"]);
     auto tell = [&] {
         char *packed;
-        size_t len = Fe_Pack(reader.feed, Fe_Changed(other.feed, AG_CONFIG),
-                             INT64_MAX, &packed);
-        Fe_Unpack(other.feed, packed, len);
+        size_t len =
+            Fe_PackState(reader.feed, Fe_ChangesEnd(other.feed, AG_CONFIG),
+                         INT64_MAX, &packed);
+        Fe_ApplyState(other.feed, packed, len);
         free(packed);
     };
     evacuated.clear();
@@ -307,11 +309,11 @@
     store_.Remove(AG_ENDPOINTS, "a");
     Node reader = Start();
     ASSERT_TRUE(
-        Until([&] { return Fe_Changed(reader.feed, AG_ENDPOINTS) >= 0; }));
+        Until([&] { return Fe_ChangesEnd(reader.feed, AG_ENDPOINTS) >= 0; }));
     others_reach = others_read = true;
     char *packed;
-    size_t len = Fe_Pack(reader.feed, 0, 0, &packed);
-    Fe_Unpack(node.feed, packed, len);
+    size_t len = Fe_PackState(reader.feed, 0, 0, &packed);
+    Fe_ApplyState(node.feed, packed, len);
     free(packed);
     EXPECT_NE(Fl_Find(node.fleet, "a"), nullptr);
 }
@@ -333,28 +335,28 @@
     ASSERT_TRUE(Until([&] {
         return Version(reader) == 2 && Fl_Find(reader.fleet, "b") != nullptr;
     }));
-    int64_t before = Fe_Changed(node.feed, AG_CONFIG);
+    int64_t before = Fe_ChangesEnd(node.feed, AG_CONFIG);
     char *packed;
-    size_t len = Fe_Pack(reader.feed, INT64_MAX, 0, &packed);
-    Fe_Unpack(node.feed, packed, len);
+    size_t len = Fe_PackState(reader.feed, INT64_MAX, 0, &packed);
+    Fe_ApplyState(node.feed, packed, len);
     free(packed);
     EXPECT_NE(Fl_Find(node.fleet, "b"), nullptr);
     EXPECT_EQ(Version(node), 1);
-    EXPECT_EQ(Fe_Changed(node.feed, AG_CONFIG), before);
-    int64_t entries = Fe_Changed(node.feed, AG_ENDPOINTS);
-    len = Fe_Pack(reader.feed, before, INT64_MAX, &packed);
-    Fe_Unpack(node.feed, packed, len);
+    EXPECT_EQ(Fe_ChangesEnd(node.feed, AG_CONFIG), before);
+    int64_t entries = Fe_ChangesEnd(node.feed, AG_ENDPOINTS);
+    len = Fe_PackState(reader.feed, before, INT64_MAX, &packed);
+    Fe_ApplyState(node.feed, packed, len);
     free(packed);
     EXPECT_EQ(Version(node), 2);
-    EXPECT_EQ(Fe_Changed(node.feed, AG_ENDPOINTS), entries);
+    EXPECT_EQ(Fe_ChangesEnd(node.feed, AG_ENDPOINTS), entries);
     // A host that knows nothing must not take nothing for all there is.
     Node fresh = Start();
     fresh.client->down = true;
-    len = Fe_Pack(reader.feed, 0, INT64_MAX, &packed);
-    Fe_Unpack(fresh.feed, packed, len);
+    len = Fe_PackState(reader.feed, 0, INT64_MAX, &packed);
+    Fe_ApplyState(fresh.feed, packed, len);
     free(packed);
     EXPECT_EQ(Version(fresh), 2);
-    EXPECT_EQ(Fe_Changed(fresh.feed, AG_ENDPOINTS), -1);
+    EXPECT_EQ(Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS), -1);
 }
 
 bool
@@ -379,7 +381,7 @@
     ASSERT_TRUE(Until([&] {
         return Fl_Find(reader.fleet, "b") != nullptr &&
                Fl_Find(node.fleet, "b") != nullptr &&
-               Fe_Changed(node.feed, AG_ENDPOINTS) >= 0;
+               Fe_ChangesEnd(node.feed, AG_ENDPOINTS) >= 0;
     }));
     node.client->down = true;
     store_.Put(AG_ENDPOINTS, "b", "draining");
@@ -484,14 +486,14 @@
     store_.Put(AG_ENDPOINTS, "a", "ready");
     Node fresh = Start();
     ASSERT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "a") != nullptr; }));
-    EXPECT_LE(Fe_Changed(fresh.feed, AG_ENDPOINTS),
-              Fe_Changed(old.feed, AG_ENDPOINTS));
+    EXPECT_LE(Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS),
+              Fe_ChangesEnd(old.feed, AG_ENDPOINTS));
     char *packed;
-    size_t len = Fe_Pack(old.feed, 0, 0, &packed);
-    Fe_Unpack(fresh.feed, packed, len);
+    size_t len = Fe_PackState(old.feed, 0, 0, &packed);
+    Fe_ApplyState(fresh.feed, packed, len);
     free(packed);
-    EXPECT_EQ(Fe_Changed(old.feed, AG_ENDPOINTS),
-              Fe_Changed(fresh.feed, AG_ENDPOINTS));
+    EXPECT_EQ(Fe_ChangesEnd(old.feed, AG_ENDPOINTS),
+              Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS));
 }
 
 // Guards against requests to an endpoint that leaves: a host that has just
@@ -510,23 +512,23 @@
     ASSERT_TRUE(Until([&] { return IsDraining(fresh, "a"); }));
     store_.Put(AG_ENDPOINTS, "c", "ready");
     ASSERT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "c") != nullptr; }));
-    int64_t known = Fe_Changed(old.feed, AG_ENDPOINTS);
-    ASSERT_GT(Fe_Changed(fresh.feed, AG_ENDPOINTS), known);
+    int64_t known = Fe_ChangesEnd(old.feed, AG_ENDPOINTS);
+    ASSERT_GT(Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS), known);
     char *packed;
-    size_t len = Fe_Pack(fresh.feed, INT64_MAX, known, &packed);
-    Fe_Unpack(old.feed, packed, len);
+    size_t len = Fe_PackState(fresh.feed, INT64_MAX, known, &packed);
+    Fe_ApplyState(old.feed, packed, len);
     free(packed);
     EXPECT_TRUE(IsDraining(old, "a"));
     EXPECT_NE(Fl_Find(old.fleet, "c"), nullptr);
     // What it brings is passed on whole, and its number is nobody's change.
     Node far = Start();
     far.client->down = true;
-    len = Fe_Pack(old.feed, INT64_MAX, known, &packed);
-    Fe_Unpack(far.feed, packed, len);
+    len = Fe_PackState(old.feed, INT64_MAX, known, &packed);
+    Fe_ApplyState(far.feed, packed, len);
     free(packed);
     EXPECT_TRUE(IsDraining(far, "a"));
-    EXPECT_EQ(Fe_Changed(old.feed, AG_ENDPOINTS),
-              Fe_Changed(fresh.feed, AG_ENDPOINTS));
+    EXPECT_EQ(Fe_ChangesEnd(old.feed, AG_ENDPOINTS),
+              Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS));
 }
 
 // Guards against requests to an endpoint that leaves: its record came between
@@ -564,7 +566,7 @@
     ASSERT_TRUE(Until([&] {
         return Fl_Find(reader.fleet, "b") != nullptr &&
                Fl_Find(node.fleet, "b") != nullptr &&
-               Fe_Changed(node.feed, AG_ENDPOINTS) >= 0;
+               Fe_ChangesEnd(node.feed, AG_ENDPOINTS) >= 0;
     }));
     node.client->down = true;
     store_.Put(AG_ENDPOINTS, "b", "ready");
@@ -712,8 +714,8 @@
     store_.Put(AG_ENDPOINTS, "b", "ready");
     ASSERT_TRUE(Until([&] { return Fl_Find(reader.fleet, "b") != nullptr; }));
     char *packed;
-    size_t len = Fe_Pack(reader.feed, 0, 0, &packed);
-    Fe_Unpack(far.feed, packed, len);
+    size_t len = Fe_PackState(reader.feed, 0, 0, &packed);
+    Fe_ApplyState(far.feed, packed, len);
     free(packed);
     ASSERT_NE(Fl_Find(far.fleet, "b"), nullptr);
     store_.Remove(AG_ENDPOINTS, "b");
@@ -724,8 +726,9 @@
         const struct fl_endpoint *a = Fl_Find(pauser.fleet, "a");
         return a != nullptr && !Fl_Usable(a);
     }));
-    len = Fe_Pack(pauser.feed, 0, Fe_Changed(far.feed, AG_ENDPOINTS), &packed);
-    Fe_Unpack(far.feed, packed, len);
+    len = Fe_PackState(pauser.feed, 0, Fe_ChangesEnd(far.feed, AG_ENDPOINTS),
+                       &packed);
+    Fe_ApplyState(far.feed, packed, len);
     free(packed);
     EXPECT_EQ(Fl_Find(far.fleet, "b"), nullptr);
     EXPECT_NE(Fl_Find(far.fleet, "a"), nullptr);
@@ -745,8 +748,8 @@
     Node fresh = Start();
     ASSERT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "a") != nullptr; }));
     char *packed;
-    size_t len = Fe_Pack(late.feed, 0, 0, &packed);
-    Fe_Unpack(fresh.feed, packed, len);
+    size_t len = Fe_PackState(late.feed, 0, 0, &packed);
+    Fe_ApplyState(fresh.feed, packed, len);
     free(packed);
     EXPECT_EQ(Fl_Find(fresh.fleet, "b"), nullptr);
     EXPECT_NE(Fl_Find(fresh.fleet, "a"), nullptr);
@@ -761,7 +764,8 @@
         store_.Put(AG_ENDPOINTS, "k" + std::to_string(i), "ready");
     }
     Node old = Start();
-    ASSERT_TRUE(Until([&] { return Fe_Changed(old.feed, AG_ENDPOINTS) > 0; }));
+    ASSERT_TRUE(
+        Until([&] { return Fe_ChangesEnd(old.feed, AG_ENDPOINTS) > 0; }));
     others_known = others_read = true;
     Node fresh = Start();
     ASSERT_TRUE(Until([&] { return Fl_Any(fresh.fleet); }));
@@ -799,7 +803,7 @@
     Node node = Start();
     node.client->down = true;
     const char rubbish[] = "\x92\x91\x93\xa1k\xff\xc0\x01";
-    Fe_Unpack(node.feed, rubbish, sizeof(rubbish) - 1);
+    Fe_ApplyState(node.feed, rubbish, sizeof(rubbish) - 1);
     EXPECT_EQ(Version(node), -1);
 }
 
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -62,10 +62,10 @@
                 Send(i);
             }
         }
-        for (const Sent &sent : sent_) {
-            Receive(sent);
+        for (const Datagram &datagram : datagrams_) {
+            Receive(datagram);
         }
-        sent_.clear();
+        datagrams_.clear();
     }
 
     void
@@ -78,17 +78,17 @@
 
     // One host reads something new; the others fetch it when they hear of it.
     void
-    Learn(size_t host, int64_t number)
+    Update(size_t host, int64_t number)
     {
-        hosts_[host].known = number;
+        hosts_[host].offset = number;
     }
 
     bool
-    AllKnow(int64_t number) const
+    AllHave(int64_t number) const
     {
         return std::all_of(
             hosts_.begin(), hosts_.end(),
-            [&](const Host &host) { return host.known == number; });
+            [&](const Host &host) { return host.offset == number; });
     }
 
     void
@@ -115,24 +115,24 @@
     }
 
     FakeClock clock;
-    size_t words = 0;
-    size_t most_in_a_tick = 0;
+    size_t messages = 0;
+    size_t max_per_tick = 0;
 
   private:
     struct Host {
         struct nd_node node = {};
         struct ms_mesh mesh = {};
         std::vector<struct ms_peer *> peers; /* by host; null: itself */
-        int64_t known = 0;
+        int64_t offset = 0;
         bool dead = false;
         std::vector<int64_t> summary_at;
     };
 
-    struct Sent {
+    struct Datagram {
         size_t from;
         size_t to;
         bool summary;
-        int64_t known;
+        int64_t offset;
     };
 
     static std::string
@@ -168,44 +168,44 @@
     {
         Host &host = hosts_[i];
         ms_begin_tick(&host.mesh);
-        size_t before = sent_.size();
+        size_t before = datagrams_.size();
         for (size_t k = 0; k < hosts_.size(); k++) {
             if (k == i) {
                 continue;
             }
-            if (ms_word_due(&host.mesh, host.peers[k])) {
-                sent_.push_back({i, k, false, host.known});
+            if (ms_message_due(&host.mesh, host.peers[k])) {
+                datagrams_.push_back({i, k, false, host.offset});
             }
             if (ms_summary_due(&host.mesh, host.peers[k])) {
-                sent_.push_back({i, k, true, host.known});
+                datagrams_.push_back({i, k, true, host.offset});
             }
         }
-        words += sent_.size() - before;
-        most_in_a_tick = std::max(most_in_a_tick, sent_.size() - before);
+        messages += datagrams_.size() - before;
+        max_per_tick = std::max(max_per_tick, datagrams_.size() - before);
     }
 
     void
-    Receive(const Sent &sent)
+    Receive(const Datagram &datagram)
     {
-        Host &host = hosts_[sent.to];
+        Host &host = hosts_[datagram.to];
         if (host.dead) {
             return;
         }
-        static struct ms_word word;
-        strcpy(word.name, hosts_[sent.from].node.name);
-        strcpy(word.zone, hosts_[sent.from].node.zone);
-        word.run = hosts_[sent.from].mesh.run;
-        word.summary = sent.summary;
-        word.entries_changed = sent.known;
-        ms_take_word(&host.mesh, host.peers[sent.from], &word);
-        host.known = std::max(host.known, sent.known);
-        if (sent.summary) {
-            host.summary_at[sent.from % kZones] = clock.boot;
+        static struct ms_word message;
+        strcpy(message.name, hosts_[datagram.from].node.name);
+        strcpy(message.zone, hosts_[datagram.from].node.zone);
+        message.run = hosts_[datagram.from].mesh.run;
+        message.summary = datagram.summary;
+        message.entries_changed = datagram.offset;
+        ms_apply_message(&host.mesh, host.peers[datagram.from], &message);
+        host.offset = std::max(host.offset, datagram.offset);
+        if (datagram.summary) {
+            host.summary_at[datagram.from % kZones] = clock.boot;
         }
     }
 
     std::vector<Host> hosts_;
-    std::vector<Sent> sent_;
+    std::vector<Datagram> datagrams_;
 };
 
 // Guards against words that all leave in one tick of a gap of seconds: an
@@ -215,9 +215,9 @@
     Model model(295);
     model.Run(6 * Ck_USEC_PER_SEC);
     for (int64_t number = 1; number <= 4; number++) {
-        model.Learn((size_t)number * 71, number);
+        model.Update((size_t)number * 71, number);
         model.Run(Ck_USEC_PER_SEC);
-        EXPECT_TRUE(model.AllKnow(number)) << number;
+        EXPECT_TRUE(model.AllHave(number)) << number;
     }
 }
 
@@ -230,11 +230,11 @@
     for (size_t i = 0; i < 2; i++) {
         Model model(hosts[i]);
         model.Run(4 * Ck_USEC_PER_SEC);
-        model.words = 0;
-        model.most_in_a_tick = 0;
+        model.messages = 0;
+        model.max_per_tick = 0;
         model.Run(4 * Ck_USEC_PER_SEC);
-        per_sec[i] = (double)model.words / 4 / (double)hosts[i];
-        EXPECT_LE((double)model.most_in_a_tick, 0.3 * per_sec[i]) << hosts[i];
+        per_sec[i] = (double)model.messages / 4 / (double)hosts[i];
+        EXPECT_LE((double)model.max_per_tick, 0.3 * per_sec[i]) << hosts[i];
     }
     EXPECT_LE(per_sec[1], per_sec[0] * 1.1);
 }
@@ -276,9 +276,9 @@
 {
     Model model(7);
     model.Run(5 * Ck_USEC_PER_SEC);
-    model.words = 0;
+    model.messages = 0;
     model.Run(Ck_USEC_PER_SEC);
-    EXPECT_EQ(10u * 7 * 6, model.words);
+    EXPECT_EQ(10u * 7 * 6, model.messages);
 }
 
 } // namespace
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -275,7 +275,7 @@
         for (size_t j = 0; j < past_receivers_ && from >= past_receivers_;
              j++) {
             for (size_t k = 0; k < count; k++) {
-                Qt_ToldPast(quotas_[j], rows[k].tenant, &rows[k].past);
+                Qt_ApplyPastUsage(quotas_[j], rows[k].tenant, &rows[k].past);
             }
         }
     }
@@ -301,19 +301,19 @@
             for (size_t j = 0; j < quotas_.size(); j++) {
                 bool heard = (i < partition_at_) == (j < partition_at_);
                 if (j != i && heard && now.asked > asked_[i][j]) {
-                    Qt_Asked(quotas_[j], Qt_Hash("acme"),
-                             (double)(now.asked - asked_[i][j]));
+                    Qt_AddPeerDemand(quotas_[j], Qt_Hash("acme"),
+                                     (double)(now.asked - asked_[i][j]));
                     asked_[i][j] = now.asked;
                 }
                 if (j == i || !heard || total <= reported_[i][j]) {
                     continue;
                 }
                 if (unreachable_[i][j]) {
-                    Qt_Returned(quotas_[j]);
+                    Qt_PeerReturned(quotas_[j]);
                 }
-                Qt_Spent(quotas_[j], Qt_Hash("acme"),
-                         (double)(total - reported_[i][j]),
-                         unreachable_[i][j]);
+                Qt_AddPeerUsage(quotas_[j], Qt_Hash("acme"),
+                                (double)(total - reported_[i][j]),
+                                unreachable_[i][j]);
                 reported_[i][j] = total;
                 unreachable_[i][j] = false;
             }
--- a/packages/edge/test/quota_test.cc
+++ b/packages/edge/test/quota_test.cc
@@ -47,7 +47,8 @@
     Seen seen;
     Qt_Each(here, Note, &seen);
     EXPECT_EQ(seen.total, 1000u);
-    Qt_Spent(there, Qt_Hash("acme"), static_cast<double>(seen.total), false);
+    Qt_AddPeerUsage(there, Qt_Hash("acme"), static_cast<double>(seen.total),
+                    false);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), 0);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), kRate);
@@ -64,7 +65,7 @@
     struct qt_quota *quota = Qt_Create(&clock.clock, true);
     Qt_Configure(quota, tenants.config);
     for (int i = 0; i < 20; i++) {
-        Qt_Spent(quota, Qt_Hash("acme"), kRate / 10, false);
+        Qt_AddPeerUsage(quota, Qt_Hash("acme"), kRate / 10, false);
         clock.Advance(100 * Ck_USEC_PER_MSEC);
     }
     TakeAll(quota, 10);
@@ -140,11 +141,11 @@
         taken += TakeAll(quota, 10);
     }
     Qt_SetShare(quota, 1);
-    Qt_Spent(quota, Qt_Hash("acme"), 5 * 0.35 * kRate, true);
+    Qt_AddPeerUsage(quota, Qt_Hash("acme"), 5 * 0.35 * kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_NEAR(TakeAll(quota, 10), kRate, 30);
     // Usage beyond the reserve is charged.
-    Qt_Spent(quota, Qt_Hash("acme"), kRate, true);
+    Qt_AddPeerUsage(quota, Qt_Hash("acme"), kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_LT(TakeAll(quota, 10), 30);
     Qt_Destroy(quota);
--- a/packages/edge/test/zones_test.cc
+++ b/packages/edge/test/zones_test.cc
@@ -30,19 +30,19 @@
     void
     Summary(uint64_t reporter, uint64_t total, int64_t up_usec)
     {
-        memset(&word_, 0, sizeof(word_));
-        strcpy(word_.zone, "dc-b");
-        word_.run = reporter;
-        word_.up_usec = up_usec;
-        word_.spent_count = 1;
-        word_.spent[0] = {kTenant, total, 2 * total};
-        word_.load_count = 1;
-        word_.loads[0] = {1, (int)reporter, 0};
-        Zn_Take(zones_, &word_, Note, &charged_);
+        memset(&message_, 0, sizeof(message_));
+        strcpy(message_.zone, "dc-b");
+        message_.run = reporter;
+        message_.up_usec = up_usec;
+        message_.spent_count = 1;
+        message_.spent[0] = {kTenant, total, 2 * total};
+        message_.load_count = 1;
+        message_.loads[0] = {1, (int)reporter, 0};
+        Zn_ApplySummary(zones_, &message_, Note, &charged_);
     }
 
     static void
-    Note(void *arg, const struct ms_spent *more)
+    Note(void *arg, const struct ms_usage *more)
     {
         Charged *charged = static_cast<Charged *>(arg);
         charged->total += more->total;
@@ -51,7 +51,7 @@
 
     FakeClock clock_;
     struct zn_zones *zones_;
-    struct ms_word word_;
+    struct ms_word message_;
     Charged charged_;
 };
 
@@ -139,16 +139,16 @@
 // admitted.
 TEST_F(Zones, ASummaryAddsLocalAndPeerUsage)
 {
-    struct ms_spent more = {kTenant, 30, 40};
-    Zn_AddNear(zones_, &more);
-    Zn_AddNear(zones_, &more);
-    memset(&word_, 0, sizeof(word_));
-    word_.spent_count = 1;
-    word_.spent[0] = {kTenant, 5, 6};
-    Zn_Summarize(zones_, &word_);
-    ASSERT_EQ(1u, word_.spent_count);
-    EXPECT_EQ(65u, word_.spent[0].total);
-    EXPECT_EQ(86u, word_.spent[0].asked);
+    struct ms_usage more = {kTenant, 30, 40};
+    Zn_AddLocalUsage(zones_, &more);
+    Zn_AddLocalUsage(zones_, &more);
+    memset(&message_, 0, sizeof(message_));
+    message_.spent_count = 1;
+    message_.spent[0] = {kTenant, 5, 6};
+    Zn_Summarize(zones_, &message_);
+    ASSERT_EQ(1u, message_.spent_count);
+    EXPECT_EQ(65u, message_.spent[0].total);
+    EXPECT_EQ(86u, message_.spent[0].asked);
 }
 
 } // namespace
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -11,7 +11,7 @@
 
 struct usage_rows {
     size_t count;
-    struct ms_spent rows[Ms_SPENT_MAX];
+    struct ms_usage rows[Ms_SPENT_MAX];
 };
 
 struct reporter {
@@ -36,7 +36,7 @@
 struct zn_zones {
     const struct ck_clock *clock;
     size_t peer_usage_count;
-    struct ms_spent peer_usage[Ms_SPENT_MAX]; /* of other daemons here */
+    struct ms_usage peer_usage[Ms_SPENT_MAX]; /* of other daemons here */
     struct zone_list zones;
 };
 
@@ -67,8 +67,8 @@
 }
 
 /* NULL: the tenant has no row and the table is full. */
-static struct ms_spent *
-find_or_add_usage(struct ms_spent *rows, size_t *count, uint32_t tenant)
+static struct ms_usage *
+find_or_add_usage(struct ms_usage *rows, size_t *count, uint32_t tenant)
 {
     for (size_t i = 0; i < *count; i++) {
         if (rows[i].tenant == tenant) {
@@ -78,14 +78,14 @@
     if (*count == Ms_SPENT_MAX) {
         return NULL;
     }
-    rows[*count] = (struct ms_spent){tenant, 0, 0};
+    rows[*count] = (struct ms_usage){tenant, 0, 0};
     return &rows[(*count)++];
 }
 
 static void
-add_usage(struct ms_spent *rows, size_t *count, const struct ms_spent *more)
+add_usage(struct ms_usage *rows, size_t *count, const struct ms_usage *more)
 {
-    struct ms_spent *row = find_or_add_usage(rows, count, more->tenant);
+    struct ms_usage *row = find_or_add_usage(rows, count, more->tenant);
     if (row != NULL) {
         row->total += more->total;
         row->asked += more->asked;
@@ -93,16 +93,17 @@
 }
 
 void
-Zn_AddNear(struct zn_zones *zones, const struct ms_spent *more)
+Zn_AddLocalUsage(struct zn_zones *zones, const struct ms_usage *more)
 {
     add_usage(zones->peer_usage, &zones->peer_usage_count, more);
 }
 
 void
-Zn_Summarize(const struct zn_zones *zones, struct ms_word *word)
+Zn_Summarize(const struct zn_zones *zones, struct ms_word *message)
 {
     for (size_t i = 0; i < zones->peer_usage_count; i++) {
-        add_usage(word->spent, &word->spent_count, &zones->peer_usage[i]);
+        add_usage(message->spent, &message->spent_count,
+                  &zones->peer_usage[i]);
     }
 }
 
@@ -153,12 +154,12 @@
 
 /* Calls "fn" for the usage in the last summary that was not charged yet. */
 static void
-charge_increase(struct reporter *reporter, zn_spent_fn fn, void *arg)
+charge_increase(struct reporter *reporter, zn_usage_fn fn, void *arg)
 {
     const struct usage_rows *charged = &reporter->charged;
     for (size_t i = 0; i < reporter->received.count; i++) {
-        struct ms_spent more = Ms_SpentMore(&reporter->received.rows[i],
-                                            charged->rows, charged->count);
+        struct ms_usage more = Ms_UsageIncrease(&reporter->received.rows[i],
+                                                charged->rows, charged->count);
         fn(arg, &more);
     }
     reporter->charged = reporter->received;
@@ -189,8 +190,8 @@
  * usage again.
  */
 void
-Zn_Take(struct zn_zones *zones, const struct ms_word *summary, zn_spent_fn fn,
-        void *arg)
+Zn_ApplySummary(struct zn_zones *zones, const struct ms_word *summary,
+                zn_usage_fn fn, void *arg)
 {
     struct zone *zone = find_or_add_zone(zones, summary->zone);
     if (zone == NULL || summary->run == 0) {
--- a/packages/edge/zones.h
+++ b/packages/edge/zones.h
@@ -20,17 +20,17 @@
 void Zn_Destroy(struct zn_zones *zones);
 
 /* Adds usage that another daemon of this data centre admitted. */
-void Zn_AddNear(struct zn_zones *zones, const struct ms_spent *more);
+void Zn_AddLocalUsage(struct zn_zones *zones, const struct ms_usage *more);
 /*
  * Adds the usage of the other daemons in this data centre to that of this
  * daemon.
  */
-void Zn_Summarize(const struct zn_zones *zones, struct ms_word *word);
+void Zn_Summarize(const struct zn_zones *zones, struct ms_word *message);
 
 /* Applies a summary; "fn" is called for each increase in usage. */
-typedef void (*zn_spent_fn)(void *arg, const struct ms_spent *more);
-void Zn_Take(struct zn_zones *zones, const struct ms_word *summary,
-             zn_spent_fn fn, void *arg);
+typedef void (*zn_usage_fn)(void *arg, const struct ms_usage *more);
+void Zn_ApplySummary(struct zn_zones *zones, const struct ms_word *summary,
+                     zn_usage_fn fn, void *arg);
 /* Whether a data centre is currently reported by summaries. */
 bool Zn_IsReported(const struct zn_zones *zones, const char *zone);
 /*
