--- a/packages/edge/mesh_pace.c
+++ b/packages/edge/mesh_pace.c
@@ -25,8 +25,7 @@
  * first message.
  */
 #define Ms_FIRST_MESSAGE_USEC (4 * Ck_USEC_PER_SEC)
-/* Lower limit of the random factor of an interval; the upper one is as far
- * above 1. */
+/* Intervals vary by a random factor from this up to 2 minus this. */
 #define Ms_INTERVAL_JITTER_MIN 0.8
 
 static int64_t
--- a/packages/edge/test/fake_store.h
+++ b/packages/edge/test/fake_store.h
@@ -1,7 +1,7 @@
 /*
- * The store of the tests: real ordering and conditions in memory, answers on
- * demand, and faults as the platform has them: an answer that is lost, an
- * append that is done later, an outage.
+ * In-memory store for tests with real ordering and conditional appends.
+ * Results are delivered on demand. Injects the faults of the platform: a lost
+ * result, an append that is executed later, an outage.
  */
 #ifndef EDGE_TEST_FAKE_STORE_H
 #define EDGE_TEST_FAKE_STORE_H
@@ -23,16 +23,17 @@
         bool removed = false;
     };
 
-    // One per daemon, so that faults can meet one of them only.
+    // One for each daemon, so that a fault can be injected for a single
+    // daemon.
     struct Client {
         struct ag_store base;
         FakeStore *store;
-        bool down = false;        // nothing is done
-        int pages = 0;            // of listings asked for
-        int calls = 0;            // of this daemon
-        int64_t longest_wait = 0; // of its reads, microseconds
-        bool lose_next = false;   // the next append is done, unanswered
-        bool late_next = false;   // the next append waits for RunLate()
+        bool down = false;        // every call fails without effect
+        int pages = 0;            // pages of listings requested
+        int calls = 0;            // made by this daemon
+        int64_t longest_wait = 0; // of its reads, in microseconds
+        bool lose_next = false;   // lose the next append's result
+        bool late_next = false;   // hold the next append until RunLate()
     };
 
     Client *
@@ -52,7 +53,7 @@
         }
     }
 
-    // Gives only the answers that are waiting now.
+    // Delivers the results that are pending now.
     void
     AnswerOnce()
     {
@@ -63,7 +64,8 @@
         }
     }
 
-    // Gives all answers that are waiting, and those they lead to.
+    // Delivers all pending results, and those of the calls that follow from
+    // them.
     void
     Answer()
     {
@@ -76,7 +78,7 @@
         }
     }
 
-    // Executes appends that were held up, if their condition still holds.
+    // Executes appends that were held back, if their condition still holds.
     void
     RunLate()
     {
@@ -100,7 +102,7 @@
         topics_[topic].push_back({key, "", true});
     }
 
-    // Drops the history; the newest of each key stays.
+    // Drops the history; the newest record of each key stays.
     void
     Forget(enum ag_topic topic)
     {
@@ -113,7 +115,7 @@
         return topics_[topic];
     }
 
-    size_t page = 1000; // records of a listing that come at once
+    size_t page = 1000; // records in each page of a listing
 
   private:
     static Client *
--- a/packages/edge/test/feed_codec.h
+++ b/packages/edge/test/feed_codec.h
@@ -8,8 +8,8 @@
 
 #include "edge/store.h"
 
-// Configurations of the test are a version in digits, entries "draining" or
-// anything else.
+// In tests, a configuration is its version in digits, and an endpoint's entry
+// is "draining", "rubbish" (invalid) or any other text (ready).
 inline struct ec_config *
 DecodeConfig(const void *data, size_t len)
 {
--- a/packages/edge/test/feed_model_test.cc
+++ b/packages/edge/test/feed_model_test.cc
@@ -1,5 +1,6 @@
-// Drawn orders of writes, pages, starts and fetches over several hosts, held
-// against what a host's number promises.
+// Runs random sequences of writes, listings, restarts and fetches on several
+// hosts, and checks that a host has applied every change before the offset
+// that it reports as the end of its changes.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -48,7 +49,7 @@
     Host &operator=(const Host &) = delete;
 
     int64_t
-    Number() const
+    ChangesEnd() const
     {
         return Fe_ChangesEnd(feed, AG_ENDPOINTS);
     }
@@ -131,10 +132,10 @@
     }
 
     void
-    Note(const std::string &what)
+    Log(const std::string &what)
     {
-        story_ += std::to_string(store_.Topic(AG_ENDPOINTS).size()) + ": " +
-                  what + "\n";
+        log_ += std::to_string(store_.Topic(AG_ENDPOINTS).size()) + ": " +
+                what + "\n";
     }
 
     std::string
@@ -160,20 +161,20 @@
     {
         state_[key] = state;
         changed_[key] = store_.Put(AG_ENDPOINTS, key, state);
-        Note(key + " " + state);
+        Log(key + " " + state);
     }
 
     void
-    Leave(const std::string &key, bool told)
+    Leave(const std::string &key, bool announced)
     {
-        if (told && state_[key] == "ready") {
+        if (announced && state_[key] == "ready") {
             Write(key, "draining");
         }
-        else if (!told && !state_[key].empty()) {
+        else if (!announced && !state_[key].empty()) {
             state_[key].clear();
             changed_[key] = (int64_t)store_.Topic(AG_ENDPOINTS).size();
             store_.Remove(AG_ENDPOINTS, key);
-            Note(key + " removed");
+            Log(key + " removed");
         }
     }
 
@@ -188,8 +189,8 @@
     void
     Restart(size_t i)
     {
-        // What the store owed the old process is not for the new one.
-        Note("host " + std::to_string(i) + " starts");
+        // Results pending for the old process must not reach the new one.
+        Log("host " + std::to_string(i) + " starts");
         hosts_[i]->others_read = true;
         store_.Answer();
         hosts_[i] = std::make_unique<Host>(loop_, &store_);
@@ -199,16 +200,16 @@
     void
     Fetch(Host *host, const Host &peer)
     {
-        int64_t number = host->Number();
-        if (peer.Number() <= number) {
+        int64_t changes_end = host->ChangesEnd();
+        if (peer.ChangesEnd() <= changes_end) {
             return;
         }
-        Note("host " + Name(host) + " knows " + std::to_string(number) +
-             ", fetches from " + Name(&peer) + " which knows " +
-             std::to_string(peer.Number()));
+        Log("host " + Name(host) + " knows " + std::to_string(changes_end) +
+            ", fetches from " + Name(&peer) + " which knows " +
+            std::to_string(peer.ChangesEnd()));
         char *packed;
         size_t len = Fe_PackState(peer.feed, INT64_MAX,
-                                  number > 0 ? number : 0, &packed);
+                                  changes_end > 0 ? changes_end : 0, &packed);
         Fe_ApplyState(host->feed, packed, len);
         free(packed);
     }
@@ -232,7 +233,7 @@
         }
         else if (drawn < 40) {
             store_.Forget(AG_ENDPOINTS);
-            Note("history dropped");
+            Log("history dropped");
         }
         else if (drawn < 70) {
             store_.AnswerOnce();
@@ -250,8 +251,8 @@
         runner_->For(kStepUsec);
     }
 
-    // The endpoints that a host would still send to, though by its number it
-    // knows that they have left.
+    // The endpoints that a host would still send to although they stopped at
+    // an offset before the end of the host's changes.
     std::string
     Missed(const Host &host) const
     {
@@ -259,7 +260,7 @@
         for (const auto &[key, state] : state_) {
             const struct fl_endpoint *endpoint =
                 Fl_Find(host.fleet, key.c_str());
-            if (state != "ready" && changed_.at(key) < host.Number() &&
+            if (state != "ready" && changed_.at(key) < host.ChangesEnd() &&
                 endpoint != nullptr && Fl_Usable(endpoint)) {
                 missed += " " + key;
             }
@@ -275,19 +276,19 @@
     std::vector<std::string> keys_;
     std::map<std::string, std::string> state_; // empty: removed
     std::map<std::string, int64_t> changed_;   // offset of the last change
-    std::string story_; // what was done, by the end of the topic
+    std::string log_; // steps, each with the end of the topic
 };
 
-// Guards against requests to an endpoint that has left, whatever host was
-// listing, starting or fetching at that moment.
-TEST_P(FeedModel, ANumberStandsForAllThatCameBeforeIt)
+// Guards against requests to a stopped endpoint, whichever host was listing,
+// starting or fetching when the endpoint stopped.
+TEST_P(FeedModel, AllChangesBeforeTheReportedEndAreApplied)
 {
     for (int step = 0; step < kSteps; step++) {
         Step();
         for (size_t i = 0; i < kHosts; i++) {
             ASSERT_EQ("", Missed(*hosts_[i]))
                 << "host " << i << ", step " << step << "\n"
-                << story_;
+                << log_;
         }
     }
 }
--- a/packages/edge/test/feed_test.cc
+++ b/packages/edge/test/feed_test.cc
@@ -37,7 +37,7 @@
     (void)reached;
 }
 
-// Whether the peers of a test's daemon reach the store and read it.
+// Whether the peers of a test's daemon reach the store, and read it.
 bool others_reach;
 bool others_read;
 
@@ -64,7 +64,7 @@
     return others_known;
 }
 
-// Data centres evacuated as the daemons of a test were last told.
+// The evacuation state of each data centre that was last reported.
 std::map<std::string, bool> evacuated;
 
 void
@@ -131,7 +131,8 @@
         });
     }
 
-    // Answers until the daemon has asked for so many pages of listings.
+    // Delivers results until the daemon has requested so many pages of
+    // listings.
     bool
     UntilPage(const Node &node, int pages)
     {
@@ -143,7 +144,7 @@
         });
     }
 
-    // One fetch of what has changed at a peer.
+    // Fetches once from a peer what has changed there.
     void
     Fetch(const Node &node, const Node &peer)
     {
@@ -168,9 +169,10 @@
     return config == nullptr ? -1 : config->version;
 }
 
-// A host serves a dropped route again: it followed the configuration through
-// a peer, and then read an older one from a store that had lost its history.
-TEST_F(Feed, AnOlderReadingDoesNotReplaceANewerOne)
+// Guards against a host that serves a deleted route again: it got the newer
+// configuration from a peer, and then read an older one from a store that had
+// lost its history.
+TEST_F(Feed, AnOlderConfigurationDoesNotReplaceANewerOne)
 {
     store_.Put(AG_CONFIG, "config", "7");
     store_.Put(AG_CONFIG, "config", "9");
@@ -190,10 +192,10 @@
     EXPECT_EQ(Version(other), 9);
 }
 
-// Requests go on reaching an endpoint that has left: the store dropped its
-// history while a removal was written, and the records that are still there
-// do not tell of it.  Only a new listing does.
-TEST_F(Feed, ARemovalInForgottenHistoryIsSeen)
+// Guards against requests to a stopped endpoint when the store dropped its
+// history while the removal was written. The remaining records do not include
+// the removal, so only a new listing shows it.
+TEST_F(Feed, ARemovalInDroppedHistoryIsApplied)
 {
     store_.Put(AG_CONFIG, "config", "1");
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -209,10 +211,11 @@
     EXPECT_NE(Fl_Find(node.fleet, "a"), nullptr);
 }
 
-// Guards against requests that go on reaching an evacuated data centre, and
-// against one that is never used again: the word came, or was taken back,
-// while the daemon did not read; the history is forgotten, or a peer tells.
-TEST_F(Feed, AnEvacuationIsLearnedAndTakenBack)
+// Guards against requests to an evacuated data centre, and against one that
+// stays evacuated for ever, when the order was written or removed while the
+// daemon did not read: the history was dropped, or a peer passes the change
+// on.
+TEST_F(Feed, AnEvacuationIsAppliedAndRevoked)
 {
     evacuated.clear();
     store_.Put(AG_CONFIG, "config", "1");
@@ -235,8 +238,8 @@
     EXPECT_EQ(Version(node), 2);
 }
 
-// The same for a daemon that hears of it from a peer alone.
-TEST_F(Feed, APeerTellsOfAnEvacuationAndItsEnd)
+// The same for a daemon that learns of the change only from a peer.
+TEST_F(Feed, APeerPassesAnEvacuationAndItsEndOn)
 {
     evacuated.clear();
     store_.Put(AG_CONFIG, "config", "1");
@@ -264,10 +267,10 @@
     EXPECT_FALSE(evacuated["a"]);
 }
 
-// A store that turns a third of eighty hosts away for nine seconds gets two
-// thousand calls from them, each of which is paid for, although the other
-// hosts read it and tell them all that is new.
-TEST_F(Feed, ADaemonThatIsTurnedAwayLeavesTheStoreToOthers)
+// Guards against needless calls to a store that rejects a third of eighty
+// hosts. In nine seconds these hosts made two thousand calls, each of which is
+// charged, although the other hosts read the store and pass on every change.
+TEST_F(Feed, ARejectedDaemonLeavesReadingToOthers)
 {
     store_.Put(AG_CONFIG, "config", "1");
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -285,16 +288,16 @@
         store_.Answer();
     }
     EXPECT_EQ(node.client->calls, calls);
-    // When the others stop reading it asks again, and is answered.
+    // When the others stop reading, the daemon reads again and succeeds.
     others_read = false;
     node.client->down = false;
     EXPECT_TRUE(Until([&] { return Fe_Reached(node.feed); }));
 }
 
-// Live endpoints are taken for gone when the store comes back: their entries
-// had lapsed while nobody reached it, another host was answered first, and
-// this one no longer asks itself.
-TEST_F(Feed, WhoLeavesTheStoreToOthersStillDoubtsLapsedEntries)
+// Guards against removing live endpoints when the store comes back. Their
+// entries had expired while no host reached the store, another host reached it
+// first, and this host no longer reads itself.
+TEST_F(Feed, RemovalsAreHeldWhileOthersReadAfterAnOutage)
 {
     store_.Put(AG_CONFIG, "config", "1");
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -318,10 +321,10 @@
     EXPECT_NE(Fl_Find(node.fleet, "a"), nullptr);
 }
 
-// A host refuses routes that are there for as long as the configuration
-// stands: it fetched endpoints alone, and took the number of a configuration
-// that it was not given for its own.
-TEST_F(Feed, WhatWasNotFetchedIsNotKnown)
+// Guards against a host that refuses existing routes until the next
+// configuration. The host had fetched only endpoints and taken the offset of a
+// configuration that it was not sent for its own.
+TEST_F(Feed, ATopicNotFetchedKeepsItsOffset)
 {
     store_.Put(AG_CONFIG, "config", "1");
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -349,7 +352,7 @@
     free(packed);
     EXPECT_EQ(Version(node), 2);
     EXPECT_EQ(Fe_ChangesEnd(node.feed, AG_ENDPOINTS), entries);
-    // A host that knows nothing must not take nothing for all there is.
+    // A host without records must not take an empty reply for the whole state.
     Node fresh = Start();
     fresh.client->down = true;
     len = Fe_PackState(reader.feed, 0, INT64_MAX, &packed);
@@ -366,12 +369,12 @@
     return endpoint != nullptr && endpoint->entry.draining;
 }
 
-// Half of ninety hosts go on sending to an endpoint five seconds after it said
-// that it leaves.  A host took up reading the store; its listing came in
-// pages, and after the first one it gave the number of the newest change for
-// all it knew.  Whoever fetched from it then passed over what the second page
-// had, and asked for nothing older ever after.
-TEST_F(Feed, AListingInPagesIsNumberedAtItsEnd)
+// Guards against requests to a stopping endpoint, which half of ninety hosts
+// still sent after five seconds. A host began to read the store with a listing
+// in several pages. After the first page it already reported the offset of the
+// newest change for all its records. Hosts that fetched from it then skipped
+// the changes on the second page for good.
+TEST_F(Feed, AListingInPagesReportsChangesAtItsEnd)
 {
     store_.page = 1;
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -401,9 +404,10 @@
     EXPECT_TRUE(IsDraining(node, "b"));
 }
 
-// Eighty hosts fetch a large configuration from the one that read it first;
-// for three seconds they serve routes that were dropped, and removals of
-// endpoints wait behind it.  Each reads it from the store, once.
+// Guards against eighty hosts that fetch a large configuration from the host
+// that read it first. For three seconds they served deleted routes, and
+// removals of endpoints waited behind the fetch. Each host has to read the
+// configuration from the store instead, once.
 TEST_F(Feed, ANewerConfigurationIsReadFromTheStore)
 {
     others_reach = others_read = true;
@@ -419,21 +423,22 @@
     ASSERT_TRUE(Until([&] { return Version(node) == 2; }));
     runner_->For(150 * Ck_USEC_PER_MSEC);
     int calls = node.client->calls;
-    // It has just been read: what a peer still knows better is to be fetched.
+    // It was read a moment ago, so a newer one has to be fetched from the
+    // peer.
     EXPECT_FALSE(Fe_Refresh(node.feed));
     runner_->For(300 * Ck_USEC_PER_MSEC);
     store_.Answer();
     EXPECT_EQ(node.client->calls, calls);
-    // So is everything while the store does not answer here.
+    // The same holds while the store does not answer this host.
     others_read = false;
     node.client->down = true;
     ASSERT_TRUE(Until([&] { return !Fe_Reached(node.feed); }));
     EXPECT_FALSE(Fe_Refresh(node.feed));
 }
 
-// Guards against a dropped key that is served for seconds: a store that falls
-// silent under a waiting read is noticed only when the read is overdue.
-TEST_F(Feed, ASilentReadIsOverdueBeforeAConfigurationMustBeInForce)
+// Guards against a deleted key that is accepted for seconds because a store
+// that hangs during a waiting read is noticed only when the read is overdue.
+TEST_F(Feed, AHungReadIsOverdueBeforeAConfigurationMustBeInForce)
 {
     store_.Put(AG_CONFIG, "config", "1");
     const int64_t bounds[] = {2 * Ck_USEC_PER_SEC, 3 * Ck_USEC_PER_SEC,
@@ -446,9 +451,9 @@
     }
 }
 
-// An operator's order to move a service is taken for a configuration, or for
-// nothing, and the new version never gets a request.
-TEST_F(Feed, OrdersStandBesideTheConfiguration)
+// Guards against an operator's order to move a service that is taken for a
+// configuration or ignored, so that the new version never gets a request.
+TEST_F(Feed, OrdersAreReadBesideTheConfiguration)
 {
     orders_seen.clear();
     store_.Put(AG_CONFIG, "config", "4");
@@ -463,8 +468,9 @@
     EXPECT_EQ(orders_seen.size(), 1u);
 }
 
-// An entry that another writer left breaks the reading of all others.
-TEST_F(Feed, ABrokenEntryHidesNoOther)
+// Guards against an invalid entry from another writer that stops all other
+// entries from being read.
+TEST_F(Feed, AnInvalidEntryHidesNoOther)
 {
     store_.Put(AG_ENDPOINTS, "a", "rubbish");
     store_.Put(AG_ENDPOINTS, "b", "ready");
@@ -473,10 +479,11 @@
     EXPECT_EQ(Fl_Find(node.fleet, "a"), nullptr);
 }
 
-// Eighty hosts fetch the same records ten times a second, and what has really
-// changed comes seconds late: a host that had just started took heartbeats
-// for changes, and whoever fetched them was behind its number ever after.
-TEST_F(Feed, WhatBringsNothingNewIsFetchedOnce)
+// Guards against eighty hosts that fetch the same records ten times a second,
+// which delays real changes by seconds. A host that had just started took
+// heartbeats for changes, and the hosts that fetched from it stayed behind its
+// reported offset.
+TEST_F(Feed, HeartbeatsAreNotFetchedAsChanges)
 {
     store_.Put(AG_ENDPOINTS, "a", "ready");
     Node old = Start();
@@ -496,9 +503,10 @@
               Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS));
 }
 
-// Guards against requests to an endpoint that leaves: a host that has just
-// started knows of the leaving by its listing, and its word was taken for old.
-TEST_F(Feed, WhatAStartedHostListedIsNewsToOthers)
+// Guards against requests to a stopping endpoint: a host that has just started
+// learned of the stop from its listing, and its record was taken for an old
+// one.
+TEST_F(Feed, ChangesListedByAStartedHostReachPeers)
 {
     store_.Put(AG_CONFIG, "config", "1");
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -520,7 +528,8 @@
     free(packed);
     EXPECT_TRUE(IsDraining(old, "a"));
     EXPECT_NE(Fl_Find(old.fleet, "c"), nullptr);
-    // What it brings is passed on whole, and its number is nobody's change.
+    // Its records are passed on completely, and the reported offset does not
+    // grow beyond the last change.
     Node far = Start();
     far.client->down = true;
     len = Fe_PackState(old.feed, INT64_MAX, known, &packed);
@@ -531,9 +540,10 @@
               Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS));
 }
 
-// Guards against requests to an endpoint that leaves: its record came between
-// two pages of a started host's listing, and was told to nobody.
-TEST_F(Feed, WhatComesBetweenPagesOfAFirstListingIsToldToOthers)
+// Guards against requests to a stopping endpoint whose record was written
+// between two pages of a starting host's listing and then not passed on to any
+// peer.
+TEST_F(Feed, ChangesBetweenPagesOfAFirstListingReachPeers)
 {
     store_.page = 1;
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -554,9 +564,9 @@
     EXPECT_TRUE(IsDraining(old, "b"));
 }
 
-// Guards against the same by a host that lists again: a later page showed a
-// newer record than one that the host had yet to read.
-TEST_F(Feed, ARecordOfALaterPageIsNotTheNumberOfTheListing)
+// The same for a host that lists again: a later page held a newer record than
+// one that the host had yet to read.
+TEST_F(Feed, ARecordOfALaterPageIsNotTheEndOfTheListing)
 {
     store_.page = 1;
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -589,9 +599,9 @@
     EXPECT_TRUE(IsDraining(node, "b"));
 }
 
-// Guards against requests to an endpoint that has gone: what a host saw
-// missing from a peer's whole word it passed on as an old removal.
-TEST_F(Feed, WhatAPackLacksIsPassedOnAsRemoved)
+// Guards against requests to a removed endpoint: a host that inferred the
+// removal from a peer's full state passed it on with an old offset.
+TEST_F(Feed, RecordsMissingFromAFullStateArePassedOnAsRemoved)
 {
     store_.Put(AG_ENDPOINTS, "a", "ready");
     store_.Put(AG_ENDPOINTS, "b", "ready");
@@ -618,8 +628,8 @@
     EXPECT_EQ(Fl_Find(far.fleet, "a"), nullptr);
 }
 
-// Guards against requests to an endpoint that has gone: a host that had just
-// listed the store fetched from one that had listed it long before.
+// Guards against requests to a removed endpoint: a host that had just listed
+// the store fetched from a peer whose listing was much older.
 TEST_F(Feed, AnOlderListingOfAPeerReplacesNoNewerOne)
 {
     store_.Put(AG_ENDPOINTS, "a", "ready");
@@ -642,9 +652,9 @@
     EXPECT_EQ(Fl_Find(peer.fleet, "a"), nullptr);
 }
 
-// Guards against requests to an endpoint that has gone: a peer that had not
-// heard of that told of it while this host was listing.
-TEST_F(Feed, AListingIsNotFilledUpByAPeer)
+// Guards against requests to a removed endpoint: a peer that had not learned
+// of the removal passed the endpoint on while this host was listing.
+TEST_F(Feed, APeerDoesNotAddRemovedRecordsToAListing)
 {
     store_.page = 1;
     for (const char *id : {"a", "b", "c"}) {
@@ -666,9 +676,10 @@
     EXPECT_NE(Fl_Find(fresh.fleet, "b"), nullptr);
 }
 
-// Guards against a live endpoint that is taken for gone: what a peer tells
-// between two pages is not all that was listed before.
-TEST_F(Feed, APeersWordForgetsNoPageOfAListing)
+// Guards against a live endpoint that is removed because a peer's state,
+// applied between two pages of a listing, does not hold all records listed
+// before.
+TEST_F(Feed, APeersStateRemovesNoPageOfAListing)
 {
     store_.page = 1;
     for (const char *id : {"a", "b", "c"}) {
@@ -696,10 +707,11 @@
     EXPECT_NE(Fl_Find(reader.fleet, "a"), nullptr);
 }
 
-// Requests go on reaching an endpoint that has left: the host learned from a
-// daemon that had read the store after a pause and never saw it come or go.
-// What that daemon does not list is gone, and its number says no more.
-TEST_F(Feed, ARemovalUnknownToAPeerIsSeenInWhatItLacks)
+// Guards against requests to a stopped endpoint when the host learns from a
+// daemon that had paused its reads and never saw the endpoint appear or stop.
+// A record that this daemon's full state lacks has been removed; its offset
+// alone does not show that.
+TEST_F(Feed, ARemovalUnknownToAPeerIsInferredFromItsFullState)
 {
     store_.Put(AG_ENDPOINTS, "a", "ready");
     Node reader = Start();
@@ -734,10 +746,11 @@
     EXPECT_NE(Fl_Find(far.fleet, "a"), nullptr);
 }
 
-// A request reaches an endpoint three seconds after it has left: a host that
-// had just started listed the entries without it, and then took it over from a
-// peer that had not yet heard of its end.
-TEST_F(Feed, APeerDoesNotBringBackWhatTheListingLacks)
+// Guards against a request that reaches an endpoint three seconds after it
+// stopped. A host that had just started listed the entries without the
+// endpoint, and then took the entry from a peer that had not learned of the
+// stop.
+TEST_F(Feed, APeerDoesNotRestoreRecordsMissingFromTheListing)
 {
     store_.Put(AG_ENDPOINTS, "a", "ready");
     store_.Put(AG_ENDPOINTS, "b", "ready");
@@ -756,7 +769,8 @@
 }
 
 // Guards against hundreds of daemons that each list every endpoint when they
-// start, though the first one heard could tell them all of it.
+// start, although the first peer whose message arrives could send the whole
+// state.
 TEST_F(Feed, AStartAmongManyReadsOnePage)
 {
     store_.page = 2;
@@ -777,15 +791,16 @@
         std::string key = "k" + std::to_string(i);
         EXPECT_NE(Fl_Find(fresh.fleet, key.c_str()), nullptr) << key;
     }
-    // Those who read are gone: what came since the pack is read.
+    // The readers are gone: changes since the peer's state are read from the
+    // store.
     store_.Remove(AG_ENDPOINTS, "k0");
     others_read = false;
     EXPECT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "k0") == nullptr; }));
     EXPECT_EQ(fresh.client->pages, 1);
 }
 
-// Guards against a start among many that are all starting: nobody has a pack,
-// and the daemon would serve with one page for good.
+// Guards against a daemon that serves with one page for good when all daemons
+// start together and no peer has a state to send.
 TEST_F(Feed, AStartOfAllListsEveryPage)
 {
     store_.page = 2;
@@ -797,8 +812,8 @@
     EXPECT_TRUE(Until([&] { return Fl_Find(node.fleet, "k8") != nullptr; }));
 }
 
-// Bytes of a peer that make no sense stop a daemon.
-TEST_F(Feed, RubbishFromAPeerIsPassedOver)
+// Guards against malformed bytes from a peer that crash a daemon.
+TEST_F(Feed, MalformedBytesFromAPeerAreIgnored)
 {
     Node node = Start();
     node.client->down = true;
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -1,6 +1,7 @@
 /*
- * Words between hundreds of daemons, without sockets: who tells whom at which
- * moment, and how soon what one knows is known to all.
+ * Simulates gossip between hundreds of daemons without sockets: which daemon
+ * sends to which peer in each tick, and how soon a change read by one daemon
+ * has reached all.
  */
 #include <gtest/gtest.h>
 
@@ -38,7 +39,7 @@
         }
         for (size_t i = 0; i < hosts; i++) {
             for (size_t k = 0; k < hosts; k++) {
-                Meet(i, k);
+                AddPeer(i, k);
             }
         }
     }
@@ -52,7 +53,7 @@
         }
     }
 
-    // One tick of every host that lives.
+    // Runs one tick of every running host.
     void
     Tick()
     {
@@ -76,7 +77,8 @@
         }
     }
 
-    // One host reads something new; the others fetch it when they hear of it.
+    // Lets one host read a change. Others fetch it on the first message that
+    // reports it.
     void
     Update(size_t host, int64_t number)
     {
@@ -97,7 +99,7 @@
         hosts_[host].dead = true;
     }
 
-    // The longest that a living host has waited for the sums of another data
+    // The longest time that a running host has had no summary of another data
     // centre.
     int64_t
     OldestSummary() const
@@ -122,7 +124,8 @@
     struct Host {
         struct nd_node node = {};
         struct ms_mesh mesh = {};
-        std::vector<struct ms_peer *> peers; /* by host; null: itself */
+        std::vector<struct ms_peer *>
+            peers; /* by index of the host; null for the host itself */
         int64_t offset = 0;
         bool dead = false;
         std::vector<int64_t> summary_at;
@@ -149,7 +152,7 @@
     }
 
     void
-    Meet(size_t i, size_t k)
+    AddPeer(size_t i, size_t k)
     {
         struct ms_peer *peer = nullptr;
         if (i != k) {
@@ -208,9 +211,10 @@
     std::vector<Datagram> datagrams_;
 };
 
-// Guards against words that all leave in one tick of a gap of seconds: an
-// endpoint that leaves gets requests for as long as that takes at each hop.
-TEST(Mesh, WhatOneOfHundredsReadsIsKnownToAllWithinASecond)
+// Guards against sending all messages in the same tick of an interval that
+// lasts seconds. A stopping endpoint would get requests for an interval at
+// each hop.
+TEST(Mesh, AChangeReachesHundredsOfDaemonsWithinASecond)
 {
     Model model(295);
     model.Run(6 * Ck_USEC_PER_SEC);
@@ -221,9 +225,9 @@
     }
 }
 
-// Guards against what a daemon sends growing with the number of daemons, and
-// against all of it leaving in one tick.
-TEST(Mesh, TheCostOfADaemonStaysTheSame)
+// Guards against a sending rate that grows with the number of daemons, and
+// against sending everything in one tick.
+TEST(Mesh, SendingRateDoesNotGrowWithDaemons)
 {
     double per_sec[2];
     size_t hosts[2] = {90, 295};
@@ -239,9 +243,9 @@
     EXPECT_LE(per_sec[1], per_sec[0] * 1.1);
 }
 
-// Guards against limits and choices that rest on what other data centres did
-// seconds ago.
-TEST(Mesh, EveryDataCentresSumsAreHeardWithinASecond)
+// Guards against limits and choices based on summaries of other data centres
+// that are seconds old.
+TEST(Mesh, SummariesArriveWithinASecond)
 {
     Model model(295);
     model.Run(5 * Ck_USEC_PER_SEC);
@@ -253,9 +257,9 @@
     EXPECT_LE(oldest, Ck_USEC_PER_SEC);
 }
 
-// Guards against daemons that wait for the sums of a data centre from one that
+// Guards against daemons that keep waiting for summaries from a reporter that
 // has died.
-TEST(Mesh, OthersTellWhenHalfOfTheDaemonsDie)
+TEST(Mesh, SummariesArriveAfterHalfOfTheDaemonsDie)
 {
     Model model(295);
     model.Run(5 * Ck_USEC_PER_SEC);
@@ -271,8 +275,9 @@
     EXPECT_LE(oldest, 2 * Ck_USEC_PER_SEC);
 }
 
-// Guards against few daemons that are told less often than before.
-TEST(Mesh, FewDaemonsTellEachOtherInEveryTick)
+// Guards against small deployments in which messages are sent less often than
+// every tick.
+TEST(Mesh, FewDaemonsSendInEveryTick)
 {
     Model model(7);
     model.Run(5 * Ck_USEC_PER_SEC);
