--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -199,12 +199,14 @@
 }
 
 /*
- * To a daemon that has just started, every entry looks like a change. Its
- * changes_end would be the offset of the last heartbeat, ahead of all peers.
- * They would fetch its records and, by taking over its changes_end, skip
- * removals that it never saw. The first listing does not tell when an entry
- * last changed, only that it was not after the listed record. With an older
- * offset, peers would take the entry for one that they already have.
+ * Whether this is the first listing of entries since the start. To a daemon
+ * that has just started, every entry looks like a change. If the listing
+ * advanced changes_end, that would be the offset of the last heartbeat, ahead
+ * of all peers. They would fetch the records of this daemon, take over its
+ * changes_end, and so skip removals that this daemon never saw. A listing does
+ * not show when an entry last changed, only that this was not after the listed
+ * record, so the change gets the offset of that record: with a lower one,
+ * peers would take the entry for one that they already have.
  */
 static bool
 is_first_listing(const struct reader *reader)
@@ -222,10 +224,14 @@
         return 0;
     }
     if (offset <= cached->offset) {
-        /* A change that a listing or a peer had delivered earlier. */
-        bool is_expected =
+        /*
+         * A listing or a peer delivered the record before. If it is the last
+         * change of its key, it counts as a change now that it is read in
+         * order.
+         */
+        bool is_last_change =
             offset == cached->offset && offset == cached->changed;
-        return is_expected ? offset + 1 : 0;
+        return is_last_change ? offset + 1 : 0;
     }
     int64_t changes_end = 0;
     if (is_first_listing(reader)) {
--- a/packages/edge/mesh.c
+++ b/packages/edge/mesh.c
@@ -52,7 +52,7 @@
         strlcpy(peer->ip, ip, sizeof(peer->ip));
         peer->address = address.s_addr;
         peer->hash = Hash_String(ip, 0);
-        peer->known_at = Ck_Now(mesh->clock);
+        peer->added_at = Ck_Now(mesh->clock);
         TAILQ_INSERT_TAIL(&mesh->peers, peer, link);
         RB_INSERT(ms_addresses, &mesh->addresses, peer);
         mesh->count++;
@@ -76,8 +76,8 @@
     peer->reads_entries = message->reads_entries;
     peer->heard_at = mesh->now;
     peer->started_at = mesh->now - message->up_usec;
-    peer->config_changed = message->config_changed;
-    peer->entries_changed = message->entries_changed;
+    peer->config_changes_end = message->config_changes_end;
+    peer->entries_changes_end = message->entries_changes_end;
     if (message->summary) {
         return;
     }
@@ -163,7 +163,7 @@
     TAILQ_INIT(&mesh->peers);
     RB_INIT(&mesh->addresses);
     mesh->now = Ck_Now(clock);
-    mesh->reachable_count = mesh->expected_count = mesh->known_count = 1;
+    mesh->reachable_count = mesh->expected_count = mesh->running_count = 1;
     mesh->fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     struct sockaddr_in at = {.sin_family = AF_INET};
     at.sin_port = htons((uint16_t)node->peer_port);
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -101,15 +101,15 @@
     bool reads_config;
     bool reads_entries;
     int64_t wall_usec;
-    int64_t config_changed;
-    int64_t entries_changed;
+    int64_t config_changes_end;
+    int64_t entries_changes_end;
     struct du_told lease; /* the sender's lease, if it is the holder */
     size_t load_count;
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
     size_t spent_count;
     struct ms_usage spent[Ms_SPENT_MAX];
-    size_t past_count; /* 0: no daemon has just started */
-    struct ms_past_usage pasts[Ms_SPENT_MAX];
+    size_t past_usage_count; /* 0: no daemon has just started */
+    struct ms_past_usage past_usage[Ms_SPENT_MAX];
     size_t counted_count;
     struct ms_request_count counted[Ms_COUNTS_MAX];
     size_t rate_count;
@@ -151,9 +151,9 @@
     int64_t heard_at; /* 0: never */
     int64_t due_at;   /* when the next message is sent to the peer */
     int64_t summary_due_at;
-    int64_t known_at;
-    int64_t config_changed;
-    int64_t entries_changed;
+    int64_t added_at;
+    int64_t config_changes_end;
+    int64_t entries_changes_end;
     size_t load_count;
     struct ms_load loads[Ms_LOADS_MAX];
     size_t spent_count;
--- a/packages/edge/mesh_internal.h
+++ b/packages/edge/mesh_internal.h
@@ -33,14 +33,14 @@
     size_t count;
     /* Updated by each tick. */
     int64_t now;
-    size_t near_count;
+    size_t local_count;
     size_t reachable_count;
     size_t expected_count;
-    size_t known_count;
+    size_t running_count;
 };
 
 /* Interval between messages to a peer, shorter within a data centre. */
-int64_t ms_send_interval(const struct ms_mesh *mesh, bool near);
+int64_t ms_send_interval(const struct ms_mesh *mesh, bool same_zone);
 /* Reads the clock and counts the peers, for the whole tick. */
 void ms_begin_tick(struct ms_mesh *mesh);
 /* Handles the datagrams received since the last tick. */
--- a/packages/edge/mesh_pace.c
+++ b/packages/edge/mesh_pace.c
@@ -35,10 +35,12 @@
 }
 
 int64_t
-ms_send_interval(const struct ms_mesh *mesh, bool near)
+ms_send_interval(const struct ms_mesh *mesh, bool same_zone)
 {
-    size_t count = near ? mesh->near_count : mesh->count - mesh->near_count;
-    int64_t per_sec = near ? Ms_LOCAL_SENDS_PER_SEC : Ms_REMOTE_SENDS_PER_SEC;
+    size_t count =
+        same_zone ? mesh->local_count : mesh->count - mesh->local_count;
+    int64_t per_sec =
+        same_zone ? Ms_LOCAL_SENDS_PER_SEC : Ms_REMOTE_SENDS_PER_SEC;
     return max_usec((int64_t)count * Ck_USEC_PER_SEC / per_sec,
                     Ms_INTERVAL_MIN_USEC);
 }
@@ -47,7 +49,7 @@
 Ms_Summarizes(const struct ms_mesh *mesh)
 {
     return mesh->count >= Ms_SUMMARY_MIN_DAEMONS &&
-           mesh->near_count < mesh->count;
+           mesh->local_count < mesh->count;
 }
 
 static int64_t
@@ -122,27 +124,27 @@
 ms_begin_tick(struct ms_mesh *mesh)
 {
     mesh->now = Ck_Now(mesh->clock);
-    mesh->near_count = 0;
+    mesh->local_count = 0;
     mesh->reachable_count = 1;
     mesh->expected_count = 1;
-    mesh->known_count = 1;
+    mesh->running_count = 1;
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, &mesh->peers, link) {
         bool running = !peer->stopping;
         bool was_heard = peer->heard_at != 0;
         bool is_awaited =
-            !was_heard && mesh->now - peer->known_at < Ms_FIRST_MESSAGE_USEC;
-        mesh->near_count += peer->near;
+            !was_heard && mesh->now - peer->added_at < Ms_FIRST_MESSAGE_USEC;
+        mesh->local_count += peer->near;
         mesh->reachable_count += running && Ms_IsReachable(mesh, peer);
         mesh->expected_count += was_heard ? running : is_awaited;
-        mesh->known_count += was_heard && running;
+        mesh->running_count += was_heard && running;
     }
 }
 
 bool
 ms_is_expired(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    int64_t last_seen = peer->heard_at != 0 ? peer->heard_at : peer->known_at;
+    int64_t last_seen = peer->heard_at != 0 ? peer->heard_at : peer->added_at;
     return !Ms_Alive(mesh, peer) && mesh->now - last_seen > Ms_EXPIRY_USEC;
 }
 
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -5,10 +5,7 @@
 
 /* A peer without a message for this long does not count as alive. */
 #define Ms_ALIVE_USEC (1500 * Ck_USEC_PER_MSEC)
-/*
- * With many peers the interval between messages grows, and the timeout with
- * it.
- */
+/* The timeout grows with the interval between messages. */
 #define Ms_ALIVE_INTERVALS 5
 /*
  * A shorter timeout, where another daemon can take over at once; two lost
@@ -89,11 +86,14 @@
     return count;
 }
 
-/* Daemons that sent a message in the last minute, including this one. */
+/*
+ * Daemons that sent a message in the last minute and have not announced their
+ * stop, including this one.
+ */
 size_t
 Ms_CountKnown(const struct ms_mesh *mesh)
 {
-    return mesh->known_count;
+    return mesh->running_count;
 }
 
 size_t
--- a/packages/edge/mesh_word.c
+++ b/packages/edge/mesh_word.c
@@ -113,11 +113,11 @@
 static void
 pack_pasts(msgpack_packer *packer, const struct ms_word *message)
 {
-    msgpack_pack_array(packer, message->past_count * Ms_PAST_FIELDS);
-    for (size_t i = 0; i < message->past_count; i++) {
-        msgpack_pack_uint32(packer, message->pasts[i].tenant);
-        msgpack_pack_uint64(packer, message->pasts[i].older);
-        msgpack_pack_uint64(packer, message->pasts[i].newer);
+    msgpack_pack_array(packer, message->past_usage_count * Ms_PAST_FIELDS);
+    for (size_t i = 0; i < message->past_usage_count; i++) {
+        msgpack_pack_uint32(packer, message->past_usage[i].tenant);
+        msgpack_pack_uint64(packer, message->past_usage[i].older);
+        msgpack_pack_uint64(packer, message->past_usage[i].newer);
     }
 }
 
@@ -178,8 +178,8 @@
     msgpack_pack_int(&packer, message->ready);
     msgpack_pack_int(&packer, message->stopping);
     msgpack_pack_int64(&packer, message->wall_usec);
-    msgpack_pack_int64(&packer, message->config_changed);
-    msgpack_pack_int64(&packer, message->entries_changed);
+    msgpack_pack_int64(&packer, message->config_changes_end);
+    msgpack_pack_int64(&packer, message->entries_changes_end);
     msgpack_pack_int64(&packer, message->lease.fence);
     pack_rows(&packer, message);
     msgpack_pack_int(&packer, message->store_reached);
@@ -285,12 +285,12 @@
 static void
 get_pasts(const msgpack_object *field, struct ms_word *out)
 {
-    out->past_count = count_rows(field, Ms_PAST_FIELDS, Ms_SPENT_MAX);
-    for (size_t i = 0; i < out->past_count; i++) {
+    out->past_usage_count = count_rows(field, Ms_PAST_FIELDS, Ms_SPENT_MAX);
+    for (size_t i = 0; i < out->past_usage_count; i++) {
         const msgpack_object *row = &field->via.array.ptr[i * Ms_PAST_FIELDS];
-        out->pasts[i].tenant = (uint32_t)get_number(&row[0]);
-        out->pasts[i].older = (uint64_t)get_number(&row[1]);
-        out->pasts[i].newer = (uint64_t)get_number(&row[2]);
+        out->past_usage[i].tenant = (uint32_t)get_number(&row[0]);
+        out->past_usage[i].older = (uint64_t)get_number(&row[1]);
+        out->past_usage[i].newer = (uint64_t)get_number(&row[2]);
     }
 }
 
@@ -368,8 +368,8 @@
     out->ready = get_number(&field[4]) != 0;
     out->stopping = get_number(&field[5]) != 0;
     out->wall_usec = get_number(&field[6]);
-    out->config_changed = get_number(&field[7]);
-    out->entries_changed = get_number(&field[8]);
+    out->config_changes_end = get_number(&field[7]);
+    out->entries_changes_end = get_number(&field[8]);
     out->lease.fence = get_number(&field[9]);
     get_rows(&field[10], out);
     out->store_reached = get_number(&field[15]) != 0;
--- a/packages/edge/node.h
+++ b/packages/edge/node.h
@@ -40,9 +40,8 @@
     bool first_start; /* first start of the whole system */
     int max_fds;
     int64_t memory_bytes;
-    int link_mbps; /* of this host; 0: unknown */
-    int64_t
-        heartbeat_usec; /* interval at which an endpoint renews its entry */
+    int link_mbps;          /* of this host; 0: unknown */
+    int64_t heartbeat_usec; /* between renewals of an entry */
     int64_t drain_usec;
     int64_t config_apply_usec;
     int64_t grace_usec;
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -10,9 +10,10 @@
 #include "edge/quarantine.h"
 
 /*
- * Two sides of a network partition share one rate. A few unreachable hosts of
- * many are more likely late messages than a partition; what those hosts may
- * spend is within the tenth that the bound allows.
+ * A daemon that reaches at least this fraction of the hosts uses the whole
+ * rate; below that, two sides of a network partition share it. A few
+ * unreachable hosts of many are more likely late messages than a partition,
+ * and what they may spend is within the tenth that the bound allows.
  */
 #define Pe_FULL_RATE_MIN_SHARE 0.95
 /*
@@ -43,7 +44,10 @@
     }
 }
 
-/* Daemons that have just started have no usage from before their start. */
+/*
+ * Sent only while some peer has just started, which has no count of the usage
+ * before its start.
+ */
 static void
 fill_past_usage(struct ga_gate *gate, struct ms_word *message)
 {
@@ -53,11 +57,13 @@
                             gate->options.node->quota_window_usec)) {
         count = Qt_Recent(gate->quota, rows);
     }
-    for (size_t i = 0; i < count && message->past_count < Ms_SPENT_MAX; i++) {
+    for (size_t i = 0; i < count && message->past_usage_count < Ms_SPENT_MAX;
+         i++) {
         const struct wn_past *past = &rows[i].past;
         if (past->older + past->newer >= 1) {
-            message->pasts[message->past_count++] = (struct ms_past_usage){
-                rows[i].tenant, (uint64_t)past->older, (uint64_t)past->newer};
+            message->past_usage[message->past_usage_count++] =
+                (struct ms_past_usage){rows[i].tenant, (uint64_t)past->older,
+                                       (uint64_t)past->newer};
         }
     }
 }
@@ -89,8 +95,8 @@
     message->cut = Pt_AnyCut(gate->paths);
     message->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
     message->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
-    message->config_changed = Fe_ChangesEnd(gate->feed, AG_CONFIG);
-    message->entries_changed = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
+    message->config_changes_end = Fe_ChangesEnd(gate->feed, AG_CONFIG);
+    message->entries_changes_end = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
     message->lease = Du_Told(gate->duty);
     fill_loads(gate, message);
     Qt_Each(gate->quota, fill_usage, message);
@@ -158,29 +164,29 @@
     if (returned) {
         Qt_PeerReturned(gate->quota);
     }
-    bool near = strcmp(message->zone, gate->options.node->zone) == 0;
-    bool reported = !near && Zn_IsReported(gate->zones, message->zone);
+    bool same_zone = strcmp(message->zone, gate->options.node->zone) == 0;
+    bool reported = !same_zone && Zn_IsReported(gate->zones, message->zone);
     for (size_t i = 0; i < message->spent_count && !reported; i++) {
         struct ms_usage more = Ms_UsageIncrease(
             &message->spent[i], peer->spent, same_run ? peer->spent_count : 0);
         charge_peer_usage(gate, &more, while_unreachable);
-        if (near) {
+        if (same_zone) {
             Zn_AddLocalUsage(gate->zones, &more);
         }
     }
 }
 
-/* Only from a daemon that has been up for a whole window. */
+/* Ignores the counts of a peer that was not up for a whole window. */
 static void
 apply_past_usage(struct ga_gate *gate, const struct ms_word *message)
 {
     if (message->up_usec < gate->options.node->quota_window_usec) {
         return;
     }
-    for (size_t i = 0; i < message->past_count; i++) {
-        struct wn_past past = {(double)message->pasts[i].older,
-                               (double)message->pasts[i].newer};
-        Qt_ApplyPastUsage(gate->quota, message->pasts[i].tenant, &past);
+    for (size_t i = 0; i < message->past_usage_count; i++) {
+        struct wn_past past = {(double)message->past_usage[i].older,
+                               (double)message->past_usage[i].newer};
+        Qt_ApplyPastUsage(gate->quota, message->past_usage[i].tenant, &past);
     }
 }
 
@@ -232,11 +238,11 @@
 static void
 set_quota_share(struct ga_gate *gate)
 {
-    size_t heard = Ms_CountReachable(gate->mesh);
+    size_t reachable = Ms_CountReachable(gate->mesh);
     size_t expected = Ms_CountExpected(gate->mesh);
-    double share = (double)heard / (double)expected;
+    double share = (double)reachable / (double)expected;
     Qt_SetShare(gate->quota, share < Pe_FULL_RATE_MIN_SHARE ? share : 1);
-    Qt_SetPeers(gate->quota, expected - heard, Ms_Lag(gate->mesh));
+    Qt_SetPeers(gate->quota, expected - reachable, Ms_Lag(gate->mesh));
     Bu_SetDaemons(gate->budget, Ms_CountKnown(gate->mesh));
 }
 
--- a/packages/edge/peers_internal.h
+++ b/packages/edge/peers_internal.h
@@ -9,7 +9,7 @@
 /* The configuration, compressed for peers that have it up to "from". */
 struct compressed_config {
     int64_t from;
-    int64_t changed;
+    int64_t changes_end;
     struct bf_buffer bytes;
 };
 
@@ -26,7 +26,7 @@
     int response_status;
     int64_t listed_at;
     bool listing;
-    bool listed; /* whatever the listing held */
+    bool listed; /* at least once, even without addresses */
     bool announced;
     bool announcing;
 };
--- a/packages/edge/peers_loads.c
+++ b/packages/edge/peers_loads.c
@@ -19,7 +19,7 @@
 
 static void
 add_load(struct ga_gate *gate, const struct ms_load *load, int64_t age_usec,
-         bool near)
+         bool same_zone)
 {
     struct fl_endpoint *endpoint = Fl_ByHash(gate->fleet, load->endpoint);
     if (endpoint == NULL) {
@@ -29,7 +29,7 @@
         remaining_prefill(gate, endpoint, load->reading, age_usec);
     endpoint->others_running += load->running;
     endpoint->others_reading += reading;
-    if (near) {
+    if (same_zone) {
         endpoint->near_running += load->running;
         endpoint->near_reading += reading;
     }
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -28,8 +28,8 @@
  */
 #define Pe_GOSSIP_MIN_HOSTS 32
 /*
- * Compressed it is a quarter of that, which takes some milliseconds on a slow
- * link.
+ * Compressed, a configuration of this size shrinks to a quarter, which takes
+ * some milliseconds on a slow link.
  */
 #define Pe_SMALL_CONFIG_BYTES ((size_t)64 << 10)
 #define Pe_CONFIG_GOSSIP_USEC (800 * Ck_USEC_PER_MSEC)
@@ -46,9 +46,9 @@
 {
     struct fe_feed *feed = peers->gate->feed;
     struct compressed_config *compressed = &peers->compressed;
-    int64_t changed = Fe_ChangesEnd(feed, AG_CONFIG);
+    int64_t changes_end = Fe_ChangesEnd(feed, AG_CONFIG);
     if (compressed->bytes.len == 0 || compressed->from != from ||
-        compressed->changed != changed) {
+        compressed->changes_end != changes_end) {
         char *state;
         size_t len = Fe_PackState(feed, from, Pe_NOT_REQUESTED, &state);
         Bf_Free(&compressed->bytes);
@@ -60,7 +60,7 @@
             return;
         }
         compressed->from = from;
-        compressed->changed = changed;
+        compressed->changes_end = changes_end;
     }
     Sv_Reply(request, 200, "", compressed->bytes.at, compressed->bytes.len);
 }
@@ -229,7 +229,8 @@
         address);
     Ln_Log(LN_STATE, "state.fetched",
            "\"peer\":\"%s\",\"config\":%lld,\"entries\":%lld", peer->name,
-           (long long)peer->config_changed, (long long)peer->entries_changed);
+           (long long)peer->config_changes_end,
+           (long long)peer->entries_changes_end);
     Cn_Send(peers->fetch, head, (size_t)len, NULL, 0, false, &fetch_ops,
             peers);
 }
@@ -238,8 +239,8 @@
 is_newer(const struct ga_gate *gate, const struct ms_peer *peer,
          enum ag_topic topic)
 {
-    int64_t changed =
-        topic == AG_CONFIG ? peer->config_changed : peer->entries_changed;
+    int64_t changed = topic == AG_CONFIG ? peer->config_changes_end
+                                         : peer->entries_changes_end;
     return changed > Fe_ChangesEnd(gate->feed, topic) && !peer->stopping &&
            Ms_Close(gate->mesh, peer);
 }
--- a/packages/edge/quota_bucket.c
+++ b/packages/edge/quota_bucket.c
@@ -42,9 +42,11 @@
         return;
     }
     double more = bucket->peer_rate * seconds;
-    double most = bucket->peer_rate * quota->predict_sec;
-    if (bucket->predicted + more > most) {
-        more = most > bucket->predicted ? most - bucket->predicted : 0;
+    double predicted_max = bucket->peer_rate * quota->predict_sec;
+    if (bucket->predicted + more > predicted_max) {
+        more = predicted_max > bucket->predicted
+                   ? predicted_max - bucket->predicted
+                   : 0;
     }
     bucket->predicted += more;
     bucket->level -= more;
@@ -100,10 +102,10 @@
         Wn_Advance(&bucket->window, bucket->per_sec * quota->share,
                    bucket->burst * quota->share, now);
     }
-    double most = bucket->burst * quota->share;
+    double level_max = bucket->burst * quota->share;
     bucket->level += qt_refill_rate(quota, bucket) * seconds;
-    if (bucket->level > most) {
-        bucket->level = most;
+    if (bucket->level > level_max) {
+        bucket->level = level_max;
     }
     double unreachable_part = bucket->per_sec * seconds * (1 - quota->share);
     bucket->level_reserve += unreachable_part;
--- a/packages/edge/quota_peers.c
+++ b/packages/edge/quota_peers.c
@@ -123,10 +123,10 @@
     }
     bucket->peer_usage_at = bucket->filled_at;
     bucket->peer_rate += cost / Qt_PEER_RATE_SEC;
-    double known = cost < bucket->predicted ? cost : bucket->predicted;
-    bucket->predicted -= known;
+    double prepaid = cost < bucket->predicted ? cost : bucket->predicted;
+    bucket->predicted -= prepaid;
     qt_charge(bucket, cost);
-    bucket->level += known;
+    bucket->level += prepaid;
 }
 
 void
@@ -139,8 +139,8 @@
         return;
     }
     qt_fill(quota, bucket);
-    struct wn_past known = Wn_Past(&bucket->window);
-    double more = past->older + past->newer - known.older - known.newer;
+    struct wn_past own = Wn_Past(&bucket->window);
+    double more = past->older + past->newer - own.older - own.newer;
     double limit = qt_window_limit(quota, bucket);
     if (more > limit * Qt_PAST_MIN_LIMITS &&
         past->older + past->newer < limit * Qt_PAST_MAX_LIMITS) {
--- a/packages/edge/quota_take.c
+++ b/packages/edge/quota_take.c
@@ -53,7 +53,7 @@
 required_room(const struct qt_quota *quota, const struct qt_bucket *bucket,
               double cost)
 {
-    double most = bucket->burst * quota->share;
+    double bucket_max = bucket->burst * quota->share;
     double need = cost;
     if (bucket->window.step_usec > 0) {
         double small_reserve =
@@ -65,7 +65,7 @@
         need = part * (bucket->mean_cost + small_reserve);
     }
     /* One request may cost more than a bucket can ever hold. */
-    return fmin(need, most);
+    return fmin(need, bucket_max);
 }
 
 static int64_t
--- a/packages/edge/test/feed_test.cc
+++ b/packages/edge/test/feed_test.cc
@@ -249,7 +249,7 @@
     other.client->down = true;
     ASSERT_TRUE(Until([&] { return Version(reader) == 1; }));
     ASSERT_TRUE(evacuated["a"]);
-    auto tell = [&] {
+    auto pass_on = [&] {
         char *packed;
         size_t len =
             Fe_PackState(reader.feed, Fe_ChangesEnd(other.feed, AG_CONFIG),
@@ -258,12 +258,12 @@
         free(packed);
     };
     evacuated.clear();
-    tell();
+    pass_on();
     EXPECT_TRUE(evacuated["a"]);
     store_.Remove(AG_CONFIG, "evacuate/a");
     ASSERT_TRUE(Until([&] { return !evacuated["a"]; }));
     evacuated["a"] = true;
-    tell();
+    pass_on();
     EXPECT_FALSE(evacuated["a"]);
 }
 
@@ -520,10 +520,10 @@
     ASSERT_TRUE(Until([&] { return IsDraining(fresh, "a"); }));
     store_.Put(AG_ENDPOINTS, "c", "ready");
     ASSERT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "c") != nullptr; }));
-    int64_t known = Fe_ChangesEnd(old.feed, AG_ENDPOINTS);
-    ASSERT_GT(Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS), known);
+    int64_t old_end = Fe_ChangesEnd(old.feed, AG_ENDPOINTS);
+    ASSERT_GT(Fe_ChangesEnd(fresh.feed, AG_ENDPOINTS), old_end);
     char *packed;
-    size_t len = Fe_PackState(fresh.feed, INT64_MAX, known, &packed);
+    size_t len = Fe_PackState(fresh.feed, INT64_MAX, old_end, &packed);
     Fe_ApplyState(old.feed, packed, len);
     free(packed);
     EXPECT_TRUE(IsDraining(old, "a"));
@@ -532,7 +532,7 @@
     // grow beyond the last change.
     Node far = Start();
     far.client->down = true;
-    len = Fe_PackState(old.feed, INT64_MAX, known, &packed);
+    len = Fe_PackState(old.feed, INT64_MAX, old_end, &packed);
     Fe_ApplyState(far.feed, packed, len);
     free(packed);
     EXPECT_TRUE(IsDraining(far, "a"));
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -124,8 +124,7 @@
     struct Host {
         struct nd_node node = {};
         struct ms_mesh mesh = {};
-        std::vector<struct ms_peer *>
-            peers; /* by index of the host; null for the host itself */
+        std::vector<struct ms_peer *> peers; /* by host; null for itself */
         int64_t offset = 0;
         bool dead = false;
         std::vector<int64_t> summary_at;
@@ -159,7 +158,7 @@
             peer = static_cast<struct ms_peer *>(calloc(1, sizeof(*peer)));
             strcpy(peer->ip, Ip(k).c_str());
             peer->hash = hosts_[k].mesh.hash;
-            peer->known_at = clock.boot;
+            peer->added_at = clock.boot;
             TAILQ_INSERT_TAIL(&hosts_[i].mesh.peers, peer, link);
             hosts_[i].mesh.count++;
         }
@@ -199,7 +198,7 @@
         strcpy(message.zone, hosts_[datagram.from].node.zone);
         message.run = hosts_[datagram.from].mesh.run;
         message.summary = datagram.summary;
-        message.entries_changed = datagram.offset;
+        message.entries_changes_end = datagram.offset;
         ms_apply_message(&host.mesh, host.peers[datagram.from], &message);
         host.offset = std::max(host.offset, datagram.offset);
         if (datagram.summary) {
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -112,9 +112,10 @@
     }
 
     // A fraction of the daemons dies and starts again after "down". The last
-    // record survives. "told": the other daemons report past usage to them.
+    // record survives. "with_reports": the other daemons report past usage to
+    // them.
     void
-    RestartSome(double part, int64_t down, double load, bool told)
+    RestartSome(double part, int64_t down, double load, bool with_reports)
     {
         size_t some = (size_t)((double)quotas_.size() * part);
         Run(down, load);
@@ -130,7 +131,7 @@
                 asked_[i][j] = 0;
             }
         }
-        past_receivers_ = told ? some : 0;
+        past_receivers_ = with_reports ? some : 0;
     }
 
     // Partitions the first "part" of the daemons off. Each side adjusts its
@@ -260,8 +261,8 @@
         double first = (double)partition_at_ / (double)quotas_.size();
         for (size_t i = 0; i < quotas_.size(); i++) {
             double share = i < partition_at_ ? first : 1 - first;
-            size_t heard = (size_t)(share * (double)quotas_.size() + 0.5);
-            Qt_SetPeers(quotas_[i], quotas_.size() - heard, every_);
+            size_t reachable = (size_t)(share * (double)quotas_.size() + 0.5);
+            Qt_SetPeers(quotas_[i], quotas_.size() - reachable, every_);
             Qt_SetShare(quotas_[i], share);
         }
     }
@@ -299,13 +300,13 @@
                 &now);
             uint64_t total = now.admitted;
             for (size_t j = 0; j < quotas_.size(); j++) {
-                bool heard = (i < partition_at_) == (j < partition_at_);
-                if (j != i && heard && now.asked > asked_[i][j]) {
+                bool reachable = (i < partition_at_) == (j < partition_at_);
+                if (j != i && reachable && now.asked > asked_[i][j]) {
                     Qt_AddPeerDemand(quotas_[j], Qt_Hash("acme"),
                                      (double)(now.asked - asked_[i][j]));
                     asked_[i][j] = now.asked;
                 }
-                if (j == i || !heard || total <= reported_[i][j]) {
+                if (j == i || !reachable || total <= reported_[i][j]) {
                     continue;
                 }
                 if (unreachable_[i][j]) {
@@ -530,19 +531,21 @@
         for (int64_t before : {500, 1500}) {
             double most[2];
             double served[2];
-            for (bool told : {false, true}) {
+            for (bool with_reports : {false, true}) {
                 Replay replay(69, 500 * Ck_USEC_PER_MSEC, kLargeRate);
                 replay.Run(10 * Ck_USEC_PER_SEC, 0.4);
                 replay.Record();
                 replay.Run(before * Ck_USEC_PER_MSEC, 3);
-                replay.RestartSome(part, 500 * Ck_USEC_PER_MSEC, 3, told);
+                replay.RestartSome(part, 500 * Ck_USEC_PER_MSEC, 3,
+                                   with_reports);
                 replay.Recount();
                 replay.Run(11 * Ck_USEC_PER_SEC, 3);
-                most[told] = replay.HighestWindow() / Bound(kLargeRate);
-                served[told] = replay.ServedPart();
+                most[with_reports] =
+                    replay.HighestWindow() / Bound(kLargeRate);
+                served[with_reports] = replay.ServedPart();
             }
             printf("%.2f of 69 killed after %lld ms: %.3f of the bound and "
-                   "%.3f served, told %.3f and %.3f\n",
+                   "%.3f served, with reports %.3f and %.3f\n",
                    part, (long long)before, most[0], served[0], most[1],
                    served[1]);
             EXPECT_LE(most[1], 1) << part << " " << before;
