--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -1,4 +1,4 @@
-/* What the other daemons say of themselves, taken in and told. */
+/* Fills the messages to peers, and applies those of peers. */
 #include <bsd/string.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,111 +10,122 @@
 #include "edge/quarantine.h"
 
 /*
- * Hosts that do not hear each other hand out one rate together.  That a few
- * of many are not heard is no cut but a word that came late; what they may
- * spend is within the bound's allowance of a tenth.
+ * A daemon that reaches at least this fraction of the hosts uses the whole
+ * rate; below that, two sides of a network partition share it. A few
+ * unreachable hosts of many are more likely late messages than a partition,
+ * and what they may spend is within the tenth that the bound allows.
+ */
+#define Pe_FULL_RATE_MIN_SHARE 0.95
+/*
+ * Daemons that were killed together are up again within this time of each
+ * other.
  */
-#define Pe_ALMOST_ALL 0.95
-/* Daemons killed together are back within this of each other. */
 #define Pe_SAME_START_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
-fill_loads(const struct ga_gate *gate, struct ms_word *word)
+fill_loads(const struct ga_gate *gate, struct ms_word *message)
 {
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (endpoint->running > 0 && word->load_count < Ms_LOADS_MAX) {
-            word->loads[word->load_count++] = (struct ms_load){
+        if (endpoint->running > 0 && message->load_count < Ms_LOADS_MAX) {
+            message->loads[message->load_count++] = (struct ms_load){
                 endpoint->hash, endpoint->running, endpoint->reading};
         }
     }
 }
 
 static void
-fill_spent(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
+fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
 {
-    struct ms_word *word = arg;
-    if (word->spent_count < Ms_SPENT_MAX) {
-        word->spent[word->spent_count++] =
-            (struct ms_spent){tenant, total, asked};
+    struct ms_word *message = arg;
+    if (message->spent_count < Ms_SPENT_MAX) {
+        message->spent[message->spent_count++] =
+            (struct ms_usage){tenant, total, asked};
     }
 }
 
-/* Daemons that have just started know of no spending before. */
+/*
+ * Sent only while some peer has just started, which has no count of the usage
+ * before its start.
+ */
 static void
-fill_pasts(struct ga_gate *gate, struct ms_word *word)
+fill_past_usage(struct ga_gate *gate, struct ms_word *message)
 {
     struct qt_recent rows[Qt_RECENT_MAX];
     size_t count = 0;
-    if (Ms_AnyYounger(gate->mesh, gate->options.node->quota_window_usec)) {
+    if (Ms_AnyStartedWithin(gate->mesh,
+                            gate->options.node->quota_window_usec)) {
         count = Qt_Recent(gate->quota, rows);
     }
-    for (size_t i = 0; i < count && word->past_count < Ms_SPENT_MAX; i++) {
+    for (size_t i = 0; i < count && message->past_usage_count < Ms_SPENT_MAX;
+         i++) {
         const struct wn_past *past = &rows[i].past;
         if (past->older + past->newer >= 1) {
-            word->pasts[word->past_count++] = (struct ms_past){
-                rows[i].tenant, (uint64_t)past->older, (uint64_t)past->newer};
+            message->past_usage[message->past_usage_count++] =
+                (struct ms_past_usage){rows[i].tenant, (uint64_t)past->older,
+                                       (uint64_t)past->newer};
         }
     }
 }
 
 static void
-fill_counted(const struct ga_gate *gate, struct ms_word *word)
+fill_request_counts(const struct ga_gate *gate, struct ms_word *message)
 {
     int64_t now = Wo_Window(gate, Tt_Now(gate->time));
     for (int64_t window = now; window > now - 3; window--) {
         struct us_count counts[Us_TENANTS_MAX];
         size_t count = Us_Own(gate->usage, window, counts);
-        for (size_t i = 0; i < count && word->counted_count < Ms_COUNTS_MAX;
+        for (size_t i = 0; i < count && message->counted_count < Ms_COUNTS_MAX;
              i++) {
-            word->counted[word->counted_count++] =
-                (struct ms_counted){window, counts[i].tenant, counts[i].count};
+            message->counted[message->counted_count++] =
+                (struct ms_request_count){window, counts[i].tenant,
+                                          counts[i].count};
         }
     }
 }
 
 static void
-fill(void *arg, struct ms_word *word)
+fill_message(void *arg, struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    word->up_usec = Ga_Now(gate) - gate->started_at;
-    word->ready = Ga_Ready(gate);
-    word->stopping = gate->stopping_at != 0;
-    word->store_reached = Fe_Reached(gate->feed);
-    word->cut = Pt_AnyCut(gate->paths);
-    word->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
-    word->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
-    word->config_changed = Fe_Changed(gate->feed, AG_CONFIG);
-    word->entries_changed = Fe_Changed(gate->feed, AG_ENDPOINTS);
-    word->lease = Du_Told(gate->duty);
-    fill_loads(gate, word);
-    Qt_Each(gate->quota, fill_spent, word);
-    fill_pasts(gate, word);
-    fill_counted(gate, word);
-    Bt_Fill(gate, word);
-    Qn_Fill(gate->quarantine, word);
-    word->rate_count = De_Own(gate->demand, word->rates);
-    word->evidence_count =
-        Ro_Own(gate->moves, word->evidence, Ms_EVIDENCE_MAX);
-    word->standing_count =
-        Ro_Standings(gate->moves, word->standings, Ro_MOVES_MAX);
+    message->up_usec = Ga_Now(gate) - gate->started_at;
+    message->ready = Ga_Ready(gate);
+    message->stopping = gate->stopping_at != 0;
+    message->store_reached = Fe_Reached(gate->feed);
+    message->cut = Pt_AnyCut(gate->paths);
+    message->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
+    message->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
+    message->config_changes_end = Fe_ChangesEnd(gate->feed, AG_CONFIG);
+    message->entries_changes_end = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
+    message->lease = Du_Told(gate->duty);
+    fill_loads(gate, message);
+    Qt_Each(gate->quota, fill_usage, message);
+    fill_past_usage(gate, message);
+    fill_request_counts(gate, message);
+    Bt_Fill(gate, message);
+    Qn_Fill(gate->quarantine, message);
+    message->rate_count = De_Own(gate->demand, message->rates);
+    message->evidence_count =
+        Ro_Own(gate->moves, message->evidence, Ms_EVIDENCE_MAX);
+    message->standing_count =
+        Ro_Standings(gate->moves, message->standings, Ro_MOVES_MAX);
 }
 
-/* Sums over this data centre in place of what this daemon has sent. */
+/* Replaces what this daemon has sent by the sums over its data centre. */
 static void
-summarize(void *arg, struct ms_word *word)
+fill_zone_summary(void *arg, struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    Zn_Summarize(gate->zones, word);
-    word->counted_count = 0;
-    word->rate_count = 0;
-    word->evidence_count = 0;
-    word->load_count = 0;
+    Zn_Summarize(gate->zones, message);
+    message->counted_count = 0;
+    message->rate_count = 0;
+    message->evidence_count = 0;
+    message->load_count = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         int running = endpoint->running + endpoint->near_running;
-        if (running > 0 && word->load_count < Ms_SUMMARY_LOADS_MAX) {
-            word->loads[word->load_count++] =
+        if (running > 0 && message->load_count < Ms_SUMMARY_LOADS_MAX) {
+            message->loads[message->load_count++] =
                 (struct ms_load){endpoint->hash, running,
                                  endpoint->reading + endpoint->near_reading};
         }
@@ -122,118 +133,121 @@
 }
 
 static void
-spend(struct ga_gate *gate, const struct ms_spent *more, bool apart)
+charge_peer_usage(struct ga_gate *gate, const struct ms_usage *more,
+                  bool while_unreachable)
 {
     if (more->asked > 0) {
-        Qt_Asked(gate->quota, more->tenant, (double)more->asked);
+        Qt_AddPeerDemand(gate->quota, more->tenant, (double)more->asked);
     }
     if (more->total > 0) {
-        Qt_Spent(gate->quota, more->tenant, (double)more->total, apart);
+        Qt_AddPeerUsage(gate->quota, more->tenant, (double)more->total,
+                        while_unreachable);
     }
 }
 
 /*
- * What a peer admitted since its last word, or since its start.  That of a
- * data centre whose sums are told is in them.
+ * Charges what a peer admitted since its previous message, or since its start.
+ * The usage of peers in a data centre that reports summaries is part of those.
  */
 static void
-take_spent(struct ga_gate *gate, const struct ms_peer *peer,
-           const struct ms_word *word)
+apply_usage(struct ga_gate *gate, const struct ms_peer *peer,
+            const struct ms_word *message)
 {
-    bool same = peer->run == word->run;
-    bool back = peer->run != 0 && !Ms_Heard(gate->mesh, peer);
-    bool apart = same && back;
+    bool same_run = peer->run == message->run;
+    bool returned = peer->run != 0 && !Ms_IsReachable(gate->mesh, peer);
+    bool while_unreachable = same_run && returned;
     int64_t up_usec = Ga_Now(gate) - gate->started_at;
-    if (peer->run == 0 && word->up_usec > up_usec + Pe_SAME_START_USEC) {
-        /* It admitted most of that before this daemon was there. */
+    if (peer->run == 0 && message->up_usec > up_usec + Pe_SAME_START_USEC) {
+        /* The peer admitted most of that before this daemon started. */
         return;
     }
-    if (back) {
-        Qt_Returned(gate->quota);
+    if (returned) {
+        Qt_PeerReturned(gate->quota);
     }
-    bool near = strcmp(word->zone, gate->options.node->zone) == 0;
-    bool told = !near && Zn_IsReported(gate->zones, word->zone);
-    for (size_t i = 0; i < word->spent_count && !told; i++) {
-        struct ms_spent more = Ms_SpentMore(&word->spent[i], peer->spent,
-                                            same ? peer->spent_count : 0);
-        spend(gate, &more, apart);
-        if (near) {
-            Zn_AddNear(gate->zones, &more);
+    bool same_zone = strcmp(message->zone, gate->options.node->zone) == 0;
+    bool reported = !same_zone && Zn_IsReported(gate->zones, message->zone);
+    for (size_t i = 0; i < message->spent_count && !reported; i++) {
+        struct ms_usage more = Ms_UsageIncrease(
+            &message->spent[i], peer->spent, same_run ? peer->spent_count : 0);
+        charge_peer_usage(gate, &more, while_unreachable);
+        if (same_zone) {
+            Zn_AddLocalUsage(gate->zones, &more);
         }
     }
 }
 
-/* Only of a daemon that has seen a whole window. */
+/* Ignores the counts of a peer that was not up for a whole window. */
 static void
-take_pasts(struct ga_gate *gate, const struct ms_word *word)
+apply_past_usage(struct ga_gate *gate, const struct ms_word *message)
 {
-    if (word->up_usec < gate->options.node->quota_window_usec) {
+    if (message->up_usec < gate->options.node->quota_window_usec) {
         return;
     }
-    for (size_t i = 0; i < word->past_count; i++) {
-        struct wn_past past = {(double)word->pasts[i].older,
-                               (double)word->pasts[i].newer};
-        Qt_ToldPast(gate->quota, word->pasts[i].tenant, &past);
+    for (size_t i = 0; i < message->past_usage_count; i++) {
+        struct wn_past past = {(double)message->past_usage[i].older,
+                               (double)message->past_usage[i].newer};
+        Qt_ApplyPastUsage(gate->quota, message->past_usage[i].tenant, &past);
     }
 }
 
 static void
-on_zone_spent(void *arg, const struct ms_spent *more)
+on_zone_usage(void *arg, const struct ms_usage *more)
 {
-    spend(arg, more, false);
+    charge_peer_usage(arg, more, false);
 }
 
 static void
-on_word(void *arg, const struct ms_peer *peer, const struct ms_word *word)
+on_message(void *arg, const struct ms_peer *peer,
+           const struct ms_word *message)
 {
     struct ga_gate *gate = arg;
-    Tt_Peer(gate->time, Hash_String(word->ip, 0), word->wall_usec);
-    if (word->summary) {
-        Zn_Take(gate->zones, word, on_zone_spent, gate);
+    Tt_Peer(gate->time, Hash_String(message->ip, 0), message->wall_usec);
+    if (message->summary) {
+        Zn_ApplySummary(gate->zones, message, on_zone_usage, gate);
     }
     else {
-        take_spent(gate, peer, word);
+        apply_usage(gate, peer, message);
     }
-    take_pasts(gate, word);
-    for (size_t i = 0; i < word->counted_count; i++) {
-        Us_Peer(gate->usage, word->run, word->counted[i].window,
-                word->counted[i].tenant, word->counted[i].count);
+    apply_past_usage(gate, message);
+    for (size_t i = 0; i < message->counted_count; i++) {
+        Us_Peer(gate->usage, message->run, message->counted[i].window,
+                message->counted[i].tenant, message->counted[i].count);
     }
-    Bt_Take(gate, word);
-    Qn_Take(gate->quarantine, word);
-    if (word->lease.fence > 0) {
-        Du_Heard(gate->duty, &word->lease);
+    Bt_Take(gate, message);
+    Qn_Take(gate->quarantine, message);
+    if (message->lease.fence > 0) {
+        Du_Heard(gate->duty, &message->lease);
     }
-    for (size_t i = 0; i < word->standing_count; i++) {
-        Ro_Heard(gate->moves, &word->standings[i],
-                 word->lease.fence > 0 && word->lease.left_usec > 0);
+    for (size_t i = 0; i < message->standing_count; i++) {
+        Ro_Heard(gate->moves, &message->standings[i],
+                 message->lease.fence > 0 && message->lease.left_usec > 0);
     }
 }
 
 static const struct ms_ops mesh_ops = {
-    .fill = fill,
-    .summarize = summarize,
-    .word = on_word,
+    .fill = fill_message,
+    .summarize = fill_zone_summary,
+    .message = on_message,
 };
 
 /*
- * Hosts that are not heard may be cut off from this one and serve callers all
- * the same; were both sides to hand out the whole rate, a tenant at its limit
- * would get it twice.  Hosts that said that they stop do not count.
+ * Hosts that cannot be reached may be on the other side of a network partition
+ * and still serve callers. If both sides admitted the whole rate, a tenant at
+ * its limit would get it twice. Hosts that announced their stop do not count.
  */
 static void
-share_quota(struct ga_gate *gate)
+set_quota_share(struct ga_gate *gate)
 {
-    size_t heard = Ms_CountHeard(gate->mesh);
+    size_t reachable = Ms_CountReachable(gate->mesh);
     size_t expected = Ms_CountExpected(gate->mesh);
-    double share = (double)heard / (double)expected;
-    Qt_SetShare(gate->quota, share < Pe_ALMOST_ALL ? share : 1);
-    Qt_SetPeers(gate->quota, expected - heard, Ms_Lag(gate->mesh));
+    double share = (double)reachable / (double)expected;
+    Qt_SetShare(gate->quota, share < Pe_FULL_RATE_MIN_SHARE ? share : 1);
+    Qt_SetPeers(gate->quota, expected - reachable, Ms_Lag(gate->mesh));
     Bu_SetDaemons(gate->budget, Ms_CountKnown(gate->mesh));
 }
 
 static void
-sum_evidence(struct ga_gate *gate)
+sum_peer_evidence(struct ga_gate *gate)
 {
     Ro_ClearOthers(gate->moves);
     const struct ms_peer *peer;
@@ -273,7 +287,7 @@
 {
     if (peers != NULL) {
         pe_end_fetch(peers);
-        Bf_Free(&peers->packed.bytes);
+        Bf_Free(&peers->compressed.bytes);
         Sv_Destroy(peers->server);
         free(peers);
     }
@@ -285,8 +299,8 @@
     Ms_Tick(peers->gate->mesh);
     Sv_Tick(peers->server);
     pe_sum_loads(peers->gate);
-    sum_evidence(peers->gate);
-    share_quota(peers->gate);
-    pe_find_peers(peers);
-    pe_fetch_newer(peers);
+    sum_peer_evidence(peers->gate);
+    set_quota_share(peers->gate);
+    pe_discover_peers(peers);
+    pe_fetch_newer_state(peers);
 }
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -1,6 +1,7 @@
 /*
- * Words between hundreds of daemons, without sockets: who tells whom at which
- * moment, and how soon what one knows is known to all.
+ * Simulates gossip between hundreds of daemons without sockets: which daemon
+ * sends to which peer in each tick, and how soon a change read by one daemon
+ * has reached all.
  */
 #include <gtest/gtest.h>
 
@@ -38,7 +39,7 @@
         }
         for (size_t i = 0; i < hosts; i++) {
             for (size_t k = 0; k < hosts; k++) {
-                Meet(i, k);
+                AddPeer(i, k);
             }
         }
     }
@@ -52,7 +53,7 @@
         }
     }
 
-    // One tick of every host that lives.
+    // Runs one tick of every running host.
     void
     Tick()
     {
@@ -62,10 +63,10 @@
                 Send(i);
             }
         }
-        for (const Sent &sent : sent_) {
-            Receive(sent);
+        for (const Datagram &datagram : datagrams_) {
+            Receive(datagram);
         }
-        sent_.clear();
+        datagrams_.clear();
     }
 
     void
@@ -76,19 +77,20 @@
         }
     }
 
-    // One host reads something new; the others fetch it when they hear of it.
+    // Lets one host read a change. Others fetch it on the first message that
+    // reports it.
     void
-    Learn(size_t host, int64_t number)
+    Update(size_t host, int64_t number)
     {
-        hosts_[host].known = number;
+        hosts_[host].offset = number;
     }
 
     bool
-    AllKnow(int64_t number) const
+    AllHave(int64_t number) const
     {
         return std::all_of(
             hosts_.begin(), hosts_.end(),
-            [&](const Host &host) { return host.known == number; });
+            [&](const Host &host) { return host.offset == number; });
     }
 
     void
@@ -97,7 +99,7 @@
         hosts_[host].dead = true;
     }
 
-    // The longest that a living host has waited for the sums of another data
+    // The longest time that a running host has had no summary of another data
     // centre.
     int64_t
     OldestSummary() const
@@ -115,24 +117,24 @@
     }
 
     FakeClock clock;
-    size_t words = 0;
-    size_t most_in_a_tick = 0;
+    size_t messages = 0;
+    size_t max_per_tick = 0;
 
   private:
     struct Host {
         struct nd_node node = {};
         struct ms_mesh mesh = {};
-        std::vector<struct ms_peer *> peers; /* by host; null: itself */
-        int64_t known = 0;
+        std::vector<struct ms_peer *> peers; /* by host; null for itself */
+        int64_t offset = 0;
         bool dead = false;
         std::vector<int64_t> summary_at;
     };
 
-    struct Sent {
+    struct Datagram {
         size_t from;
         size_t to;
         bool summary;
-        int64_t known;
+        int64_t offset;
     };
 
     static std::string
@@ -149,14 +151,14 @@
     }
 
     void
-    Meet(size_t i, size_t k)
+    AddPeer(size_t i, size_t k)
     {
         struct ms_peer *peer = nullptr;
         if (i != k) {
             peer = static_cast<struct ms_peer *>(calloc(1, sizeof(*peer)));
             strcpy(peer->ip, Ip(k).c_str());
             peer->hash = hosts_[k].mesh.hash;
-            peer->known_at = clock.boot;
+            peer->added_at = clock.boot;
             TAILQ_INSERT_TAIL(&hosts_[i].mesh.peers, peer, link);
             hosts_[i].mesh.count++;
         }
@@ -168,80 +170,81 @@
     {
         Host &host = hosts_[i];
         ms_begin_tick(&host.mesh);
-        size_t before = sent_.size();
+        size_t before = datagrams_.size();
         for (size_t k = 0; k < hosts_.size(); k++) {
             if (k == i) {
                 continue;
             }
-            if (ms_word_due(&host.mesh, host.peers[k])) {
-                sent_.push_back({i, k, false, host.known});
+            if (ms_message_due(&host.mesh, host.peers[k])) {
+                datagrams_.push_back({i, k, false, host.offset});
             }
             if (ms_summary_due(&host.mesh, host.peers[k])) {
-                sent_.push_back({i, k, true, host.known});
+                datagrams_.push_back({i, k, true, host.offset});
             }
         }
-        words += sent_.size() - before;
-        most_in_a_tick = std::max(most_in_a_tick, sent_.size() - before);
+        messages += datagrams_.size() - before;
+        max_per_tick = std::max(max_per_tick, datagrams_.size() - before);
     }
 
     void
-    Receive(const Sent &sent)
+    Receive(const Datagram &datagram)
     {
-        Host &host = hosts_[sent.to];
+        Host &host = hosts_[datagram.to];
         if (host.dead) {
             return;
         }
-        static struct ms_word word;
-        strcpy(word.name, hosts_[sent.from].node.name);
-        strcpy(word.zone, hosts_[sent.from].node.zone);
-        word.run = hosts_[sent.from].mesh.run;
-        word.summary = sent.summary;
-        word.entries_changed = sent.known;
-        ms_take_word(&host.mesh, host.peers[sent.from], &word);
-        host.known = std::max(host.known, sent.known);
-        if (sent.summary) {
-            host.summary_at[sent.from % kZones] = clock.boot;
+        static struct ms_word message;
+        strcpy(message.name, hosts_[datagram.from].node.name);
+        strcpy(message.zone, hosts_[datagram.from].node.zone);
+        message.run = hosts_[datagram.from].mesh.run;
+        message.summary = datagram.summary;
+        message.entries_changes_end = datagram.offset;
+        ms_apply_message(&host.mesh, host.peers[datagram.from], &message);
+        host.offset = std::max(host.offset, datagram.offset);
+        if (datagram.summary) {
+            host.summary_at[datagram.from % kZones] = clock.boot;
         }
     }
 
     std::vector<Host> hosts_;
-    std::vector<Sent> sent_;
+    std::vector<Datagram> datagrams_;
 };
 
-// Guards against words that all leave in one tick of a gap of seconds: an
-// endpoint that leaves gets requests for as long as that takes at each hop.
-TEST(Mesh, WhatOneOfHundredsReadsIsKnownToAllWithinASecond)
+// Guards against sending all messages in the same tick of an interval that
+// lasts seconds. A stopping endpoint would get requests for an interval at
+// each hop.
+TEST(Mesh, AChangeReachesHundredsOfDaemonsWithinASecond)
 {
     Model model(295);
     model.Run(6 * Ck_USEC_PER_SEC);
     for (int64_t number = 1; number <= 4; number++) {
-        model.Learn((size_t)number * 71, number);
+        model.Update((size_t)number * 71, number);
         model.Run(Ck_USEC_PER_SEC);
-        EXPECT_TRUE(model.AllKnow(number)) << number;
+        EXPECT_TRUE(model.AllHave(number)) << number;
     }
 }
 
-// Guards against what a daemon sends growing with the number of daemons, and
-// against all of it leaving in one tick.
-TEST(Mesh, TheCostOfADaemonStaysTheSame)
+// Guards against a sending rate that grows with the number of daemons, and
+// against sending everything in one tick.
+TEST(Mesh, SendingRateDoesNotGrowWithDaemons)
 {
     double per_sec[2];
     size_t hosts[2] = {90, 295};
     for (size_t i = 0; i < 2; i++) {
         Model model(hosts[i]);
         model.Run(4 * Ck_USEC_PER_SEC);
-        model.words = 0;
-        model.most_in_a_tick = 0;
+        model.messages = 0;
+        model.max_per_tick = 0;
         model.Run(4 * Ck_USEC_PER_SEC);
-        per_sec[i] = (double)model.words / 4 / (double)hosts[i];
-        EXPECT_LE((double)model.most_in_a_tick, 0.3 * per_sec[i]) << hosts[i];
+        per_sec[i] = (double)model.messages / 4 / (double)hosts[i];
+        EXPECT_LE((double)model.max_per_tick, 0.3 * per_sec[i]) << hosts[i];
     }
     EXPECT_LE(per_sec[1], per_sec[0] * 1.1);
 }
 
-// Guards against limits and choices that rest on what other data centres did
-// seconds ago.
-TEST(Mesh, EveryDataCentresSumsAreHeardWithinASecond)
+// Guards against limits and choices based on summaries of other data centres
+// that are seconds old.
+TEST(Mesh, SummariesArriveWithinASecond)
 {
     Model model(295);
     model.Run(5 * Ck_USEC_PER_SEC);
@@ -253,9 +256,9 @@
     EXPECT_LE(oldest, Ck_USEC_PER_SEC);
 }
 
-// Guards against daemons that wait for the sums of a data centre from one that
+// Guards against daemons that keep waiting for summaries from a reporter that
 // has died.
-TEST(Mesh, OthersTellWhenHalfOfTheDaemonsDie)
+TEST(Mesh, SummariesArriveAfterHalfOfTheDaemonsDie)
 {
     Model model(295);
     model.Run(5 * Ck_USEC_PER_SEC);
@@ -271,14 +274,15 @@
     EXPECT_LE(oldest, 2 * Ck_USEC_PER_SEC);
 }
 
-// Guards against few daemons that are told less often than before.
-TEST(Mesh, FewDaemonsTellEachOtherInEveryTick)
+// Guards against small deployments in which messages are sent less often than
+// every tick.
+TEST(Mesh, FewDaemonsSendInEveryTick)
 {
     Model model(7);
     model.Run(5 * Ck_USEC_PER_SEC);
-    model.words = 0;
+    model.messages = 0;
     model.Run(Ck_USEC_PER_SEC);
-    EXPECT_EQ(10u * 7 * 6, model.words);
+    EXPECT_EQ(10u * 7 * 6, model.messages);
 }
 
 } // namespace
