--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -200,18 +200,18 @@
 static void
 run_claims_wire(const uint8_t *data, size_t len)
 {
-    struct cw_ask ask;
-    struct cw_answer answer;
+    struct cw_request ask;
+    struct cw_reply answer;
     char *text = text_of(data, len);
-    if (Cw_ReadAsk(text, len, &ask) == ST_OK) {
+    if (Cw_ReadRequest(text, len, &ask) == ST_OK) {
         require(ask.kind <= CW_RELEASE, "a known kind");
-        Cw_FreeAsk(&ask);
+        Cw_FreeRequest(&ask);
     }
-    if (Cw_ReadAnswer(text, len, &answer) == ST_OK) {
+    if (Cw_ReadReply(text, len, &answer) == ST_OK) {
         require(answer.answer.verdict != KP_DONE ||
                     answer.answer.answer != NULL,
                 "a kept answer is there");
-        Cw_FreeAnswer(&answer);
+        Cw_FreeReply(&answer);
     }
     free(text);
 }
--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -26,7 +26,7 @@
 {
     const struct ec_config *config = Fe_Config(gate->feed);
     const char *tenant = found->tenant == NULL ? "" : found->tenant->name;
-    struct qt_use use = Qt_Use(gate->quota, tenant);
+    struct qt_usage use = Qt_Usage(gate->quota, tenant);
     Mt_Add(gate->count.refused, 1);
     Ln_Log(LN_FAILURE, "request.refused",
            "\"id\":\"%s\",\"status\":%d,\"why\":\"%s\",\"retry_ms\":%lld,"
@@ -52,7 +52,7 @@
 static struct refusal
 not_allowed(const struct ga_gate *gate, int status, const char *why)
 {
-    if (!Fe_Current(gate->feed)) {
+    if (!Fe_IsCurrent(gate->feed)) {
         return (struct refusal){503, Ad_STARTING_USEC,
                                 "the configuration may be out of date"};
     }
@@ -60,13 +60,13 @@
 }
 
 static double
-cost_of(const struct ec_tenant *tenant, const struct ak_ask *ask)
+cost_of(const struct ec_tenant *tenant, const struct hd_request_info *ask)
 {
-    if (!tenant->in_tokens) {
+    if (!tenant->counts_tokens) {
         return 1;
     }
-    return ask->counted ? (double)(ask->tokens_in + ask->tokens_out)
-                        : (double)tenant->plain;
+    return ask->has_token_counts ? (double)(ask->tokens_in + ask->tokens_out)
+                                 : (double)tenant->default_tokens;
 }
 
 /* Whether any endpoint may take the request; "why" is set if none may. */
@@ -101,19 +101,19 @@
         return false;
     }
     const struct h1_field *host = H1_Find(head, "host");
-    if (host == NULL || H1_CountOf(head, "host") != 1 || out->ask->two_keys) {
+    if (host == NULL || H1_CountOf(head, "host") != 1 || out->ask->many_keys) {
         *refusal = (struct refusal){400, 0, "one host and one key, please"};
         return false;
     }
-    out->route = Ec_Match(config, host->value.at, host->value.len,
-                          head->target.at, head->target.len);
+    out->route = Ec_FindRoute(config, host->value.at, host->value.len,
+                              head->target.at, head->target.len);
     if (out->route == NULL) {
         *refusal = not_allowed(gate, 404, "no such route");
         return false;
     }
-    if (!out->route->open && config->tenant_count > 0) {
+    if (!out->route->keyless && config->tenant_count > 0) {
         out->tenant =
-            out->ask->has_key ? Ec_Holder(config, out->ask->key) : NULL;
+            out->ask->has_key ? Ec_FindTenant(config, out->ask->key) : NULL;
         if (out->tenant == NULL) {
             *refusal = not_allowed(gate, 401, "unknown key");
             return false;
@@ -123,8 +123,8 @@
         *refusal = (struct refusal){503, Ad_LEAVING_USEC, "stopping"};
         return false;
     }
-    const char *service = Ec_Pick(out->route, Rn_Unit(&gate->random));
-    out->service = Ec_Service(config, service);
+    const char *service = Ec_PickService(out->route, Rn_Unit(&gate->random));
+    out->service = Ec_FindService(config, service);
     const char *why = "no such service";
     if (out->service == NULL || !has_endpoint(gate, out, service, &why)) {
         *refusal = (struct refusal){503, Ad_STARTING_USEC, why};
@@ -136,9 +136,9 @@
 void
 Ad_Take(struct ga_gate *gate, struct sv_request *request)
 {
-    static struct ak_ask ask;
+    static struct hd_request_info ask;
     const struct h1_head *head = Sv_Head(request);
-    gate->options.wire->decode_ask(head, &ask);
+    gate->options.wire->decode_request(head, &ask);
     Mt_Add(gate->count.requests, 1);
     struct xc_admitted admitted = {.ask = &ask};
     struct refusal refusal;
--- a/packages/edge/brittle.c
+++ b/packages/edge/brittle.c
@@ -28,10 +28,10 @@
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
         if (same_service(other, endpoint)) {
-            Br_Told(&other->room, max_refusals, now);
+            Br_NoteEndpointReport(&other->room, max_refusals, now);
         }
     }
-    endpoint->room.said = true;
+    endpoint->room.self_reported = true;
 }
 
 static void
@@ -41,7 +41,7 @@
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
         if (same_service(other, endpoint)) {
-            Br_End(&other->room);
+            Br_Clear(&other->room);
         }
     }
 }
@@ -53,13 +53,13 @@
     if (max_refusals >= 0) {
         mark_service(gate, endpoint, max_refusals);
     }
-    else if (Br_IsOver(&endpoint->room, sent_at)) {
+    else if (Br_IsWithdrawn(&endpoint->room, sent_at)) {
         clear_service(gate, endpoint);
     }
 }
 
 static bool
-is_listed(const struct ms_word *message, uint32_t service)
+is_listed(const struct ms_message *message, uint32_t service)
 {
     for (size_t i = 0; i < message->brittle_count; i++) {
         if (message->brittle[i].service == service) {
@@ -70,7 +70,7 @@
 }
 
 void
-Bt_Fill(const struct ga_gate *gate, struct ms_word *message)
+Bt_FillMessage(const struct ga_gate *gate, struct ms_message *message)
 {
     int64_t now = Ga_Now(gate);
     const struct fl_endpoint *endpoint;
@@ -78,13 +78,13 @@
         if (message->brittle_count == Ms_BRITTLE_MAX) {
             break;
         }
-        if (!Br_IsTold(&endpoint->room, now)) {
+        if (!Br_ShouldReport(&endpoint->room, now)) {
             continue;
         }
         uint32_t service = De_Hash(endpoint->entry.service);
         if (!is_listed(message, service)) {
             message->brittle[message->brittle_count++] =
-                (struct ms_brittle){service, endpoint->room.most};
+                (struct ms_brittle){service, endpoint->room.refusal_limit};
         }
     }
 }
@@ -106,19 +106,19 @@
         }
         if (first == NULL) {
             first = endpoint;
-            if (Br_HeardLately(&endpoint->room, now)) {
+            if (Br_IsPeerReportRecent(&endpoint->room, now)) {
                 return;
             }
             if (!Br_IsBrittle(&endpoint->room, now)) {
-                log_change(endpoint, report->most, "peer");
+                log_change(endpoint, report->refusals_per_sec, "peer");
             }
         }
-        Br_Heard(&endpoint->room, report->most, now);
+        Br_NotePeerReport(&endpoint->room, report->refusals_per_sec, now);
     }
 }
 
 void
-Bt_Take(struct ga_gate *gate, const struct ms_word *message)
+Bt_ApplyMessage(struct ga_gate *gate, const struct ms_message *message)
 {
     for (size_t i = 0; i < message->brittle_count; i++) {
         apply_report(gate, &message->brittle[i], Ga_Now(gate));
@@ -131,7 +131,7 @@
 {
     int64_t now = Ga_Now(gate);
     struct wu_hosts hosts;
-    Ms_ListHosts(gate->mesh, &hosts);
+    Ms_ListSenders(gate->mesh, &hosts);
     struct fl_endpoint *best = NULL;
     struct fl_endpoint *other;
     size_t count = 0;
@@ -145,7 +145,7 @@
         other->room.rank = Wu_Rank(&hosts, other->hash);
         other->room.rank_at = now;
         other->room.best = false;
-        other->room.endpoints = count;
+        other->room.endpoint_count = count;
         if (best == NULL || other->room.rank < best->room.rank) {
             best = other;
         }
@@ -159,17 +159,17 @@
 Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
-    const struct br_room *room = &endpoint->room;
+    const struct br_state *room = &endpoint->room;
     if (!Br_IsBrittle(room, now)) {
         return false;
     }
     if (Br_RankIsOld(room, now)) {
         update_ranks(gate, endpoint);
     }
-    struct br_part part =
-        Br_Part(room->most, Ms_CountAll(gate->mesh), room->endpoints);
+    struct br_quota part = Br_Quota(
+        room->refusal_limit, Ms_CountAll(gate->mesh), room->endpoint_count);
     return !Br_MaySend(room, &part,
-                       endpoint->running + endpoint->others_running,
+                       endpoint->running + endpoint->peers_running,
                        endpoint->entry.slots, now);
 }
 
--- a/packages/edge/brittle.h
+++ b/packages/edge/brittle.h
@@ -20,8 +20,8 @@
 void Bt_NoteAnswer(struct ga_gate *gate, struct fl_endpoint *endpoint,
                    int max_refusals, int64_t sent_at);
 /* Write to, and read from, the gossip messages between hosts. */
-void Bt_Fill(const struct ga_gate *gate, struct ms_word *message);
-void Bt_Take(struct ga_gate *gate, const struct ms_word *message);
+void Bt_FillMessage(const struct ga_gate *gate, struct ms_message *message);
+void Bt_ApplyMessage(struct ga_gate *gate, const struct ms_message *message);
 /* Whether the endpoint is brittle and must get no request now. */
 bool Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint);
 void Bt_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint);
--- a/packages/edge/breaks.c
+++ b/packages/edge/broken.c
@@ -1,4 +1,4 @@
-#include "edge/breaks.h"
+#include "edge/broken.h"
 
 #include <bsd/string.h>
 #include <bsd/sys/queue.h>
@@ -39,7 +39,7 @@
     struct broken *oldest = STAILQ_FIRST(&breaks->list);
     STAILQ_REMOVE_HEAD(&breaks->list, link);
     breaks->count--;
-    Fl_Drop(oldest->endpoint);
+    Fl_Unref(oldest->endpoint);
     free(oldest);
 }
 
@@ -50,9 +50,10 @@
     const struct broken *oldest = STAILQ_FIRST(&breaks->list);
     const struct fl_endpoint *endpoint = oldest->endpoint;
     const struct ro_move *move = Ro_Find(gate->moves, endpoint->entry.service);
-    if (move != NULL && !endpoint->way.cut) {
-        Ro_Answered(gate->moves, endpoint->entry.service, oldest->route,
-                    Ga_IsNext(move, endpoint), true, oldest->slow);
+    if (move != NULL && !endpoint->link_state.cut) {
+        Ro_RecordAnswer(gate->moves, endpoint->entry.service, oldest->route,
+                        Ga_HasTargetVersion(move, endpoint), true,
+                        oldest->slow);
     }
     drop_oldest(breaks);
 }
@@ -77,13 +78,13 @@
                endpoint->entry.id);
         return;
     }
-    broken->endpoint = Fl_Hold(endpoint);
+    broken->endpoint = Fl_Ref(endpoint);
     strlcpy(broken->route, exchange->route->name, sizeof(broken->route));
     broken->slow = attempt->slow;
     broken->at = Ga_Now(gate);
     STAILQ_INSERT_TAIL(&breaks->list, broken, link);
     breaks->count++;
-    endpoint->test_wanted |= !endpoint->way.cut;
+    endpoint->probe_wanted |= !endpoint->link_state.cut;
 }
 
 void
--- a/packages/edge/breaks.h
+++ b/packages/edge/broken.h
@@ -3,8 +3,8 @@
  * of the endpoint's version only after the link to the endpoint has been
  * tested: connections over a cut link break whatever the version.
  */
-#ifndef EDGE_BREAKS_H
-#define EDGE_BREAKS_H
+#ifndef EDGE_BROKEN_H
+#define EDGE_BROKEN_H
 
 #include "edge/exchange.h"
 
--- a/packages/edge/budget.c
+++ b/packages/edge/budget.c
@@ -54,7 +54,7 @@
 }
 
 void
-Bu_SetDaemons(struct bu_budget *budget, size_t hosts)
+Bu_SetHosts(struct bu_budget *budget, size_t hosts)
 {
     budget->hosts = hosts > 0 ? hosts : 1;
 }
@@ -97,7 +97,7 @@
 
 /* Counts the first attempt of a request. */
 void
-Bu_First(struct bu_budget *budget, const char *service)
+Bu_CountFirst(struct bu_budget *budget, const char *service)
 {
     struct service *found = advance(budget, service);
     if (found != NULL) {
@@ -121,7 +121,7 @@
 }
 
 bool
-Bu_CanRepeat(struct bu_budget *budget, const char *service)
+Bu_CanRetry(struct bu_budget *budget, const char *service)
 {
     const struct service *found = advance(budget, service);
     return found != NULL && has_room(budget, found);
@@ -129,7 +129,7 @@
 
 /* Takes one retry from the budget; returns false when it is spent. */
 bool
-Bu_Repeat(struct bu_budget *budget, const char *service)
+Bu_TakeRetry(struct bu_budget *budget, const char *service)
 {
     struct service *found = advance(budget, service);
     if (found == NULL || !has_room(budget, found)) {
--- a/packages/edge/budget.h
+++ b/packages/edge/budget.h
@@ -20,11 +20,11 @@
 struct bu_budget *Bu_Create(const struct ck_clock *clock, double ratio,
                             double extra, int64_t window_usec);
 void Bu_Destroy(struct bu_budget *budget);
-void Bu_SetDaemons(struct bu_budget *budget, size_t hosts);
-void Bu_First(struct bu_budget *budget, const char *service);
+void Bu_SetHosts(struct bu_budget *budget, size_t hosts);
+void Bu_CountFirst(struct bu_budget *budget, const char *service);
 /* Whether a retry would be granted now. */
-bool Bu_CanRepeat(struct bu_budget *budget, const char *service);
-bool Bu_Repeat(struct bu_budget *budget, const char *service);
+bool Bu_CanRetry(struct bu_budget *budget, const char *service);
+bool Bu_TakeRetry(struct bu_budget *budget, const char *service);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/cloud.h
+++ b/packages/edge/cloud.h
@@ -9,7 +9,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "edge/duty.h"
+#include "edge/leader.h"
 
 #ifdef __cplusplus
 extern "C" {
@@ -36,7 +36,7 @@
 
 struct cl_ops {
     void (*report)(struct cl_cloud *cloud, int64_t fence,
-                   const struct du_usage *usage, cl_fn fn, void *arg);
+                   const struct lr_usage *usage, cl_fn fn, void *arg);
     void (*order)(struct cl_cloud *cloud, int64_t fence,
                   const struct cl_order *order, cl_fn fn, void *arg);
 };
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -66,10 +66,10 @@
     for (size_t i = 0; i < config->route_count; i++) {
         free(config->routes[i].host);
         free(config->routes[i].prefix);
-        free(config->routes[i].homes);
+        free(config->routes[i].allowed_regions);
     }
     for (size_t i = 0; i < config->tenant_count; i++) {
-        free(config->tenants[i].homes);
+        free(config->tenants[i].allowed_regions);
     }
     for (size_t i = 0; i < config->key_count; i++) {
         free(config->keys[i].key);
@@ -108,8 +108,8 @@
 
 /* Finds the route of a request, ignoring port and query; NULL if none. */
 const struct ec_route *
-Ec_Match(const struct ec_config *config, const char *host, size_t host_len,
-         const char *target, size_t target_len)
+Ec_FindRoute(const struct ec_config *config, const char *host, size_t host_len,
+             const char *target, size_t target_len)
 {
     const char *port = memchr(host, ':', host_len);
     if (port != NULL) {
@@ -133,7 +133,7 @@
 }
 
 const struct ec_service *
-Ec_Service(const struct ec_config *config, const char *name)
+Ec_FindService(const struct ec_config *config, const char *name)
 {
     for (size_t i = 0; i < config->service_count; i++) {
         if (strcmp(config->services[i].name, name) == 0) {
@@ -145,7 +145,7 @@
 
 /* Finds the tenant of a key; NULL if the key is unknown. */
 const struct ec_tenant *
-Ec_Holder(const struct ec_config *config, const char *key)
+Ec_FindTenant(const struct ec_config *config, const char *key)
 {
     struct ec_key pattern = {.key = (char *)key};
     const struct ec_key *found = NULL;
@@ -157,7 +157,7 @@
 }
 
 static bool
-is_allowed(const struct ec_homes *homes, const char *region)
+is_allowed(const struct ec_regions *homes, const char *region)
 {
     for (size_t i = 0; homes != NULL && i < homes->count; i++) {
         if (strcmp(homes->regions[i], region) == 0) {
@@ -171,13 +171,13 @@
 Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
             const char *region)
 {
-    return is_allowed(route->homes, region) &&
-           (tenant == NULL || is_allowed(tenant->homes, region));
+    return is_allowed(route->allowed_regions, region) &&
+           (tenant == NULL || is_allowed(tenant->allowed_regions, region));
 }
 
 /* Chooses the service of a request by weight; "unit" is in [0, 1). */
 const char *
-Ec_Pick(const struct ec_route *route, double unit)
+Ec_PickService(const struct ec_route *route, double unit)
 {
     int total = 0;
     for (size_t i = 0; i < route->share_count; i++) {
--- a/packages/edge/config.h
+++ b/packages/edge/config.h
@@ -19,7 +19,7 @@
 #define Ec_NAME_MAX 96
 #define Ec_ZONES_MAX 16
 #define Ec_SPLIT_MAX 8
-#define Ec_HOMES_MAX 16
+#define Ec_REGIONS_MAX 16
 
 enum ec_kind {
     EC_SAFE,   /* idempotent: may run any number of times */
@@ -28,9 +28,9 @@
 };
 
 /* Regions in which a route's or a tenant's requests may run. */
-struct ec_homes {
+struct ec_regions {
     size_t count;
-    char regions[Ec_HOMES_MAX][Ec_NAME_MAX];
+    char regions[Ec_REGIONS_MAX][Ec_NAME_MAX];
 };
 
 struct ec_share {
@@ -43,16 +43,16 @@
     char *host;
     char *prefix;
     enum ec_kind kind;
-    bool open; /* needs no key */
+    bool keyless; /* needs no key */
     bool resumable;
     int attempts; /* most endpoints that one caller's request may run on */
-    int rank;     /* priority; 0 is the most urgent */
+    int priority; /* priority; 0 is the most urgent */
     int64_t timeout_usec;
-    int64_t aim_usec; /* latency target of the first byte */
-    int64_t gap_usec; /* latency target between two events */
+    int64_t latency_target_usec; /* latency target of the first byte */
+    int64_t gap_target_usec;     /* latency target between two events */
     struct ec_share shares[Ec_SPLIT_MAX];
     size_t share_count;
-    struct ec_homes *homes; /* NULL: any region */
+    struct ec_regions *allowed_regions; /* NULL: any region */
 };
 
 struct ec_zone_price {
@@ -68,9 +68,9 @@
     int64_t kv_tokens;
     int64_t cold_usec; /* cold time of an endpoint after its start; 0: none */
     double cold_per_sec; /* rate limit of a cold endpoint; 0: none */
-    bool ordered;        /* the number of endpoints is scaled by orders */
-    int min;             /* endpoints per data centre */
-    int max;
+    bool scalable;       /* the number of endpoints is scaled by orders */
+    int endpoints_min;   /* endpoints per data centre */
+    int endpoints_max;
     int64_t boot_usec;
     double spot_price; /* 0: no spot endpoints are offered */
     struct ec_zone_price zones[Ec_ZONES_MAX];
@@ -79,12 +79,13 @@
 
 struct ec_tenant {
     char name[Ec_NAME_MAX];
-    int rank;       /* priority; -1: that of the route */
-    bool in_tokens; /* the quota counts tokens, not requests */
-    int64_t plain;  /* tokens charged for a request without token counts */
-    double per_sec; /* 0: no limit */
+    int priority;       /* priority; -1: that of the route */
+    bool counts_tokens; /* the quota counts tokens, not requests */
+    int64_t
+        default_tokens; /* tokens charged for a request without token counts */
+    double per_sec;     /* 0: no limit */
     double burst;
-    struct ec_homes *homes; /* NULL: any region */
+    struct ec_regions *allowed_regions; /* NULL: any region */
 };
 
 struct ec_key {
@@ -118,20 +119,20 @@
 void Ec_Seal(struct ec_config *config);
 struct ec_config *Ec_Hold(struct ec_config *config);
 void Ec_Release(struct ec_config *config);
-const struct ec_route *Ec_Match(const struct ec_config *config,
-                                const char *host, size_t host_len,
-                                const char *target, size_t target_len);
-const struct ec_service *Ec_Service(const struct ec_config *config,
-                                    const char *name);
-const struct ec_tenant *Ec_Holder(const struct ec_config *config,
-                                  const char *key);
+const struct ec_route *Ec_FindRoute(const struct ec_config *config,
+                                    const char *host, size_t host_len,
+                                    const char *target, size_t target_len);
+const struct ec_service *Ec_FindService(const struct ec_config *config,
+                                        const char *name);
+const struct ec_tenant *Ec_FindTenant(const struct ec_config *config,
+                                      const char *key);
 /*
  * Whether a request may run in a region: both route and tenant must allow it.
  * "tenant" is NULL if the route needs no key.
  */
 bool Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
                  const char *region);
-const char *Ec_Pick(const struct ec_route *route, double unit);
+const char *Ec_PickService(const struct ec_route *route, double unit);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/work.c
+++ b/packages/edge/controller.c
@@ -7,18 +7,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/work_internal.h"
+#include "edge/controller_internal.h"
 
 /*
  * Daemons exchange the counts of a window for a while after its end.  The
  * report is due many seconds later, so waiting for the last counts is safe.
  */
-#define Wo_COUNTS_SETTLE_USEC (2500 * Ck_USEC_PER_MSEC)
+#define Co_COUNTS_SETTLE_USEC (2500 * Ck_USEC_PER_MSEC)
 
-struct wo_work *
-Wo_Create(struct ga_gate *gate)
+struct co_controller *
+Co_Create(struct ga_gate *gate)
 {
-    struct wo_work *work = calloc(1, sizeof(*work));
+    struct co_controller *work = calloc(1, sizeof(*work));
     if (work != NULL) {
         work->gate = gate;
     }
@@ -27,20 +27,20 @@
 
 /* The platform must not deliver any answer after this call. */
 void
-Wo_Destroy(struct wo_work *work)
+Co_Destroy(struct co_controller *work)
 {
     free(work);
 }
 
 /* Returns the number of the usage window that contains a true time. */
 int64_t
-Wo_Window(const struct ga_gate *gate, int64_t true_usec)
+Co_UsageWindow(const struct ga_gate *gate, int64_t true_usec)
 {
     return true_usec / gate->options.node->usage_window_usec;
 }
 
 void
-Wo_Changed(void *arg, bool holder, int64_t fence)
+Co_LeaseChanged(void *arg, bool holder, int64_t fence)
 {
     struct ga_gate *gate = arg;
     Ln_Log(LN_STATE, holder ? "duty.won" : "duty.lost", "\"fence\":%lld",
@@ -53,7 +53,7 @@
          * first took effect at once.
          */
         gate->work->estimate_count = 0;
-        wo_restore_moves(gate->work);
+        co_restore_moves(gate->work);
     }
     for (size_t i = 0; gate->work != NULL && i < gate->work->order_count;
          i++) {
@@ -64,30 +64,30 @@
 static void
 on_reported(void *arg, enum cl_status status)
 {
-    struct wo_work *work = arg;
+    struct co_controller *work = arg;
     struct ga_gate *gate = work->gate;
-    struct du_usage *usage = Du_Usage(gate->duty, work->report_window);
+    struct lr_usage *usage = Lr_Usage(gate->duty, work->report_window);
     Ln_Log(status == CL_DONE ? LN_ORDINARY : LN_FAILURE, "usage.reported",
            "\"window\":%lld,\"status\":%d,\"fence\":%lld",
            (long long)work->report_window, (int)status,
-           (long long)Du_Fence(gate->duty));
+           (long long)Lr_Fence(gate->duty));
     work->report_window = 0;
     if (status == CL_DONE && usage != NULL) {
         usage->reported = true;
         return;
     }
-    work->report_retry_at = Ga_Now(gate) + Wo_RETRY_USEC;
+    work->report_retry_at = Ga_Now(gate) + Co_RETRY_USEC;
     if (status == CL_FENCED) {
-        Du_FenceRefused(gate->duty);
+        Lr_FenceRefused(gate->duty);
     }
 }
 
 static void
-report(struct wo_work *work, struct du_usage *usage)
+report(struct co_controller *work, struct lr_usage *usage)
 {
     struct ga_gate *gate = work->gate;
     work->report_window = usage->window;
-    gate->options.cloud->ops->report(gate->options.cloud, Du_Fence(gate->duty),
+    gate->options.cloud->ops->report(gate->options.cloud, Lr_Fence(gate->duty),
                                      usage, on_reported, work);
 }
 
@@ -103,7 +103,7 @@
 }
 
 static void
-record_usage(struct wo_work *work, int64_t window)
+record_usage(struct co_controller *work, int64_t window)
 {
     struct ga_gate *gate = work->gate;
     const struct ec_config *config = Fe_Config(gate->feed);
@@ -112,18 +112,18 @@
     }
     struct us_count counts[Us_TENANTS_MAX];
     size_t count = Us_Total(gate->usage, window, counts);
-    static struct du_usage usage;
+    static struct lr_usage usage;
     memset(&usage, 0, sizeof(usage));
     usage.window = window;
-    for (size_t i = 0; i < count && usage.count < Du_TENANTS_MAX; i++) {
+    for (size_t i = 0; i < count && usage.count < Lr_TENANTS_MAX; i++) {
         const char *name = tenant_name(config, counts[i].tenant);
         if (name != NULL) {
-            struct du_tenant *tenant = &usage.tenants[usage.count++];
+            struct lr_tenant *tenant = &usage.tenants[usage.count++];
             strlcpy(tenant->name, name, sizeof(tenant->name));
             tenant->count = counts[i].count;
         }
     }
-    if (Du_RecordUsage(gate->duty, &usage)) {
+    if (Lr_RecordUsage(gate->duty, &usage)) {
         Ln_Log(LN_STATE, "usage.agreed", "\"window\":%lld,\"tenants\":%zu",
                (long long)window, usage.count);
     }
@@ -131,18 +131,18 @@
 
 /* Handles one completed window at a time, oldest first. */
 static void
-tick_usage(struct wo_work *work)
+tick_usage(struct co_controller *work)
 {
     struct ga_gate *gate = work->gate;
     const struct nd_node *node = gate->options.node;
     if (work->report_window != 0 || Ga_Now(gate) < work->report_retry_at) {
         return;
     }
-    int64_t now = Tt_Now(gate->time);
-    int64_t newest = Wo_Window(gate, now - Wo_COUNTS_SETTLE_USEC) - 1;
+    int64_t now = Tt_Now(gate->true_time);
+    int64_t newest = Co_UsageWindow(gate, now - Co_COUNTS_SETTLE_USEC) - 1;
     int64_t oldest = newest - node->usage_late_usec / node->usage_window_usec;
     for (int64_t window = oldest; window <= newest; window++) {
-        struct du_usage *usage = Du_Usage(gate->duty, window);
+        struct lr_usage *usage = Lr_Usage(gate->duty, window);
         if (usage == NULL) {
             record_usage(work, window);
             return;
@@ -162,29 +162,29 @@
 exchange_recent(struct ga_gate *gate)
 {
     const struct qt_recent *inherited;
-    size_t count = Du_InheritedRecent(gate->duty, &inherited);
-    Qt_Recall(gate->quota, inherited, count);
-    if (Du_Holds(gate->duty)) {
+    size_t count = Lr_InheritedRecent(gate->duty, &inherited);
+    Qt_RestoreUsage(gate->quota, inherited, count);
+    if (Lr_Holds(gate->duty)) {
         struct qt_recent recent[Qt_RECENT_MAX];
-        count = Qt_Recent(gate->quota, recent);
-        Du_SetRecent(gate->duty, recent, count);
+        count = Qt_RecentUsage(gate->quota, recent);
+        Lr_SetRecent(gate->duty, recent, count);
     }
 }
 
 void
-Wo_Tick(struct wo_work *work)
+Co_Tick(struct co_controller *work)
 {
     struct ga_gate *gate = work->gate;
     exchange_recent(gate);
-    if (!Du_Holds(gate->duty)) {
+    if (!Lr_Holds(gate->duty)) {
         return;
     }
     if (gate->options.node->report_usage) {
         tick_usage(work);
     }
-    wo_tick_moves(work);
-    if (gate->options.node->order_endpoints && Du_Holds(gate->duty) &&
+    co_tick_moves(work);
+    if (gate->options.node->order_endpoints && Lr_Holds(gate->duty) &&
         gate->stopping_at == 0) {
-        wo_tick_orders(work);
+        co_tick_orders(work);
     }
 }
--- a/packages/edge/work_internal.h
+++ b/packages/edge/controller_internal.h
@@ -1,14 +1,14 @@
 /* Declarations shared by work.c, orders.c and work_moves.c. */
-#ifndef EDGE_WORK_INTERNAL_H
-#define EDGE_WORK_INTERNAL_H
+#ifndef EDGE_CONTROLLER_INTERNAL_H
+#define EDGE_CONTROLLER_INTERNAL_H
 
 #include "edge/gate_internal.h"
 #include "edge/plan.h"
 
-#define Wo_ORDERS_MAX 64
-#define Wo_SERVICES_MAX 16
+#define Co_ORDERS_MAX 64
+#define Co_SERVICES_MAX 16
 /* delay before a failed call to the platform or the store is repeated */
-#define Wo_RETRY_USEC (700 * Ck_USEC_PER_MSEC)
+#define Co_RETRY_USEC (700 * Ck_USEC_PER_MSEC)
 
 struct order {
     char service[Ec_NAME_MAX];
@@ -24,7 +24,7 @@
     int64_t increased_at; /* when a larger order was last confirmed */
     int64_t unavailable_until;
     bool in_flight;
-    struct wo_work *work;
+    struct co_controller *work;
 };
 
 /* Endpoints that a service was found to need during this lease. */
@@ -41,7 +41,7 @@
     enum ro_state state;
 };
 
-struct wo_work {
+struct co_controller {
     struct ga_gate *gate;
     struct reported_move reported[Ro_MOVES_MAX];
     int64_t status_end; /* end of the operators' topic; -1: not known */
@@ -54,17 +54,17 @@
     int64_t report_retry_at;
     int64_t planned_at;
     size_t order_count;
-    struct order orders[Wo_ORDERS_MAX];
+    struct order orders[Co_ORDERS_MAX];
     size_t estimate_count;
-    struct service_estimate estimates[Wo_SERVICES_MAX];
+    struct service_estimate estimates[Co_SERVICES_MAX];
 };
 
 /*
  * Plans every service whose endpoints may be ordered and sends an order
  * wherever the plan differs from the usable endpoints.
  */
-void wo_tick_orders(struct wo_work *work);
-void wo_tick_moves(struct wo_work *work);
-void wo_restore_moves(struct wo_work *work);
+void co_tick_orders(struct co_controller *work);
+void co_tick_moves(struct co_controller *work);
+void co_restore_moves(struct co_controller *work);
 
 #endif
--- a/packages/edge/work_moves.c
+++ b/packages/edge/controller_moves.c
@@ -4,7 +4,7 @@
  */
 #include <string.h>
 
-#include "edge/work_internal.h"
+#include "edge/controller_internal.h"
 
 static struct ro_endpoint_counts
 count_endpoints(const struct ga_gate *gate, const struct ro_move *move)
@@ -15,12 +15,12 @@
         if (strcmp(endpoint->entry.service, move->order.service) != 0) {
             continue;
         }
-        if (Ga_IsNext(move, endpoint)) {
+        if (Ga_HasTargetVersion(move, endpoint)) {
             counts.new_usable += Fl_Usable(endpoint);
             continue;
         }
         counts.old_usable += Fl_Usable(endpoint);
-        counts.old_running += endpoint->running + endpoint->others_running;
+        counts.old_running += endpoint->running + endpoint->peers_running;
     }
     return counts;
 }
@@ -32,7 +32,7 @@
 static void
 on_published(void *arg, const struct ag_result *result)
 {
-    struct wo_work *work = arg;
+    struct co_controller *work = arg;
     work->publishing = false;
     struct reported_move *reported = &work->reported[work->publishing_index];
     if (result->status == AG_OK) {
@@ -45,27 +45,28 @@
         return;
     }
     work->status_end = -1;
-    work->publish_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
+    work->publish_at = Ga_Now(work->gate) + Co_RETRY_USEC;
 }
 
 static void
 on_status_end(void *arg, const struct ag_result *result)
 {
-    struct wo_work *work = arg;
+    struct co_controller *work = arg;
     work->publishing = false;
     if (result->status == AG_OK) {
         work->status_end = result->end;
     }
     else {
-        work->publish_at = Ga_Now(work->gate) + Wo_RETRY_USEC;
+        work->publish_at = Ga_Now(work->gate) + Co_RETRY_USEC;
     }
 }
 
 static void
-publish_state(struct wo_work *work, size_t index, const struct ro_move *move)
+publish_state(struct co_controller *work, size_t index,
+              const struct ro_move *move)
 {
     struct ag_store *store = work->gate->options.store;
-    struct ag_told record;
+    struct ag_status_record record;
     if (work->publishing || Ga_Now(work->gate) < work->publish_at) {
         return;
     }
@@ -74,7 +75,7 @@
         Ag_Newest(store, AG_STATUS, NULL, on_status_end, work);
         return;
     }
-    if (!work->gate->options.codec->tell_move(move, &record)) {
+    if (!work->gate->options.codec->move_status(move, &record)) {
         return;
     }
     work->publishing = true;
@@ -91,15 +92,15 @@
  * not revert that state.
  */
 void
-wo_tick_moves(struct wo_work *work)
+co_tick_moves(struct co_controller *work)
 {
     struct ga_gate *gate = work->gate;
     struct ro_move *move;
     for (size_t i = 0; (move = Ro_At(gate->moves, i)) != NULL; i++) {
         struct ro_endpoint_counts counts = count_endpoints(gate, move);
         Ro_Advance(gate->moves, move, &counts);
-        struct ro_standing standing = Ro_Standing(move);
-        if (!Du_SetMove(gate->duty, &standing)) {
+        struct ro_status standing = Ro_Status(move);
+        if (!Lr_SetMove(gate->duty, &standing)) {
             continue;
         }
         const struct reported_move *reported = &work->reported[i];
@@ -115,13 +116,13 @@
  * published again.
  */
 void
-wo_restore_moves(struct wo_work *work)
+co_restore_moves(struct co_controller *work)
 {
     struct ga_gate *gate = work->gate;
-    const struct ro_standing *standings;
-    size_t count = Du_Moves(gate->duty, &standings);
+    const struct ro_status *standings;
+    size_t count = Lr_Moves(gate->duty, &standings);
     for (size_t i = 0; i < count; i++) {
-        Ro_Heard(gate->moves, &standings[i], false);
+        Ro_ApplyStatus(gate->moves, &standings[i], false);
     }
     memset(work->reported, 0, sizeof(work->reported));
     work->status_end = -1;
--- a/packages/edge/orders.c
+++ b/packages/edge/controller_orders.c
@@ -3,30 +3,30 @@
 #include <math.h>
 #include <string.h>
 
+#include "edge/controller_internal.h"
 #include "edge/plan.h"
-#include "edge/work_internal.h"
 
 /*
  * All endpoints of a service count as discovered after this many heartbeats
  * without a new one.
  */
-#define Wo_DISCOVERY_HEARTBEATS 2
-#define Wo_PLAN_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
+#define Co_DISCOVERY_HEARTBEATS 2
+#define Co_PLAN_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
 /* Allows for the time from an endpoint's start to its first store entry. */
-#define Wo_READY_MARGIN_USEC (2 * Ck_USEC_PER_SEC)
+#define Co_READY_MARGIN_USEC (2 * Ck_USEC_PER_SEC)
 /*
  * Delay before spot endpoints are ordered again in a data centre that had none
  * available.
  */
-#define Wo_UNAVAILABLE_USEC (3 * Ck_USEC_PER_SEC)
+#define Co_UNAVAILABLE_USEC (3 * Ck_USEC_PER_SEC)
 /* A confirmed order is repeated after this time, in case it was undone. */
-#define Wo_REPEAT_USEC (10 * Ck_USEC_PER_SEC)
+#define Co_REPEAT_USEC (10 * Ck_USEC_PER_SEC)
 /*
  * How long a reclaimed data centre counts as recently reclaimed.  Data centres
  * are reclaimed one after another; those observed followed each other within
  * ten seconds.
  */
-#define Wo_RECLAIM_MEMORY_USEC (30 * Ck_USEC_PER_SEC)
+#define Co_RECLAIM_MEMORY_USEC (30 * Ck_USEC_PER_SEC)
 
 /* Endpoints in each data centre that is not evacuated. */
 struct zone_survey {
@@ -36,7 +36,7 @@
 };
 
 static struct order *
-find_order(struct wo_work *work, const char *service, const char *zone,
+find_order(struct co_controller *work, const char *service, const char *zone,
            bool spot)
 {
     for (size_t i = 0; i < work->order_count; i++) {
@@ -46,7 +46,7 @@
             return order;
         }
     }
-    if (work->order_count == Wo_ORDERS_MAX) {
+    if (work->order_count == Co_ORDERS_MAX) {
         return NULL;
     }
     struct order *order = &work->orders[work->order_count++];
@@ -81,25 +81,25 @@
          * The platform most likely has no spot capacity.  If the fence was
          * rejected, the other calls will show it too.
          */
-        order->unavailable_until = now + Wo_UNAVAILABLE_USEC;
+        order->unavailable_until = now + Co_UNAVAILABLE_USEC;
         /* Plan at once: on-demand substitutes take seconds to start. */
         order->work->planned_at = 0;
     }
     else if (status == CL_FENCED) {
-        Du_FenceRefused(gate->duty);
+        Lr_FenceRefused(gate->duty);
     }
 }
 
 static void
-place_order(struct wo_work *work, struct order *order, int target,
+place_order(struct co_controller *work, struct order *order, int target,
             int64_t boot_usec)
 {
     struct ga_gate *gate = work->gate;
     int64_t now = Ga_Now(gate);
     int64_t repeat_after = order->usable < target
-                               ? boot_usec + Wo_READY_MARGIN_USEC
-                               : Wo_REPEAT_USEC;
-    if (order->in_flight || now - order->sent_at < Wo_RETRY_USEC ||
+                               ? boot_usec + Co_READY_MARGIN_USEC
+                               : Co_REPEAT_USEC;
+    if (order->in_flight || now - order->sent_at < Co_RETRY_USEC ||
         (order->confirmed == target && now - order->sent_at < repeat_after)) {
         return;
     }
@@ -111,7 +111,7 @@
     order->in_flight = true;
     struct cl_order request = {order->service, order->zone, order->spot,
                                target};
-    gate->options.cloud->ops->order(gate->options.cloud, Du_Fence(gate->duty),
+    gate->options.cloud->ops->order(gate->options.cloud, Lr_Fence(gate->duty),
                                     &request, on_ordered, order);
 }
 
@@ -145,10 +145,10 @@
         if (rates[i].service != service) {
             continue;
         }
-        sum->load.prompt_tokens_per_sec += rates[i].reading;
-        sum->load.concurrency += rates[i].running;
-        if (rates[i].read_rate > 0) {
-            sum->rate_sum += rates[i].read_rate;
+        sum->load.prompt_tokens_per_sec += rates[i].prompt_tokens_per_sec;
+        sum->load.concurrency += rates[i].concurrency;
+        if (rates[i].prefill_rate > 0) {
+            sum->rate_sum += rates[i].prefill_rate;
             sum->rate_count++;
         }
     }
@@ -160,25 +160,26 @@
  * returns the rate that the previous lease holder recorded.
  */
 static double
-prefill_rate(const struct wo_work *work, const struct load_sum *sum,
+prefill_rate(const struct co_controller *work, const struct load_sum *sum,
              uint32_t service)
 {
-    const struct du_need *need = Du_FindNeed(work->gate->duty, service);
+    const struct lr_need *need = Lr_FindNeed(work->gate->duty, service);
     if (sum->rate_count > 0) {
         return sum->rate_sum / sum->rate_count;
     }
-    return need == NULL ? 0 : need->read_rate;
+    return need == NULL ? 0 : need->prefill_rate;
 }
 
 /* Returns the endpoints needed for the load of all daemons; 0: not known. */
 static int
-endpoints_needed(const struct wo_work *work, const struct ec_service *service)
+endpoints_needed(const struct co_controller *work,
+                 const struct ec_service *service)
 {
     struct ga_gate *gate = work->gate;
     uint32_t hash = De_Hash(service->name);
     struct load_sum sum = {.load.slots = service->slots};
     struct de_rate own[De_SERVICES_MAX];
-    add_rates(&sum, hash, own, De_Own(gate->demand, own));
+    add_rates(&sum, hash, own, De_LocalRates(gate->demand, own));
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         if (Ms_Alive(gate->mesh, peer)) {
@@ -203,18 +204,18 @@
  * no load.
  */
 static void
-record_need(struct wo_work *work, const struct ec_service *service,
+record_need(struct co_controller *work, const struct ec_service *service,
             int endpoints)
 {
     uint32_t hash = De_Hash(service->name);
-    const struct du_need *recorded = Du_FindNeed(work->gate->duty, hash);
-    struct du_need need = {hash, endpoints,
-                           recorded == NULL ? 0 : recorded->read_rate};
-    double measured = De_ReadRate(work->gate->demand, service->name);
+    const struct lr_need *recorded = Lr_FindNeed(work->gate->duty, hash);
+    struct lr_need need = {hash, endpoints,
+                           recorded == NULL ? 0 : recorded->prefill_rate};
+    double measured = De_PrefillRate(work->gate->demand, service->name);
     if (measured > 0) {
-        need.read_rate = measured;
+        need.prefill_rate = measured;
     }
-    Du_SetNeed(work->gate->duty, &need);
+    Lr_SetNeed(work->gate->duty, &need);
 }
 
 static int
@@ -224,21 +225,21 @@
 }
 
 static struct service_estimate *
-find_estimate(struct wo_work *work, const struct ec_service *service)
+find_estimate(struct co_controller *work, const struct ec_service *service)
 {
     for (size_t i = 0; i < work->estimate_count; i++) {
         if (strcmp(work->estimates[i].service, service->name) == 0) {
             return &work->estimates[i];
         }
     }
-    if (work->estimate_count == Wo_SERVICES_MAX) {
+    if (work->estimate_count == Co_SERVICES_MAX) {
         return NULL;
     }
     struct service_estimate *estimate =
         &work->estimates[work->estimate_count++];
     strlcpy(estimate->service, service->name, sizeof(estimate->service));
-    const struct du_need *need =
-        Du_FindNeed(work->gate->duty, De_Hash(service->name));
+    const struct lr_need *need =
+        Lr_FindNeed(work->gate->duty, De_Hash(service->name));
     estimate->complete = false;
     Pn_StartEstimate(&estimate->estimate, need == NULL ? 0 : need->endpoints,
                      Ga_Now(work->gate));
@@ -262,8 +263,8 @@
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (!endpoint->entry.spot &&
             strcmp(endpoint->entry.service, estimate->service) == 0 &&
-            now - endpoint->since <
-                Wo_DISCOVERY_HEARTBEATS * gate->options.node->heartbeat_usec) {
+            now - endpoint->first_entry_at <
+                Co_DISCOVERY_HEARTBEATS * gate->options.node->heartbeat_usec) {
             return false;
         }
     }
@@ -333,11 +334,11 @@
     zone->spot_unavailable = now < order->unavailable_until;
     if (order->confirmed > zone->spot &&
         now - order->increased_at <
-            service->boot_usec + Wo_READY_MARGIN_USEC) {
+            service->boot_usec + Co_READY_MARGIN_USEC) {
         zone->spot_starting = order->confirmed - zone->spot;
     }
     return order->reclaimed_at > 0 &&
-           now - order->reclaimed_at < Wo_RECLAIM_MEMORY_USEC;
+           now - order->reclaimed_at < Co_RECLAIM_MEMORY_USEC;
 }
 
 static void
@@ -354,7 +355,7 @@
  * evacuation ends, sooner than newly ordered ones could start.
  */
 static void
-survey_zones(struct wo_work *work, const struct ec_service *service,
+survey_zones(struct co_controller *work, const struct ec_service *service,
              struct zone_survey *survey)
 {
     struct ga_gate *gate = work->gate;
@@ -389,7 +390,7 @@
 }
 
 static void
-place_orders(struct wo_work *work, const struct ec_service *service,
+place_orders(struct co_controller *work, const struct ec_service *service,
              const struct zone_survey *survey, const struct pn_target *targets,
              bool complete)
 {
@@ -410,7 +411,7 @@
 }
 
 static void
-plan_service(struct wo_work *work, const struct ec_service *service)
+plan_service(struct co_controller *work, const struct ec_service *service)
 {
     struct ga_gate *gate = work->gate;
     struct service_estimate *estimate = find_estimate(work, service);
@@ -425,8 +426,8 @@
                       Ga_Now(gate));
     record_need(work, service, estimate->estimate.peak);
     struct pn_service need = {
-        .min = service->min,
-        .max = service->max,
+        .min = service->endpoints_min,
+        .max = service->endpoints_max,
         .spot_price = service->spot_price,
         .peak = estimate->estimate.peak,
         .baseline = (int)ceil(estimate->estimate.baseline.endpoints),
@@ -438,7 +439,7 @@
 }
 
 void
-Wo_PlanSoon(struct wo_work *work)
+Co_PlanSoon(struct co_controller *work)
 {
     if (work != NULL) {
         work->planned_at = 0;
@@ -446,13 +447,13 @@
 }
 
 void
-wo_tick_orders(struct wo_work *work)
+co_tick_orders(struct co_controller *work)
 {
     struct ga_gate *gate = work->gate;
     int64_t now = Ga_Now(gate);
     const struct ec_config *config = Fe_Config(gate->feed);
-    if (config == NULL || !Fl_Any(gate->fleet) ||
-        now - work->planned_at < Wo_PLAN_INTERVAL_USEC) {
+    if (config == NULL || !Fl_HasEndpoints(gate->fleet) ||
+        now - work->planned_at < Co_PLAN_INTERVAL_USEC) {
         return;
     }
     work->planned_at = now;
@@ -461,7 +462,7 @@
             Ro_Find(gate->moves, config->services[i].name);
         /* An order cannot name a version, so none is sent during a move. */
         bool moving = move != NULL && move->state == RO_RUNNING;
-        if (config->services[i].ordered && !moving) {
+        if (config->services[i].scalable && !moving) {
             plan_service(work, &config->services[i]);
         }
     }
--- a/packages/edge/demand.c
+++ b/packages/edge/demand.c
@@ -107,8 +107,8 @@
 }
 
 void
-De_Sent(struct de_demand *demand, const char *name, int64_t prompt_tokens,
-        bool is_long)
+De_RecordSent(struct de_demand *demand, const char *name,
+              int64_t prompt_tokens, bool is_long)
 {
     struct service *service = find(demand, name);
     if (service != NULL) {
@@ -119,7 +119,7 @@
 }
 
 void
-De_Ended(struct de_demand *demand, const char *name, int64_t usec)
+De_RecordEnd(struct de_demand *demand, const char *name, int64_t usec)
 {
     struct service *service = find(demand, name);
     if (service != NULL) {
@@ -128,8 +128,8 @@
 }
 
 void
-De_First(struct de_demand *demand, const char *name, int64_t prompt_tokens,
-         int64_t usec)
+De_RecordFirstByte(struct de_demand *demand, const char *name,
+                   int64_t prompt_tokens, int64_t usec)
 {
     struct service *service = find(demand, name);
     if (service == NULL || prompt_tokens < De_PREFILL_TOKENS_MIN ||
@@ -147,25 +147,26 @@
 }
 
 size_t
-De_Own(struct de_demand *demand, struct de_rate out[De_SERVICES_MAX])
+De_LocalRates(struct de_demand *demand, struct de_rate out[De_SERVICES_MAX])
 {
     for (size_t i = 0; i < demand->count; i++) {
         struct service *service = &demand->services[i];
         decay(demand, service);
         out[i] = (struct de_rate){
             .service = service->hash,
-            .sent = service->requests / De_SMOOTH_SEC,
-            .reading = service->prompt_tokens / De_SMOOTH_SEC,
-            .in_long = service->long_prompt_tokens / De_SMOOTH_SEC,
-            .running = service->running_usec / De_SMOOTH_USEC,
-            .read_rate = service->prefill_rate,
+            .requests_per_sec = service->requests / De_SMOOTH_SEC,
+            .prompt_tokens_per_sec = service->prompt_tokens / De_SMOOTH_SEC,
+            .long_prompt_tokens_per_sec =
+                service->long_prompt_tokens / De_SMOOTH_SEC,
+            .concurrency = service->running_usec / De_SMOOTH_USEC,
+            .prefill_rate = service->prefill_rate,
         };
     }
     return demand->count;
 }
 
 double
-De_ReadRate(const struct de_demand *demand, const char *name)
+De_PrefillRate(const struct de_demand *demand, const char *name)
 {
     uint32_t hash = De_Hash(name);
     for (size_t i = 0; i < demand->count; i++) {
--- a/packages/edge/demand.h
+++ b/packages/edge/demand.h
@@ -20,12 +20,15 @@
 #define De_SERVICES_MAX 16
 
 struct de_rate {
-    uint32_t service; /* hash of the service's name */
-    double sent;      /* requests per second */
-    double reading;   /* prompt tokens per second that need prefill */
-    double in_long;   /* portion of "reading" in long prompts */
-    double running;   /* mean number of concurrent requests at endpoints */
-    double read_rate; /* measured prefill rate of one endpoint; 0: none yet */
+    uint32_t service;        /* hash of the service's name */
+    double requests_per_sec; /* requests per second */
+    double
+        prompt_tokens_per_sec; /* prompt tokens per second that need prefill */
+    double
+        long_prompt_tokens_per_sec; /* portion of "reading" in long prompts */
+    double concurrency; /* mean number of concurrent requests at endpoints */
+    double
+        prefill_rate; /* measured prefill rate of one endpoint; 0: none yet */
 };
 
 struct de_demand;
@@ -34,22 +37,23 @@
 void De_Destroy(struct de_demand *demand);
 uint32_t De_Hash(const char *service);
 /* Counts a request sent with this many prompt tokens to prefill. */
-void De_Sent(struct de_demand *demand, const char *service,
-             int64_t prompt_tokens, bool is_long);
+void De_RecordSent(struct de_demand *demand, const char *service,
+                   int64_t prompt_tokens, bool is_long);
 /* Counts the end of a request that ran at an endpoint for "usec". */
-void De_Ended(struct de_demand *demand, const char *service, int64_t usec);
+void De_RecordEnd(struct de_demand *demand, const char *service, int64_t usec);
 /*
  * Updates the prefill rate from a time to the first byte, measured while the
  * endpoint had no other prompt of this daemon to prefill.
  */
-void De_First(struct de_demand *demand, const char *service,
-              int64_t prompt_tokens, int64_t usec);
-size_t De_Own(struct de_demand *demand, struct de_rate out[De_SERVICES_MAX]);
+void De_RecordFirstByte(struct de_demand *demand, const char *service,
+                        int64_t prompt_tokens, int64_t usec);
+size_t De_LocalRates(struct de_demand *demand,
+                     struct de_rate out[De_SERVICES_MAX]);
 /*
  * Returns the prefill rate of one endpoint in tokens per second; 0: not known
  * yet.
  */
-double De_ReadRate(const struct de_demand *demand, const char *service);
+double De_PrefillRate(const struct de_demand *demand, const char *service);
 
 /*
  * Load of a service over all daemons.  De_EndpointsNeeded() returns the
--- a/packages/edge/events.c
+++ b/packages/edge/event_stream.c
@@ -1,4 +1,4 @@
-#include "edge/events.h"
+#include "edge/event_stream.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/packages/edge/events.h
+++ b/packages/edge/event_stream.h
@@ -2,8 +2,8 @@
  * Splits the body of a stream into whole server-sent events.  Only whole
  * events go to the caller, so that a stream can resume at another endpoint.
  */
-#ifndef EDGE_EVENTS_H
-#define EDGE_EVENTS_H
+#ifndef EDGE_EVENT_STREAM_H
+#define EDGE_EVENT_STREAM_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -43,26 +43,27 @@
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     bool is_served = strcmp(outcome, "served") == 0;
-    Ln_Log(is_served ? LN_ORDINARY : LN_FAILURE, "request.end",
-           "\"id\":\"%s\",\"outcome\":\"%s\",\"route\":\"%s\","
-           "\"config\":%lld,\"status\":%d,\"endpoint\":\"%s\","
-           "\"version\":\"%s\",\"sends\":%d,"
-           "\"ran\":%d,\"last_event\":%lld,\"first_ms\":%lld,"
-           "\"aim_ms\":%lld,\"ms\":%lld,\"left_ms\":%lld",
-           exchange->ask.id, outcome, exchange->route->name,
-           (long long)exchange->config->version, attempt->status,
-           attempt->endpoint == NULL ? "" : attempt->endpoint->entry.id,
-           attempt->endpoint == NULL ? "" : attempt->endpoint->entry.version,
-           exchange->sends, exchange->runs, (long long)exchange->last_event,
-           exchange->first_byte_at == 0
-               ? -1LL
-               : (long long)((exchange->first_byte_at - exchange->arrived_at) /
-                             Ck_USEC_PER_MSEC),
-           (long long)(exchange->route->aim_usec / Ck_USEC_PER_MSEC),
-           (long long)((Ga_Now(exchange->gate) - exchange->arrived_at) /
-                       Ck_USEC_PER_MSEC),
-           (long long)((exchange->deadline - Ga_Now(exchange->gate)) /
-                       Ck_USEC_PER_MSEC));
+    Ln_Log(
+        is_served ? LN_ORDINARY : LN_FAILURE, "request.end",
+        "\"id\":\"%s\",\"outcome\":\"%s\",\"route\":\"%s\","
+        "\"config\":%lld,\"status\":%d,\"endpoint\":\"%s\","
+        "\"version\":\"%s\",\"sends\":%d,"
+        "\"ran\":%d,\"last_event\":%lld,\"first_ms\":%lld,"
+        "\"aim_ms\":%lld,\"ms\":%lld,\"left_ms\":%lld",
+        exchange->ask.id, outcome, exchange->route->name,
+        (long long)exchange->config->version, attempt->status,
+        attempt->endpoint == NULL ? "" : attempt->endpoint->entry.id,
+        attempt->endpoint == NULL ? "" : attempt->endpoint->entry.version,
+        exchange->sends, exchange->runs, (long long)exchange->last_event,
+        exchange->first_byte_at == 0
+            ? -1LL
+            : (long long)((exchange->first_byte_at - exchange->arrived_at) /
+                          Ck_USEC_PER_MSEC),
+        (long long)(exchange->route->latency_target_usec / Ck_USEC_PER_MSEC),
+        (long long)((Ga_Now(exchange->gate) - exchange->arrived_at) /
+                    Ck_USEC_PER_MSEC),
+        (long long)((exchange->deadline - Ga_Now(exchange->gate)) /
+                    Ck_USEC_PER_MSEC));
 }
 
 /*
@@ -97,13 +98,13 @@
         Xc_CountRun(exchange);
     }
     attempt->endpoint->running--;
-    De_Ended(exchange->gate->demand, exchange->service->name,
-             slot_usec(exchange));
-    attempt->endpoint->reading -= attempt->queued_tokens;
+    De_RecordEnd(exchange->gate->demand, exchange->service->name,
+                 slot_usec(exchange));
+    attempt->endpoint->prefill_tokens -= attempt->prefill_tokens;
     if (attempt->channel != NULL) {
         Po_Return(exchange->gate, attempt->endpoint, attempt->channel);
     }
-    Fl_Drop(attempt->endpoint);
+    Fl_Unref(attempt->endpoint);
     free(attempt->fields);
     Bf_Free(&attempt->body);
     Es_Clear(&attempt->parser);
@@ -146,7 +147,7 @@
         Sv_Abort(request);
         return;
     }
-    char id[Ak_ID_MAX];
+    char id[Hd_ID_MAX];
     strlcpy(id, exchange->ask.id, sizeof(id));
     struct ga_gate *gate = exchange->gate;
     struct rf_refusal refusal = {status, retry_usec, why, id};
@@ -166,7 +167,7 @@
 silence_deadline(const struct xc_exchange *exchange)
 {
     return exchange->attempt.sent_at +
-           Xc_SILENCE_TARGETS * exchange->route->aim_usec;
+           Xc_SILENCE_TARGETS * exchange->route->latency_target_usec;
 }
 
 static void
@@ -178,8 +179,9 @@
     if (attempt->endpoint != NULL && attempt->head_at == 0) {
         at = earlier(
             at, exchange->silence_handled ? at : silence_deadline(exchange));
-        at = earlier(
-            at, exchange->link_tested ? at : attempt->sent_at + Wy_SILENCE);
+        at = earlier(at, exchange->link_tested
+                             ? at
+                             : attempt->sent_at + Li_SILENCE_USEC);
     }
     Lp_TimerSet(exchange->timer, at - now);
 }
@@ -198,7 +200,7 @@
         return false;
     }
     return exchange->delivered == 0 ||
-           Bu_CanRepeat(exchange->gate->budget, exchange->service->name);
+           Bu_CanRetry(exchange->gate->budget, exchange->service->name);
 }
 
 /* Callers take 503 as a promise that the request has not run. */
@@ -217,7 +219,7 @@
 
 /* Builds the request's head for the endpoint; the caller frees it. */
 static char *
-write_head(const struct xc_exchange *exchange, const struct ak_send *send,
+write_head(const struct xc_exchange *exchange, const struct hd_send *send,
            size_t body_len, size_t *len)
 {
     const struct h1_head *head = Sv_Head(exchange->request);
@@ -259,9 +261,9 @@
 static int
 priority_of(const struct xc_exchange *exchange)
 {
-    return exchange->tenant != NULL && exchange->tenant->rank >= 0
-               ? exchange->tenant->rank
-               : exchange->route->rank;
+    return exchange->tenant != NULL && exchange->tenant->priority >= 0
+               ? exchange->tenant->priority
+               : exchange->route->priority;
 }
 
 /* Logs the data by which the endpoint was chosen, and their age. */
@@ -270,7 +272,8 @@
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     const struct fl_endpoint *endpoint = attempt->endpoint;
-    long long reading = endpoint->reading + endpoint->others_reading;
+    long long reading =
+        endpoint->prefill_tokens + endpoint->peers_prefill_tokens;
     Ln_Log(
         exchange->sends == 1 ? LN_ORDINARY : LN_FAILURE, "attempt.sent",
         "\"id\":\"%s\",\"endpoint\":\"%s\",\"tenant\":\"%s\",\"running\":%d,"
@@ -278,9 +281,9 @@
         "\"entry_age_ms\":%lld,\"config\":%lld",
         exchange->ask.id, endpoint->entry.id,
         exchange->tenant == NULL ? "" : exchange->tenant->name,
-        endpoint->running, endpoint->others_running, reading,
-        (long long)attempt->queued_tokens, Cn_Used(attempt->channel),
-        (long long)((attempt->sent_at - endpoint->refreshed_at) /
+        endpoint->running, endpoint->peers_running, reading,
+        (long long)attempt->prefill_tokens, Cn_Used(attempt->channel),
+        (long long)((attempt->sent_at - endpoint->last_entry_at) /
                     Ck_USEC_PER_MSEC),
         (long long)exchange->config->version);
 }
@@ -292,11 +295,11 @@
     struct fl_endpoint *endpoint = target->endpoint;
     int64_t now = Ga_Now(gate);
     struct xc_attempt *attempt = &exchange->attempt;
-    struct ak_send send = {
+    struct hd_send send = {
         .endpoint = endpoint->entry.id,
         .tenant = exchange->tenant == NULL ? NULL : exchange->tenant->name,
         .left_usec = exchange->deadline - now,
-        .rank = priority_of(exchange),
+        .priority = priority_of(exchange),
         .resume_after = exchange->head_sent ? exchange->last_event : -1,
         .version = exchange->head_sent && exchange->version[0] != '\0'
                        ? exchange->version
@@ -312,15 +315,16 @@
         free(head);
         return false;
     }
-    attempt->endpoint = Fl_Hold(endpoint);
+    attempt->endpoint = Fl_Ref(endpoint);
     attempt->channel = channel;
     attempt->sent_at = now;
-    attempt->queued_tokens = target->read_tokens;
-    int running = endpoint->running + endpoint->others_running;
-    attempt->unloaded = endpoint->reading + endpoint->others_reading == 0 &&
-                        running * Xc_UNLOADED_DIVISOR <= endpoint->entry.slots;
+    attempt->prefill_tokens = target->read_tokens;
+    int running = endpoint->running + endpoint->peers_running;
+    attempt->unloaded =
+        endpoint->prefill_tokens + endpoint->peers_prefill_tokens == 0 &&
+        running * Xc_UNLOADED_DIVISOR <= endpoint->entry.slots;
     endpoint->running++;
-    endpoint->reading += attempt->queued_tokens;
+    endpoint->prefill_tokens += attempt->prefill_tokens;
     Wa_NoteSent(gate, endpoint, exchange->service, now);
     Bt_NoteSent(gate, endpoint);
     /*
@@ -329,10 +333,11 @@
      * a load several times as large.
      */
     if (exchange->sends == 0) {
-        De_Sent(gate->demand, exchange->service->name, attempt->queued_tokens,
-                Pl_IsLong(exchange->ask.tokens_in));
+        De_RecordSent(gate->demand, exchange->service->name,
+                      attempt->prefill_tokens,
+                      Pl_IsLong(exchange->ask.tokens_in));
     }
-    Px_Note(gate->prefixes, &exchange->ask, endpoint->hash, now);
+    Px_NoteSent(gate->prefixes, &exchange->ask, endpoint->hash, now);
     exchange->tried[exchange->tried_count++] = endpoint->hash;
     exchange->sends++;
     exchange->endpoint_waits = 0;
@@ -354,7 +359,7 @@
 static bool
 wait_for_endpoint(struct xc_exchange *exchange)
 {
-    int64_t gap = Rt_Gap(exchange->endpoint_waits + Xc_WAIT_GAP_OFFSET);
+    int64_t gap = Rt_Backoff(exchange->endpoint_waits + Xc_WAIT_GAP_OFFSET);
     if (!exchange->head_sent || exchange->endpoint_waits >= Xc_WAITS_MAX ||
         Ga_Now(exchange->gate) + gap >= exchange->deadline) {
         return false;
@@ -381,10 +386,10 @@
         return;
     }
     if (exchange->sends == 0) {
-        Bu_First(exchange->gate->budget, exchange->service->name);
+        Bu_CountFirst(exchange->gate->budget, exchange->service->name);
     }
     else if (exchange->delivered > 0) {
-        if (!Bu_Repeat(exchange->gate->budget, exchange->service->name)) {
+        if (!Bu_TakeRetry(exchange->gate->budget, exchange->service->name)) {
             Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Xc_BUSY_RETRY_USEC,
                       "no repeat to spare");
             return;
@@ -445,7 +450,7 @@
         Xc_Dispatch(exchange);
         return;
     }
-    if (!exchange->link_tested && now >= attempt->sent_at + Wy_SILENCE) {
+    if (!exchange->link_tested && now >= attempt->sent_at + Li_SILENCE_USEC) {
         test_link(exchange);
     }
     if (now < silence_deadline(exchange)) {
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -5,7 +5,7 @@
 #ifndef EDGE_EXCHANGE_H
 #define EDGE_EXCHANGE_H
 
-#include "edge/events.h"
+#include "edge/event_stream.h"
 #include "edge/gate_internal.h"
 #include "edge/place.h"
 
@@ -18,11 +18,11 @@
     int64_t sent_at;
     int64_t head_at;        /* answer's head received; 0: not yet */
     int64_t first_event_at; /* first event received; 0: not yet */
-    int64_t queued_tokens;  /* prompt tokens counted in the endpoint's queue */
+    int64_t prefill_tokens; /* prompt tokens counted in the endpoint's queue */
     bool unloaded; /* the endpoint had no queue and few running requests */
     bool streaming;
     int status;
-    struct ak_answer answer;
+    struct hd_answer answer;
     char *fields; /* header fields to pass to the caller */
     struct bf_buffer body;
     bool overflow;
@@ -39,7 +39,7 @@
     const struct ec_route *route;
     const struct ec_tenant *tenant; /* NULL: the route needs no key */
     const struct ec_service *service;
-    struct ak_ask ask;
+    struct hd_request_info ask;
     struct lp_timer *timer;
     int64_t arrived_at;
     int64_t first_byte_at; /* first byte of a valid answer; 0: none yet */
@@ -59,7 +59,7 @@
     uint32_t tried[Xc_TRIED_MAX]; /* hashes of the endpoints sent to */
     size_t tried_count;
     int64_t last_event; /* id of the last event passed on; -1: none */
-    char version[Ak_VERSION_MAX];
+    char version[Hd_VERSION_MAX];
     struct xc_attempt attempt;
 };
 
@@ -68,7 +68,7 @@
     const struct ec_route *route;
     const struct ec_tenant *tenant;
     const struct ec_service *service;
-    const struct ak_ask *ask;
+    const struct hd_request_info *ask;
     double cost;
 };
 
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -23,8 +23,8 @@
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (strcmp(endpoint->entry.service, service) == 0 &&
-            endpoint->first_usec > 0) {
-            sum += endpoint->first_usec;
+            endpoint->first_byte_usec > 0) {
+            sum += endpoint->first_byte_usec;
             count++;
         }
     }
@@ -47,7 +47,7 @@
  * other request is a group of its own.
  */
 static uint64_t
-group_of(const struct ak_ask *ask)
+group_of(const struct hd_request_info *ask)
 {
     uint64_t group = Px_Group(ask);
     return group != 0 ? group : Hash_String(ask->id, 0);
@@ -72,24 +72,26 @@
         Wa_State(gate, endpoint, exchange->service, context->now);
     uint64_t home_key[2] = {context->group, endpoint->hash};
     uint64_t sample_key[2] = {context->request, endpoint->hash};
-    struct px_missing missing = Px_Missing(gate->prefixes, &exchange->ask,
-                                           endpoint->hash, context->now);
+    struct px_uncached missing = Px_CountUncached(
+        gate->prefixes, &exchange->ask, endpoint->hash, context->now);
     struct pl_candidate candidate = {
         .slots = endpoint->entry.slots,
-        .running = endpoint->running + endpoint->others_running,
-        .reading = endpoint->reading + endpoint->others_reading,
-        .missing = missing.tokens,
-        .shared = missing.shared,
-        .near = strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
+        .running = endpoint->running + endpoint->peers_running,
+        .prefill_tokens =
+            endpoint->prefill_tokens + endpoint->peers_prefill_tokens,
+        .uncached_tokens = missing.tokens,
+        .uncached_shared = missing.shared,
+        .same_zone =
+            strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
         .shunned =
             He_Shunned(endpoint, context->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
         .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
                 Po_IsFull(gate, endpoint, exchange->service),
-        .failing = He_Failing(endpoint, context->now),
-        .draw = Hash_Bytes(home_key, sizeof(home_key), 0),
-        .lot = (double)Hash_Bytes(sample_key, sizeof(sample_key), 0) /
-               (double)UINT64_MAX,
+        .failing = He_FailureRate(endpoint, context->now),
+        .home_hash = Hash_Bytes(home_key, sizeof(home_key), 0),
+        .sample_hash = (double)Hash_Bytes(sample_key, sizeof(sample_key), 0) /
+                       (double)UINT64_MAX,
         .long_lane = (double)endpoint->hash <
                      context->long_fraction * (double)UINT32_MAX,
     };
@@ -115,9 +117,9 @@
 {
     for (size_t i = 0; i < count; i++) {
         if (rates[i].service == service) {
-            load->sent += rates[i].sent;
-            load->reading += rates[i].reading;
-            load->in_long += rates[i].in_long;
+            load->sent += rates[i].requests_per_sec;
+            load->reading += rates[i].prompt_tokens_per_sec;
+            load->in_long += rates[i].long_prompt_tokens_per_sec;
         }
     }
 }
@@ -128,7 +130,7 @@
     uint32_t hash = De_Hash(service);
     struct load load = {0, 0, 0};
     struct de_rate own[De_SERVICES_MAX];
-    add_rates(own, De_Own(gate->demand, own), hash, &load);
+    add_rates(own, De_LocalRates(gate->demand, own), hash, &load);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         add_rates(peer->rates, peer->rate_count, hash, &load);
@@ -157,7 +159,7 @@
     case RO_OLD_ONLY:
     case RO_OLD_FIRST:
         return !next;
-    case RO_NEXT_FIRST:
+    case RO_NEW_FIRST:
         return next;
     default:
         return true;
@@ -184,7 +186,7 @@
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (out->count < Xc_CANDIDATES_MAX && Fl_Usable(endpoint) &&
             strcmp(endpoint->entry.service, service) == 0 &&
-            version_allowed(pick, Ga_IsNext(move, endpoint)) &&
+            version_allowed(pick, Ga_HasTargetVersion(move, endpoint)) &&
             in_allowed_region(exchange, endpoint)) {
             out->endpoints[out->count++] = endpoint;
         }
@@ -208,26 +210,28 @@
     double drawn_part = 1;
     if (engine) {
         struct load load = load_of(gate, service);
-        double lag = (double)Ms_Lag(gate->mesh) / (double)Ck_USEC_PER_SEC;
-        context.long_fraction = Pl_LongPart(from->count, long_share(&load));
-        drawn_part = Pl_DrawnPart(from->count, load.sent * lag);
+        double lag =
+            (double)Ms_ReportDelay(gate->mesh) / (double)Ck_USEC_PER_SEC;
+        context.long_fraction =
+            Pl_LongLaneFraction(from->count, long_share(&load));
+        drawn_part = Pl_SampledFraction(from->count, load.sent * lag);
     }
     for (size_t i = 0; i < from->count; i++) {
         candidates[i] = make_candidate(exchange, &context, from->endpoints[i]);
     }
     struct pl_limits limits = {
         .engine = engine,
-        .fill = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
+        .fill_max = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
         .lanes = context.long_fraction > 0,
         .is_long = Pl_IsLong(exchange->ask.tokens_in),
-        .drawn_part = drawn_part,
+        .sampled_fraction = drawn_part,
     };
     struct pl_choice choice = {0, 0};
     enum pl_verdict verdict =
         Pl_Choose(candidates, from->count, &limits, &choice);
     if (verdict == PL_CHOSEN) {
         out->endpoint = from->endpoints[choice.index];
-        out->read_tokens = choice.reading;
+        out->read_tokens = choice.prefill_tokens;
     }
     return verdict;
 }
@@ -248,7 +252,7 @@
         Ro_Pick(move, exchange->sends > 0, Rn_Unit(&gate->random));
     if (pick == RO_OLD_FIRST && exchange->head_sent) {
         /* A begun stream resumes at the version that most endpoints have. */
-        pick = RO_NEXT_FIRST;
+        pick = RO_NEW_FIRST;
     }
     select_endpoints(exchange, pick, &selection);
     enum pl_verdict verdict = choose_among(exchange, &selection, out);
@@ -257,7 +261,7 @@
         return verdict;
     }
     select_endpoints(exchange,
-                     pick == RO_NEXT_FIRST ? RO_OLD_ONLY : RO_NEXT_FIRST,
+                     pick == RO_NEW_FIRST ? RO_OLD_ONLY : RO_NEW_FIRST,
                      &selection);
     return choose_among(exchange, &selection, out);
 }
--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -339,7 +339,7 @@
         now - reader->failing_since > Fe_OUTAGE_MIN_USEC &&
         reader->all_failed_at != 0 &&
         now - reader->all_failed_at < Fe_OUTAGE_RECENT_USEC) {
-        Fl_Doubt(feed->options.fleet, Fe_HOLD_REMOVALS_USEC);
+        Fl_HoldRemovals(feed->options.fleet, Fe_HOLD_REMOVALS_USEC);
     }
     reader->failing_since = 0;
     reader->failures = 0;
@@ -365,7 +365,7 @@
         reader->failing_since =
             reader->answered_at != 0 ? reader->answered_at : now;
     }
-    if (!reader->feed->options.ops->others_reach(reader->feed->options.arg)) {
+    if (!reader->feed->options.ops->peers_reach(reader->feed->options.arg)) {
         reader->all_failed_at = now;
     }
     set_reached(reader->feed, false);
@@ -412,7 +412,7 @@
     const struct fe_options *options = &reader->feed->options;
     if (reader->listed || !reader->state_applied ||
         reader->topic != AG_ENDPOINTS ||
-        !options->ops->others_read(options->arg, reader->topic)) {
+        !options->ops->peers_read(options->arg, reader->topic)) {
         return;
     }
     reader->next_offset = reader->changes_end;
@@ -432,7 +432,7 @@
     return !reader->listed && reader->list_after[0] != '\0' &&
            reader->topic == AG_ENDPOINTS &&
            now - reader->first_page_at < Fe_PEER_STATE_USEC &&
-           options->ops->others_known(options->arg);
+           options->ops->peers_known(options->arg);
 }
 
 /*
@@ -444,10 +444,10 @@
 {
     const struct fe_options *options = &reader->feed->options;
     int64_t up_usec = now - reader->feed->started_at;
-    return options->ops->others_read(options->arg, reader->topic) ||
+    return options->ops->peers_read(options->arg, reader->topic) ||
            up_usec < Fe_DISCOVERY_USEC ||
            (up_usec < Fe_FIRST_MESSAGES_USEC &&
-            options->ops->others_known(options->arg));
+            options->ops->peers_known(options->arg));
 }
 
 static void
@@ -603,10 +603,10 @@
 }
 
 bool
-Fe_Current(const struct fe_feed *feed)
+Fe_IsCurrent(const struct fe_feed *feed)
 {
     return Fe_Reads(feed, AG_CONFIG) ||
-           feed->options.ops->others_read(feed->options.arg, AG_CONFIG);
+           feed->options.ops->peers_read(feed->options.arg, AG_CONFIG);
 }
 
 bool
--- a/packages/edge/feed.h
+++ b/packages/edge/feed.h
@@ -32,17 +32,17 @@
      * Whether another daemon reaches the store. The store was then not down,
      * so no entries have expired.
      */
-    bool (*others_reach)(void *arg);
+    bool (*peers_reach)(void *arg);
     /*
      * Whether enough other daemons read the topic. Each read is a call to the
      * store, and all daemons get from their peers what one of them has read.
      */
-    bool (*others_read)(void *arg, enum ag_topic topic);
+    bool (*peers_read)(void *arg, enum ag_topic topic);
     /*
      * Whether enough other daemons are known that a message from one of them
      * is likely to arrive soon.
      */
-    bool (*others_known)(void *arg);
+    bool (*peers_known)(void *arg);
 };
 
 struct fe_options {
@@ -69,7 +69,7 @@
  * Whether the configuration is read from the store, by this daemon or by
  * peers, so that no newer one can have been missed.
  */
-bool Fe_Current(const struct fe_feed *feed);
+bool Fe_IsCurrent(const struct fe_feed *feed);
 bool Fe_Reached(const struct fe_feed *feed);
 /*
  * To be called when a peer has a newer configuration. True: it is being read
--- a/packages/edge/feed_pack.c
+++ b/packages/edge/feed_pack.c
@@ -88,7 +88,7 @@
     }
     const msgpack_object *field = record->via.array.ptr;
     char key[Ec_NAME_MAX * 2];
-    if (!Pk_Text(&field[0], key, sizeof(key)) ||
+    if (!Pk_CopyString(&field[0], key, sizeof(key)) ||
         field[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return;
     }
@@ -176,7 +176,7 @@
 {
     const struct fe_options *options = &reader->feed->options;
     if (reader->failing_since != 0 &&
-        options->ops->others_read(options->arg, reader->topic)) {
+        options->ops->peers_read(options->arg, reader->topic)) {
         fe_end_failure(reader);
     }
 }
--- a/packages/edge/fleet.c
+++ b/packages/edge/fleet.c
@@ -50,8 +50,9 @@
            strcmp(before->zone, now->zone) == 0 &&
            strcmp(before->version, now->version) == 0 &&
            before->slots == now->slots && before->draining == now->draining &&
-           before->spot == now->spot && before->born == now->born &&
-           now->cold_usec <= before->cold_usec;
+           before->spot == now->spot &&
+           before->started_ms == now->started_ms &&
+           now->warmup_left_usec <= before->warmup_left_usec;
 }
 
 static void
@@ -67,14 +68,14 @@
 }
 
 struct fl_endpoint *
-Fl_Hold(struct fl_endpoint *endpoint)
+Fl_Ref(struct fl_endpoint *endpoint)
 {
     endpoint->refs++;
     return endpoint;
 }
 
 void
-Fl_Drop(struct fl_endpoint *endpoint)
+Fl_Unref(struct fl_endpoint *endpoint)
 {
     if (endpoint != NULL && --endpoint->refs == 0) {
         close_idle(endpoint);
@@ -100,7 +101,7 @@
     close_idle(endpoint);
     TAILQ_REMOVE(&fleet->endpoints, endpoint, link);
     RB_REMOVE(fl_tree, &fleet->by_hash, endpoint);
-    Fl_Drop(endpoint);
+    Fl_Unref(endpoint);
 }
 
 void
@@ -147,7 +148,7 @@
     }
     endpoint->refs = 1;
     endpoint->hash = hash_id(entry->id);
-    endpoint->since = Ck_Now(fleet->clock);
+    endpoint->first_entry_at = Ck_Now(fleet->clock);
     TAILQ_INIT(&endpoint->idle);
     if (RB_INSERT(fl_tree, &fleet->by_hash, endpoint) != NULL) {
         /* Daemons identify endpoints to each other by this hash. */
@@ -165,7 +166,7 @@
 {
     struct fl_endpoint *endpoint = Fl_Find(fleet, entry->id);
     if (endpoint != NULL &&
-        (endpoint->entry.born != entry->born ||
+        (endpoint->entry.started_ms != entry->started_ms ||
          strcmp(endpoint->entry.address, entry->address) != 0)) {
         /*
          * The endpoint was restarted: this is another engine with the same ID.
@@ -185,10 +186,11 @@
     bool is_first = endpoint->entry.id[0] == '\0';
     endpoint->entry = *entry;
     endpoint->entry.draining = draining;
-    endpoint->vanished_at = 0;
-    endpoint->refreshed_at = Ck_Now(fleet->clock);
+    endpoint->removal_held_since = 0;
+    endpoint->last_entry_at = Ck_Now(fleet->clock);
     endpoint->evacuated = Fl_IsEvacuated(fleet, entry->zone);
-    Wu_Told(&endpoint->warmup, entry->cold_usec, endpoint->refreshed_at);
+    Wu_SetColdLeft(&endpoint->warmup, entry->warmup_left_usec,
+                   endpoint->last_entry_at);
     if (is_first || was_draining != draining) {
         log_change(endpoint, draining ? "draining" : "ready");
     }
@@ -207,8 +209,8 @@
     }
     int64_t now = Ck_Now(fleet->clock);
     if (now < fleet->hold_removals_until && !endpoint->entry.draining) {
-        if (endpoint->vanished_at == 0) {
-            endpoint->vanished_at = now;
+        if (endpoint->removal_held_since == 0) {
+            endpoint->removal_held_since = now;
             log_change(endpoint, "doubted");
         }
         return;
@@ -217,7 +219,7 @@
 }
 
 void
-Fl_Doubt(struct fl_fleet *fleet, int64_t usec)
+Fl_HoldRemovals(struct fl_fleet *fleet, int64_t usec)
 {
     fleet->hold_removals_until = Ck_Now(fleet->clock) + usec;
 }
@@ -236,21 +238,22 @@
     struct fl_endpoint *endpoint;
     struct fl_endpoint *next;
     TAILQ_FOREACH_SAFE (endpoint, &fleet->endpoints, link, next) {
-        if (endpoint->vanished_at != 0 && now >= fleet->hold_removals_until) {
+        if (endpoint->removal_held_since != 0 &&
+            now >= fleet->hold_removals_until) {
             remove_endpoint(fleet, endpoint);
         }
     }
 }
 
 void
-Fl_ClearOthers(struct fl_fleet *fleet)
+Fl_ClearPeerLoads(struct fl_fleet *fleet)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &fleet->endpoints, link) {
-        endpoint->others_running = 0;
-        endpoint->others_reading = 0;
-        endpoint->near_running = 0;
-        endpoint->near_reading = 0;
+        endpoint->peers_running = 0;
+        endpoint->peers_prefill_tokens = 0;
+        endpoint->zone_peers_running = 0;
+        endpoint->zone_peers_prefill_tokens = 0;
     }
 }
 
@@ -314,7 +317,7 @@
         if (begin) {
             close_idle(endpoint);
         }
-        endpoint->returned_at = begin ? 0 : Ck_Now(fleet->clock);
+        endpoint->zone_restored_at = begin ? 0 : Ck_Now(fleet->clock);
     }
     Ln_Log(LN_STATE, begin ? "zone.evacuated" : "zone.returned",
            "\"zone\":\"%s\",\"endpoints\":%zu,\"running\":%d", zone, count,
@@ -323,7 +326,7 @@
 }
 
 int
-Fl_CountEvacuated(const struct fl_fleet *fleet)
+Fl_CountEvacuatedRequests(const struct fl_fleet *fleet)
 {
     int running = 0;
     const struct fl_endpoint *endpoint;
@@ -350,7 +353,7 @@
 }
 
 bool
-Fl_Any(const struct fl_fleet *fleet)
+Fl_HasEndpoints(const struct fl_fleet *fleet)
 {
     return !TAILQ_EMPTY(&fleet->endpoints);
 }
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -17,8 +17,8 @@
 #include "base/clock.h"
 #include "edge/config.h"
 #include "policy/brittle.h"
+#include "policy/link.h"
 #include "policy/warmup.h"
-#include "policy/way.h"
 #include "web/channel.h"
 
 #ifdef __cplusplus
@@ -34,9 +34,9 @@
     char version[Ec_NAME_MAX]; /* software version */
     int slots;
     bool draining;
-    bool spot;         /* may be reclaimed at short notice */
-    int64_t born;      /* start time, milliseconds since 1970 */
-    int64_t cold_usec; /* remaining time of its warm-up */
+    bool spot;                /* may be reclaimed at short notice */
+    int64_t started_ms;       /* start time, milliseconds since 1970 */
+    int64_t warmup_left_usec; /* remaining time of its warm-up */
 };
 
 /* Data centres that can be evacuated at the same time. */
@@ -50,46 +50,48 @@
     int refs;
     uint32_t hash; /* of the ID; identifies the endpoint between daemons */
     struct fl_entry entry;
-    bool gone;            /* its entry was removed */
-    bool evacuated;       /* its data centre is evacuated: no new requests */
-    int64_t vanished_at;  /* removal on hold since then; 0: none */
-    int64_t refreshed_at; /* when the last entry came */
-    int64_t since;        /* when the first entry came */
+    bool gone;      /* its entry was removed */
+    bool evacuated; /* its data centre is evacuated: no new requests */
+    int64_t removal_held_since; /* removal on hold since then; 0: none */
+    int64_t last_entry_at;      /* when the last entry came */
+    int64_t first_entry_at;     /* when the first entry came */
     /* when its data centre's evacuation ended; 0: never */
-    int64_t returned_at;
+    int64_t zone_restored_at;
     struct wu_warmup warmup;
-    struct br_room room;
+    struct br_state room;
 
     /* Requests that this daemon has sent and that have not ended. */
     int running;
     int connections;
-    int64_t reading; /* prompt tokens sent and awaiting their first event */
+    int64_t
+        prefill_tokens; /* prompt tokens sent and awaiting their first event */
     struct fl_idle_list idle;
     /*
      * The same numbers for all other daemons, from their last reports; the
      * "near" numbers are of the daemons in this data centre only.
      */
-    int others_running;
-    int near_running;
-    int64_t others_reading;
-    int64_t near_reading;
+    int peers_running;
+    int zone_peers_running;
+    int64_t peers_prefill_tokens;
+    int64_t zone_peers_prefill_tokens;
 
     /* Health, see health.h. */
-    double failing;    /* fraction of recent answers that failed, 0 to 1 */
-    double first_usec; /* recent time to the first byte */
-    int64_t shunned_until;
-    int64_t silent_at; /* start of its latest silence; 0: never */
+    double failure_rate; /* fraction of recent answers that failed, 0 to 1 */
+    double first_byte_usec; /* recent time to the first byte */
+    int64_t ejected_until;
+    int64_t silence_since; /* start of its latest silence; 0: never */
     int64_t answered_at;
-    int64_t noted_at; /* end of the last request, successful or not */
-    int64_t first_at; /* time of the last first byte; 0: none */
-    int strikes;      /* consecutive broken connections */
+    int64_t last_outcome_at; /* end of the last request, successful or not */
+    int64_t last_first_byte_at; /* time of the last first byte; 0: none */
+    int consecutive_breaks;     /* consecutive broken connections */
     /* when it last failed before the first event of a request; 0: never */
-    int64_t ended_at;
+    int64_t crashed_at;
 
     /* The link from this host to the endpoint, see paths.h. */
-    bool test_wanted;
-    struct wy_link way;
-    int64_t heard_at; /* when bytes last arrived on a direct connection */
+    bool probe_wanted;
+    struct li_link link_state;
+    int64_t last_direct_byte_at; /* when bytes last arrived on a direct
+                                    connection */
 };
 
 /* An idle connection kept for reuse. */
@@ -119,27 +121,27 @@
  * For the next "usec", removals may be false, because the store was
  * unreachable.  They are put on hold until then.
  */
-void Fl_Doubt(struct fl_fleet *fleet, int64_t usec);
+void Fl_HoldRemovals(struct fl_fleet *fleet, int64_t usec);
 void Fl_Tick(struct fl_fleet *fleet);
 /*
  * Begins ("begin") or ends an operator's evacuation of a data centre; returns
  * whether that changes anything.
  */
 bool Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool begin);
-void Fl_ClearOthers(struct fl_fleet *fleet);
+void Fl_ClearPeerLoads(struct fl_fleet *fleet);
 
 /* Queries. */
 const struct fl_list *Fl_All(const struct fl_fleet *fleet);
 struct fl_endpoint *Fl_ByHash(const struct fl_fleet *fleet, uint32_t hash);
 struct fl_endpoint *Fl_Find(const struct fl_fleet *fleet, const char *id);
 bool Fl_Usable(const struct fl_endpoint *endpoint);
-bool Fl_Any(const struct fl_fleet *fleet);
+bool Fl_HasEndpoints(const struct fl_fleet *fleet);
 bool Fl_IsEvacuated(const struct fl_fleet *fleet, const char *zone);
 /* Returns the requests running in evacuated data centres. */
-int Fl_CountEvacuated(const struct fl_fleet *fleet);
+int Fl_CountEvacuatedRequests(const struct fl_fleet *fleet);
 
-struct fl_endpoint *Fl_Hold(struct fl_endpoint *endpoint);
-void Fl_Drop(struct fl_endpoint *endpoint);
+struct fl_endpoint *Fl_Ref(struct fl_endpoint *endpoint);
+void Fl_Unref(struct fl_endpoint *endpoint);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/breaks.h"
+#include "edge/broken.h"
 #include "edge/exchange.h"
 #include "edge/gate_internal.h"
 #include "edge/paths.h"
@@ -41,14 +41,15 @@
 }
 
 bool
-Ga_Ready(const struct ga_gate *gate)
+Ga_IsReady(const struct ga_gate *gate)
 {
     return gate->stopping_at == 0 && Fe_Config(gate->feed) != NULL &&
-           Fl_Any(gate->fleet);
+           Fl_HasEndpoints(gate->fleet);
 }
 
 bool
-Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint)
+Ga_HasTargetVersion(const struct ro_move *move,
+                    const struct fl_endpoint *endpoint)
 {
     return move != NULL &&
            strcmp(endpoint->entry.version, move->order.target) == 0;
@@ -58,7 +59,8 @@
 Ga_MayRunAt(const struct ga_gate *gate, const struct ec_route *route,
             const struct ec_tenant *tenant, const struct fl_endpoint *endpoint)
 {
-    if (route->homes == NULL && (tenant == NULL || tenant->homes == NULL)) {
+    if (route->allowed_regions == NULL &&
+        (tenant == NULL || tenant->allowed_regions == NULL)) {
         return true;
     }
     return Ec_MayRunIn(route, tenant,
@@ -99,7 +101,7 @@
         gate->overload_logged_at = now;
         Ln_Log(LN_FAILURE, "connection.unread",
                "\"connections\":%zu,\"late\":%d,\"in_all\":%lld",
-               Sv_Connections(gate->callers), gate->overload.full,
+               Sv_Connections(gate->callers), gate->overload.overloaded,
                (long long)Mt_Value(gate->count.closed_unread));
     }
 }
@@ -110,7 +112,7 @@
     struct ga_gate *gate = arg;
     size_t most = (size_t)gate->options.node->max_fds / Ga_CALLERS_FDS_DIVISOR;
     bool accepts =
-        Cr_MayTake(&gate->overload, Sv_Connections(gate->callers), most);
+        Ov_MayAccept(&gate->overload, Sv_Connections(gate->callers), most);
     if (!accepts) {
         log_overload(gate);
     }
@@ -121,7 +123,7 @@
 on_turn(void *arg, int64_t usec)
 {
     struct ga_gate *gate = arg;
-    Cr_Turn(&gate->overload, usec, Ga_Now(gate));
+    Ov_RecordTurn(&gate->overload, usec, Ga_Now(gate));
 }
 
 static void
@@ -157,7 +159,7 @@
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    Sv_Reply(request, Ga_Ready(gate) ? 200 : 503, "", "", 0);
+    Sv_Reply(request, Ga_IsReady(gate) ? 200 : 503, "", "", 0);
 }
 
 static void
@@ -168,11 +170,11 @@
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    Ag_ShowCalls(gate->options.store, gate->registry);
+    Ag_ExportCalls(gate->options.store, gate->registry);
     Vs_UpdateEndpoints(gate->registry, gate->fleet);
     Mt_Set(
         Mt_Get(gate->registry, MT_GAUGE, "cornelgate_evacuated_running", ""),
-        Fl_CountEvacuated(gate->fleet));
+        Fl_CountEvacuatedRequests(gate->fleet));
     char *text = Mt_Print(gate->registry);
     Sv_Reply(request, 200, "Content-Type: text/plain; version=0.0.4\r\n",
              text == NULL ? "" : text, text == NULL ? 0 : strlen(text));
@@ -227,7 +229,7 @@
     struct ga_gate *gate = arg;
     if (Fl_Evacuate(gate->fleet, zone, evacuate)) {
         /* The load of the other data centres rises or falls from now on. */
-        Wo_PlanSoon(gate->work);
+        Co_PlanSoon(gate->work);
     }
 }
 
@@ -263,8 +265,8 @@
 static bool
 is_timely_reader(const struct ga_gate *gate, const struct ms_peer *peer)
 {
-    return Ms_Close(gate->mesh, peer) &&
-           (peer->near || !Ms_Summarizes(gate->mesh) ||
+    return Ms_IsResponsive(gate->mesh, peer) &&
+           (peer->same_zone || !Ms_UsesSummaries(gate->mesh) ||
             Zn_IsReported(gate->zones, peer->zone));
 }
 
@@ -315,9 +317,9 @@
     .order = on_order,
     .evacuation = on_evacuation,
     .store = on_store,
-    .others_reach = peers_reach_store,
-    .others_read = enough_readers,
-    .others_known = many_hosts_known,
+    .peers_reach = peers_reach_store,
+    .peers_read = enough_readers,
+    .peers_known = many_hosts_known,
 };
 
 static bool
@@ -365,7 +367,7 @@
 {
     int64_t elapsed = Ga_Now(gate) - gate->stopping_at;
     if (peers_serve(gate)) {
-        Du_Resign(gate->duty);
+        Lr_Release(gate->duty);
     }
     if (elapsed > Ga_STOP_IDLE_USEC) {
         Sv_CloseIdle(gate->callers, Ga_TICK_USEC);
@@ -386,7 +388,7 @@
 static void
 note_readiness(struct ga_gate *gate)
 {
-    bool ready = Ga_Ready(gate);
+    bool ready = Ga_IsReady(gate);
     if (ready != gate->was_ready) {
         gate->was_ready = ready;
         Ln_Log(LN_STATE, ready ? "ready" : "unready", "\"daemons\":%zu",
@@ -407,8 +409,8 @@
     Qn_Tick(gate->quarantine);
     Th_Tick(gate->through);
     Ro_Tick(gate->moves);
-    Du_Tick(gate->duty);
-    Wo_Tick(gate->work);
+    Lr_Tick(gate->duty);
+    Co_Tick(gate->work);
     if (gate->ticks % Ga_SWEEP_TICKS == 0) {
         Sv_Tick(gate->callers);
         Sv_Tick(gate->ready);
@@ -465,7 +467,7 @@
 {
     const struct nd_node *node = gate->options.node;
     const struct ck_clock *clock = gate->options.clock;
-    Rn_Seed(&gate->random, gate->options.run);
+    Rn_Seed(&gate->random, gate->options.run_id);
     gate->registry = Mt_Create();
     gate->fleet = Fl_Create(clock);
     gate->quota = Qt_Create(clock, node->first_start);
@@ -476,11 +478,11 @@
     gate->zones = Zn_Create(clock);
     gate->moves = Ro_Create(clock);
     gate->demand = De_Create(clock);
-    gate->time = Tt_Create(clock);
+    gate->true_time = Tt_Create(clock);
     if (gate->registry == NULL || gate->fleet == NULL || gate->quota == NULL ||
         gate->budget == NULL || gate->prefixes == NULL ||
         gate->usage == NULL || gate->zones == NULL || gate->moves == NULL ||
-        gate->demand == NULL || gate->time == NULL) {
+        gate->demand == NULL || gate->true_time == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the daemon's tables");
     }
     Qt_SetWindow(gate->quota, node->quota_window_usec);
@@ -519,7 +521,8 @@
 {
     const struct ga_gate *gate = arg;
     const struct fl_endpoint *endpoint = Fl_Find(gate->fleet, id);
-    if (endpoint == NULL || endpoint->way.cut || gate->stopping_at != 0) {
+    if (endpoint == NULL || endpoint->link_state.cut ||
+        gate->stopping_at != 0) {
         return false;
     }
     return strlcpy(address, endpoint->entry.address, size) < size;
@@ -542,7 +545,7 @@
 {
     const struct nd_node *node = gate->options.node;
     char address[Nd_NAME_MAX + 8];
-    snprintf(address, sizeof(address), "%s:%d", node->ip, node->through_port);
+    snprintf(address, sizeof(address), "%s:%d", node->ip, node->tunnel_port);
     size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_DIVISOR;
     struct th_options options = {
         .loop = gate->options.loop,
@@ -578,22 +581,22 @@
         .ops = &feed_ops,
         .arg = gate,
     };
-    struct du_options duty = {
+    struct lr_options duty = {
         .clock = options->clock,
         .store = options->store,
         .name = options->node->name,
-        .run = options->run,
+        .run = options->run_id,
         .lease_usec = options->node->lease_usec,
         .rank = rank,
-        .changed = Wo_Changed,
+        .changed = Co_LeaseChanged,
         .arg = gate,
     };
     gate->paths = Pt_Create(gate);
     gate->breaks = Bk_Create(gate);
     gate->quarantine = Qn_Create(gate);
     gate->feed = Fe_Create(&feed);
-    gate->duty = Du_Create(&duty);
-    gate->work = Wo_Create(gate);
+    gate->duty = Lr_Create(&duty);
+    gate->work = Co_Create(gate);
     gate->tick = Lp_TimerCreate(options->loop, on_tick, gate);
     if (gate->paths == NULL || gate->breaks == NULL ||
         gate->quarantine == NULL || gate->feed == NULL || gate->duty == NULL ||
@@ -628,7 +631,7 @@
         return status;
     }
     Ln_Log(LN_STATE, "process.started", "\"callers\":\"%s\",\"run\":%llu",
-           options->node->callers, (unsigned long long)options->run);
+           options->node->callers, (unsigned long long)options->run_id);
     *out = gate;
     return ST_OK;
 }
@@ -664,8 +667,8 @@
         return;
     }
     Lp_TimerDestroy(gate->tick);
-    Wo_Destroy(gate->work);
-    Du_Destroy(gate->duty);
+    Co_Destroy(gate->work);
+    Lr_Destroy(gate->duty);
     Fe_Destroy(gate->feed);
     Pe_Destroy(gate->peers);
     Ms_Destroy(gate->mesh);
@@ -684,7 +687,7 @@
     Zn_Destroy(gate->zones);
     Ro_Destroy(gate->moves);
     De_Destroy(gate->demand);
-    Tt_Destroy(gate->time);
+    Tt_Destroy(gate->true_time);
     Mt_Destroy(gate->registry);
     free(gate);
 }
--- a/packages/edge/gate.h
+++ b/packages/edge/gate.h
@@ -7,8 +7,8 @@
 
 #include "base/clock.h"
 #include "base/status.h"
-#include "edge/ask.h"
 #include "edge/cloud.h"
+#include "edge/header_codec.h"
 #include "edge/node.h"
 #include "edge/store.h"
 #include "web/loop.h"
@@ -23,13 +23,13 @@
     struct lp_loop *loop;
     const struct ck_clock *clock;
     const struct nd_node *node;
-    const struct ak_wire *wire;
+    const struct hd_wire *wire;
     const struct ag_codec *codec;
     struct ag_store *store;
     struct cl_cloud *cloud;
     const char *ready_path;
     const char *metrics_path;
-    uint64_t run; /* id of this run of the process */
+    uint64_t run_id; /* id of this run of the process */
 };
 
 enum st_status Ga_Create(const struct ga_options *options,
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -8,10 +8,10 @@
 #include "base/random.h"
 #include "edge/budget.h"
 #include "edge/demand.h"
-#include "edge/duty.h"
 #include "edge/feed.h"
 #include "edge/fleet.h"
 #include "edge/gate.h"
+#include "edge/leader.h"
 #include "edge/mesh.h"
 #include "edge/prefix.h"
 #include "edge/quota.h"
@@ -19,7 +19,7 @@
 #include "edge/truetime.h"
 #include "edge/usage.h"
 #include "edge/zones.h"
-#include "policy/crowd.h"
+#include "policy/overload.h"
 #include "web/serve.h"
 #include "web/through.h"
 
@@ -27,7 +27,7 @@
 struct pe_peers;
 struct pt_paths;
 struct qn_quarantine;
-struct wo_work;
+struct co_controller;
 struct xc_exchange;
 
 TAILQ_HEAD(xc_list, xc_exchange);
@@ -66,19 +66,19 @@
     struct us_usage *usage;
     struct ro_table *moves;
     struct de_demand *demand;
-    struct tt_time *time;
-    struct du_duty *duty;
+    struct tt_time *true_time;
+    struct lr_lease *duty;
     struct ms_mesh *mesh;
     struct zn_zones *zones;
     struct pe_peers *peers;
     struct pt_paths *paths;
     struct bk_breaks *breaks;
     struct qn_quarantine *quarantine;
-    struct cr_host overload;
+    struct ov_load overload;
     int64_t overload_logged_at;
     struct xc_list exchanges;
     struct th_through *through;
-    struct wo_work *work;
+    struct co_controller *work;
     struct mt_registry *registry;
     struct ga_counters count;
     struct lp_timer *tick;
@@ -90,7 +90,7 @@
 };
 
 int64_t Ga_Now(const struct ga_gate *gate);
-bool Ga_Ready(const struct ga_gate *gate);
+bool Ga_IsReady(const struct ga_gate *gate);
 bool Ga_StopMayCut(const struct ga_gate *gate, const struct ec_route *route);
 
 /* Whether route and tenant allow the region of the endpoint. */
@@ -117,15 +117,16 @@
 void Xc_CallerDrained(struct sv_request *request);
 
 /* Work of the lease holder for all hosts: usage reports and orders. */
-struct wo_work *Wo_Create(struct ga_gate *gate);
-void Wo_Destroy(struct wo_work *work);
-void Wo_Tick(struct wo_work *work);
+struct co_controller *Co_Create(struct ga_gate *gate);
+void Co_Destroy(struct co_controller *work);
+void Co_Tick(struct co_controller *work);
 /* Has the numbers of endpoints planned again at the next tick. */
-void Wo_PlanSoon(struct wo_work *work);
+void Co_PlanSoon(struct co_controller *work);
 /* Whether the endpoint has the target version of the move. */
-bool Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint);
-void Wo_Changed(void *arg, bool holder, int64_t fence);
-int64_t Wo_Window(const struct ga_gate *gate, int64_t true_usec);
+bool Ga_HasTargetVersion(const struct ro_move *move,
+                         const struct fl_endpoint *endpoint);
+void Co_LeaseChanged(void *arg, bool holder, int64_t fence);
+int64_t Co_UsageWindow(const struct ga_gate *gate, int64_t true_usec);
 
 /* State exchange with the peers. */
 struct pe_peers *Pe_Create(struct ga_gate *gate);
--- a/packages/edge/ask.h
+++ b/packages/edge/header_codec.h
@@ -2,8 +2,8 @@
  * Metadata of requests and answers, decoded from the header fields of the
  * protocol variant ("wire") in use.
  */
-#ifndef EDGE_ASK_H
-#define EDGE_ASK_H
+#ifndef EDGE_HEADER_CODEC_H
+#define EDGE_HEADER_CODEC_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -15,60 +15,61 @@
 extern "C" {
 #endif
 
-#define Ak_ID_MAX 96
-#define Ak_KEY_MAX 160
-#define Ak_PARTS_MAX 33
-#define Ak_VERSION_MAX 32
+#define Hd_ID_MAX 96
+#define Hd_KEY_MAX 160
+#define Hd_PARTS_MAX 33
+#define Hd_VERSION_MAX 32
 
 /* A part of a prompt: the unit of an engine's prefix cache. */
-struct ak_part {
+struct hd_part {
     uint64_t id;
     int tokens;
 };
 
-struct ak_ask {
-    char id[Ak_ID_MAX];
-    char key[Ak_KEY_MAX];
+struct hd_request_info {
+    char id[Hd_ID_MAX];
+    char key[Hd_KEY_MAX];
     bool has_key;
-    bool two_keys;         /* several keys: the request is to be refused */
+    bool many_keys;        /* several keys: the request is to be refused */
     int64_t deadline_usec; /* how long the caller waits; -1: not given */
     int64_t last_event;    /* the caller resumes after it; -1: no resume */
-    bool counted;          /* the token counts are given */
+    bool has_token_counts; /* the token counts are given */
     int64_t tokens_in;
     int64_t tokens_out;
-    struct ak_part parts[Ak_PARTS_MAX];
+    struct hd_part parts[Hd_PARTS_MAX];
     size_t part_count;
 };
 
-struct ak_answer {
-    bool own;     /* has no request id, or the id of this request */
-    bool echoed;  /* has the id of this request */
-    bool sealed;  /* has the endpoint's seal */
-    bool not_run; /* the endpoint did not run the request */
+struct hd_answer {
+    bool id_matches; /* has no request id, or the id of this request */
+    bool echoed;     /* has the id of this request */
+    bool sealed;     /* has the endpoint's seal */
+    bool not_run;    /* the endpoint did not run the request */
     bool encoded; /* has a content encoding: the body was altered in transit */
     /* Refusals in a second that the endpoint tolerates; -1: not given. */
     int refusals_borne;
-    char version[Ak_VERSION_MAX]; /* of the weights; empty: not given */
+    char version[Hd_VERSION_MAX]; /* of the weights; empty: not given */
 };
 
 /* Values of the header fields added to a request for an endpoint. */
-struct ak_send {
+struct hd_send {
     const char *endpoint; /* identity of the endpoint that must answer */
     const char *tenant;   /* NULL: none */
     int64_t left_usec;    /* time to the deadline */
-    int rank;             /* priority; 0 is the most urgent */
+    int priority;         /* priority; 0 is the most urgent */
     int64_t resume_after; /* id of the last event passed on; -1: none */
     const char *version;  /* required version of the weights; NULL: any */
 };
 
-struct ak_wire {
-    void (*decode_ask)(const struct h1_head *head, struct ak_ask *ask);
+struct hd_wire {
+    void (*decode_request)(const struct h1_head *head,
+                           struct hd_request_info *ask);
     void (*decode_answer)(const struct h1_head *head, const char *id,
-                          struct ak_answer *answer);
+                          struct hd_answer *answer);
     /* Whether a field is dropped from callers' requests: only hosts set it. */
     bool (*reserved)(struct h1_text name);
     /* Writes the fields of "send"; returns the length. */
-    size_t (*encode_send)(const struct ak_send *send, char *out, size_t size);
+    size_t (*encode_send)(const struct hd_send *send, char *out, size_t size);
     /* Field names. */
     const char *retry_after; /* delay in seconds */
     const char *request_id;  /* id of the caller's request */
--- a/packages/edge/health.c
+++ b/packages/edge/health.c
@@ -24,8 +24,8 @@
 static void
 shun(struct fl_endpoint *endpoint, int64_t until)
 {
-    if (endpoint->shunned_until < until) {
-        endpoint->shunned_until = until;
+    if (endpoint->ejected_until < until) {
+        endpoint->ejected_until = until;
     }
 }
 
@@ -47,9 +47,9 @@
     if (outcome != HE_SILENT) {
         return false;
     }
-    bool same = endpoint->silent_at != 0 &&
-                now - endpoint->silent_at < He_SILENCE_USEC;
-    endpoint->silent_at = same ? endpoint->silent_at : now;
+    bool same = endpoint->silence_since != 0 &&
+                now - endpoint->silence_since < He_SILENCE_USEC;
+    endpoint->silence_since = same ? endpoint->silence_since : now;
     return same;
 }
 
@@ -59,13 +59,14 @@
 {
     double failed = outcome == HE_SERVED || outcome == HE_REFUSED ? 0 : 1;
     if (outcome != HE_REFUSED && !same_silence(endpoint, outcome, now)) {
-        endpoint->noted_at = now;
-        endpoint->failing += He_WEIGHT * (failed - endpoint->failing);
+        endpoint->last_outcome_at = now;
+        endpoint->failure_rate +=
+            He_WEIGHT * (failed - endpoint->failure_rate);
     }
     switch (outcome) {
     case HE_SERVED:
     case HE_FAILED:
-        endpoint->strikes = 0;
+        endpoint->consecutive_breaks = 0;
         endpoint->answered_at = now;
         break;
     case HE_REFUSED:
@@ -73,10 +74,11 @@
         break;
     case HE_BROKE:
     case HE_SILENT:
-        if (endpoint->strikes < He_SHUN_DOUBLINGS) {
-            endpoint->strikes++;
+        if (endpoint->consecutive_breaks < He_SHUN_DOUBLINGS) {
+            endpoint->consecutive_breaks++;
         }
-        shun(endpoint, now + (He_SHUN_FIRST_USEC << (endpoint->strikes - 1)));
+        shun(endpoint,
+             now + (He_SHUN_FIRST_USEC << (endpoint->consecutive_breaks - 1)));
         break;
     }
 }
@@ -86,34 +88,36 @@
 He_NoteFirstByte(struct fl_endpoint *endpoint, int64_t usec, int64_t now)
 {
     double weight = He_WEIGHT;
-    if (endpoint->first_at != 0 && (double)usec < endpoint->first_usec) {
+    if (endpoint->last_first_byte_at != 0 &&
+        (double)usec < endpoint->first_byte_usec) {
         /* The endpoint is faster again: the old average has decayed. */
-        double decayed =
-            1 - decay(now - endpoint->first_at, He_FIRST_BYTE_HALF_LIFE_USEC);
+        double decayed = 1 - decay(now - endpoint->last_first_byte_at,
+                                   He_FIRST_BYTE_HALF_LIFE_USEC);
         weight = decayed > weight ? decayed : weight;
     }
     endpoint->answered_at = now;
-    endpoint->first_at = now;
-    endpoint->first_usec += weight * ((double)usec - endpoint->first_usec);
+    endpoint->last_first_byte_at = now;
+    endpoint->first_byte_usec +=
+        weight * ((double)usec - endpoint->first_byte_usec);
 }
 
 double
-He_Failing(const struct fl_endpoint *endpoint, int64_t now)
+He_FailureRate(const struct fl_endpoint *endpoint, int64_t now)
 {
-    return endpoint->failing *
-           decay(now - endpoint->noted_at, He_FAILURE_HALF_LIFE_USEC);
+    return endpoint->failure_rate *
+           decay(now - endpoint->last_outcome_at, He_FAILURE_HALF_LIFE_USEC);
 }
 
 double
 He_FirstByteUsec(const struct fl_endpoint *endpoint, double mean, int64_t now)
 {
-    double above = endpoint->first_usec - mean;
-    return mean + above * decay(now - endpoint->first_at,
+    double above = endpoint->first_byte_usec - mean;
+    return mean + above * decay(now - endpoint->last_first_byte_at,
                                 He_FIRST_BYTE_HALF_LIFE_USEC);
 }
 
 bool
 He_Shunned(const struct fl_endpoint *endpoint, int64_t now)
 {
-    return now < endpoint->shunned_until;
+    return now < endpoint->ejected_until;
 }
--- a/packages/edge/health.h
+++ b/packages/edge/health.h
@@ -28,7 +28,7 @@
  * Both decay with time (the time towards "mean"): an endpoint that gets no
  * requests because of past failures cannot show that it has recovered.
  */
-double He_Failing(const struct fl_endpoint *endpoint, int64_t now);
+double He_FailureRate(const struct fl_endpoint *endpoint, int64_t now);
 double He_FirstByteUsec(const struct fl_endpoint *endpoint, double mean,
                         int64_t now);
 bool He_Shunned(const struct fl_endpoint *endpoint, int64_t now);
--- a/packages/edge/duty.c
+++ b/packages/edge/leader.c
@@ -1,34 +1,34 @@
-#include "edge/duty.h"
+#include "edge/leader.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/duty_internal.h"
-#include "edge/duty_record.h"
+#include "edge/leader_internal.h"
+#include "edge/leader_record.h"
 
 /* Renewals per lease; one lost answer must not end it. */
-#define Du_RENEWALS_PER_LEASE 3
+#define Lr_RENEWALS_PER_LEASE 3
 /*
- * The holder stops acting 1/Du_MARGIN_DIVISOR of the lease before its end, so
+ * The holder stops acting 1/Lr_MARGIN_DIVISOR of the lease before its end, so
  * that what it sent arrives before the next holder can act.
  */
-#define Du_MARGIN_DIVISOR 6
+#define Lr_MARGIN_DIVISOR 6
 /*
  * Each daemon waits this much longer than the one ranked before it, so that
  * few appends collide.
  */
-#define Du_RANK_DELAY_USEC (300 * Ck_USEC_PER_MSEC)
-#define Du_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
+#define Lr_RANK_DELAY_USEC (300 * Ck_USEC_PER_MSEC)
+#define Lr_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
 /*
  * After this time, daemons that start together have discovered each other and
  * know their ranks.
  */
-#define Du_DISCOVERY_USEC (500 * Ck_USEC_PER_MSEC)
+#define Lr_DISCOVERY_USEC (500 * Ck_USEC_PER_MSEC)
 
-struct du_duty *
-Du_Create(const struct du_options *options)
+struct lr_lease *
+Lr_Create(const struct lr_options *options)
 {
-    struct du_duty *duty = calloc(1, sizeof(*duty));
+    struct lr_lease *duty = calloc(1, sizeof(*duty));
     if (duty != NULL) {
         duty->options = *options;
         duty->started_at = Ck_Now(options->clock);
@@ -39,33 +39,33 @@
 
 /* The store must not deliver any answer after this call. */
 void
-Du_Destroy(struct du_duty *duty)
+Lr_Destroy(struct lr_lease *duty)
 {
     free(duty);
 }
 
 static int64_t
-now_of(const struct du_duty *duty)
+now_of(const struct lr_lease *duty)
 {
     return Ck_Now(duty->options.clock);
 }
 
 bool
-Du_Holds(const struct du_duty *duty)
+Lr_Holds(const struct lr_lease *duty)
 {
     return duty->fence != 0 &&
            now_of(duty) < duty->lease_until -
-                              duty->options.lease_usec / Du_MARGIN_DIVISOR;
+                              duty->options.lease_usec / Lr_MARGIN_DIVISOR;
 }
 
 int64_t
-Du_Fence(const struct du_duty *duty)
+Lr_Fence(const struct lr_lease *duty)
 {
-    return Du_Holds(duty) ? duty->fence : 0;
+    return Lr_Holds(duty) ? duty->fence : 0;
 }
 
 static void
-end_lease(struct du_duty *duty)
+end_lease(struct lr_lease *duty)
 {
     if (duty->fence != 0) {
         duty->fence = 0;
@@ -74,7 +74,7 @@
 }
 
 static void
-confirm_lease(struct du_duty *duty, int64_t offset, int64_t sent_at)
+confirm_lease(struct lr_lease *duty, int64_t offset, int64_t sent_at)
 {
     duty->lease_until = sent_at + duty->options.lease_usec;
     if (duty->fence == 0) {
@@ -84,18 +84,18 @@
     }
 }
 
-struct du_usage *
-Du_Usage(struct du_duty *duty, int64_t window)
+struct lr_usage *
+Lr_Usage(struct lr_lease *duty, int64_t window)
 {
-    struct du_usage *usage = &duty->usages[(uint64_t)window % Du_WINDOWS];
+    struct lr_usage *usage = &duty->usages[(uint64_t)window % Lr_WINDOWS];
     return usage->window == window && window != 0 ? usage : NULL;
 }
 
 static void
-store_usage(struct du_duty *duty, const struct du_usage *usage)
+store_usage(struct lr_lease *duty, const struct lr_usage *usage)
 {
-    struct du_usage *slot =
-        &duty->usages[(uint64_t)usage->window % Du_WINDOWS];
+    struct lr_usage *slot =
+        &duty->usages[(uint64_t)usage->window % Lr_WINDOWS];
     /* The first record of a window is final. */
     if (slot->window < usage->window) {
         *slot = *usage;
@@ -104,12 +104,12 @@
 }
 
 static void
-apply_record(struct du_duty *duty, const struct ag_record *record)
+apply_record(struct lr_lease *duty, const struct ag_record *record)
 {
-    static struct dr_record decoded;
+    static struct lc_record decoded;
     duty->end = record->offset + 1;
     duty->end_changed_at = now_of(duty);
-    if (!Dr_Decode(record->value, record->len, &decoded)) {
+    if (!Lc_Decode(record->value, record->len, &decoded)) {
         return;
     }
     if (decoded.need_count > 0) {
@@ -141,7 +141,7 @@
 static void
 on_read(void *arg, const struct ag_result *result)
 {
-    struct du_duty *duty = arg;
+    struct lr_lease *duty = arg;
     duty->in_flight = false;
     duty->at_end = false;
     if (result->status == AG_EXPIRED) {
@@ -150,7 +150,7 @@
         return;
     }
     if (result->status != AG_OK) {
-        duty->retry_at = now_of(duty) + Du_RETRY_USEC;
+        duty->retry_at = now_of(duty) + Lr_RETRY_USEC;
         return;
     }
     for (size_t i = 0; i < result->count; i++) {
@@ -167,7 +167,7 @@
 }
 
 static void
-start_read(struct du_duty *duty)
+start_read(struct lr_lease *duty)
 {
     duty->in_flight = true;
     duty->sent_at = now_of(duty);
@@ -178,7 +178,7 @@
 static void
 on_append(void *arg, const struct ag_result *result)
 {
-    struct du_duty *duty = arg;
+    struct lr_lease *duty = arg;
     duty->in_flight = false;
     switch (result->status) {
     case AG_OK:
@@ -212,15 +212,15 @@
         duty->at_end = false;
         break;
     case AG_UNAVAILABLE:
-        duty->retry_at = now_of(duty) + Du_RETRY_USEC;
+        duty->retry_at = now_of(duty) + Lr_RETRY_USEC;
         break;
     }
 }
 
 static void
-start_append(struct du_duty *duty, const struct du_usage *usage)
+start_append(struct lr_lease *duty, const struct lr_usage *usage)
 {
-    static struct dr_record record;
+    static struct lc_record record;
     memset(&record, 0, sizeof(record));
     record.run = duty->options.run;
     record.need_count = duty->need_count;
@@ -238,7 +238,7 @@
     }
     duty->pending = record.usage;
     char *data;
-    size_t len = Dr_Encode(&record, &data);
+    size_t len = Lc_Encode(&record, &data);
     duty->in_flight = true;
     duty->sent_at = now_of(duty);
     Ag_Append(duty->options.store, AG_DUTY, duty->end, NULL, data, len,
@@ -251,7 +251,7 @@
  * the log still ends at its own record, no other daemon has acted since.
  */
 static void
-tick_holder(struct du_duty *duty)
+tick_holder(struct lr_lease *duty)
 {
     int64_t now = now_of(duty);
     if (!duty->at_end) {
@@ -259,8 +259,8 @@
         return;
     }
     int64_t renew_at = duty->lease_until - duty->options.lease_usec +
-                       duty->options.lease_usec / Du_RENEWALS_PER_LEASE;
-    if (now >= renew_at || du_recent_increased(duty)) {
+                       duty->options.lease_usec / Lr_RENEWALS_PER_LEASE;
+    if (now >= renew_at || lr_recent_increased(duty)) {
         start_append(duty, NULL);
     }
 }
@@ -274,7 +274,7 @@
  * has not moved.
  */
 static bool
-is_lease_free(const struct du_duty *duty, int64_t rank_delay)
+is_lease_free(const struct lr_lease *duty, int64_t rank_delay)
 {
     int64_t now = now_of(duty);
     if (duty->end == 0) {
@@ -282,7 +282,7 @@
          * All daemons start at once, and each ranks itself first until it
          * discovers the others.
          */
-        return now >= duty->started_at + Du_DISCOVERY_USEC + rank_delay;
+        return now >= duty->started_at + Lr_DISCOVERY_USEC + rank_delay;
     }
     if (duty->peer_fence != 0 && duty->end == duty->peer_end) {
         return now >= duty->peer_until + rank_delay;
@@ -291,11 +291,11 @@
 }
 
 static void
-tick_standby(struct du_duty *duty)
+tick_standby(struct lr_lease *duty)
 {
     int64_t now = now_of(duty);
     int64_t rank_delay =
-        (int64_t)duty->options.rank(duty->options.arg) * Du_RANK_DELAY_USEC;
+        (int64_t)duty->options.rank(duty->options.arg) * Lr_RANK_DELAY_USEC;
     if (duty->peer_fence != 0 && now < duty->peer_until + rank_delay) {
         return;
     }
@@ -305,7 +305,7 @@
     }
     if (duty->at_end && is_free &&
         now - duty->sent_at <
-            duty->options.lease_usec / Du_RENEWALS_PER_LEASE) {
+            duty->options.lease_usec / Lr_RENEWALS_PER_LEASE) {
         /* The log's end was confirmed recently. */
         duty->at_end = false;
         start_append(duty, NULL);
@@ -315,7 +315,7 @@
 }
 
 void
-Du_Tick(struct du_duty *duty)
+Lr_Tick(struct lr_lease *duty)
 {
     int64_t now = now_of(duty);
     if (duty->stopped || duty->in_flight || now < duty->retry_at) {
@@ -330,7 +330,7 @@
 }
 
 void
-Du_Heard(struct du_duty *duty, const struct du_told *notice)
+Lr_HandleNotice(struct lr_lease *duty, const struct lr_lease_notice *notice)
 {
     if (duty->fence != 0 && notice->fence > duty->fence) {
         end_lease(duty);
@@ -343,36 +343,36 @@
      * Each notice gives an upper bound for the end of the same lease; the
      * lowest bound counts.
      */
-    int64_t until = now_of(duty) + notice->left_usec;
-    if (notice->fence != duty->peer_fence || notice->end != duty->peer_end ||
-        until < duty->peer_until) {
+    int64_t until = now_of(duty) + notice->remaining_usec;
+    if (notice->fence != duty->peer_fence ||
+        notice->log_end != duty->peer_end || until < duty->peer_until) {
         duty->peer_until = until;
     }
     duty->peer_fence = notice->fence;
-    duty->peer_end = notice->end;
+    duty->peer_end = notice->log_end;
 }
 
-struct du_told
-Du_Told(const struct du_duty *duty)
+struct lr_lease_notice
+Lr_LeaseNotice(const struct lr_lease *duty)
 {
-    if (!Du_Holds(duty)) {
+    if (!Lr_Holds(duty)) {
         return duty->resigned;
     }
-    return (struct du_told){
+    return (struct lr_lease_notice){
         .fence = duty->fence,
-        .end = duty->end,
-        .left_usec = duty->lease_until - now_of(duty),
+        .log_end = duty->end,
+        .remaining_usec = duty->lease_until - now_of(duty),
     };
 }
 
 bool
-Du_RecordUsage(struct du_duty *duty, const struct du_usage *usage)
+Lr_RecordUsage(struct lr_lease *duty, const struct lr_usage *usage)
 {
-    if (duty->in_flight || !Du_Holds(duty) || !duty->at_end) {
+    if (duty->in_flight || !Lr_Holds(duty) || !duty->at_end) {
         return false;
     }
-    struct du_usage *slot =
-        &duty->usages[(uint64_t)usage->window % Du_WINDOWS];
+    struct lr_usage *slot =
+        &duty->usages[(uint64_t)usage->window % Lr_WINDOWS];
     if (slot->window >= usage->window) {
         return false;
     }
@@ -381,7 +381,7 @@
 }
 
 void
-Du_FenceRefused(struct du_duty *duty)
+Lr_FenceRefused(struct lr_lease *duty)
 {
     end_lease(duty);
     duty->at_end = false;
@@ -393,15 +393,15 @@
  * progress.
  */
 void
-Du_Resign(struct du_duty *duty)
+Lr_Release(struct lr_lease *duty)
 {
-    bool holds = Du_Holds(duty);
+    bool holds = Lr_Holds(duty);
     if (holds && (duty->in_flight || !duty->at_end)) {
         return;
     }
     if (holds) {
-        duty->resigned = Du_Told(duty);
-        duty->resigned.left_usec = 0;
+        duty->resigned = Lr_LeaseNotice(duty);
+        duty->resigned.remaining_usec = 0;
     }
     duty->stopped = true;
     end_lease(duty);
--- a/packages/edge/duty.h
+++ b/packages/edge/leader.h
@@ -7,8 +7,8 @@
  * window is recorded in the same log before it is reported, so that the next
  * holder repeats the report with the same numbers.
  */
-#ifndef EDGE_DUTY_H
-#define EDGE_DUTY_H
+#ifndef EDGE_LEADER_H
+#define EDGE_LEADER_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -23,21 +23,21 @@
 extern "C" {
 #endif
 
-#define Du_WINDOWS 8
-#define Du_TENANTS_MAX 64
-#define Du_NEEDS_MAX 16
-#define Du_MOVES_MAX Ro_MOVES_MAX
+#define Lr_WINDOWS 8
+#define Lr_TENANTS_MAX 64
+#define Lr_NEEDS_MAX 16
+#define Lr_MOVES_MAX Ro_MOVES_MAX
 
-struct du_tenant {
+struct lr_tenant {
     char name[Ec_NAME_MAX];
     uint32_t count;
 };
 
 /* Recorded usage of a window. */
-struct du_usage {
+struct lr_usage {
     int64_t window;
     size_t count;
-    struct du_tenant tenants[Du_TENANTS_MAX];
+    struct lr_tenant tenants[Lr_TENANTS_MAX];
     bool reported;
 };
 
@@ -45,23 +45,23 @@
  * Endpoints that the lease holder found a service to need; the next holder
  * starts from this.
  */
-struct du_need {
+struct lr_need {
     uint32_t service; /* hash of the name */
     int endpoints;
-    double read_rate; /* prompt tokens per second of one endpoint */
+    double prefill_rate; /* prompt tokens per second of one endpoint */
 };
 
 /* Lease notice that a holder sends to its peers. */
-struct du_told {
+struct lr_lease_notice {
     int64_t fence; /* 0: no notice */
     /* of the log, after the record that began or renewed the lease */
-    int64_t end;
-    int64_t left_usec; /* until the lease ends; 0: it was released */
+    int64_t log_end;
+    int64_t remaining_usec; /* until the lease ends; 0: it was released */
 };
 
-struct du_duty;
+struct lr_lease;
 
-struct du_options {
+struct lr_options {
     const struct ck_clock *clock;
     struct ag_store *store;
     const char *name; /* of this daemon */
@@ -75,50 +75,51 @@
     void *arg;
 };
 
-struct du_duty *Du_Create(const struct du_options *options);
-void Du_Destroy(struct du_duty *duty);
+struct lr_lease *Lr_Create(const struct lr_options *options);
+void Lr_Destroy(struct lr_lease *duty);
 
 /* Called several times a second. */
-void Du_Tick(struct du_duty *duty);
+void Lr_Tick(struct lr_lease *duty);
 /* Handles a peer's notice of its current or released lease. */
-void Du_Heard(struct du_duty *duty, const struct du_told *told);
+void Lr_HandleNotice(struct lr_lease *duty,
+                     const struct lr_lease_notice *told);
 /* Returns the notice of this daemon's current or released lease. */
-struct du_told Du_Told(const struct du_duty *duty);
+struct lr_lease_notice Lr_LeaseNotice(const struct lr_lease *duty);
 /* Records the usage of a window; returns false if that cannot begin now. */
-bool Du_RecordUsage(struct du_duty *duty, const struct du_usage *usage);
+bool Lr_RecordUsage(struct lr_lease *duty, const struct lr_usage *usage);
 /* The platform rejected this daemon's fence: it has seen a higher one. */
-void Du_FenceRefused(struct du_duty *duty);
+void Lr_FenceRefused(struct lr_lease *duty);
 /*
  * Releases the lease early; peers that receive the notice may take over at
  * once.
  */
-void Du_Resign(struct du_duty *duty);
+void Lr_Release(struct lr_lease *duty);
 
 /* Sets a need to be recorded with the next renewals. */
-void Du_SetNeed(struct du_duty *duty, const struct du_need *need);
+void Lr_SetNeed(struct lr_lease *duty, const struct lr_need *need);
 /* Returns the need recorded last, or NULL. */
-const struct du_need *Du_FindNeed(const struct du_duty *duty,
+const struct lr_need *Lr_FindNeed(const struct lr_lease *duty,
                                   uint32_t service);
 /*
  * Sets what tenants recently spent, to be recorded with the next renewals; a
  * large increase brings the renewal forward.
  */
-void Du_SetRecent(struct du_duty *duty, const struct qt_recent *rows,
+void Lr_SetRecent(struct lr_lease *duty, const struct qt_recent *rows,
                   size_t count);
 /* Returns what tenants had spent by the last record of another daemon. */
-size_t Du_InheritedRecent(const struct du_duty *duty,
+size_t Lr_InheritedRecent(const struct lr_lease *duty,
                           const struct qt_recent **out);
 /*
  * Sets a move's status to be recorded with the next renewal.  Returns whether
  * it is recorded; operators must not be told of it before.
  */
-bool Du_SetMove(struct du_duty *duty, const struct ro_standing *standing);
-size_t Du_Moves(const struct du_duty *duty, const struct ro_standing **out);
+bool Lr_SetMove(struct lr_lease *duty, const struct ro_status *standing);
+size_t Lr_Moves(const struct lr_lease *duty, const struct ro_status **out);
 
-bool Du_Holds(const struct du_duty *duty);
-int64_t Du_Fence(const struct du_duty *duty);
+bool Lr_Holds(const struct lr_lease *duty);
+int64_t Lr_Fence(const struct lr_lease *duty);
 /* Returns the recorded usage, or NULL if there is none. */
-struct du_usage *Du_Usage(struct du_duty *duty, int64_t window);
+struct lr_usage *Lr_Usage(struct lr_lease *duty, int64_t window);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/duty_handover.c
+++ b/packages/edge/leader_handover.c
@@ -3,17 +3,17 @@
  */
 #include <string.h>
 
-#include "edge/duty_internal.h"
+#include "edge/leader_internal.h"
 
 /*
  * A renewal is brought forward when a tenant's spending exceeds this multiple
  * of the recorded value: all daemons may die at any moment, and quota whose
  * use is not recorded could be spent again.
  */
-#define Du_RECENT_MIN_GROWTH 1.2
+#define Lr_RECENT_MIN_GROWTH 1.2
 
 bool
-du_recent_increased(const struct du_duty *duty)
+lr_recent_increased(const struct lr_lease *duty)
 {
     for (size_t i = 0; i < duty->recent_count; i++) {
         double recorded_spend = 0;
@@ -22,9 +22,9 @@
                 recorded_spend = duty->recorded[j].past.newer;
             }
         }
-        if (duty->recent[i].heavy &&
+        if (duty->recent[i].near_limit &&
             duty->recent[i].past.newer >
-                recorded_spend * Du_RECENT_MIN_GROWTH) {
+                recorded_spend * Lr_RECENT_MIN_GROWTH) {
             return true;
         }
     }
@@ -32,7 +32,7 @@
 }
 
 void
-Du_SetNeed(struct du_duty *duty, const struct du_need *need)
+Lr_SetNeed(struct lr_lease *duty, const struct lr_need *need)
 {
     for (size_t i = 0; i < duty->need_count; i++) {
         if (duty->needs[i].service == need->service) {
@@ -40,13 +40,13 @@
             return;
         }
     }
-    if (duty->need_count < Du_NEEDS_MAX) {
+    if (duty->need_count < Lr_NEEDS_MAX) {
         duty->needs[duty->need_count++] = *need;
     }
 }
 
-const struct du_need *
-Du_FindNeed(const struct du_duty *duty, uint32_t service)
+const struct lr_need *
+Lr_FindNeed(const struct lr_lease *duty, uint32_t service)
 {
     for (size_t i = 0; i < duty->need_count; i++) {
         if (duty->needs[i].service == service) {
@@ -57,30 +57,30 @@
 }
 
 void
-Du_SetRecent(struct du_duty *duty, const struct qt_recent *rows, size_t count)
+Lr_SetRecent(struct lr_lease *duty, const struct qt_recent *rows, size_t count)
 {
     duty->recent_count = count < Qt_RECENT_MAX ? count : Qt_RECENT_MAX;
     memcpy(duty->recent, rows, duty->recent_count * sizeof(*rows));
 }
 
 size_t
-Du_InheritedRecent(const struct du_duty *duty, const struct qt_recent **out)
+Lr_InheritedRecent(const struct lr_lease *duty, const struct qt_recent **out)
 {
     *out = duty->inherited;
     return duty->inherited_count;
 }
 
 bool
-Du_SetMove(struct du_duty *duty, const struct ro_standing *standing)
+Lr_SetMove(struct lr_lease *duty, const struct ro_status *standing)
 {
-    struct ro_standing *found = NULL;
+    struct ro_status *found = NULL;
     for (size_t i = 0; i < duty->move_count; i++) {
         if (duty->moves[i].service == standing->service) {
             found = &duty->moves[i];
         }
     }
     if (found == NULL) {
-        if (duty->move_count == Du_MOVES_MAX) {
+        if (duty->move_count == Lr_MOVES_MAX) {
             return false;
         }
         found = &duty->moves[duty->move_count++];
@@ -96,7 +96,7 @@
 }
 
 size_t
-Du_Moves(const struct du_duty *duty, const struct ro_standing **out)
+Lr_Moves(const struct lr_lease *duty, const struct ro_status **out)
 {
     *out = duty->moves;
     return duty->move_count;
--- a/packages/edge/duty_internal.h
+++ b/packages/edge/leader_internal.h
@@ -1,11 +1,11 @@
 /* Declarations shared by duty.c and duty_handover.c. */
-#ifndef EDGE_DUTY_INTERNAL_H
-#define EDGE_DUTY_INTERNAL_H
+#ifndef EDGE_LEADER_INTERNAL_H
+#define EDGE_LEADER_INTERNAL_H
 
-#include "edge/duty.h"
+#include "edge/leader.h"
 
-struct du_duty {
-    struct du_options options;
+struct lr_lease {
+    struct lr_options options;
     int64_t started_at;
     int64_t end; /* log offset after the last record read; -1: nothing read */
     int64_t end_changed_at; /* when the log's end was last seen to move */
@@ -13,8 +13,9 @@
     int64_t peer_fence;
     int64_t peer_end;
     int64_t peer_until;
-    struct du_told resigned; /* notice of a released lease of this daemon */
-    int64_t fence;           /* this daemon's fence; 0: not the lease holder */
+    struct lr_lease_notice
+        resigned;  /* notice of a released lease of this daemon */
+    int64_t fence; /* this daemon's fence; 0: not the lease holder */
     int64_t lease_until;
     int64_t sent_at; /* when the append or read in progress was sent */
     int64_t retry_at;
@@ -23,9 +24,9 @@
     bool in_flight;
     bool append_unknown; /* an append may or may not have taken effect */
     int64_t unknown_sent_at;
-    struct du_usage usages[Du_WINDOWS];
+    struct lr_usage usages[Lr_WINDOWS];
     size_t need_count;
-    struct du_need needs[Du_NEEDS_MAX];
+    struct lr_need needs[Lr_NEEDS_MAX];
     size_t recent_count; /* for the next renewal */
     struct qt_recent recent[Qt_RECENT_MAX];
     size_t recorded_count; /* in this daemon's last record */
@@ -33,14 +34,14 @@
     size_t inherited_count; /* in the last record of another daemon */
     struct qt_recent inherited[Qt_RECENT_MAX];
     size_t move_count;
-    struct ro_standing moves[Du_MOVES_MAX];
+    struct ro_status moves[Lr_MOVES_MAX];
     bool moves_recorded; /* "moves" is recorded as it is */
     bool moves_sent; /* "moves" is unchanged since the append in progress */
     /* usage in the append in progress; window 0: none */
-    struct du_usage pending;
+    struct lr_usage pending;
 };
 
 /* Returns whether a tenant has spent much more than the last record says. */
-bool du_recent_increased(const struct du_duty *duty);
+bool lr_recent_increased(const struct lr_lease *duty);
 
 #endif
--- a/packages/edge/duty_record.c
+++ b/packages/edge/leader_record.c
@@ -1,4 +1,4 @@
-#include "edge/duty_record.h"
+#include "edge/leader_record.h"
 
 #include <msgpack.h>
 #include <stdlib.h>
@@ -7,26 +7,26 @@
 #include "base/packscan.h"
 #include "edge/packed.h"
 
-#define Dr_FIELDS 6
+#define Lc_FIELDS 6
 
 static void
-pack_needs(msgpack_packer *packer, const struct dr_record *record)
+pack_needs(msgpack_packer *packer, const struct lc_record *record)
 {
     msgpack_pack_array(packer, record->need_count);
     for (size_t i = 0; i < record->need_count; i++) {
         msgpack_pack_array(packer, 3);
         msgpack_pack_uint32(packer, record->needs[i].service);
         msgpack_pack_int(packer, record->needs[i].endpoints);
-        msgpack_pack_int64(packer, (int64_t)record->needs[i].read_rate);
+        msgpack_pack_int64(packer, (int64_t)record->needs[i].prefill_rate);
     }
 }
 
 static void
-pack_tenants(msgpack_packer *packer, const struct du_usage *usage)
+pack_tenants(msgpack_packer *packer, const struct lr_usage *usage)
 {
     msgpack_pack_array(packer, usage->count);
     for (size_t i = 0; i < usage->count; i++) {
-        const struct du_tenant *tenant = &usage->tenants[i];
+        const struct lr_tenant *tenant = &usage->tenants[i];
         size_t len = strlen(tenant->name);
         msgpack_pack_array(packer, 2);
         msgpack_pack_str(packer, len);
@@ -36,7 +36,7 @@
 }
 
 static void
-pack_moves(msgpack_packer *packer, const struct dr_record *record)
+pack_moves(msgpack_packer *packer, const struct lc_record *record)
 {
     msgpack_pack_array(packer, record->move_count);
     for (size_t i = 0; i < record->move_count; i++) {
@@ -48,7 +48,7 @@
 }
 
 static void
-pack_recent(msgpack_packer *packer, const struct dr_record *record)
+pack_recent(msgpack_packer *packer, const struct lc_record *record)
 {
     msgpack_pack_array(packer, record->recent_count);
     for (size_t i = 0; i < record->recent_count; i++) {
@@ -65,15 +65,15 @@
  * the newer half of a window]...]].  Window 0 means no usage.
  */
 size_t
-Dr_Encode(const struct dr_record *record, char **out)
+Lc_Encode(const struct lc_record *record, char **out)
 {
-    static const struct du_usage none;
-    const struct du_usage *usage = record->has_usage ? &record->usage : &none;
+    static const struct lr_usage none;
+    const struct lr_usage *usage = record->has_usage ? &record->usage : &none;
     msgpack_sbuffer buffer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer packer;
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    msgpack_pack_array(&packer, Dr_FIELDS);
+    msgpack_pack_array(&packer, Lc_FIELDS);
     msgpack_pack_uint64(&packer, record->run);
     pack_needs(&packer, record);
     msgpack_pack_int64(&packer, usage->window);
@@ -97,17 +97,17 @@
 }
 
 static bool
-decode_tenants(const msgpack_object *list, struct du_usage *usage)
+decode_tenants(const msgpack_object *list, struct lr_usage *usage)
 {
     if (list->type != MSGPACK_OBJECT_ARRAY ||
-        list->via.array.size > Du_TENANTS_MAX) {
+        list->via.array.size > Lr_TENANTS_MAX) {
         return false;
     }
     for (size_t i = 0; i < list->via.array.size; i++) {
         const msgpack_object *fields = row_fields(list, i, 2);
-        struct du_tenant *tenant = &usage->tenants[usage->count];
+        struct lr_tenant *tenant = &usage->tenants[usage->count];
         if (fields == NULL ||
-            !Pk_Text(&fields[0], tenant->name, sizeof(tenant->name)) ||
+            !Pk_CopyString(&fields[0], tenant->name, sizeof(tenant->name)) ||
             fields[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
             return false;
         }
@@ -118,38 +118,38 @@
 }
 
 static void
-decode_needs(const msgpack_object *list, struct dr_record *out)
+decode_needs(const msgpack_object *list, struct lc_record *out)
 {
     if (list->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
     for (size_t i = 0;
-         i < list->via.array.size && out->need_count < Du_NEEDS_MAX; i++) {
+         i < list->via.array.size && out->need_count < Lr_NEEDS_MAX; i++) {
         const msgpack_object *fields = row_fields(list, i, 3);
         if (fields == NULL) {
             continue;
         }
-        out->needs[out->need_count++] = (struct du_need){
+        out->needs[out->need_count++] = (struct lr_need){
             .service = (uint32_t)fields[0].via.u64,
             .endpoints = (int)fields[1].via.i64,
-            .read_rate = (double)fields[2].via.i64,
+            .prefill_rate = (double)fields[2].via.i64,
         };
     }
 }
 
 static void
-decode_moves(const msgpack_object *list, struct dr_record *out)
+decode_moves(const msgpack_object *list, struct lc_record *out)
 {
     if (list->type != MSGPACK_OBJECT_ARRAY) {
         return;
     }
     for (size_t i = 0;
-         i < list->via.array.size && out->move_count < Du_MOVES_MAX; i++) {
+         i < list->via.array.size && out->move_count < Lr_MOVES_MAX; i++) {
         const msgpack_object *fields = row_fields(list, i, 3);
         if (fields == NULL || fields[2].via.u64 > RO_SUCCEEDED) {
             continue;
         }
-        out->moves[out->move_count++] = (struct ro_standing){
+        out->moves[out->move_count++] = (struct ro_status){
             .service = (uint32_t)fields[0].via.u64,
             .order = fields[1].via.i64,
             .state = (enum ro_state)fields[2].via.u64,
@@ -167,7 +167,7 @@
 }
 
 static void
-decode_recent(const msgpack_object *list, struct dr_record *out)
+decode_recent(const msgpack_object *list, struct lc_record *out)
 {
     if (list->type != MSGPACK_OBJECT_ARRAY) {
         return;
@@ -186,7 +186,7 @@
 }
 
 static bool
-decode(const msgpack_object *object, struct dr_record *out)
+decode(const msgpack_object *object, struct lc_record *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < 1 ||
         object->via.array.ptr[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
@@ -208,14 +208,14 @@
     if (object->via.array.size >= 5) {
         decode_moves(&object->via.array.ptr[4], out);
     }
-    if (object->via.array.size >= Dr_FIELDS) {
+    if (object->via.array.size >= Lc_FIELDS) {
         decode_recent(&object->via.array.ptr[5], out);
     }
     return decode_tenants(&object->via.array.ptr[3], &out->usage);
 }
 
 bool
-Dr_Decode(const void *data, size_t len, struct dr_record *out)
+Lc_Decode(const void *data, size_t len, struct lc_record *out)
 {
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
--- a/packages/edge/duty_record.h
+++ b/packages/edge/leader_record.h
@@ -1,28 +1,28 @@
 /* Encoding of the lease log's records. */
-#ifndef EDGE_DUTY_RECORD_H
-#define EDGE_DUTY_RECORD_H
+#ifndef EDGE_LEADER_RECORD_H
+#define EDGE_LEADER_RECORD_H
 
-#include "edge/duty.h"
+#include "edge/leader.h"
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 
-struct dr_record {
+struct lc_record {
     uint64_t run; /* of the process that wrote the record */
     bool has_usage;
-    struct du_usage usage;
+    struct lr_usage usage;
     size_t need_count;
-    struct du_need needs[Du_NEEDS_MAX];
+    struct lr_need needs[Lr_NEEDS_MAX];
     size_t recent_count;
     struct qt_recent recent[Qt_RECENT_MAX];
     size_t move_count;
-    struct ro_standing moves[Du_MOVES_MAX];
+    struct ro_status moves[Lr_MOVES_MAX];
 };
 
 /* Returns the length; the caller frees *out. */
-size_t Dr_Encode(const struct dr_record *record, char **out);
-bool Dr_Decode(const void *data, size_t len, struct dr_record *out);
+size_t Lc_Encode(const struct lc_record *record, char **out);
+bool Lc_Decode(const void *data, size_t len, struct lc_record *out);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/mesh.c
+++ b/packages/edge/mesh.c
@@ -62,19 +62,19 @@
 
 void
 ms_apply_message(struct ms_mesh *mesh, struct ms_peer *peer,
-                 const struct ms_word *message)
+                 const struct ms_message *message)
 {
     strlcpy(peer->name, message->name, sizeof(peer->name));
     strlcpy(peer->zone, message->zone, sizeof(peer->zone));
-    peer->near = strcmp(message->zone, mesh->node->zone) == 0;
+    peer->same_zone = strcmp(message->zone, mesh->node->zone) == 0;
     peer->link_mbps = message->link_mbps;
     peer->ready = message->ready;
     peer->stopping = message->stopping;
     peer->store_reached = message->store_reached;
-    peer->cut = message->cut;
+    peer->links_cut = message->links_cut;
     peer->reads_config = message->reads_config;
     peer->reads_entries = message->reads_entries;
-    peer->heard_at = mesh->now;
+    peer->last_message_at = mesh->now;
     peer->started_at = mesh->now - message->up_usec;
     peer->config_changes_end = message->config_changes_end;
     peer->entries_changes_end = message->entries_changes_end;
@@ -90,9 +90,9 @@
                                                           : Ms_LOADS_MAX;
     memcpy(peer->loads, message->loads,
            peer->load_count * sizeof(message->loads[0]));
-    peer->spent_count = message->spent_count;
-    memcpy(peer->spent, message->spent,
-           message->spent_count * sizeof(message->spent[0]));
+    peer->usage_count = message->usage_count;
+    memcpy(peer->usage, message->usage,
+           message->usage_count * sizeof(message->usage[0]));
     peer->rate_count = message->rate_count;
     memcpy(peer->rates, message->rates,
            message->rate_count * sizeof(message->rates[0]));
@@ -104,7 +104,7 @@
 static void
 handle_datagram(struct ms_mesh *mesh, const char *data, size_t len)
 {
-    static struct ms_word message;
+    static struct ms_message message;
     if (!Ms_Decode(data, len, &message) || message.run == mesh->run) {
         return;
     }
@@ -114,8 +114,8 @@
     }
     mesh->ops->message(mesh->arg, peer, &message);
     ms_apply_message(mesh, peer, &message);
-    for (size_t i = 0; i < message.hint_count; i++) {
-        Ms_AddPeer(mesh, message.hints[i]);
+    for (size_t i = 0; i < message.address_count; i++) {
+        Ms_AddPeer(mesh, message.addresses[i]);
     }
 }
 
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -21,7 +21,7 @@
 
 #include "base/clock.h"
 #include "edge/demand.h"
-#include "edge/duty.h"
+#include "edge/leader.h"
 #include "edge/node.h"
 #include "edge/rollout.h"
 #include "policy/poison.h"
@@ -41,13 +41,13 @@
 #define Ms_BRITTLE_MAX 8
 #define Ms_CRASHES_MAX 24
 #define Ms_CLEARS_MAX 16
-#define Ms_STOPS_MAX 8
+#define Ms_QUARANTINES_MAX 8
 
 /* Load of one daemon on one endpoint. */
 struct ms_load {
     uint32_t endpoint;
-    int running;
-    int64_t reading;
+    int requests;
+    int64_t prefill_tokens;
 };
 
 struct ms_usage {
@@ -81,11 +81,11 @@
 /* A service whose endpoints tell how many refusals a second they tolerate. */
 struct ms_brittle {
     uint32_t service;
-    int most;
+    int refusals_per_sec;
 };
 
 /* The content of one datagram. */
-struct ms_word {
+struct ms_message {
     char name[Nd_NAME_MAX];
     char ip[Nd_NAME_MAX];
     char zone[Nd_NAME_MAX];
@@ -97,27 +97,27 @@
     bool ready;
     bool stopping;
     bool store_reached;
-    bool cut; /* the sender cannot connect to some endpoints */
+    bool links_cut; /* the sender cannot connect to some endpoints */
     bool reads_config;
     bool reads_entries;
     int64_t wall_usec;
     int64_t config_changes_end;
     int64_t entries_changes_end;
-    struct du_told lease; /* the sender's lease, if it is the holder */
+    struct lr_lease_notice lease; /* the sender's lease, if it is the holder */
     size_t load_count;
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
-    size_t spent_count;
-    struct ms_usage spent[Ms_SPENT_MAX];
+    size_t usage_count;
+    struct ms_usage usage[Ms_SPENT_MAX];
     size_t past_usage_count; /* 0: no daemon has just started */
     struct ms_past_usage past_usage[Ms_SPENT_MAX];
-    size_t counted_count;
-    struct ms_request_count counted[Ms_COUNTS_MAX];
+    size_t request_count_rows;
+    struct ms_request_count request_counts[Ms_COUNTS_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
     size_t evidence_count;
-    struct ro_evidence evidence[Ms_EVIDENCE_MAX];
-    size_t standing_count;
-    struct ro_standing standings[Ro_MOVES_MAX];
+    struct ro_outcomes evidence[Ms_EVIDENCE_MAX];
+    size_t move_status_count;
+    struct ro_status move_statuses[Ro_MOVES_MAX];
     size_t brittle_count;
     struct ms_brittle brittle[Ms_BRITTLE_MAX];
     size_t crash_count;
@@ -125,9 +125,9 @@
     size_t clear_count;
     struct pz_clear clears[Ms_CLEARS_MAX];
     size_t stop_count;
-    struct pz_stop stops[Ms_STOPS_MAX];
-    size_t hint_count;
-    char hints[Ms_HINTS_MAX][Nd_NAME_MAX]; /* addresses of other daemons */
+    struct pz_quarantine stops[Ms_QUARANTINES_MAX];
+    size_t address_count;
+    char addresses[Ms_HINTS_MAX][Nd_NAME_MAX]; /* addresses of other daemons */
 };
 
 struct ms_peer {
@@ -140,40 +140,40 @@
     uint64_t hash; /* of the IP address */
     uint64_t run;
     int link_mbps;
-    bool near; /* in the same data centre */
+    bool same_zone; /* in the same data centre */
     bool ready;
     bool stopping;
     bool store_reached;
-    bool cut;
+    bool links_cut;
     bool reads_config;
     bool reads_entries;
     int64_t started_at;
-    int64_t heard_at; /* 0: never */
-    int64_t due_at;   /* when the next message is sent to the peer */
+    int64_t last_message_at; /* 0: never */
+    int64_t due_at;          /* when the next message is sent to the peer */
     int64_t summary_due_at;
     int64_t added_at;
     int64_t config_changes_end;
     int64_t entries_changes_end;
     size_t load_count;
     struct ms_load loads[Ms_LOADS_MAX];
-    size_t spent_count;
-    struct ms_usage spent[Ms_SPENT_MAX];
+    size_t usage_count;
+    struct ms_usage usage[Ms_SPENT_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
     size_t evidence_count;
-    struct ro_evidence evidence[Ms_EVIDENCE_MAX];
+    struct ro_outcomes evidence[Ms_EVIDENCE_MAX];
 };
 
 TAILQ_HEAD(ms_peers, ms_peer);
 
 struct ms_ops {
     /* Fills in the state of this daemon. */
-    void (*fill)(void *arg, struct ms_word *message);
+    void (*fill)(void *arg, struct ms_message *message);
     /* Replaces the daemon's own sums by those of its data centre. */
-    void (*summarize)(void *arg, struct ms_word *message);
+    void (*summarize)(void *arg, struct ms_message *message);
     /* A message has arrived; "peer" holds the state before it. */
     void (*message)(void *arg, const struct ms_peer *peer,
-                    const struct ms_word *message);
+                    const struct ms_message *message);
 };
 
 struct ms_mesh;
@@ -195,11 +195,11 @@
  * Whether the peer's messages are recent enough to be a timely source of what
  * it has read.
  */
-bool Ms_Close(const struct ms_mesh *mesh, const struct ms_peer *peer);
+bool Ms_IsResponsive(const struct ms_mesh *mesh, const struct ms_peer *peer);
 /* Whether data centres send summaries to each other. */
-bool Ms_Summarizes(const struct ms_mesh *mesh);
+bool Ms_UsesSummaries(const struct ms_mesh *mesh);
 /* The delay after which usage that peers admitted is reported here. */
-int64_t Ms_Lag(const struct ms_mesh *mesh);
+int64_t Ms_ReportDelay(const struct ms_mesh *mesh);
 /*
  * Daemons whose messages are recent enough that their usage is known,
  * including this one.
@@ -207,7 +207,7 @@
 size_t Ms_CountReachable(const struct ms_mesh *mesh);
 bool Ms_IsReachable(const struct ms_mesh *mesh, const struct ms_peer *peer);
 size_t Ms_CountAlive(const struct ms_mesh *mesh); /* this one included */
-size_t Ms_CountKnown(const struct ms_mesh *mesh);
+size_t Ms_CountRunning(const struct ms_mesh *mesh);
 /*
  * Daemons that may be admitting requests: those that sent messages lately and,
  * just after the start, also those of which only the address is known.
@@ -222,7 +222,7 @@
  * Lists those peers for the selection of senders to cold endpoints. The caller
  * adds its own start time.
  */
-void Ms_ListHosts(const struct ms_mesh *mesh, struct wu_hosts *out);
+void Ms_ListSenders(const struct ms_mesh *mesh, struct wu_hosts *out);
 /* Whether a peer that is alive started less than "usec" ago. */
 bool Ms_AnyStartedWithin(const struct ms_mesh *mesh, int64_t usec);
 /* Position of this daemon by name among those alive. */
@@ -232,8 +232,8 @@
  * The encoded size; 0 when the message does not fit. Ms_Decode() returns false
  * for anything that is not a message of this format.
  */
-size_t Ms_Encode(const struct ms_word *message, char *out, size_t size);
-bool Ms_Decode(const char *data, size_t len, struct ms_word *out);
+size_t Ms_Encode(const struct ms_message *message, char *out, size_t size);
+bool Ms_Decode(const char *data, size_t len, struct ms_message *out);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/mesh_word.c
+++ b/packages/edge/mesh_codec.c
@@ -36,10 +36,10 @@
  * The index of a tenant's row in "spent", or the tenant's hash if it has none.
  */
 static uint32_t
-tenant_row(const struct ms_word *message, uint32_t tenant)
+tenant_row(const struct ms_message *message, uint32_t tenant)
 {
-    for (size_t i = 0; i < message->spent_count; i++) {
-        if (message->spent[i].tenant == tenant) {
+    for (size_t i = 0; i < message->usage_count; i++) {
+        if (message->usage[i].tenant == tenant) {
             return (uint32_t)i;
         }
     }
@@ -47,9 +47,9 @@
 }
 
 static uint32_t
-tenant_of_row(const struct ms_word *message, uint32_t tenant)
+tenant_of_row(const struct ms_message *message, uint32_t tenant)
 {
-    return tenant < message->spent_count ? message->spent[tenant].tenant
+    return tenant < message->usage_count ? message->usage[tenant].tenant
                                          : tenant;
 }
 
@@ -60,17 +60,18 @@
  * hash in each row would make up most of a message.
  */
 static void
-pack_counted(msgpack_packer *packer, const struct ms_word *message)
+pack_counted(msgpack_packer *packer, const struct ms_message *message)
 {
     int64_t newest = 0;
-    for (size_t i = 0; i < message->counted_count; i++) {
-        int64_t window = message->counted[i].window;
+    for (size_t i = 0; i < message->request_count_rows; i++) {
+        int64_t window = message->request_counts[i].window;
         newest = window > newest ? window : newest;
     }
-    msgpack_pack_array(packer, 1 + message->counted_count * Ms_COUNTED_FIELDS);
+    msgpack_pack_array(packer,
+                       1 + message->request_count_rows * Ms_COUNTED_FIELDS);
     msgpack_pack_int64(packer, newest);
-    for (size_t i = 0; i < message->counted_count; i++) {
-        const struct ms_request_count *row = &message->counted[i];
+    for (size_t i = 0; i < message->request_count_rows; i++) {
+        const struct ms_request_count *row = &message->request_counts[i];
         msgpack_pack_int64(packer, newest - row->window);
         msgpack_pack_uint32(packer, tenant_row(message, row->tenant));
         msgpack_pack_uint32(packer, row->count);
@@ -78,40 +79,42 @@
 }
 
 static void
-pack_rows(msgpack_packer *packer, const struct ms_word *message)
+pack_rows(msgpack_packer *packer, const struct ms_message *message)
 {
     msgpack_pack_array(packer, message->load_count * 3);
     for (size_t i = 0; i < message->load_count; i++) {
         msgpack_pack_uint32(packer, message->loads[i].endpoint);
-        msgpack_pack_int64(packer, message->loads[i].running);
-        msgpack_pack_int64(packer, message->loads[i].reading);
+        msgpack_pack_int64(packer, message->loads[i].requests);
+        msgpack_pack_int64(packer, message->loads[i].prefill_tokens);
     }
-    msgpack_pack_array(packer, message->spent_count * Ms_SPENT_FIELDS);
-    for (size_t i = 0; i < message->spent_count; i++) {
-        msgpack_pack_uint32(packer, message->spent[i].tenant);
-        msgpack_pack_uint64(packer, message->spent[i].total);
-        msgpack_pack_uint64(packer, message->spent[i].asked);
+    msgpack_pack_array(packer, message->usage_count * Ms_SPENT_FIELDS);
+    for (size_t i = 0; i < message->usage_count; i++) {
+        msgpack_pack_uint32(packer, message->usage[i].tenant);
+        msgpack_pack_uint64(packer, message->usage[i].total);
+        msgpack_pack_uint64(packer, message->usage[i].asked);
     }
     pack_counted(packer, message);
     msgpack_pack_array(packer, message->rate_count * Ms_RATE_FIELDS);
     for (size_t i = 0; i < message->rate_count; i++) {
         msgpack_pack_uint32(packer, message->rates[i].service);
-        msgpack_pack_int64(packer, (int64_t)message->rates[i].reading);
-        msgpack_pack_int64(packer, (int64_t)message->rates[i].in_long);
         msgpack_pack_int64(packer,
-                           (int64_t)(message->rates[i].running * Ms_MILLI));
-        msgpack_pack_int64(packer, (int64_t)message->rates[i].read_rate);
-        msgpack_pack_int64(packer,
-                           (int64_t)(message->rates[i].sent * Ms_MILLI));
+                           (int64_t)message->rates[i].prompt_tokens_per_sec);
+        msgpack_pack_int64(
+            packer, (int64_t)message->rates[i].long_prompt_tokens_per_sec);
+        msgpack_pack_int64(
+            packer, (int64_t)(message->rates[i].concurrency * Ms_MILLI));
+        msgpack_pack_int64(packer, (int64_t)message->rates[i].prefill_rate);
+        msgpack_pack_int64(
+            packer, (int64_t)(message->rates[i].requests_per_sec * Ms_MILLI));
     }
-    msgpack_pack_array(packer, message->hint_count);
-    for (size_t i = 0; i < message->hint_count; i++) {
-        pack_text(packer, message->hints[i]);
+    msgpack_pack_array(packer, message->address_count);
+    for (size_t i = 0; i < message->address_count; i++) {
+        pack_text(packer, message->addresses[i]);
     }
 }
 
 static void
-pack_pasts(msgpack_packer *packer, const struct ms_word *message)
+pack_pasts(msgpack_packer *packer, const struct ms_message *message)
 {
     msgpack_pack_array(packer, message->past_usage_count * Ms_PAST_FIELDS);
     for (size_t i = 0; i < message->past_usage_count; i++) {
@@ -122,22 +125,23 @@
 }
 
 static void
-pack_moves(msgpack_packer *packer, const struct ms_word *message)
+pack_moves(msgpack_packer *packer, const struct ms_message *message)
 {
     msgpack_pack_array(packer, message->evidence_count * Ms_EVIDENCE_FIELDS);
     for (size_t i = 0; i < message->evidence_count; i++) {
-        const struct ro_evidence *row = &message->evidence[i];
+        const struct ro_outcomes *row = &message->evidence[i];
         msgpack_pack_uint32(packer, row->service);
         msgpack_pack_uint32(packer, row->route);
         msgpack_pack_int64(packer, row->order);
-        msgpack_pack_uint32(packer, row->old.answers);
-        msgpack_pack_uint32(packer, row->old.bad);
-        msgpack_pack_uint32(packer, row->next.answers);
-        msgpack_pack_uint32(packer, row->next.bad);
+        msgpack_pack_uint32(packer, row->old_version.answers);
+        msgpack_pack_uint32(packer, row->old_version.bad);
+        msgpack_pack_uint32(packer, row->new_version.answers);
+        msgpack_pack_uint32(packer, row->new_version.bad);
     }
-    msgpack_pack_array(packer, message->standing_count * Ms_STANDING_FIELDS);
-    for (size_t i = 0; i < message->standing_count; i++) {
-        const struct ro_standing *row = &message->standings[i];
+    msgpack_pack_array(packer,
+                       message->move_status_count * Ms_STANDING_FIELDS);
+    for (size_t i = 0; i < message->move_status_count; i++) {
+        const struct ro_status *row = &message->move_statuses[i];
         msgpack_pack_uint32(packer, row->service);
         msgpack_pack_int64(packer, row->order);
         msgpack_pack_int(packer, row->state);
@@ -146,25 +150,25 @@
 }
 
 static void
-pack_brittle(msgpack_packer *packer, const struct ms_word *message)
+pack_brittle(msgpack_packer *packer, const struct ms_message *message)
 {
     msgpack_pack_array(packer, message->brittle_count * Ms_BRITTLE_FIELDS);
     for (size_t i = 0; i < message->brittle_count; i++) {
         msgpack_pack_uint32(packer, message->brittle[i].service);
-        msgpack_pack_int(packer, message->brittle[i].most);
+        msgpack_pack_int(packer, message->brittle[i].refusals_per_sec);
     }
 }
 
 static void
-pack_poison(msgpack_packer *packer, const struct ms_word *message)
+pack_poison(msgpack_packer *packer, const struct ms_message *message)
 {
     Pz_PackCrashes(packer, message->crashes, message->crash_count);
     Pz_PackClears(packer, message->clears, message->clear_count);
-    Pz_PackStops(packer, message->stops, message->stop_count);
+    Pz_PackQuarantines(packer, message->stops, message->stop_count);
 }
 
 size_t
-Ms_Encode(const struct ms_word *message, char *out, size_t size)
+Ms_Encode(const struct ms_message *message, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_sbuffer_init(&buffer);
@@ -186,14 +190,14 @@
     msgpack_pack_int(&packer, message->reads_config);
     msgpack_pack_int(&packer, message->reads_entries);
     msgpack_pack_int64(&packer, message->up_usec);
-    msgpack_pack_int64(&packer, message->lease.end);
-    msgpack_pack_int64(&packer, message->lease.left_usec);
+    msgpack_pack_int64(&packer, message->lease.log_end);
+    msgpack_pack_int64(&packer, message->lease.remaining_usec);
     pack_moves(&packer, message);
     pack_text(&packer, message->zone);
     msgpack_pack_int(&packer, message->summary);
     pack_pasts(&packer, message);
     msgpack_pack_int(&packer, message->link_mbps);
-    msgpack_pack_int(&packer, message->cut);
+    msgpack_pack_int(&packer, message->links_cut);
     pack_brittle(&packer, message);
     pack_poison(&packer, message);
     size_t len = buffer.size <= size ? buffer.size : 0;
@@ -225,41 +229,41 @@
 
 /* Needs the "spent" rows, which are decoded first. */
 static void
-get_counted(const msgpack_object *field, struct ms_word *out)
+get_counted(const msgpack_object *field, struct ms_message *out)
 {
     if (field->type != MSGPACK_OBJECT_ARRAY || field->via.array.size == 0) {
         return;
     }
     int64_t newest = get_number(&field->via.array.ptr[0]);
     size_t rows = (field->via.array.size - 1) / Ms_COUNTED_FIELDS;
-    out->counted_count = rows < Ms_COUNTS_MAX ? rows : Ms_COUNTS_MAX;
-    for (size_t i = 0; i < out->counted_count; i++) {
+    out->request_count_rows = rows < Ms_COUNTS_MAX ? rows : Ms_COUNTS_MAX;
+    for (size_t i = 0; i < out->request_count_rows; i++) {
         const msgpack_object *row =
             &field->via.array.ptr[1 + i * Ms_COUNTED_FIELDS];
-        out->counted[i].window = newest - get_number(&row[0]);
-        out->counted[i].tenant =
+        out->request_counts[i].window = newest - get_number(&row[0]);
+        out->request_counts[i].tenant =
             tenant_of_row(out, (uint32_t)get_number(&row[1]));
-        out->counted[i].count = (uint32_t)get_number(&row[2]);
+        out->request_counts[i].count = (uint32_t)get_number(&row[2]);
     }
 }
 
 static void
-get_rows(const msgpack_object *field, struct ms_word *out)
+get_rows(const msgpack_object *field, struct ms_message *out)
 {
     out->load_count = count_rows(&field[0], 3, Ms_SUMMARY_LOADS_MAX);
     for (size_t i = 0; i < out->load_count; i++) {
         const msgpack_object *row = &field[0].via.array.ptr[i * 3];
         out->loads[i].endpoint = (uint32_t)get_number(&row[0]);
-        out->loads[i].running = (int)get_number(&row[1]);
-        out->loads[i].reading = get_number(&row[2]);
+        out->loads[i].requests = (int)get_number(&row[1]);
+        out->loads[i].prefill_tokens = get_number(&row[2]);
     }
-    out->spent_count = count_rows(&field[1], Ms_SPENT_FIELDS, Ms_SPENT_MAX);
-    for (size_t i = 0; i < out->spent_count; i++) {
+    out->usage_count = count_rows(&field[1], Ms_SPENT_FIELDS, Ms_SPENT_MAX);
+    for (size_t i = 0; i < out->usage_count; i++) {
         const msgpack_object *row =
             &field[1].via.array.ptr[i * Ms_SPENT_FIELDS];
-        out->spent[i].tenant = (uint32_t)get_number(&row[0]);
-        out->spent[i].total = (uint64_t)get_number(&row[1]);
-        out->spent[i].asked = (uint64_t)get_number(&row[2]);
+        out->usage[i].tenant = (uint32_t)get_number(&row[0]);
+        out->usage[i].total = (uint64_t)get_number(&row[1]);
+        out->usage[i].asked = (uint64_t)get_number(&row[2]);
     }
     get_counted(&field[2], out);
     out->rate_count = count_rows(&field[3], Ms_RATE_FIELDS, Ms_RATES_MAX);
@@ -267,23 +271,24 @@
         const msgpack_object *row =
             &field[3].via.array.ptr[i * Ms_RATE_FIELDS];
         out->rates[i].service = (uint32_t)get_number(&row[0]);
-        out->rates[i].reading = (double)get_number(&row[1]);
-        out->rates[i].in_long = (double)get_number(&row[2]);
-        out->rates[i].running = (double)get_number(&row[3]) / Ms_MILLI;
-        out->rates[i].read_rate = (double)get_number(&row[4]);
-        out->rates[i].sent = (double)get_number(&row[5]) / Ms_MILLI;
+        out->rates[i].prompt_tokens_per_sec = (double)get_number(&row[1]);
+        out->rates[i].long_prompt_tokens_per_sec = (double)get_number(&row[2]);
+        out->rates[i].concurrency = (double)get_number(&row[3]) / Ms_MILLI;
+        out->rates[i].prefill_rate = (double)get_number(&row[4]);
+        out->rates[i].requests_per_sec =
+            (double)get_number(&row[5]) / Ms_MILLI;
     }
     size_t hints = count_rows(&field[4], 1, Ms_HINTS_MAX);
     for (size_t i = 0; i < hints; i++) {
-        if (Pk_Text(&field[4].via.array.ptr[i], out->hints[out->hint_count],
-                    Nd_NAME_MAX)) {
-            out->hint_count++;
+        if (Pk_CopyString(&field[4].via.array.ptr[i],
+                          out->addresses[out->address_count], Nd_NAME_MAX)) {
+            out->address_count++;
         }
     }
 }
 
 static void
-get_pasts(const msgpack_object *field, struct ms_word *out)
+get_pasts(const msgpack_object *field, struct ms_message *out)
 {
     out->past_usage_count = count_rows(field, Ms_PAST_FIELDS, Ms_SPENT_MAX);
     for (size_t i = 0; i < out->past_usage_count; i++) {
@@ -295,21 +300,21 @@
 }
 
 static void
-get_moves(const msgpack_object *field, struct ms_word *out)
+get_moves(const msgpack_object *field, struct ms_message *out)
 {
     out->evidence_count =
         count_rows(&field[0], Ms_EVIDENCE_FIELDS, Ms_EVIDENCE_MAX);
     for (size_t i = 0; i < out->evidence_count; i++) {
         const msgpack_object *row =
             &field[0].via.array.ptr[i * Ms_EVIDENCE_FIELDS];
-        out->evidence[i] = (struct ro_evidence){
+        out->evidence[i] = (struct ro_outcomes){
             .service = (uint32_t)get_number(&row[0]),
             .route = (uint32_t)get_number(&row[1]),
             .order = get_number(&row[2]),
-            .old = {(uint32_t)get_number(&row[3]),
-                    (uint32_t)get_number(&row[4])},
-            .next = {(uint32_t)get_number(&row[5]),
-                     (uint32_t)get_number(&row[6])},
+            .old_version = {(uint32_t)get_number(&row[3]),
+                            (uint32_t)get_number(&row[4])},
+            .new_version = {(uint32_t)get_number(&row[5]),
+                            (uint32_t)get_number(&row[6])},
         };
     }
     size_t standings = count_rows(&field[1], Ms_STANDING_FIELDS, Ro_MOVES_MAX);
@@ -320,7 +325,7 @@
         if (state < RO_RUNNING || state > RO_SUCCEEDED) {
             continue;
         }
-        out->standings[out->standing_count++] = (struct ro_standing){
+        out->move_statuses[out->move_status_count++] = (struct ro_status){
             .service = (uint32_t)get_number(&row[0]),
             .order = get_number(&row[1]),
             .state = (enum ro_state)state,
@@ -330,7 +335,7 @@
 }
 
 static void
-get_brittle(const msgpack_object *field, struct ms_word *out)
+get_brittle(const msgpack_object *field, struct ms_message *out)
 {
     out->brittle_count = count_rows(field, Ms_BRITTLE_FIELDS, Ms_BRITTLE_MAX);
     for (size_t i = 0; i < out->brittle_count; i++) {
@@ -338,20 +343,22 @@
             &field->via.array.ptr[i * Ms_BRITTLE_FIELDS];
         int64_t most = get_number(&row[1]);
         out->brittle[i].service = (uint32_t)get_number(&row[0]);
-        out->brittle[i].most = most < 0 || most > INT_MAX ? 0 : (int)most;
+        out->brittle[i].refusals_per_sec =
+            most < 0 || most > INT_MAX ? 0 : (int)most;
     }
 }
 
 static void
-get_poison(const msgpack_object *field, struct ms_word *out)
+get_poison(const msgpack_object *field, struct ms_message *out)
 {
     out->crash_count = Pz_ReadCrashes(&field[0], out->crashes, Ms_CRASHES_MAX);
     out->clear_count = Pz_ReadClears(&field[1], out->clears, Ms_CLEARS_MAX);
-    out->stop_count = Pz_ReadStops(&field[2], out->stops, Ms_STOPS_MAX);
+    out->stop_count =
+        Pz_ReadQuarantines(&field[2], out->stops, Ms_QUARANTINES_MAX);
 }
 
 static bool
-get_message(const msgpack_object *object, struct ms_word *out)
+get_message(const msgpack_object *object, struct ms_message *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size != Ms_FIELDS) {
@@ -359,8 +366,8 @@
     }
     const msgpack_object *field = object->via.array.ptr;
     if (get_number(&field[0]) != Ms_FORMAT ||
-        !Pk_Text(&field[1], out->name, sizeof(out->name)) ||
-        !Pk_Text(&field[2], out->ip, sizeof(out->ip)) ||
+        !Pk_CopyString(&field[1], out->name, sizeof(out->name)) ||
+        !Pk_CopyString(&field[2], out->ip, sizeof(out->ip)) ||
         field[3].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return false;
     }
@@ -376,20 +383,20 @@
     out->reads_config = get_number(&field[16]) != 0;
     out->reads_entries = get_number(&field[17]) != 0;
     out->up_usec = get_number(&field[18]);
-    out->lease.end = get_number(&field[19]);
-    out->lease.left_usec = get_number(&field[20]);
+    out->lease.log_end = get_number(&field[19]);
+    out->lease.remaining_usec = get_number(&field[20]);
     get_moves(&field[21], out);
     out->summary = get_number(&field[24]) != 0;
     get_pasts(&field[25], out);
     out->link_mbps = (int)get_number(&field[26]);
-    out->cut = get_number(&field[27]) != 0;
+    out->links_cut = get_number(&field[27]) != 0;
     get_brittle(&field[28], out);
     get_poison(&field[29], out);
-    return Pk_Text(&field[23], out->zone, sizeof(out->zone));
+    return Pk_CopyString(&field[23], out->zone, sizeof(out->zone));
 }
 
 bool
-Ms_Decode(const char *data, size_t len, struct ms_word *out)
+Ms_Decode(const char *data, size_t len, struct ms_message *out)
 {
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
--- a/packages/edge/mesh_internal.h
+++ b/packages/edge/mesh_internal.h
@@ -50,7 +50,7 @@
 bool ms_summary_due(struct ms_mesh *mesh, struct ms_peer *peer);
 /* Updates a peer's state from its message. */
 void ms_apply_message(struct ms_mesh *mesh, struct ms_peer *peer,
-                      const struct ms_word *message);
+                      const struct ms_message *message);
 bool ms_is_expired(const struct ms_mesh *mesh, const struct ms_peer *peer);
 void ms_remove(struct ms_mesh *mesh, struct ms_peer *peer);
 
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -38,11 +38,12 @@
 received_within(const struct ms_mesh *mesh, const struct ms_peer *peer,
                 int64_t min_usec, int intervals)
 {
-    int64_t timeout = ms_send_interval(mesh, peer->near) * intervals;
+    int64_t timeout = ms_send_interval(mesh, peer->same_zone) * intervals;
     if (timeout < min_usec) {
         timeout = min_usec;
     }
-    return peer->heard_at != 0 && mesh->now - peer->heard_at < timeout;
+    return peer->last_message_at != 0 &&
+           mesh->now - peer->last_message_at < timeout;
 }
 
 bool
@@ -52,7 +53,7 @@
 }
 
 bool
-Ms_Close(const struct ms_mesh *mesh, const struct ms_peer *peer)
+Ms_IsResponsive(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
     return received_within(mesh, peer, Ms_RECENT_USEC, Ms_CLOSE_INTERVALS);
 }
@@ -91,7 +92,7 @@
  * stop, including this one.
  */
 size_t
-Ms_CountKnown(const struct ms_mesh *mesh)
+Ms_CountRunning(const struct ms_mesh *mesh)
 {
     return mesh->running_count;
 }
@@ -109,7 +110,7 @@
 }
 
 void
-Ms_ListHosts(const struct ms_mesh *mesh, struct wu_hosts *out)
+Ms_ListSenders(const struct ms_mesh *mesh, struct wu_hosts *out)
 {
     out->own = mesh->hash;
     out->count = 0;
@@ -120,7 +121,7 @@
         if (out->count < Wu_HOSTS_MAX) {
             out->others[out->count++] = peer->hash;
         }
-        out->view.heard += peer->heard_at != 0;
+        out->view.heard += peer->last_message_at != 0;
     }
 }
 
--- a/packages/edge/mesh_pace.c
+++ b/packages/edge/mesh_schedule.c
@@ -46,7 +46,7 @@
 }
 
 bool
-Ms_Summarizes(const struct ms_mesh *mesh)
+Ms_UsesSummaries(const struct ms_mesh *mesh)
 {
     return mesh->count >= Ms_SUMMARY_MIN_DAEMONS &&
            mesh->local_count < mesh->count;
@@ -60,9 +60,9 @@
 
 /* Usage in another data centre first has to reach the reporter there. */
 int64_t
-Ms_Lag(const struct ms_mesh *mesh)
+Ms_ReportDelay(const struct ms_mesh *mesh)
 {
-    if (!Ms_Summarizes(mesh)) {
+    if (!Ms_UsesSummaries(mesh)) {
         return max_usec(ms_send_interval(mesh, true),
                         ms_send_interval(mesh, false));
     }
@@ -112,7 +112,8 @@
     uint64_t own = reporter_rank(peer, mesh->hash);
     const struct ms_peer *other;
     TAILQ_FOREACH (other, &mesh->peers, link) {
-        if (other->near && !other->stopping && Ms_Close(mesh, other) &&
+        if (other->same_zone && !other->stopping &&
+            Ms_IsResponsive(mesh, other) &&
             reporter_rank(peer, other->hash) > own) {
             return false;
         }
@@ -131,10 +132,10 @@
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, &mesh->peers, link) {
         bool running = !peer->stopping;
-        bool was_heard = peer->heard_at != 0;
+        bool was_heard = peer->last_message_at != 0;
         bool is_awaited =
             !was_heard && mesh->now - peer->added_at < Ms_FIRST_MESSAGE_USEC;
-        mesh->local_count += peer->near;
+        mesh->local_count += peer->same_zone;
         mesh->reachable_count += running && Ms_IsReachable(mesh, peer);
         mesh->expected_count += was_heard ? running : is_awaited;
         mesh->running_count += was_heard && running;
@@ -144,7 +145,8 @@
 bool
 ms_is_expired(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    int64_t last_seen = peer->heard_at != 0 ? peer->heard_at : peer->added_at;
+    int64_t last_seen =
+        peer->last_message_at != 0 ? peer->last_message_at : peer->added_at;
     return !Ms_Alive(mesh, peer) && mesh->now - last_seen > Ms_EXPIRY_USEC;
 }
 
@@ -155,7 +157,7 @@
         return false;
     }
     int64_t interval = Ms_Alive(mesh, peer)
-                           ? ms_send_interval(mesh, peer->near)
+                           ? ms_send_interval(mesh, peer->same_zone)
                            : Ms_SILENT_INTERVAL_USEC;
     peer->due_at = next_due(mesh, interval);
     return true;
@@ -164,7 +166,7 @@
 bool
 ms_summary_due(struct ms_mesh *mesh, struct ms_peer *peer)
 {
-    if (!Ms_Summarizes(mesh) || peer->near ||
+    if (!Ms_UsesSummaries(mesh) || peer->same_zone ||
         !is_due(mesh, peer->summary_due_at) || !Ms_Alive(mesh, peer)) {
         return false;
     }
--- a/packages/edge/mesh_send.c
+++ b/packages/edge/mesh_send.c
@@ -7,7 +7,7 @@
 #include "edge/mesh_internal.h"
 
 static void
-add_hints(struct ms_mesh *mesh, struct ms_word *message)
+add_hints(struct ms_mesh *mesh, struct ms_message *message)
 {
     if (mesh->count == 0) {
         return;
@@ -19,8 +19,8 @@
             skip--;
             continue;
         }
-        if (Ms_Alive(mesh, peer) && message->hint_count < Ms_HINTS_MAX) {
-            strlcpy(message->hints[message->hint_count++], peer->ip,
+        if (Ms_Alive(mesh, peer) && message->address_count < Ms_HINTS_MAX) {
+            strlcpy(message->addresses[message->address_count++], peer->ip,
                     Nd_NAME_MAX);
         }
     }
@@ -38,7 +38,7 @@
 static void
 build_datagram(struct ms_mesh *mesh, struct batch *out)
 {
-    static struct ms_word message;
+    static struct ms_message message;
     memset(&message, 0, sizeof(message));
     strlcpy(message.name, mesh->node->name, sizeof(message.name));
     strlcpy(message.ip, mesh->node->ip, sizeof(message.ip));
--- a/packages/edge/node.c
+++ b/packages/edge/node.c
@@ -146,7 +146,7 @@
     }
     out->metrics_port =
         (int)read_number(file, "metrics_port", out->peer_port + 1);
-    out->through_port =
+    out->tunnel_port =
         (int)read_number(file, "through_port", out->peer_port + 2);
     out->first_start = json_is_true(json_object_get(file, "first_start"));
     const json_t *duties = json_object_get(file, "duties");
--- a/packages/edge/node.h
+++ b/packages/edge/node.h
@@ -32,7 +32,7 @@
     char cloud[Nd_NAME_MAX];
     int peer_port; /* datagrams and state between daemons */
     int metrics_port;
-    int through_port; /* connections forwarded for other daemons */
+    int tunnel_port; /* connections forwarded for other daemons */
     char seeds[Nd_SEEDS_MAX][Nd_NAME_MAX]; /* IP addresses of other hosts */
     size_t seed_count;
     size_t region_count;
--- a/packages/edge/packed.c
+++ b/packages/edge/packed.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 bool
-Pk_Text(const msgpack_object *object, char *out, size_t size)
+Pk_CopyString(const msgpack_object *object, char *out, size_t size)
 {
     if (object->type != MSGPACK_OBJECT_STR || object->via.str.size >= size) {
         return false;
--- a/packages/edge/packed.h
+++ b/packages/edge/packed.h
@@ -7,6 +7,6 @@
 #include <stddef.h>
 
 /* Copies a string; returns false when it is no string, or too long. */
-bool Pk_Text(const msgpack_object *object, char *out, size_t size);
+bool Pk_CopyString(const msgpack_object *object, char *out, size_t size);
 
 #endif
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -8,7 +8,7 @@
 
 #include "edge/exchange.h"
 #include "edge/quarantine.h"
-#include "policy/way.h"
+#include "policy/link.h"
 #include "web/dial.h"
 
 /* Link tests in progress at the same time. */
@@ -22,7 +22,7 @@
     LIST_ENTRY(attempt) link;
     struct pt_paths *paths;
     struct fl_endpoint *endpoint; /* a reference */
-    enum wy_order order;
+    enum li_order order;
     size_t direct;        /* index of the direct path in the plan */
     uint32_t peer;        /* address of the relaying peer; 0: none */
     struct di_dial *test; /* the link test; NULL: for a request */
@@ -35,7 +35,7 @@
     struct ga_gate *gate;
     struct attempt_list tests;
     size_t test_count;
-    struct wy_failures failures;
+    struct li_failures failures;
     bool any_cut;
 };
 
@@ -58,28 +58,28 @@
 
 /* Picks a peer to relay a connection; NULL if there is none. */
 static const struct ms_peer *
-pick_peer(struct pt_paths *paths, const struct wy_link *link)
+pick_peer(struct pt_paths *paths, const struct li_link *link)
 {
     static const struct ms_peer *candidates[Pt_PEERS_MAX];
-    static struct wy_peer peers[Pt_PEERS_MAX];
+    static struct li_peer peers[Pt_PEERS_MAX];
     struct ga_gate *gate = paths->gate;
     size_t count = 0;
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
-        if (count == Pt_PEERS_MAX || !Ms_Close(gate->mesh, peer) ||
+        if (count == Pt_PEERS_MAX || !Ms_IsResponsive(gate->mesh, peer) ||
             peer->stopping || !peer->ready) {
             continue;
         }
         candidates[count] = peer;
-        peers[count++] = (struct wy_peer){
-            .near = peer->near,
-            .cut = peer->cut,
-            .failed_at = Wy_FailedAt(&paths->failures, peer->address),
+        peers[count++] = (struct li_peer){
+            .same_data_centre = peer->same_zone,
+            .cut = peer->links_cut,
+            .failed_at = Li_LastFailure(&paths->failures, peer->address),
         };
     }
     return count == 0
                ? NULL
-               : candidates[Wy_PickPeer(link, peers, count,
+               : candidates[Li_PickPeer(link, peers, count,
                                         Rn_Unit(&gate->random), Ga_Now(gate))];
 }
 
@@ -95,14 +95,15 @@
 {
     struct ga_gate *gate = attempt->paths->gate;
     const struct fl_endpoint *endpoint = attempt->endpoint;
-    const struct ms_peer *peer = pick_peer(attempt->paths, &endpoint->way);
+    const struct ms_peer *peer =
+        pick_peer(attempt->paths, &endpoint->link_state);
     if (peer == NULL) {
         return;
     }
     attempt->peer = peer->address;
     struct di_way *way = &plan->ways[plan->count++];
     snprintf(way->address, sizeof(way->address), "%.48s:%d", peer->ip,
-             gate->options.node->through_port);
+             gate->options.node->tunnel_port);
     strlcpy(way->target, endpoint->entry.id, sizeof(way->target));
     way->peer = peer->address;
 }
@@ -110,13 +111,13 @@
 static struct di_plan
 plan_for(struct attempt *attempt)
 {
-    struct di_plan plan = {.patience_usec = Wy_PATIENCE};
-    if (attempt->order == WY_PEER_FIRST) {
+    struct di_plan plan = {.patience_usec = Li_FALLBACK_USEC};
+    if (attempt->order == LI_PEER_FIRST) {
         add_peer_way(&plan, attempt);
     }
     attempt->direct = plan.count;
     add_direct_way(&plan, attempt->endpoint);
-    if (attempt->order == WY_DIRECT_FIRST) {
+    if (attempt->order == LI_DIRECT_FIRST) {
         add_peer_way(&plan, attempt);
     }
     return plan;
@@ -124,12 +125,12 @@
 
 static struct attempt *
 begin_attempt(struct pt_paths *paths, struct fl_endpoint *endpoint,
-              enum wy_order order)
+              enum li_order order)
 {
     struct attempt *attempt = calloc(1, sizeof(*attempt));
     if (attempt != NULL) {
         attempt->paths = paths;
-        attempt->endpoint = Fl_Hold(endpoint);
+        attempt->endpoint = Fl_Ref(endpoint);
         attempt->order = order;
         attempt->since = Ga_Now(paths->gate);
     }
@@ -143,7 +144,7 @@
         LIST_REMOVE(attempt, link);
         attempt->paths->test_count--;
     }
-    Fl_Drop(attempt->endpoint);
+    Fl_Unref(attempt->endpoint);
     free(attempt);
 }
 
@@ -159,18 +160,18 @@
     }
 }
 
-static enum wy_end
+static enum li_outcome
 outcome_of(const struct di_result *result, size_t way)
 {
     switch (result->ways[way]) {
     case DI_MADE:
-        return WY_CAME;
+        return LI_CONNECTED;
     case DI_FAILED:
-        return WY_FAILED;
+        return LI_FAILED;
     case DI_PENDING:
-        return WY_OVERDUE;
+        return LI_OVERDUE;
     default:
-        return WY_NOT_TRIED;
+        return LI_NOT_TRIED;
     }
 }
 
@@ -183,34 +184,34 @@
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(paths->gate->fleet), link) {
-        if (changed->way.cut) {
-            endpoint->test_wanted |=
-                endpoint->connections > 0 && !endpoint->way.cut;
+        if (changed->link_state.cut) {
+            endpoint->probe_wanted |=
+                endpoint->connections > 0 && !endpoint->link_state.cut;
         }
-        else if (endpoint->way.cut) {
-            Wy_TrySoon(&endpoint->way);
+        else if (endpoint->link_state.cut) {
+            Li_ProbeSoon(&endpoint->link_state);
         }
     }
 }
 
 static void
 note_outcome(struct pt_paths *paths, struct fl_endpoint *endpoint,
-             enum wy_end direct, enum wy_end peer)
+             enum li_outcome direct, enum li_outcome peer)
 {
     int64_t now = Ga_Now(paths->gate);
-    if (!Wy_Ended(&endpoint->way, direct, peer, now)) {
-        endpoint->test_wanted |= peer == WY_CAME && direct == WY_OVERDUE;
+    if (!Li_RecordOutcome(&endpoint->link_state, direct, peer, now)) {
+        endpoint->probe_wanted |= peer == LI_CONNECTED && direct == LI_OVERDUE;
         return;
     }
-    bool cut = endpoint->way.cut;
+    bool cut = endpoint->link_state.cut;
     Ln_Log(LN_STATE, cut ? "link.cut" : "link.regained",
            "\"endpoint\":\"%s\",\"service\":\"%s\",\"zone\":\"%s\","
            "\"silent\":%d",
            endpoint->entry.id, endpoint->entry.service, endpoint->entry.zone,
-           direct == WY_OVERDUE);
+           direct == LI_OVERDUE);
     paths->any_cut |= cut;
     /* Open connections may still work where new ones are refused. */
-    if (!cut || direct == WY_OVERDUE) {
+    if (!cut || direct == LI_OVERDUE) {
         drop_idle(endpoint, cut);
     }
     retest_others(paths, endpoint);
@@ -218,11 +219,12 @@
 
 /* Notes that the endpoint is alive, or, if all connects are refused, dead. */
 static void
-note_alive(const struct attempt *attempt, enum wy_end direct, enum wy_end peer)
+note_alive(const struct attempt *attempt, enum li_outcome direct,
+           enum li_outcome peer)
 {
-    bool connected = direct == WY_CAME || peer == WY_CAME;
+    bool connected = direct == LI_CONNECTED || peer == LI_CONNECTED;
     bool refused =
-        direct == WY_FAILED && (peer == WY_FAILED || peer == WY_NOT_TRIED);
+        direct == LI_FAILED && (peer == LI_FAILED || peer == LI_NOT_TRIED);
     if (connected || refused) {
         Qn_NoteConnect(attempt->paths->gate->quarantine, attempt->endpoint,
                        connected, attempt->since);
@@ -235,12 +237,13 @@
 {
     struct attempt *attempt = arg;
     if (result != NULL) {
-        enum wy_end peer = outcome_of(result, attempt->direct == 0 ? 1 : 0);
-        if (peer == WY_FAILED) {
-            Wy_NoteFailure(&attempt->paths->failures, attempt->peer,
+        enum li_outcome peer =
+            outcome_of(result, attempt->direct == 0 ? 1 : 0);
+        if (peer == LI_FAILED) {
+            Li_NoteFailure(&attempt->paths->failures, attempt->peer,
                            Ga_Now(attempt->paths->gate));
         }
-        enum wy_end direct = outcome_of(result, attempt->direct);
+        enum li_outcome direct = outcome_of(result, attempt->direct);
         note_outcome(attempt->paths, attempt->endpoint, direct, peer);
         note_alive(attempt, direct, peer);
     }
@@ -252,7 +255,7 @@
            cn_idle_fn idle)
 {
     struct ga_gate *gate = paths->gate;
-    enum wy_order order = Wy_Order(&endpoint->way, Ga_Now(gate));
+    enum li_order order = Li_Order(&endpoint->link_state, Ga_Now(gate));
     struct attempt *attempt = begin_attempt(paths, endpoint, order);
     if (attempt == NULL) {
         return NULL;
@@ -275,8 +278,8 @@
 {
     struct attempt *attempt = arg;
     Sk_Close(result->sock);
-    if (attempt->order == WY_DIRECT_ONLY && result->sock == NULL) {
-        Wy_TrialFailed(&attempt->endpoint->way);
+    if (attempt->order == LI_DIRECT_ONLY && result->sock == NULL) {
+        Li_ProbeFailed(&attempt->endpoint->link_state);
     }
     on_connected(attempt, result);
 }
@@ -284,7 +287,7 @@
 /* Tests a link: connects and closes the connection at once. */
 static void
 test_link(struct pt_paths *paths, struct fl_endpoint *endpoint,
-          enum wy_order order)
+          enum li_order order)
 {
     struct ga_gate *gate = paths->gate;
     if (paths->test_count >= Pt_TESTS_MAX) {
@@ -302,12 +305,12 @@
     }
     LIST_INSERT_HEAD(&paths->tests, attempt, link);
     paths->test_count++;
-    endpoint->test_wanted = false;
-    if (order == WY_DIRECT_ONLY) {
-        Wy_TrialBegun(&endpoint->way, attempt->since);
+    endpoint->probe_wanted = false;
+    if (order == LI_DIRECT_ONLY) {
+        Li_ProbeStarted(&endpoint->link_state, attempt->since);
     }
     else {
-        Wy_Tested(&endpoint->way, attempt->since);
+        Li_Tested(&endpoint->link_state, attempt->since);
     }
 }
 
@@ -318,9 +321,9 @@
     int64_t at = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (endpoint->heard_at > at &&
+        if (endpoint->last_direct_byte_at > at &&
             strcmp(endpoint->entry.service, service) == 0) {
-            at = endpoint->heard_at;
+            at = endpoint->last_direct_byte_at;
         }
     }
     return at;
@@ -332,10 +335,10 @@
 {
     struct ga_gate *gate = paths->gate;
     if (!endpoint->gone &&
-        Wy_Doubtful(&endpoint->way, sent_at,
-                    last_answer_at(gate, endpoint->entry.service),
-                    Ga_Now(gate))) {
-        test_link(paths, endpoint, WY_DIRECT_FIRST);
+        Li_IsSuspect(&endpoint->link_state, sent_at,
+                     last_answer_at(gate, endpoint->entry.service),
+                     Ga_Now(gate))) {
+        test_link(paths, endpoint, LI_DIRECT_FIRST);
     }
 }
 
@@ -349,11 +352,11 @@
         if (now - attempt->since < Pt_TEST_TIMEOUT_USEC) {
             continue;
         }
-        if (attempt->order == WY_DIRECT_ONLY) {
-            Wy_TrialFailed(&attempt->endpoint->way);
+        if (attempt->order == LI_DIRECT_ONLY) {
+            Li_ProbeFailed(&attempt->endpoint->link_state);
         }
         else if (attempt->peer != 0) {
-            Wy_NoteFailure(&paths->failures, attempt->peer, now);
+            Li_NoteFailure(&paths->failures, attempt->peer, now);
         }
         Di_Cancel(attempt->test);
         end_attempt(attempt);
@@ -369,12 +372,13 @@
     bool any_cut = false;
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        any_cut |= endpoint->way.cut;
-        if (Wy_TrialDue(&endpoint->way, now)) {
-            test_link(paths, endpoint, WY_DIRECT_ONLY);
+        any_cut |= endpoint->link_state.cut;
+        if (Li_IsProbeDue(&endpoint->link_state, now)) {
+            test_link(paths, endpoint, LI_DIRECT_ONLY);
         }
-        else if (endpoint->test_wanted && Wy_MayTest(&endpoint->way, now)) {
-            test_link(paths, endpoint, WY_DIRECT_FIRST);
+        else if (endpoint->probe_wanted &&
+                 Li_MayTest(&endpoint->link_state, now)) {
+            test_link(paths, endpoint, LI_DIRECT_FIRST);
         }
     }
     paths->any_cut = any_cut;
@@ -388,7 +392,7 @@
     }
     const struct ms_peer *peer = Ms_Find(paths->gate->mesh, Cn_Peer(channel));
     return peer != NULL && !peer->stopping &&
-           Ms_Close(paths->gate->mesh, peer);
+           Ms_IsResponsive(paths->gate->mesh, peer);
 }
 
 void
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -23,13 +23,13 @@
 #define Pe_SAME_START_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
-fill_loads(const struct ga_gate *gate, struct ms_word *message)
+fill_loads(const struct ga_gate *gate, struct ms_message *message)
 {
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (endpoint->running > 0 && message->load_count < Ms_LOADS_MAX) {
             message->loads[message->load_count++] = (struct ms_load){
-                endpoint->hash, endpoint->running, endpoint->reading};
+                endpoint->hash, endpoint->running, endpoint->prefill_tokens};
         }
     }
 }
@@ -37,9 +37,9 @@
 static void
 fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
 {
-    struct ms_word *message = arg;
-    if (message->spent_count < Ms_SPENT_MAX) {
-        message->spent[message->spent_count++] =
+    struct ms_message *message = arg;
+    if (message->usage_count < Ms_SPENT_MAX) {
+        message->usage[message->usage_count++] =
             (struct ms_usage){tenant, total, asked};
     }
 }
@@ -49,13 +49,13 @@
  * before its start.
  */
 static void
-fill_past_usage(struct ga_gate *gate, struct ms_word *message)
+fill_past_usage(struct ga_gate *gate, struct ms_message *message)
 {
     struct qt_recent rows[Qt_RECENT_MAX];
     size_t count = 0;
     if (Ms_AnyStartedWithin(gate->mesh,
                             gate->options.node->quota_window_usec)) {
-        count = Qt_Recent(gate->quota, rows);
+        count = Qt_RecentUsage(gate->quota, rows);
     }
     for (size_t i = 0; i < count && message->past_usage_count < Ms_SPENT_MAX;
          i++) {
@@ -69,15 +69,15 @@
 }
 
 static void
-fill_request_counts(const struct ga_gate *gate, struct ms_word *message)
+fill_request_counts(const struct ga_gate *gate, struct ms_message *message)
 {
-    int64_t now = Wo_Window(gate, Tt_Now(gate->time));
+    int64_t now = Co_UsageWindow(gate, Tt_Now(gate->true_time));
     for (int64_t window = now; window > now - 3; window--) {
         struct us_count counts[Us_TENANTS_MAX];
         size_t count = Us_Own(gate->usage, window, counts);
-        for (size_t i = 0; i < count && message->counted_count < Ms_COUNTS_MAX;
-             i++) {
-            message->counted[message->counted_count++] =
+        for (size_t i = 0;
+             i < count && message->request_count_rows < Ms_COUNTS_MAX; i++) {
+            message->request_counts[message->request_count_rows++] =
                 (struct ms_request_count){window, counts[i].tenant,
                                           counts[i].count};
         }
@@ -85,49 +85,50 @@
 }
 
 static void
-fill_message(void *arg, struct ms_word *message)
+fill_message(void *arg, struct ms_message *message)
 {
     struct ga_gate *gate = arg;
     message->up_usec = Ga_Now(gate) - gate->started_at;
-    message->ready = Ga_Ready(gate);
+    message->ready = Ga_IsReady(gate);
     message->stopping = gate->stopping_at != 0;
     message->store_reached = Fe_Reached(gate->feed);
-    message->cut = Pt_AnyCut(gate->paths);
+    message->links_cut = Pt_AnyCut(gate->paths);
     message->reads_config = Fe_Reads(gate->feed, AG_CONFIG);
     message->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
     message->config_changes_end = Fe_ChangesEnd(gate->feed, AG_CONFIG);
     message->entries_changes_end = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
-    message->lease = Du_Told(gate->duty);
+    message->lease = Lr_LeaseNotice(gate->duty);
     fill_loads(gate, message);
     Qt_Each(gate->quota, fill_usage, message);
     fill_past_usage(gate, message);
     fill_request_counts(gate, message);
-    Bt_Fill(gate, message);
-    Qn_Fill(gate->quarantine, message);
-    message->rate_count = De_Own(gate->demand, message->rates);
+    Bt_FillMessage(gate, message);
+    Qn_FillMessage(gate->quarantine, message);
+    message->rate_count = De_LocalRates(gate->demand, message->rates);
     message->evidence_count =
-        Ro_Own(gate->moves, message->evidence, Ms_EVIDENCE_MAX);
-    message->standing_count =
-        Ro_Standings(gate->moves, message->standings, Ro_MOVES_MAX);
+        Ro_LocalOutcomes(gate->moves, message->evidence, Ms_EVIDENCE_MAX);
+    message->move_status_count =
+        Ro_Statuses(gate->moves, message->move_statuses, Ro_MOVES_MAX);
 }
 
 /* Replaces what this daemon has sent by the sums over its data centre. */
 static void
-fill_zone_summary(void *arg, struct ms_word *message)
+fill_zone_summary(void *arg, struct ms_message *message)
 {
     struct ga_gate *gate = arg;
     Zn_Summarize(gate->zones, message);
-    message->counted_count = 0;
+    message->request_count_rows = 0;
     message->rate_count = 0;
     message->evidence_count = 0;
     message->load_count = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        int running = endpoint->running + endpoint->near_running;
+        int running = endpoint->running + endpoint->zone_peers_running;
         if (running > 0 && message->load_count < Ms_SUMMARY_LOADS_MAX) {
             message->loads[message->load_count++] =
                 (struct ms_load){endpoint->hash, running,
-                                 endpoint->reading + endpoint->near_reading};
+                                 endpoint->prefill_tokens +
+                                     endpoint->zone_peers_prefill_tokens};
         }
     }
 }
@@ -151,7 +152,7 @@
  */
 static void
 apply_usage(struct ga_gate *gate, const struct ms_peer *peer,
-            const struct ms_word *message)
+            const struct ms_message *message)
 {
     bool same_run = peer->run == message->run;
     bool returned = peer->run != 0 && !Ms_IsReachable(gate->mesh, peer);
@@ -166,9 +167,9 @@
     }
     bool same_zone = strcmp(message->zone, gate->options.node->zone) == 0;
     bool reported = !same_zone && Zn_IsReported(gate->zones, message->zone);
-    for (size_t i = 0; i < message->spent_count && !reported; i++) {
+    for (size_t i = 0; i < message->usage_count && !reported; i++) {
         struct ms_usage more = Ms_UsageIncrease(
-            &message->spent[i], peer->spent, same_run ? peer->spent_count : 0);
+            &message->usage[i], peer->usage, same_run ? peer->usage_count : 0);
         charge_peer_usage(gate, &more, while_unreachable);
         if (same_zone) {
             Zn_AddLocalUsage(gate->zones, &more);
@@ -178,7 +179,7 @@
 
 /* Ignores the counts of a peer that was not up for a whole window. */
 static void
-apply_past_usage(struct ga_gate *gate, const struct ms_word *message)
+apply_past_usage(struct ga_gate *gate, const struct ms_message *message)
 {
     if (message->up_usec < gate->options.node->quota_window_usec) {
         return;
@@ -198,10 +199,11 @@
 
 static void
 on_message(void *arg, const struct ms_peer *peer,
-           const struct ms_word *message)
+           const struct ms_message *message)
 {
     struct ga_gate *gate = arg;
-    Tt_Peer(gate->time, Hash_String(message->ip, 0), message->wall_usec);
+    Tt_AddPeerTime(gate->true_time, Hash_String(message->ip, 0),
+                   message->wall_usec);
     if (message->summary) {
         Zn_ApplySummary(gate->zones, message, on_zone_usage, gate);
     }
@@ -209,18 +211,21 @@
         apply_usage(gate, peer, message);
     }
     apply_past_usage(gate, message);
-    for (size_t i = 0; i < message->counted_count; i++) {
-        Us_Peer(gate->usage, message->run, message->counted[i].window,
-                message->counted[i].tenant, message->counted[i].count);
+    for (size_t i = 0; i < message->request_count_rows; i++) {
+        Us_TakePeerCount(gate->usage, message->run,
+                         message->request_counts[i].window,
+                         message->request_counts[i].tenant,
+                         message->request_counts[i].count);
     }
-    Bt_Take(gate, message);
-    Qn_Take(gate->quarantine, message);
+    Bt_ApplyMessage(gate, message);
+    Qn_ApplyMessage(gate->quarantine, message);
     if (message->lease.fence > 0) {
-        Du_Heard(gate->duty, &message->lease);
+        Lr_HandleNotice(gate->duty, &message->lease);
     }
-    for (size_t i = 0; i < message->standing_count; i++) {
-        Ro_Heard(gate->moves, &message->standings[i],
-                 message->lease.fence > 0 && message->lease.left_usec > 0);
+    for (size_t i = 0; i < message->move_status_count; i++) {
+        Ro_ApplyStatus(gate->moves, &message->move_statuses[i],
+                       message->lease.fence > 0 &&
+                           message->lease.remaining_usec > 0);
     }
 }
 
@@ -242,18 +247,19 @@
     size_t expected = Ms_CountExpected(gate->mesh);
     double share = (double)reachable / (double)expected;
     Qt_SetShare(gate->quota, share < Pe_FULL_RATE_MIN_SHARE ? share : 1);
-    Qt_SetPeers(gate->quota, expected - reachable, Ms_Lag(gate->mesh));
-    Bu_SetDaemons(gate->budget, Ms_CountKnown(gate->mesh));
+    Qt_SetPeers(gate->quota, expected - reachable, Ms_ReportDelay(gate->mesh));
+    Bu_SetHosts(gate->budget, Ms_CountRunning(gate->mesh));
 }
 
 static void
 sum_peer_evidence(struct ga_gate *gate)
 {
-    Ro_ClearOthers(gate->moves);
+    Ro_ClearPeerOutcomes(gate->moves);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         if (Ms_Alive(gate->mesh, peer)) {
-            Ro_AddOthers(gate->moves, peer->evidence, peer->evidence_count);
+            Ro_AddPeerOutcomes(gate->moves, peer->evidence,
+                               peer->evidence_count);
         }
     }
 }
@@ -269,7 +275,7 @@
     peers->gate = gate;
     char address[Nd_NAME_MAX + 8];
     snprintf(address, sizeof(address), "%s:%d", node->ip, node->peer_port);
-    gate->mesh = Ms_Create(gate->options.clock, node, gate->options.run,
+    gate->mesh = Ms_Create(gate->options.clock, node, gate->options.run_id,
                            &mesh_ops, gate);
     if (gate->mesh == NULL ||
         Sv_Create(gate->options.loop, gate->options.clock, address,
--- a/packages/edge/peers_loads.c
+++ b/packages/edge/peers_loads.c
@@ -12,7 +12,7 @@
                   const struct fl_endpoint *endpoint, int64_t reading,
                   int64_t age_usec)
 {
-    double processed = De_ReadRate(gate->demand, endpoint->entry.service) *
+    double processed = De_PrefillRate(gate->demand, endpoint->entry.service) *
                        (double)age_usec / (double)Ck_USEC_PER_SEC;
     return (double)reading > processed ? reading - (int64_t)processed : 0;
 }
@@ -26,12 +26,12 @@
         return;
     }
     int64_t reading =
-        remaining_prefill(gate, endpoint, load->reading, age_usec);
-    endpoint->others_running += load->running;
-    endpoint->others_reading += reading;
+        remaining_prefill(gate, endpoint, load->prefill_tokens, age_usec);
+    endpoint->peers_running += load->requests;
+    endpoint->peers_prefill_tokens += reading;
     if (same_zone) {
-        endpoint->near_running += load->running;
-        endpoint->near_reading += reading;
+        endpoint->zone_peers_running += load->requests;
+        endpoint->zone_peers_prefill_tokens += reading;
     }
 }
 
@@ -48,16 +48,16 @@
 void
 pe_sum_loads(struct ga_gate *gate)
 {
-    Fl_ClearOthers(gate->fleet);
+    Fl_ClearPeerLoads(gate->fleet);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         if (!Ms_Alive(gate->mesh, peer) ||
-            (!peer->near && Zn_IsReported(gate->zones, peer->zone))) {
+            (!peer->same_zone && Zn_IsReported(gate->zones, peer->zone))) {
             continue;
         }
-        int64_t age = Ga_Now(gate) - peer->heard_at;
+        int64_t age = Ga_Now(gate) - peer->last_message_at;
         for (size_t i = 0; i < peer->load_count; i++) {
-            add_load(gate, &peer->loads[i], age, peer->near);
+            add_load(gate, &peer->loads[i], age, peer->same_zone);
         }
     }
     Zn_EachLoad(gate->zones, add_zone_load, gate);
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -242,7 +242,7 @@
     int64_t changed = topic == AG_CONFIG ? peer->config_changes_end
                                          : peer->entries_changes_end;
     return changed > Fe_ChangesEnd(gate->feed, topic) && !peer->stopping &&
-           Ms_Close(gate->mesh, peer);
+           Ms_IsResponsive(gate->mesh, peer);
 }
 
 static bool
--- a/packages/edge/place.c
+++ b/packages/edge/place.c
@@ -74,7 +74,7 @@
 expected_shared(const struct pl_candidate *candidate, size_t home)
 {
     double cached = home < Pl_HOMES ? cached_fraction[home] : 0;
-    return (double)candidate->shared * (1 - cached);
+    return (double)candidate->uncached_shared * (1 - cached);
 }
 
 static double
@@ -91,12 +91,13 @@
 engine_cost(const struct pl_candidate *candidate,
             const struct pl_limits *limits, size_t home)
 {
-    double own = (double)(candidate->missing - candidate->shared);
-    return (double)candidate->reading + own +
+    double own =
+        (double)(candidate->uncached_tokens - candidate->uncached_shared);
+    return (double)candidate->prefill_tokens + own +
            expected_shared(candidate, home) * Pl_SHARED_WEIGHT +
            lane_cost(candidate, limits) +
            candidate->running * Pl_RUNNING_COST +
-           (candidate->near ? 0 : Pl_FAR_COST);
+           (candidate->same_zone ? 0 : Pl_FAR_COST);
 }
 
 /*
@@ -111,7 +112,7 @@
     int slots = candidate->slots > 0 ? candidate->slots : 1;
     double used = (double)candidate->running / slots;
     return used * Pl_FULL_COST + (home < Pl_SAMPLES_MIN ? 0 : Pl_FULL_COST) +
-           (candidate->near ? 0 : Pl_FAR_COST);
+           (candidate->same_zone ? 0 : Pl_FAR_COST);
 }
 
 static bool
@@ -124,7 +125,7 @@
 at_limit(const struct pl_candidate *candidate, const struct pl_limits *limits)
 {
     return candidate->slots > 0 &&
-           candidate->running >= limits->fill * candidate->slots;
+           candidate->running >= limits->fill_max * candidate->slots;
 }
 
 /*
@@ -146,8 +147,8 @@
         }
         size_t inserted = i;
         for (size_t at = 0; at < Pl_HOMES && inserted != count; at++) {
-            if (homes[at] == count ||
-                candidates[inserted].draw > candidates[homes[at]].draw) {
+            if (homes[at] == count || candidates[inserted].home_hash >
+                                          candidates[homes[at]].home_hash) {
                 size_t displaced = homes[at];
                 homes[at] = inserted;
                 inserted = displaced;
@@ -187,7 +188,7 @@
         }
         best.any_eligible = true;
         size_t home = home_of(homes, i);
-        bool sampled = home < Pl_HOMES || candidate->lot <= drawn_part;
+        bool sampled = home < Pl_HOMES || candidate->sample_hash <= drawn_part;
         if (!sampled || at_limit(candidate, limits)) {
             continue;
         }
@@ -215,8 +216,9 @@
     size_t homes[Pl_HOMES];
     find_homes(candidates, count, limits, homes);
     struct best best =
-        find_best(candidates, count, limits, homes, limits->drawn_part);
-    if ((best.index == count || best.shunned) && limits->drawn_part < 1) {
+        find_best(candidates, count, limits, homes, limits->sampled_fraction);
+    if ((best.index == count || best.shunned) &&
+        limits->sampled_fraction < 1) {
         best = find_best(candidates, count, limits, homes, 1);
     }
     if (best.index == count) {
@@ -224,14 +226,14 @@
     }
     const struct pl_candidate *chosen = &candidates[best.index];
     choice->index = best.index;
-    choice->reading =
-        chosen->missing - chosen->shared +
+    choice->prefill_tokens =
+        chosen->uncached_tokens - chosen->uncached_shared +
         (int64_t)expected_shared(chosen, home_of(homes, best.index));
     return PL_CHOSEN;
 }
 
 double
-Pl_DrawnPart(size_t endpoints, double unheard)
+Pl_SampledFraction(size_t endpoints, double unheard)
 {
     if (endpoints <= Pl_SAMPLES_MIN || unheard <= Pl_SAMPLERS_MAX) {
         return 1;
@@ -248,7 +250,7 @@
 }
 
 double
-Pl_LongPart(size_t endpoints, double long_share)
+Pl_LongLaneFraction(size_t endpoints, double long_share)
 {
     if (endpoints < Pl_LANES_MIN_ENDPOINTS || long_share <= 0) {
         return 0;
--- a/packages/edge/place.h
+++ b/packages/edge/place.h
@@ -17,16 +17,18 @@
 #endif
 
 struct pl_candidate {
-    int64_t reading; /* prompt tokens queued there by all hosts */
-    int64_t missing; /* prompt tokens not in its cache, as this host knows */
-    int64_t shared;  /* of these, tokens in parts that requests share */
-    uint64_t draw;   /* hash of group and endpoint; the highest are homes */
-    double lot;      /* hash of request and endpoint, 0 to 1 */
-    double failing;  /* fraction of recent answers that failed, 0 to 1 */
-    double slowness; /* time to the first byte / mean of the service */
+    int64_t prefill_tokens;  /* prompt tokens queued there by all hosts */
+    int64_t uncached_tokens; /* prompt tokens not in its cache, as this host
+                                knows */
+    int64_t
+        uncached_shared; /* of these, tokens in parts that requests share */
+    uint64_t home_hash; /* hash of group and endpoint; the highest are homes */
+    double sample_hash; /* hash of request and endpoint, 0 to 1 */
+    double failing;     /* fraction of recent answers that failed, 0 to 1 */
+    double slowness;    /* time to the first byte / mean of the service */
     int slots;
-    int running; /* requests there of all hosts */
-    bool near;   /* in this host's data centre */
+    int running;    /* requests there of all hosts */
+    bool same_zone; /* in this host's data centre */
     bool shunned;
     bool tried;     /* the request was sent there before */
     bool full;      /* no connection left, or reserved for other hosts */
@@ -41,17 +43,19 @@
 
 struct pl_limits {
     bool engine;
-    double fill; /* most requests at an endpoint, as a multiple of its slots */
-    bool lanes;  /* long and short prompts have separate endpoints */
+    double fill_max; /* most requests at an endpoint, as a multiple of its
+                        slots */
+    bool lanes;      /* long and short prompts have separate endpoints */
     bool is_long;
     /* Fraction of the endpoints that is sampled in addition to the group's
        homes; 1: all. */
-    double drawn_part;
+    double sampled_fraction;
 };
 
 struct pl_choice {
     size_t index;
-    int64_t reading; /* prompt tokens the endpoint is expected to read */
+    int64_t
+        prefill_tokens; /* prompt tokens the endpoint is expected to read */
 };
 
 enum pl_verdict Pl_Choose(const struct pl_candidate *candidates, size_t count,
@@ -63,14 +67,14 @@
  * long prompts; 0: no endpoints are reserved.  "long_share" is the fraction of
  * all prompt tokens that belongs to long prompts.
  */
-double Pl_LongPart(size_t endpoints, double long_share);
+double Pl_LongLaneFraction(size_t endpoints, double long_share);
 /*
  * Fraction of the endpoints that each request samples.  "unheard" is the
  * number of requests that all hosts send within the lag of their load reports.
  * All hosts see the same endpoint idle; if all chose it, it would get about a
  * second's requests of the whole service before the reports show it.
  */
-double Pl_DrawnPart(size_t endpoints, double unheard);
+double Pl_SampledFraction(size_t endpoints, double unheard);
 /* Whether a prompt of this size counts as long. */
 bool Pl_IsLong(int64_t tokens);
 
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -121,7 +121,7 @@
     if (!TAILQ_EMPTY(&endpoint->idle) || service->conn_max <= 0) {
         return false;
     }
-    size_t hosts = Ms_CountKnown(gate->mesh) + Po_SPARE_HOSTS;
+    size_t hosts = Ms_CountRunning(gate->mesh) + Po_SPARE_HOSTS;
     int quota = service->conn_max / (int)hosts;
     if (quota < Po_CONNECTIONS_MIN) {
         quota = Po_CONNECTIONS_MIN;
