--- a/packages/edge/prefix.c
+++ b/packages/edge/prefix.c
@@ -48,8 +48,8 @@
 }
 
 void
-Px_Note(struct px_table *table, const struct ak_ask *ask, uint32_t endpoint,
-        int64_t now)
+Px_NoteSent(struct px_table *table, const struct hd_request_info *ask,
+            uint32_t endpoint, int64_t now)
 {
     uint64_t chain = 0;
     for (size_t i = 0; i < ask->part_count; i++) {
@@ -68,11 +68,12 @@
     return slot->key == key && now - slot->noted_at <= Px_CACHED_USEC;
 }
 
-struct px_missing
-Px_Missing(const struct px_table *table, const struct ak_ask *ask,
-           uint32_t endpoint, int64_t now)
+struct px_uncached
+Px_CountUncached(const struct px_table *table,
+                 const struct hd_request_info *ask, uint32_t endpoint,
+                 int64_t now)
 {
-    struct px_missing missing = {.tokens = ask->tokens_in};
+    struct px_uncached missing = {.tokens = ask->tokens_in};
     uint64_t chain = 0;
     bool cached = true;
     for (size_t i = 0; i < ask->part_count; i++) {
@@ -96,14 +97,14 @@
 }
 
 uint32_t
-Px_ShortId(const struct ak_part *part)
+Px_ShortId(const struct hd_part *part)
 {
     return (uint32_t)part->id;
 }
 
 /* The last part is the request's own; the one before it is shared. */
 uint64_t
-Px_Group(const struct ak_ask *ask)
+Px_Group(const struct hd_request_info *ask)
 {
     return ask->part_count < 2 ? 0 : ask->parts[ask->part_count - 2].id;
 }
--- a/packages/edge/prefix.h
+++ b/packages/edge/prefix.h
@@ -10,7 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "edge/ask.h"
+#include "edge/header_codec.h"
 
 #ifdef __cplusplus
 extern "C" {
@@ -19,7 +19,7 @@
 struct px_table;
 
 /* Prompt tokens that an endpoint would have to read. */
-struct px_missing {
+struct px_uncached {
     int64_t tokens;
     int64_t shared; /* of these, those in parts that requests share */
 };
@@ -27,17 +27,17 @@
 struct px_table *Px_Create(void);
 void Px_Destroy(struct px_table *table);
 /* Notes that the request's prompt was sent to the endpoint. */
-void Px_Note(struct px_table *table, const struct ak_ask *ask,
-             uint32_t endpoint, int64_t now);
+void Px_NoteSent(struct px_table *table, const struct hd_request_info *ask,
+                 uint32_t endpoint, int64_t now);
 /* A part counts as cached only if all parts before it are cached. */
-struct px_missing Px_Missing(const struct px_table *table,
-                             const struct ak_ask *ask, uint32_t endpoint,
-                             int64_t now);
+struct px_uncached Px_CountUncached(const struct px_table *table,
+                                    const struct hd_request_info *ask,
+                                    uint32_t endpoint, int64_t now);
 /* Short id of a part for logs and peers; Px_SHORT_ID_LEN hex digits. */
 #define Px_SHORT_ID_LEN 8
-uint32_t Px_ShortId(const struct ak_part *part);
+uint32_t Px_ShortId(const struct hd_part *part);
 /* Id of the group of requests that share a prompt prefix; 0: none. */
-uint64_t Px_Group(const struct ak_ask *ask);
+uint64_t Px_Group(const struct hd_request_info *ask);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -32,7 +32,7 @@
 static int64_t
 true_now(const struct qn_quarantine *quarantine)
 {
-    return Tt_Now(quarantine->gate->time);
+    return Tt_Now(quarantine->gate->true_time);
 }
 
 /* Converts a time of this host's monotonic clock to true time. */
@@ -44,7 +44,8 @@
 
 struct pz_request
 Qn_MakeRequest(const struct ec_service *service,
-               const struct ec_tenant *tenant, const struct ak_ask *ask)
+               const struct ec_tenant *tenant,
+               const struct hd_request_info *ask)
 {
     struct pz_request request = {
         .service = De_Hash(service->name),
@@ -75,12 +76,14 @@
 static uint32_t
 incarnation_of(const struct fl_endpoint *endpoint)
 {
-    uint64_t identity[2] = {endpoint->hash, (uint64_t)endpoint->entry.born};
+    uint64_t identity[2] = {endpoint->hash,
+                            (uint64_t)endpoint->entry.started_ms};
     return (uint32_t)Hash_Bytes(identity, sizeof(identity), 0);
 }
 
 static void
-on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool from_peer)
+on_stopped(void *arg, const struct pz_quarantine *stop, int crashes,
+           bool from_peer)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.stopped",
@@ -96,7 +99,7 @@
 }
 
 static void
-on_lifted(void *arg, const struct pz_stop *stop, const char *why)
+on_lifted(void *arg, const struct pz_quarantine *stop, const char *why)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.lifted",
@@ -139,10 +142,10 @@
 }
 
 static void
-apply_stop(void *arg, const struct pz_stop *stop)
+apply_stop(void *arg, const struct pz_quarantine *stop)
 {
     struct qn_quarantine *quarantine = arg;
-    Pz_HearStop(quarantine->table, stop, true_now(quarantine));
+    Pz_ImportQuarantine(quarantine->table, stop, true_now(quarantine));
 }
 
 struct qn_quarantine *
@@ -152,7 +155,7 @@
     if (quarantine == NULL) {
         return NULL;
     }
-    struct pz_rule rule = Pz_Rule();
+    struct pz_rule rule = Pz_DefaultRule();
     quarantine->gate = gate;
     quarantine->stopped = Mt_Get(gate->registry, MT_COUNTER,
                                  "cornelgate_parts_stopped_total", "");
@@ -190,7 +193,7 @@
              const struct xc_exchange *exchange)
 {
     struct pz_request request = request_of(exchange);
-    Pz_Began(quarantine->table, &request, true_now(quarantine));
+    Pz_NoteAnswer(quarantine->table, &request, true_now(quarantine));
 }
 
 void
@@ -201,32 +204,33 @@
     struct fl_endpoint *endpoint = attempt->endpoint;
     struct pz_request request = request_of(exchange);
     /* The link, or the peer that relays the connection, may have failed. */
-    if (request.count == 0 || endpoint->way.cut ||
+    if (request.count == 0 || endpoint->link_state.cut ||
         Cn_Peer(attempt->channel) != 0) {
         return;
     }
     struct pz_crash crash = {
         .endpoint = incarnation_of(endpoint),
-        .begun = attempt->head_at != 0,
+        .head_received = attempt->head_at != 0,
         .sent_at = to_true_time(quarantine, attempt->sent_at),
         .ended_at = true_now(quarantine),
     };
-    endpoint->ended_at = Ga_Now(quarantine->gate);
-    endpoint->test_wanted = true;
-    Pz_Ended(quarantine->table, &request, &crash);
-    Pz_Judge(quarantine->table, crash.ended_at);
+    endpoint->crashed_at = Ga_Now(quarantine->gate);
+    endpoint->probe_wanted = true;
+    Pz_NoteCrash(quarantine->table, &request, &crash);
+    Pz_Evaluate(quarantine->table, crash.ended_at);
 }
 
 void
 Qn_NoteAlive(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint)
 {
-    if (endpoint->ended_at == 0) {
+    if (endpoint->crashed_at == 0) {
         return;
     }
-    Pz_Lives(quarantine->table, incarnation_of(endpoint),
-             true_now(quarantine));
-    if (Ga_Now(quarantine->gate) - endpoint->ended_at >= Pz_BACK_USEC) {
-        endpoint->ended_at = 0;
+    Pz_NoteAlive(quarantine->table, incarnation_of(endpoint),
+                 true_now(quarantine));
+    if (Ga_Now(quarantine->gate) - endpoint->crashed_at >=
+        Pz_RESTART_MIN_USEC) {
+        endpoint->crashed_at = 0;
     }
 }
 
@@ -234,15 +238,15 @@
 Qn_NoteConnect(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
                bool connected, int64_t since)
 {
-    if (endpoint->ended_at == 0 || since < endpoint->ended_at) {
+    if (endpoint->crashed_at == 0 || since < endpoint->crashed_at) {
         return;
     }
     if (connected) {
         Qn_NoteAlive(quarantine, endpoint);
     }
     else {
-        Pz_Dead(quarantine->table, incarnation_of(endpoint));
-        Pz_Judge(quarantine->table, true_now(quarantine));
+        Pz_ConfirmDead(quarantine->table, incarnation_of(endpoint));
+        Pz_Evaluate(quarantine->table, true_now(quarantine));
     }
 }
 
@@ -250,8 +254,8 @@
 Qn_IsQuarantined(struct qn_quarantine *quarantine,
                  const struct pz_request *request, char why[Qn_WHY_MAX])
 {
-    const struct pz_stop *stop =
-        Pz_Refuses(quarantine->table, request, true_now(quarantine));
+    const struct pz_quarantine *stop =
+        Pz_FindQuarantine(quarantine->table, request, true_now(quarantine));
     if (stop == NULL) {
         return false;
     }
@@ -265,32 +269,34 @@
 Qn_ForbidsRetry(struct qn_quarantine *quarantine,
                 const struct pz_request *request)
 {
-    return Pz_Doubts(quarantine->table, request, true_now(quarantine));
+    return Pz_DeniesRetry(quarantine->table, request, true_now(quarantine));
 }
 
 void
-Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *message)
+Qn_FillMessage(const struct qn_quarantine *quarantine,
+               struct ms_message *message)
 {
     int64_t now = true_now(quarantine);
-    message->crash_count = Pz_TellCrashes(quarantine->table, message->crashes,
-                                          Ms_CRASHES_MAX, now);
-    message->clear_count =
-        Pz_TellClears(quarantine->table, message->clears, Ms_CLEARS_MAX, now);
-    message->stop_count =
-        Pz_TellStops(quarantine->table, message->stops, Ms_STOPS_MAX);
+    message->crash_count = Pz_ExportCrashes(
+        quarantine->table, message->crashes, Ms_CRASHES_MAX, now);
+    message->clear_count = Pz_ExportClears(quarantine->table, message->clears,
+                                           Ms_CLEARS_MAX, now);
+    message->stop_count = Pz_ExportQuarantines(
+        quarantine->table, message->stops, Ms_QUARANTINES_MAX);
 }
 
 void
-Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *message)
+Qn_ApplyMessage(struct qn_quarantine *quarantine,
+                const struct ms_message *message)
 {
     for (size_t i = 0; i < message->clear_count; i++) {
-        Pz_HearClear(quarantine->table, &message->clears[i]);
+        Pz_ImportClear(quarantine->table, &message->clears[i]);
     }
     for (size_t i = 0; i < message->stop_count; i++) {
         apply_stop(quarantine, &message->stops[i]);
     }
     for (size_t i = 0; i < message->crash_count; i++) {
-        Pz_HearCrash(quarantine->table, &message->crashes[i]);
+        Pz_ImportCrash(quarantine->table, &message->crashes[i]);
     }
 }
 
@@ -303,9 +309,9 @@
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(quarantine->gate->fleet), link) {
-        if (endpoint->ended_at != 0 && endpoint->way.cut) {
-            endpoint->ended_at = 0;
-            Pz_Forget(quarantine->table, incarnation_of(endpoint));
+        if (endpoint->crashed_at != 0 && endpoint->link_state.cut) {
+            endpoint->crashed_at = 0;
+            Pz_DropLocalCrashes(quarantine->table, incarnation_of(endpoint));
         }
     }
 }
@@ -378,11 +384,12 @@
         quarantine->version_check_at = now;
         lift_on_new_version(quarantine);
     }
-    Pz_Judge(quarantine->table, true_now(quarantine));
-    struct pz_stop stops[Pz_STOPS_MAX];
+    Pz_Evaluate(quarantine->table, true_now(quarantine));
+    struct pz_quarantine stops[Pz_QUARANTINES_MAX];
     size_t count = 0;
     if (Ms_Rank(quarantine->gate->mesh) == 0) {
-        count = Pz_TellStops(quarantine->table, stops, Pz_STOPS_MAX);
+        count =
+            Pz_ExportQuarantines(quarantine->table, stops, Pz_QUARANTINES_MAX);
     }
     Qr_Tick(quarantine->records, stops, count);
 }
--- a/packages/edge/quarantine.h
+++ b/packages/edge/quarantine.h
@@ -47,15 +47,17 @@
 bool Qn_ForbidsRetry(struct qn_quarantine *quarantine,
                      const struct pz_request *request);
 /* Retry-after for refused callers: an earlier retry would be refused too. */
-#define Qn_RETRY_USEC Pz_STOP_LASTS_USEC
+#define Qn_RETRY_USEC Pz_QUARANTINE_TTL_USEC
 
 struct pz_request Qn_MakeRequest(const struct ec_service *service,
                                  const struct ec_tenant *tenant,
-                                 const struct ak_ask *ask);
+                                 const struct hd_request_info *ask);
 
 /* Write to, and read from, the gossip messages between hosts. */
-void Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *message);
-void Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *message);
+void Qn_FillMessage(const struct qn_quarantine *quarantine,
+                    struct ms_message *message);
+void Qn_ApplyMessage(struct qn_quarantine *quarantine,
+                     const struct ms_message *message);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -17,7 +17,7 @@
 
 /* A record as it is in the store or is to be written there. */
 struct record {
-    struct pz_stop stop;
+    struct pz_quarantine stop;
     int64_t written_seen; /* stop.seen_at as last written */
     bool written;         /* the store is up to date */
     bool removed;         /* the record is to be removed from the store */
@@ -36,7 +36,7 @@
     bool writing_removal;      /* the write removes the record */
     int64_t writing_seen;
     size_t count;
-    struct record records[Pz_STOPS_MAX];
+    struct record records[Pz_QUARANTINES_MAX];
 };
 
 struct qr_records *
@@ -71,10 +71,10 @@
 }
 
 static struct record *
-find_or_add(struct qr_records *records, const struct pz_stop *stop)
+find_or_add(struct qr_records *records, const struct pz_quarantine *stop)
 {
     struct record *record = find(records, &stop->key);
-    if (record == NULL && records->count < Pz_STOPS_MAX) {
+    if (record == NULL && records->count < Pz_QUARANTINES_MAX) {
         record = &records->records[records->count++];
         *record = (struct record){.stop = *stop};
     }
@@ -82,7 +82,7 @@
 }
 
 void
-Qr_Keep(struct qr_records *records, const struct pz_stop *stop)
+Qr_Keep(struct qr_records *records, const struct pz_quarantine *stop)
 {
     struct record *record = find_or_add(records, stop);
     if (record == NULL) {
@@ -98,7 +98,7 @@
 void
 Qr_Remove(struct qr_records *records, const struct pz_key *key)
 {
-    struct pz_stop stop = {.key = *key};
+    struct pz_quarantine stop = {.key = *key};
     struct record *record = find_or_add(records, &stop);
     if (record != NULL) {
         record->removed = true;
@@ -108,7 +108,7 @@
 
 /* Returns false when key or value is not in the format of these records. */
 static bool
-decode(const struct ag_record *record, struct pz_stop *out)
+decode(const struct ag_record *record, struct pz_quarantine *out)
 {
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
@@ -124,7 +124,7 @@
         return false;
     }
     out->decided_at = decided;
-    out->seen_at = seen;
+    out->requested_at = seen;
     return true;
 }
 
@@ -135,13 +135,13 @@
     records->listing = false;
     records->listed = result->status == AG_OK;
     for (size_t i = 0; records->listed && i < result->count; i++) {
-        struct pz_stop stop;
+        struct pz_quarantine stop;
         if (result->records[i].value != NULL &&
             decode(&result->records[i], &stop)) {
             struct record *record = find_or_add(records, &stop);
             if (record != NULL) {
                 record->written = true;
-                record->written_seen = stop.seen_at;
+                record->written_seen = stop.requested_at;
             }
             records->loaded(records->arg, &stop);
         }
@@ -168,7 +168,7 @@
 static void
 write_record(struct qr_records *records, const struct record *record)
 {
-    const struct pz_stop *stop = &record->stop;
+    const struct pz_quarantine *stop = &record->stop;
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
     snprintf(key, sizeof(key), Qr_KEY_FORMAT, stop->key.service,
@@ -176,22 +176,22 @@
     int len = record->removed ? 0
                               : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
                                          (long long)stop->decided_at,
-                                         (long long)stop->seen_at);
+                                         (long long)stop->requested_at);
     records->writing = true;
     records->writing_key = stop->key;
     records->writing_removal = record->removed;
-    records->writing_seen = stop->seen_at;
-    Ag_Append(records->store, AG_STOPS, -1, key, value, (size_t)len,
+    records->writing_seen = stop->requested_at;
+    Ag_Append(records->store, AG_QUARANTINES, -1, key, value, (size_t)len,
               on_written, records);
 }
 
 static void
-update_seen(struct qr_records *records, const struct pz_stop *stop)
+update_seen(struct qr_records *records, const struct pz_quarantine *stop)
 {
     struct record *record = find_or_add(records, stop);
     if (record != NULL && !record->removed) {
-        record->stop.seen_at = stop->seen_at;
-        if (stop->seen_at - record->written_seen > Qr_RENEW_USEC) {
+        record->stop.requested_at = stop->requested_at;
+        if (stop->requested_at - record->written_seen > Qr_RENEW_USEC) {
             record->written = false;
         }
     }
@@ -209,7 +209,8 @@
 }
 
 void
-Qr_Tick(struct qr_records *records, const struct pz_stop *stops, size_t count)
+Qr_Tick(struct qr_records *records, const struct pz_quarantine *stops,
+        size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         update_seen(records, &stops[i]);
@@ -220,7 +221,7 @@
     if (!records->listed && !records->listing && !backing_off) {
         records->list_tried_at = now;
         records->listing = true;
-        Ag_Newest(records->store, AG_STOPS, NULL, on_listed, records);
+        Ag_Newest(records->store, AG_QUARANTINES, NULL, on_listed, records);
     }
     if (records->listed && !records->writing) {
         write_next(records);
--- a/packages/edge/quarantine_record.h
+++ b/packages/edge/quarantine_record.h
@@ -15,7 +15,7 @@
 struct qr_records;
 
 /* Called for each record that the store holds at the start. */
-typedef void (*qr_fn)(void *arg, const struct pz_stop *stop);
+typedef void (*qr_fn)(void *arg, const struct pz_quarantine *stop);
 
 /* Returns NULL when out of memory. */
 struct qr_records *Qr_Create(struct ag_store *store,
@@ -24,9 +24,9 @@
 /* The store must make no more callbacks. */
 void Qr_Destroy(struct qr_records *records);
 /* Starts due reads and writes; updates the records of "stops". */
-void Qr_Tick(struct qr_records *records, const struct pz_stop *stops,
+void Qr_Tick(struct qr_records *records, const struct pz_quarantine *stops,
              size_t count);
-void Qr_Keep(struct qr_records *records, const struct pz_stop *stop);
+void Qr_Keep(struct qr_records *records, const struct pz_quarantine *stop);
 void Qr_Remove(struct qr_records *records, const struct pz_key *key);
 
 #ifdef __cplusplus
--- a/packages/edge/quota.c
+++ b/packages/edge/quota.c
@@ -125,7 +125,8 @@
 }
 
 void
-Qt_Recall(struct qt_quota *quota, const struct qt_recent *rows, size_t count)
+Qt_RestoreUsage(struct qt_quota *quota, const struct qt_recent *rows,
+                size_t count)
 {
     if (quota->restored_count > 0 || !just_restarted(quota)) {
         return;
@@ -141,7 +142,7 @@
 }
 
 size_t
-Qt_Recent(struct qt_quota *quota, struct qt_recent out[Qt_RECENT_MAX])
+Qt_RecentUsage(struct qt_quota *quota, struct qt_recent out[Qt_RECENT_MAX])
 {
     size_t count = 0;
     for (size_t i = 0; i < quota->count && count < Qt_RECENT_MAX; i++) {
@@ -188,17 +189,17 @@
     }
 }
 
-struct qt_use
-Qt_Use(struct qt_quota *quota, const char *tenant)
+struct qt_usage
+Qt_Usage(struct qt_quota *quota, const char *tenant)
 {
     struct qt_bucket *bucket = qt_find(quota, Qt_Hash(tenant));
     if (bucket == NULL || bucket->window.step_usec == 0) {
-        return (struct qt_use){0, 0};
+        return (struct qt_usage){0, 0};
     }
     qt_fill(quota, bucket);
     struct wn_past past = Wn_Past(&bucket->window);
-    return (struct qt_use){past.older + past.newer,
-                           qt_window_limit(quota, bucket)};
+    return (struct qt_usage){past.older + past.newer,
+                             qt_window_limit(quota, bucket)};
 }
 
 void
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -32,8 +32,8 @@
 struct qt_recent {
     struct wn_past past;
     uint32_t tenant;
-    bool heavy; /* more than half of the window's limit was spent in the newer
-                   half; not recorded */
+    bool near_limit; /* more than half of the window's limit was spent in the
+                   newer half; not recorded */
 };
 
 struct qt_quota;
@@ -70,11 +70,11 @@
              int64_t *wait_usec);
 void Qt_Refund(struct qt_quota *quota, const char *tenant, double cost);
 /* The usage of a tenant against its limit, as far as this daemon knows. */
-struct qt_use {
+struct qt_usage {
     double spent; /* in the window that ends now */
     double limit; /* of a window; 0: no limit, or not known */
 };
-struct qt_use Qt_Use(struct qt_quota *quota, const char *tenant);
+struct qt_usage Qt_Usage(struct qt_quota *quota, const char *tenant);
 /*
  * Calls "fn" for each tenant with the costs that this daemon has admitted
  * ("total") and was asked for ("asked") since its start.
@@ -95,9 +95,10 @@
  * and which a daemon takes from that record after all daemons have died: their
  * counters are lost then.
  */
-size_t Qt_Recent(struct qt_quota *quota, struct qt_recent out[Qt_RECENT_MAX]);
-void Qt_Recall(struct qt_quota *quota, const struct qt_recent *rows,
-               size_t count);
+size_t Qt_RecentUsage(struct qt_quota *quota,
+                      struct qt_recent out[Qt_RECENT_MAX]);
+void Qt_RestoreUsage(struct qt_quota *quota, const struct qt_recent *rows,
+                     size_t count);
 /*
  * Takes the usage of a tenant in the window that ends now from a peer that has
  * run for a whole window. A daemon that has just started has no count of its
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/breaks.h"
 #include "edge/brittle.h"
+#include "edge/broken.h"
 #include "edge/exchange.h"
 #include "edge/health.h"
 #include "edge/quarantine.h"
@@ -28,7 +28,8 @@
     exchange->may_have_run = true;
     if (!exchange->usage_counted && exchange->tenant != NULL) {
         struct ga_gate *gate = exchange->gate;
-        Us_CountBegun(gate->usage, Wo_Window(gate, Tt_Now(gate->time)),
+        Us_CountBegun(gate->usage,
+                      Co_UsageWindow(gate, Tt_Now(gate->true_time)),
                       Qt_Hash(exchange->tenant->name));
         exchange->usage_counted = true;
     }
@@ -66,7 +67,7 @@
 }
 
 static bool
-is_genuine(const struct ak_answer *answer)
+is_genuine(const struct hd_answer *answer)
 {
     return answer->sealed && answer->echoed && !answer->encoded;
 }
@@ -85,8 +86,8 @@
     bool cold = Wu_IsCold(&endpoint->warmup, Ga_Now(gate));
     if (move != NULL && !cold) {
         exchange->attempt.slow =
-            Ro_First(gate->moves, service, exchange->route->name,
-                     Ga_IsNext(move, endpoint), usec);
+            Ro_RecordFirstByte(gate->moves, service, exchange->route->name,
+                               Ga_HasTargetVersion(move, endpoint), usec);
     }
 }
 
@@ -99,7 +100,7 @@
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     if (Cn_Peer(attempt->channel) == 0) {
-        attempt->endpoint->heard_at = Ga_Now(exchange->gate);
+        attempt->endpoint->last_direct_byte_at = Ga_Now(exchange->gate);
         Qn_NoteAlive(exchange->gate->quarantine, attempt->endpoint);
     }
 }
@@ -112,7 +113,7 @@
     note_bytes(exchange);
     exchange->gate->options.wire->decode_answer(head, exchange->ask.id,
                                                 &attempt->answer);
-    if (!attempt->answer.own) {
+    if (!attempt->answer.id_matches) {
         Ln_Log(LN_FAILURE, "answer.foreign",
                "\"id\":\"%s\",\"endpoint\":\"%s\"", exchange->ask.id,
                attempt->endpoint->entry.id);
@@ -124,12 +125,12 @@
     attempt->head_at = now;
     attempt->status = head->status;
     attempt->fields = copy_fields(head);
-    attempt->endpoint->reading -= attempt->queued_tokens;
+    attempt->endpoint->prefill_tokens -= attempt->prefill_tokens;
     if (!attempt->answer.not_run && attempt->unloaded) {
-        De_First(exchange->gate->demand, exchange->service->name,
-                 attempt->queued_tokens, now - attempt->sent_at);
+        De_RecordFirstByte(exchange->gate->demand, exchange->service->name,
+                           attempt->prefill_tokens, now - attempt->sent_at);
     }
-    attempt->queued_tokens = 0;
+    attempt->prefill_tokens = 0;
     if (!attempt->answer.not_run) {
         exchange->runs++;
         Xc_CountRun(exchange);
@@ -245,17 +246,17 @@
     const char *service = exchange->service->name;
     const struct ro_move *move = Ro_Find(gate->moves, service);
     if (move != NULL) {
-        Ro_Answered(gate->moves, service, exchange->route->name,
-                    Ga_IsNext(move, exchange->attempt.endpoint), failed,
-                    exchange->attempt.slow);
+        Ro_RecordAnswer(gate->moves, service, exchange->route->name,
+                        Ga_HasTargetVersion(move, exchange->attempt.endpoint),
+                        failed, exchange->attempt.slow);
     }
 }
 
 /* Formats the ids of the shareable prompt parts for the log. */
 static const char *
-format_parts(const struct ak_ask *ask)
+format_parts(const struct hd_request_info *ask)
 {
-    static char text[Ak_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
+    static char text[Hd_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
     size_t at = 0;
     text[0] = '\0';
     for (size_t i = 0; i + 1 < ask->part_count; i++) {
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -214,8 +214,8 @@
 }
 
 bool
-Ro_First(struct ro_table *table, const char *service, const char *route,
-         bool is_new, int64_t usec)
+Ro_RecordFirstByte(struct ro_table *table, const char *service,
+                   const char *route, bool is_new, int64_t usec)
 {
     struct ro_row *row = active_row(table, service, route, true);
     if (row == NULL) {
@@ -241,15 +241,15 @@
 }
 
 void
-Ro_Answered(struct ro_table *table, const char *service, const char *route,
-            bool is_new, bool failed, bool slow)
+Ro_RecordAnswer(struct ro_table *table, const char *service, const char *route,
+                bool is_new, bool failed, bool slow)
 {
     count_answer(active_row(table, service, route, false), is_new, failed);
     count_answer(active_row(table, service, route, true), is_new, slow);
 }
 
 void
-Ro_ClearOthers(struct ro_table *table)
+Ro_ClearPeerOutcomes(struct ro_table *table)
 {
     for (size_t i = 0; i < table->count; i++) {
         for (size_t j = 0; j < table->moves[i].row_count; j++) {
@@ -267,8 +267,8 @@
 }
 
 void
-Ro_AddOthers(struct ro_table *table, const struct ro_evidence *rows,
-             size_t count)
+Ro_AddPeerOutcomes(struct ro_table *table, const struct ro_outcomes *rows,
+                   size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         struct ro_move *move =
@@ -276,15 +276,15 @@
         struct ro_row *row =
             move == NULL ? NULL : find_or_add_row(move, rows[i].route);
         if (row != NULL) {
-            add_count(&row->peers[OLD_VERSION], &rows[i].old);
-            add_count(&row->peers[NEW_VERSION], &rows[i].next);
+            add_count(&row->peers[OLD_VERSION], &rows[i].old_version);
+            add_count(&row->peers[NEW_VERSION], &rows[i].new_version);
         }
     }
 }
 
 void
-Ro_Heard(struct ro_table *table, const struct ro_standing *standing,
-         bool from_holder)
+Ro_ApplyStatus(struct ro_table *table, const struct ro_status *standing,
+               bool from_holder)
 {
     struct ro_move *move =
         find_by_hash(table, standing->service, standing->order);
@@ -479,23 +479,24 @@
     case RO_ROLLED_BACK:
         return RO_OLD_ONLY;
     case RO_SUCCEEDED:
-        return RO_NEXT_FIRST;
+        return RO_NEW_FIRST;
     default:
         break;
     }
     if (move->share >= Ro_FULL_SHARE) {
-        return retry ? RO_OLD_FIRST : RO_NEXT_FIRST;
+        return retry ? RO_OLD_FIRST : RO_NEW_FIRST;
     }
     /*
      * A retry goes to the old version: it must succeed and is not used to test
      * the new version.
      */
-    return !retry && random * Ro_FULL_SHARE < move->share ? RO_NEXT_FIRST
+    return !retry && random * Ro_FULL_SHARE < move->share ? RO_NEW_FIRST
                                                           : RO_OLD;
 }
 
 size_t
-Ro_Own(const struct ro_table *table, struct ro_evidence *out, size_t size)
+Ro_LocalOutcomes(const struct ro_table *table, struct ro_outcomes *out,
+                 size_t size)
 {
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
@@ -505,32 +506,31 @@
         }
         for (size_t j = 0; j < move->row_count && count < size; j++) {
             const struct ro_row *row = &move->rows[j];
-            out[count++] = (struct ro_evidence){
+            out[count++] = (struct ro_outcomes){
                 .service = move->hash,
                 .route = row->key,
                 .order = move->order.number,
-                .old = row->own[OLD_VERSION],
-                .next = row->own[NEW_VERSION],
+                .old_version = row->own[OLD_VERSION],
+                .new_version = row->own[NEW_VERSION],
             };
         }
     }
     return count;
 }
 
-struct ro_standing
-Ro_Standing(const struct ro_move *move)
+struct ro_status
+Ro_Status(const struct ro_move *move)
 {
-    return (struct ro_standing){move->hash, move->order.number, move->state,
-                                move->share};
+    return (struct ro_status){move->hash, move->order.number, move->state,
+                              move->share};
 }
 
 size_t
-Ro_Standings(const struct ro_table *table, struct ro_standing *out,
-             size_t size)
+Ro_Statuses(const struct ro_table *table, struct ro_status *out, size_t size)
 {
     size_t count = 0;
     for (size_t i = 0; i < table->count && count < size; i++) {
-        out[count++] = Ro_Standing(&table->moves[i]);
+        out[count++] = Ro_Status(&table->moves[i]);
     }
     return count;
 }
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -55,17 +55,17 @@
  * Answers of both versions on one route, counted by one daemon: how many
  * failed, or how many were slow.
  */
-struct ro_evidence {
+struct ro_outcomes {
     uint32_t service; /* hash of the name */
     /* see Ro_RowKey(); hash of the route and what is counted */
     uint32_t route;
     int64_t order;
-    struct ro_count old;
-    struct ro_count next;
+    struct ro_count old_version;
+    struct ro_count new_version;
 };
 
 /* Status of a move, sent to peers and recorded by the lease holder. */
-struct ro_standing {
+struct ro_status {
     uint32_t service;
     int64_t order;
     enum ro_state state;
@@ -78,7 +78,7 @@
     RO_OLD,       /* the new version only if there is no old endpoint */
     RO_OLD_ONLY,  /* never the new version */
     RO_OLD_FIRST, /* the new version only if the old one has no free slot */
-    RO_NEXT_FIRST /* other versions only if the new one has no free slot */
+    RO_NEW_FIRST  /* other versions only if the new one has no free slot */
 };
 
 /* Answers with the weights of Ro_CloseWindow(). */
@@ -133,19 +133,19 @@
  * Records the time to a first byte; returns whether it is slow, that is,
  * several times the average of the old version.
  */
-bool Ro_First(struct ro_table *table, const char *service, const char *route,
-              bool is_new, int64_t usec);
-void Ro_Answered(struct ro_table *table, const char *service,
-                 const char *route, bool is_new, bool failed, bool slow);
-void Ro_ClearOthers(struct ro_table *table);
-void Ro_AddOthers(struct ro_table *table, const struct ro_evidence *rows,
-                  size_t count);
+bool Ro_RecordFirstByte(struct ro_table *table, const char *service,
+                        const char *route, bool is_new, int64_t usec);
+void Ro_RecordAnswer(struct ro_table *table, const char *service,
+                     const char *route, bool is_new, bool failed, bool slow);
+void Ro_ClearPeerOutcomes(struct ro_table *table);
+void Ro_AddPeerOutcomes(struct ro_table *table, const struct ro_outcomes *rows,
+                        size_t count);
 /*
  * Applies a status from a peer or from the previous lease holder's record.
  * The share is taken only from the lease holder.
  */
-void Ro_Heard(struct ro_table *table, const struct ro_standing *standing,
-              bool from_holder);
+void Ro_ApplyStatus(struct ro_table *table, const struct ro_status *standing,
+                    bool from_holder);
 /* Compares the versions of all moves; called several times a second. */
 void Ro_Tick(struct ro_table *table);
 
@@ -165,11 +165,11 @@
 struct ro_move *Ro_At(struct ro_table *table, size_t index);
 /* Chooses for a request by a random number from 0 to below 1. */
 enum ro_pick Ro_Pick(const struct ro_move *move, bool retry, double random);
-size_t Ro_Own(const struct ro_table *table, struct ro_evidence *out,
-              size_t size);
-struct ro_standing Ro_Standing(const struct ro_move *move);
-size_t Ro_Standings(const struct ro_table *table, struct ro_standing *out,
-                    size_t size);
+size_t Ro_LocalOutcomes(const struct ro_table *table, struct ro_outcomes *out,
+                        size_t size);
+struct ro_status Ro_Status(const struct ro_move *move);
+size_t Ro_Statuses(const struct ro_table *table, struct ro_status *out,
+                   size_t size);
 const char *Ro_StateName(enum ro_state state);
 
 /* Returns whether the new version is worse beyond chance. */
--- a/packages/edge/store.c
+++ b/packages/edge/store.c
@@ -36,7 +36,7 @@
     static const char *const names[AG_TOPICS] = {
         [AG_CONFIG] = "config", [AG_ENDPOINTS] = "endpoints",
         [AG_HOSTS] = "hosts",   [AG_STATUS] = "status",
-        [AG_DUTY] = "duty",     [AG_STOPS] = "stops",
+        [AG_DUTY] = "duty",     [AG_QUARANTINES] = "stops",
     };
     return names[topic];
 }
@@ -53,7 +53,7 @@
 }
 
 void
-Ag_ShowCalls(const struct ag_store *store, struct mt_registry *registry)
+Ag_ExportCalls(const struct ag_store *store, struct mt_registry *registry)
 {
     for (enum ag_topic topic = 0; topic < AG_TOPICS; topic++) {
         for (enum ag_call call = 0; call < AG_CALLS; call++) {
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -21,12 +21,12 @@
 #endif
 
 enum ag_topic {
-    AG_CONFIG,    /* keyed; written by operators */
-    AG_ENDPOINTS, /* keyed; written by endpoints */
-    AG_HOSTS,     /* keyed; addresses of daemons, by name */
-    AG_STATUS,    /* keyed; written for operators */
-    AG_DUTY,      /* a log; leases and agreed usage */
-    AG_STOPS,     /* keyed; prompt prefixes that are blocked */
+    AG_CONFIG,      /* keyed; written by operators */
+    AG_ENDPOINTS,   /* keyed; written by endpoints */
+    AG_HOSTS,       /* keyed; addresses of daemons, by name */
+    AG_STATUS,      /* keyed; written for operators */
+    AG_DUTY,        /* a log; leases and agreed usage */
+    AG_QUARANTINES, /* keyed; prompt prefixes that are blocked */
     AG_TOPICS,
 };
 
@@ -103,11 +103,12 @@
                const char *key, const void *value, size_t len, ag_fn fn,
                void *arg);
 /* Exports the counts as metrics, and as a log line. */
-void Ag_ShowCalls(const struct ag_store *store, struct mt_registry *registry);
+void Ag_ExportCalls(const struct ag_store *store,
+                    struct mt_registry *registry);
 void Ag_LogCalls(const struct ag_store *store);
 
 /* A record for operators. */
-struct ag_told {
+struct ag_status_record {
     char key[Ec_NAME_MAX * 2];
     char value[Ec_NAME_MAX * 4];
 };
@@ -127,7 +128,8 @@
     bool (*evacuation)(const char *key, size_t key_len,
                        char zone[Ec_NAME_MAX]);
     /* The record that shows a move to operators; false: it does not fit. */
-    bool (*tell_move)(const struct ro_move *move, struct ag_told *out);
+    bool (*move_status)(const struct ro_move *move,
+                        struct ag_status_record *out);
     /* False: not a valid endpoint entry. */
     bool (*entry)(const char *key, size_t key_len, const void *data,
                   size_t len, struct fl_entry *out);
--- a/packages/edge/test/feed_codec.h
+++ b/packages/edge/test/feed_codec.h
@@ -67,7 +67,7 @@
 }
 
 inline bool
-TellMove(const struct ro_move *move, struct ag_told *out)
+TellMove(const struct ro_move *move, struct ag_status_record *out)
 {
     (void)move;
     (void)out;
--- a/packages/edge/test/feed_test.cc
+++ b/packages/edge/test/feed_test.cc
@@ -782,7 +782,7 @@
         Until([&] { return Fe_ChangesEnd(old.feed, AG_ENDPOINTS) > 0; }));
     others_known = others_read = true;
     Node fresh = Start();
-    ASSERT_TRUE(Until([&] { return Fl_Any(fresh.fleet); }));
+    ASSERT_TRUE(Until([&] { return Fl_HasEndpoints(fresh.fleet); }));
     Fetch(fresh, old);
     runner_->For(600 * Ck_USEC_PER_MSEC);
     store_.Answer();
--- a/packages/edge/test/fleet_test.cc
+++ b/packages/edge/test/fleet_test.cc
@@ -18,7 +18,7 @@
     snprintf(entry.service, sizeof(entry.service), "llm");
     snprintf(entry.address, sizeof(entry.address), "127.0.0.1:9");
     entry.slots = 8;
-    entry.born = born;
+    entry.started_ms = born;
     return entry;
 }
 
@@ -65,7 +65,7 @@
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
-    Fl_Doubt(fleet_, 2 * Ck_USEC_PER_SEC);
+    Fl_HoldRemovals(fleet_, 2 * Ck_USEC_PER_SEC);
     Fl_Remove(fleet_, "a");
     EXPECT_TRUE(Usable("a"));
     clock_.Advance(1 * Ck_USEC_PER_SEC);
@@ -82,7 +82,7 @@
 {
     struct fl_entry entry = Entry("a");
     Fl_Apply(fleet_, &entry);
-    Fl_Doubt(fleet_, 2200 * Ck_USEC_PER_MSEC);
+    Fl_HoldRemovals(fleet_, 2200 * Ck_USEC_PER_MSEC);
     clock_.Advance(1900 * Ck_USEC_PER_MSEC);
     Fl_Remove(fleet_, "a");
     clock_.Advance(400 * Ck_USEC_PER_MSEC);
@@ -130,7 +130,7 @@
     He_Note(endpoint, HE_BROKE, 0);
     EXPECT_TRUE(He_Shunned(endpoint, 799 * Ck_USEC_PER_MSEC));
     He_Note(endpoint, HE_SERVED, 0);
-    endpoint->shunned_until = 0;
+    endpoint->ejected_until = 0;
     He_Note(endpoint, HE_BROKE, 0);
     EXPECT_FALSE(He_Shunned(endpoint, 401 * Ck_USEC_PER_MSEC));
 }
@@ -142,9 +142,9 @@
     const int64_t half_life = 10 * Ck_USEC_PER_SEC;
     struct fl_endpoint endpoint = {};
     He_Note(&endpoint, HE_FAILED, Ck_USEC_PER_SEC);
-    double failing = He_Failing(&endpoint, Ck_USEC_PER_SEC);
+    double failing = He_FailureRate(&endpoint, Ck_USEC_PER_SEC);
     He_Note(&endpoint, HE_REFUSED, half_life);
-    EXPECT_DOUBLE_EQ(He_Failing(&endpoint, Ck_USEC_PER_SEC + half_life),
+    EXPECT_DOUBLE_EQ(He_FailureRate(&endpoint, Ck_USEC_PER_SEC + half_life),
                      failing / 2);
 }
 
@@ -169,12 +169,12 @@
     EXPECT_FALSE(Usable("late"));
     EXPECT_EQ(CountUsable("llm"), 1u);
     Fl_Find(fleet_, "a")->running = 3;
-    EXPECT_EQ(Fl_CountEvacuated(fleet_), 3);
+    EXPECT_EQ(Fl_CountEvacuatedRequests(fleet_), 3);
     EXPECT_TRUE(Fl_Evacuate(fleet_, "east", false));
     EXPECT_FALSE(Fl_Evacuate(fleet_, "east", false));
     EXPECT_TRUE(Usable("a") && Usable("late"));
-    EXPECT_NE(Fl_Find(fleet_, "a")->returned_at, 0);
-    EXPECT_EQ(Fl_CountEvacuated(fleet_), 0);
+    EXPECT_NE(Fl_Find(fleet_, "a")->zone_restored_at, 0);
+    EXPECT_EQ(Fl_CountEvacuatedRequests(fleet_), 0);
 }
 
 // Guards against evacuations of data centres that do not exist: they must not
@@ -200,7 +200,7 @@
 {
     struct fl_entry before = Entry("a");
     struct fl_entry now = Entry("a");
-    now.cold_usec = 3 * Ck_USEC_PER_SEC;
+    now.warmup_left_usec = 3 * Ck_USEC_PER_SEC;
     EXPECT_FALSE(Fl_SameEntry(&before, &now));
     EXPECT_TRUE(Fl_SameEntry(&now, &before));
     clock_.Advance(Ck_USEC_PER_SEC);
--- a/packages/edge/test/duty_test.cc
+++ b/packages/edge/test/leader_test.cc
@@ -5,7 +5,7 @@
 #include <set>
 #include <vector>
 
-#include "edge/duty.h"
+#include "edge/leader.h"
 
 #include "../../state/test/fake_clock.h"
 #include "fake_store.h"
@@ -17,7 +17,7 @@
 
 struct Daemon {
     FakeStore::Client *client = nullptr;
-    struct du_duty *duty = nullptr;
+    struct lr_lease *duty = nullptr;
     unsigned rank = 0;
 };
 
@@ -44,7 +44,7 @@
         Daemon *daemon = daemons_.back().get();
         daemon->client = store_.AddClient();
         daemon->rank = rank;
-        struct du_options options = {};
+        struct lr_options options = {};
         options.clock = &clock_.clock;
         options.store = &daemon->client->base;
         options.name = "daemon";
@@ -53,7 +53,7 @@
         options.rank = Rank;
         options.changed = Changed;
         options.arg = daemon;
-        daemon->duty = Du_Create(&options);
+        daemon->duty = Lr_Create(&options);
         return daemon;
     }
 
@@ -61,7 +61,7 @@
     TearDown() override
     {
         for (auto &daemon : daemons_) {
-            Du_Destroy(daemon->duty);
+            Lr_Destroy(daemon->duty);
         }
     }
 
@@ -70,7 +70,7 @@
     {
         int holders = 0;
         for (auto &daemon : daemons_) {
-            holders += Du_Holds(daemon->duty);
+            holders += Lr_Holds(daemon->duty);
         }
         return holders;
     }
@@ -85,7 +85,7 @@
                     is_frozen |= other == daemon.get();
                 }
                 if (!is_frozen) {
-                    Du_Tick(daemon->duty);
+                    Lr_Tick(daemon->duty);
                 }
             }
             store_.Answer();
@@ -101,14 +101,14 @@
         for (int64_t passed = 0; passed < usec; passed += kTickUsec) {
             Run(kTickUsec, frozen);
             for (auto &from : daemons_) {
-                struct du_told notice = Du_Told(from->duty);
+                struct lr_lease_notice notice = Lr_LeaseNotice(from->duty);
                 bool is_frozen = false;
                 for (auto *other : frozen) {
                     is_frozen |= other == from.get();
                 }
                 for (auto &to : daemons_) {
                     if (to != from && notice.fence > 0 && !is_frozen) {
-                        Du_Heard(to->duty, &notice);
+                        Lr_HandleNotice(to->duty, &notice);
                     }
                 }
             }
@@ -129,13 +129,13 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     Run(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
-    int64_t fence = Du_Fence(first->duty);
+    ASSERT_TRUE(Lr_Holds(first->duty));
+    int64_t fence = Lr_Fence(first->duty);
     first->client->down = true;
     Run(10 * Ck_USEC_PER_SEC);
-    EXPECT_FALSE(Du_Holds(first->duty));
-    ASSERT_TRUE(Du_Holds(second->duty));
-    EXPECT_GT(Du_Fence(second->duty), fence);
+    EXPECT_FALSE(Lr_Holds(first->duty));
+    ASSERT_TRUE(Lr_Holds(second->duty));
+    EXPECT_GT(Lr_Fence(second->duty), fence);
 }
 
 // Guards against a holder that gives up the lease, or overestimates it, after
@@ -145,12 +145,12 @@
 {
     Daemon *first = Start(0);
     Run(1 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
-    int64_t fence = Du_Fence(first->duty);
+    ASSERT_TRUE(Lr_Holds(first->duty));
+    int64_t fence = Lr_Fence(first->duty);
     first->client->lose_next = true;
     Run(5 * Ck_USEC_PER_SEC);
-    EXPECT_TRUE(Du_Holds(first->duty));
-    EXPECT_EQ(Du_Fence(first->duty), fence);
+    EXPECT_TRUE(Lr_Holds(first->duty));
+    EXPECT_EQ(Lr_Fence(first->duty), fence);
 }
 
 // Guards against a holder that was frozen and acts after its lease has ended,
@@ -160,12 +160,12 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     Run(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
+    ASSERT_TRUE(Lr_Holds(first->duty));
     Run(8 * Ck_USEC_PER_SEC, {first});
-    EXPECT_TRUE(Du_Holds(second->duty));
-    EXPECT_FALSE(Du_Holds(first->duty));
+    EXPECT_TRUE(Lr_Holds(second->duty));
+    EXPECT_FALSE(Lr_Holds(first->duty));
     Run(2 * Ck_USEC_PER_SEC);
-    EXPECT_TRUE(Du_Holds(second->duty));
+    EXPECT_TRUE(Lr_Holds(second->duty));
 }
 
 // Guards against a successor that waits for a whole lease from its first look
@@ -176,9 +176,9 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     RunWithNotices(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
+    ASSERT_TRUE(Lr_Holds(first->duty));
     RunWithNotices(kLeaseUsec + 800 * Ck_USEC_PER_MSEC, {first});
-    EXPECT_TRUE(Du_Holds(second->duty));
+    EXPECT_TRUE(Lr_Holds(second->duty));
 }
 
 // Guards against the same gap for three seconds after a planned stop: the
@@ -188,16 +188,16 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     RunWithNotices(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
-    for (int tries = 0; Du_Holds(first->duty); tries++) {
+    ASSERT_TRUE(Lr_Holds(first->duty));
+    for (int tries = 0; Lr_Holds(first->duty); tries++) {
         ASSERT_LT(tries, 10);
-        Du_Resign(first->duty);
+        Lr_Release(first->duty);
         RunWithNotices(kTickUsec);
     }
     RunWithNotices(800 * Ck_USEC_PER_MSEC);
-    EXPECT_TRUE(Du_Holds(second->duty));
+    EXPECT_TRUE(Lr_Holds(second->duty));
     RunWithNotices(5 * Ck_USEC_PER_SEC);
-    EXPECT_FALSE(Du_Holds(first->duty));
+    EXPECT_FALSE(Lr_Holds(first->duty));
 }
 
 // Guards against two lease holders: a peer took a lease for ended that had
@@ -207,10 +207,10 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     RunWithNotices(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
+    ASSERT_TRUE(Lr_Holds(first->duty));
     Run(10 * Ck_USEC_PER_SEC);
-    EXPECT_TRUE(Du_Holds(first->duty));
-    EXPECT_FALSE(Du_Holds(second->duty));
+    EXPECT_TRUE(Lr_Holds(first->duty));
+    EXPECT_FALSE(Lr_Holds(second->duty));
 }
 
 // A renewal that is executed seconds late, after a successor's record, must
@@ -220,12 +220,12 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     Run(2 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(first->duty));
+    ASSERT_TRUE(Lr_Holds(first->duty));
     first->client->late_next = true;
     Run(1200 * Ck_USEC_PER_MSEC);
     first->client->down = true;
     Run(10 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(second->duty));
+    ASSERT_TRUE(Lr_Holds(second->duty));
     size_t records = store_.Topic(AG_DUTY).size();
     store_.RunLate();
     EXPECT_EQ(store_.Topic(AG_DUTY).size(), records);
@@ -239,26 +239,26 @@
     Daemon *first = Start(0);
     Daemon *second = Start(1);
     Run(2 * Ck_USEC_PER_SEC);
-    struct du_usage usage = {};
+    struct lr_usage usage = {};
     usage.window = 77;
     usage.count = 1;
     strcpy(usage.tenants[0].name, "acme");
     usage.tenants[0].count = 41;
-    while (!Du_RecordUsage(first->duty, &usage)) {
+    while (!Lr_RecordUsage(first->duty, &usage)) {
         Run(kTickUsec);
     }
     Run(1 * Ck_USEC_PER_SEC);
-    ASSERT_NE(Du_Usage(first->duty, 77), nullptr);
+    ASSERT_NE(Lr_Usage(first->duty, 77), nullptr);
     first->client->down = true;
     Run(10 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(second->duty));
-    const struct du_usage *found = Du_Usage(second->duty, 77);
+    ASSERT_TRUE(Lr_Holds(second->duty));
+    const struct lr_usage *found = Lr_Usage(second->duty, 77);
     ASSERT_NE(found, nullptr);
     EXPECT_EQ(found->count, 1u);
     EXPECT_STREQ(found->tenants[0].name, "acme");
     EXPECT_EQ(found->tenants[0].count, 41u);
     usage.tenants[0].count = 43;
-    EXPECT_FALSE(Du_RecordUsage(second->duty, &usage));
+    EXPECT_FALSE(Lr_RecordUsage(second->duty, &usage));
 }
 
 // Guards against a new holder that takes the endpoints left after a restart of
@@ -267,17 +267,17 @@
 {
     Daemon *first = Start(0);
     Run(2 * Ck_USEC_PER_SEC);
-    struct du_need need = {5, 18, 70000};
-    Du_SetNeed(first->duty, &need);
+    struct lr_need need = {5, 18, 70000};
+    Lr_SetNeed(first->duty, &need);
     Run(2 * Ck_USEC_PER_SEC);
     first->client->down = true;
     Daemon *second = Start(1);
     Run(10 * Ck_USEC_PER_SEC);
-    ASSERT_TRUE(Du_Holds(second->duty));
-    const struct du_need *found = Du_FindNeed(second->duty, 5);
+    ASSERT_TRUE(Lr_Holds(second->duty));
+    const struct lr_need *found = Lr_FindNeed(second->duty, 5);
     ASSERT_NE(found, nullptr);
     EXPECT_EQ(found->endpoints, 18);
-    EXPECT_DOUBLE_EQ(found->read_rate, 70000);
+    EXPECT_DOUBLE_EQ(found->prefill_rate, 70000);
 }
 
 // Guards against hundreds of daemons that start together and all try to
@@ -313,7 +313,7 @@
         for (unsigned i = 0; i < 2; i++) {
             pair[i].client = store.AddClient();
             pair[i].rank = i;
-            struct du_options options = {};
+            struct lr_options options = {};
             options.clock = &clock.clock;
             options.store = &pair[i].client->base;
             options.name = "daemon";
@@ -322,9 +322,9 @@
             options.rank = Rank;
             options.changed = Changed;
             options.arg = &pair[i];
-            pair[i].duty = Du_Create(&options);
+            pair[i].duty = Lr_Create(&options);
         }
-        std::vector<struct du_told> notices[2];
+        std::vector<struct lr_lease_notice> notices[2];
         int remaining = order;
         for (int step = 0; step < kSteps; step++) {
             int fault = remaining % kFaults;
@@ -343,47 +343,47 @@
                 victim.client->late_next = true;
                 break;
             case 3:
-                Du_Resign(victim.duty);
+                Lr_Release(victim.duty);
                 break;
             default:
                 break; // only its notices are lost
             }
             for (int tick = 0; tick < 40; tick++) {
                 for (auto &daemon : pair) {
-                    Du_Tick(daemon.duty);
+                    Lr_Tick(daemon.duty);
                 }
                 if (tick == 25) {
                     store.RunLate();
                 }
                 for (int i = 0; i < 2; i++) {
                     bool is_victim = &victim == &pair[i];
-                    notices[i].push_back(Du_Told(pair[i].duty));
+                    notices[i].push_back(Lr_LeaseNotice(pair[i].duty));
                     size_t delay = is_victim ? kLateTicks : 1;
                     bool is_lost = is_victim && fault / 2 == 4;
                     if (notices[i].size() >= delay && !is_lost) {
-                        struct du_told notice =
+                        struct lr_lease_notice notice =
                             notices[i][notices[i].size() - delay];
                         if (notice.fence > 0) {
-                            Du_Heard(pair[1 - i].duty, &notice);
+                            Lr_HandleNotice(pair[1 - i].duty, &notice);
                         }
                     }
                 }
                 store.Answer();
                 clock.Advance(kTickUsec);
-                ASSERT_FALSE(Du_Holds(pair[0].duty) && Du_Holds(pair[1].duty))
+                ASSERT_FALSE(Lr_Holds(pair[0].duty) && Lr_Holds(pair[1].duty))
                     << "order " << order << " step " << step;
                 for (int i = 0; i < 2; i++) {
-                    if (Du_Fence(pair[i].duty) != 0) {
-                        fences[i].insert(Du_Fence(pair[i].duty));
-                        ASSERT_EQ(fences[1 - i].count(Du_Fence(pair[i].duty)),
+                    if (Lr_Fence(pair[i].duty) != 0) {
+                        fences[i].insert(Lr_Fence(pair[i].duty));
+                        ASSERT_EQ(fences[1 - i].count(Lr_Fence(pair[i].duty)),
                                   0u)
                             << "order " << order;
                     }
                 }
             }
         }
-        Du_Destroy(pair[0].duty);
-        Du_Destroy(pair[1].duty);
+        Lr_Destroy(pair[0].duty);
+        Lr_Destroy(pair[1].duty);
     }
 }
 
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -193,7 +193,7 @@
         if (host.dead) {
             return;
         }
-        static struct ms_word message;
+        static struct ms_message message;
         strcpy(message.name, hosts_[datagram.from].node.name);
         strcpy(message.zone, hosts_[datagram.from].node.zone);
         message.run = hosts_[datagram.from].mesh.run;
--- a/packages/edge/test/place_replay_test.cc
+++ b/packages/edge/test/place_replay_test.cc
@@ -125,15 +125,16 @@
             struct pl_candidate &candidate = candidates[i];
             candidate.slots = kSlots;
             candidate.running = seen_[i].running + own[i].running;
-            candidate.reading = seen_[i].reading + own[i].reading;
-            candidate.missing = kind.own + kind.shared;
-            candidate.shared = kind.shared;
-            candidate.draw = Hash_Bytes(pair, sizeof(pair), 0);
-            candidate.lot = unit_(random_);
-            candidate.near = i % 6 == 0;
+            candidate.prefill_tokens = seen_[i].reading + own[i].reading;
+            candidate.uncached_tokens = kind.own + kind.shared;
+            candidate.uncached_shared = kind.shared;
+            candidate.home_hash = Hash_Bytes(pair, sizeof(pair), 0);
+            candidate.sample_hash = unit_(random_);
+            candidate.same_zone = i % 6 == 0;
         }
         struct pl_limits limits = {true, 1.25, false, false, 1};
-        limits.drawn_part = Pl_DrawnPart(engines_.size(), per_sec_ * lag_sec_);
+        limits.sampled_fraction =
+            Pl_SampledFraction(engines_.size(), per_sec_ * lag_sec_);
         struct pl_choice choice = {0, 0};
         if (Pl_Choose(candidates.data(), candidates.size(), &limits,
                       &choice) != PL_CHOSEN) {
@@ -192,9 +193,9 @@
 // each request must consider all endpoints.
 TEST(PlaceReplay, FewHostsSampleAllEndpoints)
 {
-    EXPECT_EQ(1, Pl_DrawnPart(9, 80 * 0.1));
-    EXPECT_LT(Pl_DrawnPart(250, 1131 * 0.6), 0.05);
-    EXPECT_GE(Pl_DrawnPart(250, 1e6), 2.0 / 250);
+    EXPECT_EQ(1, Pl_SampledFraction(9, 80 * 0.1));
+    EXPECT_LT(Pl_SampledFraction(250, 1131 * 0.6), 0.05);
+    EXPECT_GE(Pl_SampledFraction(250, 1e6), 2.0 / 250);
 }
 
 } // namespace
--- a/packages/edge/test/place_test.cc
+++ b/packages/edge/test/place_test.cc
@@ -12,8 +12,8 @@
 {
     struct pl_candidate candidate = {};
     candidate.slots = 10;
-    candidate.near = true;
-    candidate.missing = 1000;
+    candidate.same_zone = true;
+    candidate.uncached_tokens = 1000;
     return candidate;
 }
 
@@ -34,7 +34,7 @@
 TEST(Place, ChoosesTheEndpointWithFewerQueuedTokens)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
-    candidates[0].reading = 50000;
+    candidates[0].prefill_tokens = 50000;
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
@@ -43,7 +43,7 @@
 TEST(Place, ChoosesTheEndpointThatHasThePromptCached)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle()};
-    candidates[2].missing = 10;
+    candidates[2].uncached_tokens = 10;
     EXPECT_EQ(Choose(candidates), 2u);
 }
 
@@ -53,12 +53,12 @@
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle()};
     for (auto &candidate : candidates) {
-        candidate.shared = 600;
+        candidate.uncached_shared = 600;
     }
-    candidates[0].draw = 5;
-    candidates[1].draw = 9;
-    candidates[2].draw = 7;
-    candidates[1].near = false;
+    candidates[0].home_hash = 5;
+    candidates[1].home_hash = 9;
+    candidates[2].home_hash = 7;
+    candidates[1].same_zone = false;
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
@@ -69,11 +69,11 @@
     std::vector<struct pl_candidate> candidates = {Idle(), Idle(), Idle(),
                                                    Idle()};
     for (size_t i = 0; i < candidates.size(); i++) {
-        candidates[i].shared = 800;
-        candidates[i].draw = i;
+        candidates[i].uncached_shared = 800;
+        candidates[i].home_hash = i;
     }
-    candidates[3].reading = 30000;
-    candidates[2].near = false;
+    candidates[3].prefill_tokens = 30000;
+    candidates[2].same_zone = false;
     EXPECT_EQ(Choose(candidates), 2u);
 }
 
@@ -84,18 +84,18 @@
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].long_lane = true;
-    candidates[1].near = false;
+    candidates[1].same_zone = false;
     struct pl_limits limits = {true, 1.25, true, false, 1};
     struct pl_choice choice;
     ASSERT_EQ(Pl_Choose(candidates.data(), 2, &limits, &choice), PL_CHOSEN);
     EXPECT_EQ(choice.index, 1u);
-    candidates[0].near = false;
-    candidates[1].near = true;
+    candidates[0].same_zone = false;
+    candidates[1].same_zone = true;
     limits.is_long = true;
     ASSERT_EQ(Pl_Choose(candidates.data(), 2, &limits, &choice), PL_CHOSEN);
     EXPECT_EQ(choice.index, 0u);
     // A busy lane overflows to idle endpoints of the other lane.
-    candidates[0].reading = 50000;
+    candidates[0].prefill_tokens = 50000;
     ASSERT_EQ(Pl_Choose(candidates.data(), 2, &limits, &choice), PL_CHOSEN);
     EXPECT_EQ(choice.index, 1u);
 }
@@ -104,11 +104,11 @@
 // have only one or two.
 TEST(Place, FewEndpointsHaveNoLanes)
 {
-    EXPECT_EQ(Pl_LongPart(13, 0.7), 0);
-    EXPECT_EQ(Pl_LongPart(100, 0.7), 0);
-    EXPECT_EQ(Pl_LongPart(200, 0), 0);
-    EXPECT_GT(Pl_LongPart(200, 0.7), 0.4);
-    EXPECT_LT(Pl_LongPart(200, 1.0), 0.9);
+    EXPECT_EQ(Pl_LongLaneFraction(13, 0.7), 0);
+    EXPECT_EQ(Pl_LongLaneFraction(100, 0.7), 0);
+    EXPECT_EQ(Pl_LongLaneFraction(200, 0), 0);
+    EXPECT_GT(Pl_LongLaneFraction(200, 0.7), 0.4);
+    EXPECT_LT(Pl_LongLaneFraction(200, 1.0), 0.9);
 }
 
 // Guards against requests of a plain service that queue at one endpoint while
@@ -121,7 +121,7 @@
     for (uint64_t request = 1; request <= 600; request++) {
         for (size_t i = 0; i < candidates.size(); i++) {
             candidates[i].running = i == 0 ? 0 : 1;
-            candidates[i].draw = (request * 7919 + i * 104729) % 1009;
+            candidates[i].home_hash = (request * 7919 + i * 104729) % 1009;
         }
         struct pl_choice choice;
         ASSERT_EQ(Pl_Choose(candidates.data(), 6, &plain, &choice), PL_CHOSEN);
@@ -132,7 +132,7 @@
     // Sampled endpoints that are overloaded are not chosen.
     for (size_t i = 0; i < candidates.size(); i++) {
         candidates[i].running = i == 5 ? 0 : 11;
-        candidates[i].draw = i == 5 ? 0 : i + 1;
+        candidates[i].home_hash = i == 5 ? 0 : i + 1;
     }
     struct pl_choice choice;
     ASSERT_EQ(Pl_Choose(candidates.data(), 6, &plain, &choice), PL_CHOSEN);
@@ -144,9 +144,9 @@
 TEST(Place, ACachedPromptDoesNotOutweighALongQueue)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
-    candidates[0].missing = 0;
+    candidates[0].uncached_tokens = 0;
     candidates[0].running = 9;
-    candidates[0].reading = 20000;
+    candidates[0].prefill_tokens = 20000;
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
@@ -158,7 +158,7 @@
     candidates[0].shunned = true;
     EXPECT_EQ(Choose(candidates), 1u);
     candidates[1].shunned = true;
-    candidates[1].reading = 5000;
+    candidates[1].prefill_tokens = 5000;
     EXPECT_EQ(Choose(candidates), 0u);
 }
 
@@ -181,23 +181,24 @@
 TEST(Prefix, PartsCountFromTheBeginning)
 {
     struct px_table *table = Px_Create();
-    struct ak_ask ask = {};
+    struct hd_request_info ask = {};
     ask.tokens_in = 600;
     ask.part_count = 3;
     ask.parts[0] = {1, 100};
     ask.parts[1] = {2, 200};
     ask.parts[2] = {3, 300};
-    EXPECT_EQ(Px_Missing(table, &ask, 7, 0).tokens, 600);
-    Px_Note(table, &ask, 7, 0);
-    EXPECT_EQ(Px_Missing(table, &ask, 7, 0).tokens, 0);
-    EXPECT_EQ(Px_Missing(table, &ask, 8, 0).tokens, 600);
-    struct ak_ask other = ask;
+    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 0).tokens, 600);
+    Px_NoteSent(table, &ask, 7, 0);
+    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 0).tokens, 0);
+    EXPECT_EQ(Px_CountUncached(table, &ask, 8, 0).tokens, 600);
+    struct hd_request_info other = ask;
     other.parts[0].id = 9;
-    EXPECT_EQ(Px_Missing(table, &other, 7, 0).tokens, 600);
+    EXPECT_EQ(Px_CountUncached(table, &other, 7, 0).tokens, 600);
     other = ask;
     other.parts[2].id = 9;
-    EXPECT_EQ(Px_Missing(table, &other, 7, 0).tokens, 300);
-    EXPECT_EQ(Px_Missing(table, &ask, 7, 60 * INT64_C(1000000)).tokens, 600);
+    EXPECT_EQ(Px_CountUncached(table, &other, 7, 0).tokens, 300);
+    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 60 * INT64_C(1000000)).tokens,
+              600);
     Px_Destroy(table);
 }
 
--- a/packages/edge/test/plan_test.cc
+++ b/packages/edge/test/plan_test.cc
@@ -328,10 +328,10 @@
     struct de_demand *demand = De_Create(&clock.clock);
     for (int i = 0; i < 400; i++) {
         bool cached = i % 10 == 0;
-        De_First(demand, "llm", 8000, cached ? 1000 : 100000);
+        De_RecordFirstByte(demand, "llm", 8000, cached ? 1000 : 100000);
     }
-    EXPECT_LT(De_ReadRate(demand, "llm"), 200000);
-    EXPECT_GT(De_ReadRate(demand, "llm"), 40000);
+    EXPECT_LT(De_PrefillRate(demand, "llm"), 200000);
+    EXPECT_GT(De_PrefillRate(demand, "llm"), 40000);
     De_Destroy(demand);
 }
 
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -91,7 +91,7 @@
     void
     Record()
     {
-        recorded_ = Qt_Recent(quotas_[0], record_);
+        recorded_ = Qt_RecentUsage(quotas_[0], record_);
     }
 
     // All daemons die and start again after "down"; the last record survives.
@@ -107,7 +107,7 @@
         }
         shares_at_ = clock_.boot + 2 * every_;
         for (struct qt_quota *quota : quotas_) {
-            Qt_Recall(quota, record_, recorded_);
+            Qt_RestoreUsage(quota, record_, recorded_);
         }
     }
 
@@ -125,7 +125,7 @@
             Qt_SetWindow(quotas_[i], kWindow);
             Qt_SetPeers(quotas_[i], 0, every_);
             Qt_Configure(quotas_[i], tenants_.config);
-            Qt_Recall(quotas_[i], record_, recorded_);
+            Qt_RestoreUsage(quotas_[i], record_, recorded_);
             for (size_t j = 0; j < quotas_.size(); j++) {
                 reported_[i][j] = 0;
                 asked_[i][j] = 0;
@@ -272,7 +272,7 @@
     ReportPast(size_t from)
     {
         struct qt_recent rows[Qt_RECENT_MAX];
-        size_t count = Qt_Recent(quotas_[from], rows);
+        size_t count = Qt_RecentUsage(quotas_[from], rows);
         for (size_t j = 0; j < past_receivers_ && from >= past_receivers_;
              j++) {
             for (size_t k = 0; k < count; k++) {
--- a/packages/edge/test/quota_test.cc
+++ b/packages/edge/test/quota_test.cc
@@ -193,8 +193,8 @@
         Bu_Create(&clock.clock, 0.2, 0, 10 * Ck_USEC_PER_SEC);
     int repeats = 0;
     for (int i = 0; i < 1000; i++) {
-        Bu_First(budget, "llm");
-        repeats += Bu_Repeat(budget, "llm");
+        Bu_CountFirst(budget, "llm");
+        repeats += Bu_TakeRetry(budget, "llm");
         clock.Advance(5 * Ck_USEC_PER_MSEC);
     }
     EXPECT_GT(repeats, 50);
@@ -209,17 +209,17 @@
     FakeClock clock;
     struct bu_budget *budget =
         Bu_Create(&clock.clock, 0, 70, 10 * Ck_USEC_PER_SEC);
-    Bu_SetDaemons(budget, 7);
+    Bu_SetHosts(budget, 7);
     int repeats = 0;
-    while (Bu_CanRepeat(budget, "llm")) {
-        ASSERT_TRUE(Bu_Repeat(budget, "llm"));
+    while (Bu_CanRetry(budget, "llm")) {
+        ASSERT_TRUE(Bu_TakeRetry(budget, "llm"));
         repeats++;
     }
-    EXPECT_FALSE(Bu_Repeat(budget, "llm"));
+    EXPECT_FALSE(Bu_TakeRetry(budget, "llm"));
     EXPECT_GT(repeats, 0);
     EXPECT_LE(repeats, 10);
     clock.Advance(11 * Ck_USEC_PER_SEC);
-    EXPECT_TRUE(Bu_Repeat(budget, "llm"));
+    EXPECT_TRUE(Bu_TakeRetry(budget, "llm"));
     Bu_Destroy(budget);
 }
 
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -4,7 +4,7 @@
 #include <random>
 #include <vector>
 
-#include "edge/duty_record.h"
+#include "edge/leader_record.h"
 #include "edge/mesh.h"
 #include "edge/rollout.h"
 
@@ -53,7 +53,7 @@
         struct ro_move *move = Ro_Find(table, "llm");
         const char *route = number % 3 == 0 ? "digest" : "chat";
         enum ro_pick pick = Ro_Pick(move, false, unit_(random_));
-        bool is_new = pick == RO_NEXT_FIRST;
+        bool is_new = pick == RO_NEW_FIRST;
         requests_++;
         new_version_requests_ += is_new;
         bool is_bad =
@@ -62,8 +62,8 @@
             unit_(random_) < (is_bad ? failure_rate_ : base_failure_rate_);
         int64_t usec = is_bad && unit_(random_) < slow_rate_ ? 500000 : 40000;
         usec += PauseRemaining(is_new);
-        bool is_slow = Ro_First(table, "llm", route, is_new, usec);
-        Ro_Answered(table, "llm", route, is_new, failed, is_slow);
+        bool is_slow = Ro_RecordFirstByte(table, "llm", route, is_new, usec);
+        Ro_RecordAnswer(table, "llm", route, is_new, failed, is_slow);
     }
 
     // Returns the remaining pause of a randomly chosen endpoint.
@@ -95,21 +95,22 @@
     void
     Gossip()
     {
-        std::vector<std::vector<struct ro_evidence>> rows(tables_.size());
+        std::vector<std::vector<struct ro_outcomes>> rows(tables_.size());
         for (size_t i = 0; i < tables_.size(); i++) {
             rows[i].resize(Ro_ROWS_MAX);
-            rows[i].resize(Ro_Own(tables_[i], rows[i].data(), Ro_ROWS_MAX));
+            rows[i].resize(
+                Ro_LocalOutcomes(tables_[i], rows[i].data(), Ro_ROWS_MAX));
         }
         for (size_t i = 0; i < tables_.size(); i++) {
-            Ro_ClearOthers(tables_[i]);
+            Ro_ClearPeerOutcomes(tables_[i]);
             for (size_t j = 0; j < tables_.size(); j++) {
                 if (i == j) {
                     continue;
                 }
-                Ro_AddOthers(tables_[i], rows[j].data(), rows[j].size());
-                struct ro_standing standing;
-                if (Ro_Standings(tables_[j], &standing, 1) == 1) {
-                    Ro_Heard(tables_[i], &standing, j == 0);
+                Ro_AddPeerOutcomes(tables_[i], rows[j].data(), rows[j].size());
+                struct ro_status standing;
+                if (Ro_Statuses(tables_[j], &standing, 1) == 1) {
+                    Ro_ApplyStatus(tables_[i], &standing, j == 0);
                 }
             }
         }
@@ -168,7 +169,7 @@
     Run(12, 11);
     for (size_t i = 0; i < tables_.size(); i++) {
         EXPECT_EQ(At(i)->state, RO_SUCCEEDED) << i;
-        EXPECT_EQ(Ro_Pick(At(i), false, 0.99), RO_NEXT_FIRST);
+        EXPECT_EQ(Ro_Pick(At(i), false, 0.99), RO_NEW_FIRST);
     }
 }
 
@@ -184,7 +185,7 @@
         if (move->state != RO_RUNNING) {
             break;
         }
-        bool all = Ro_Pick(move, false, 0.9999) == RO_NEXT_FIRST;
+        bool all = Ro_Pick(move, false, 0.9999) == RO_NEW_FIRST;
         at_full_share += all;
         EXPECT_EQ(Ro_Pick(move, true, 0), all ? RO_OLD_FIRST : RO_OLD);
     }
@@ -319,10 +320,10 @@
 TEST_F(Move, FinalStatesAndNewerOrdersStand)
 {
     Start(1, 10);
-    struct ro_standing rolled_back = {Ro_Hash("llm"), 7, RO_ROLLED_BACK, 0};
-    Ro_Heard(tables_[0], &rolled_back, false);
-    struct ro_standing running = {Ro_Hash("llm"), 7, RO_RUNNING, 1000};
-    Ro_Heard(tables_[0], &running, true);
+    struct ro_status rolled_back = {Ro_Hash("llm"), 7, RO_ROLLED_BACK, 0};
+    Ro_ApplyStatus(tables_[0], &rolled_back, false);
+    struct ro_status running = {Ro_Hash("llm"), 7, RO_RUNNING, 1000};
+    Ro_ApplyStatus(tables_[0], &running, true);
     EXPECT_EQ(Ro_Pick(At(0), false, 0), RO_OLD_ONLY);
     struct ro_order older = order_;
     older.number = 3;
@@ -336,7 +337,7 @@
     EXPECT_STREQ(At(0)->order.target, "v3");
     EXPECT_EQ(At(0)->state, RO_RUNNING);
     EXPECT_EQ(At(0)->share, 0);
-    Ro_Heard(tables_[0], &rolled_back, false);
+    Ro_ApplyStatus(tables_[0], &rolled_back, false);
     EXPECT_EQ(At(0)->state, RO_RUNNING);
 }
 
@@ -344,35 +345,35 @@
 // repeat a move that has succeeded.
 TEST(MoveRecord, EncodesAndDecodes)
 {
-    static struct dr_record record = {};
+    static struct lc_record record = {};
     record.run = 5;
     record.move_count = 1;
     record.moves[0] = {9, 70, RO_SUCCEEDED, 0};
     char *bytes;
-    size_t len = Dr_Encode(&record, &bytes);
-    static struct dr_record decoded_record;
-    ASSERT_TRUE(Dr_Decode(bytes, len, &decoded_record));
+    size_t len = Lc_Encode(&record, &bytes);
+    static struct lc_record decoded_record;
+    ASSERT_TRUE(Lc_Decode(bytes, len, &decoded_record));
     free(bytes);
     EXPECT_FALSE(decoded_record.has_usage);
     ASSERT_EQ(decoded_record.move_count, 1u);
     EXPECT_EQ(decoded_record.moves[0].state, RO_SUCCEEDED);
     EXPECT_EQ(decoded_record.moves[0].order, 70);
 
-    static struct ms_word message = {};
+    static struct ms_message message = {};
     strcpy(message.name, "front-1");
     strcpy(message.ip, "10.0.0.1");
     message.run = 1;
     message.evidence_count = 1;
     message.evidence[0] = {1, 2, 70, {30, 1}, {12, 4}};
-    message.standing_count = 1;
-    message.standings[0] = {1, 70, RO_ROLLED_BACK, 50};
+    message.move_status_count = 1;
+    message.move_statuses[0] = {1, 70, RO_ROLLED_BACK, 50};
     char datagram[4096];
     len = Ms_Encode(&message, datagram, sizeof(datagram));
-    static struct ms_word decoded;
+    static struct ms_message decoded;
     ASSERT_TRUE(Ms_Decode(datagram, len, &decoded));
-    EXPECT_EQ(decoded.evidence[0].next.bad, 4u);
-    EXPECT_EQ(decoded.standings[0].state, RO_ROLLED_BACK);
-    EXPECT_EQ(decoded.standings[0].share, 50);
+    EXPECT_EQ(decoded.evidence[0].new_version.bad, 4u);
+    EXPECT_EQ(decoded.move_statuses[0].state, RO_ROLLED_BACK);
+    EXPECT_EQ(decoded.move_statuses[0].share, 50);
 }
 
 } // namespace
--- a/packages/edge/test/tables_test.cc
+++ b/packages/edge/test/tables_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "edge/config.h"
-#include "edge/events.h"
+#include "edge/event_stream.h"
 #include "edge/mesh.h"
 #include "edge/truetime.h"
 #include "edge/usage.h"
@@ -34,7 +34,7 @@
 Match(const struct ec_config *config, const char *host, const char *target)
 {
     const struct ec_route *route =
-        Ec_Match(config, host, strlen(host), target, strlen(target));
+        Ec_FindRoute(config, host, strlen(host), target, strlen(target));
     return route == nullptr ? "none" : route->prefix;
 }
 
@@ -98,12 +98,12 @@
     struct tt_time *time = Tt_Create(&clock.clock);
     int64_t before = Tt_Now(time);
     for (uint64_t peer = 1; peer <= 4; peer++) {
-        Tt_Peer(time, peer, before + static_cast<int64_t>(peer) * 1000);
+        Tt_AddPeerTime(time, peer, before + static_cast<int64_t>(peer) * 1000);
     }
     clock.wall += 5 * Ck_USEC_PER_SEC;
     EXPECT_NEAR(static_cast<double>(Tt_Now(time)), static_cast<double>(before),
                 10000.0);
-    Tt_Peer(time, 1, before - 60 * Ck_USEC_PER_SEC);
+    Tt_AddPeerTime(time, 1, before - 60 * Ck_USEC_PER_SEC);
     EXPECT_NEAR(static_cast<double>(Tt_Now(time)), static_cast<double>(before),
                 10000.0);
     Tt_Destroy(time);
@@ -127,11 +127,11 @@
 {
     struct us_usage *usage = Us_Create();
     Us_CountBegun(usage, 100, 1);
-    Us_Peer(usage, 55, 100, 1, 7);
-    Us_Peer(usage, 55, 100, 1, 5);
-    Us_Peer(usage, 55, 100, 2, 3);
+    Us_TakePeerCount(usage, 55, 100, 1, 7);
+    Us_TakePeerCount(usage, 55, 100, 1, 5);
+    Us_TakePeerCount(usage, 55, 100, 2, 3);
     EXPECT_EQ(Total(usage, 100), 11u);
-    Us_Peer(usage, 56, 100, 1, 2);
+    Us_TakePeerCount(usage, 56, 100, 1, 2);
     EXPECT_EQ(Total(usage, 100), 13u);
     EXPECT_EQ(Total(usage, 101), 0u);
     Us_CountBegun(usage, 106, 1);
@@ -143,7 +143,7 @@
 // must be rejected, corrupted ones must not crash the decoder.
 TEST(Mesh, OnlyWholeMessagesAreDecoded)
 {
-    static struct ms_word word = {};
+    static struct ms_message word = {};
     strcpy(word.name, "front-1");
     strcpy(word.ip, "10.0.0.1");
     word.run = 99;
@@ -153,22 +153,22 @@
     word.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
     word.brittle_count = 1;
     word.brittle[0] = {8, 5};
-    word.hint_count = 1;
-    strcpy(word.hints[0], "10.0.0.2");
+    word.address_count = 1;
+    strcpy(word.addresses[0], "10.0.0.2");
     char bytes[4096];
     size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
     ASSERT_GT(len, 0u);
-    static struct ms_word read;
+    static struct ms_message read;
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
     EXPECT_EQ(read.run, 99u);
-    EXPECT_EQ(read.loads[0].reading, 1200);
-    EXPECT_DOUBLE_EQ(read.rates[0].sent, 12.5);
-    EXPECT_DOUBLE_EQ(read.rates[0].in_long, 3000);
-    EXPECT_DOUBLE_EQ(read.rates[0].running, 2.5);
+    EXPECT_EQ(read.loads[0].prefill_tokens, 1200);
+    EXPECT_DOUBLE_EQ(read.rates[0].requests_per_sec, 12.5);
+    EXPECT_DOUBLE_EQ(read.rates[0].long_prompt_tokens_per_sec, 3000);
+    EXPECT_DOUBLE_EQ(read.rates[0].concurrency, 2.5);
     ASSERT_EQ(read.brittle_count, 1u);
     EXPECT_EQ(read.brittle[0].service, 8u);
-    EXPECT_EQ(read.brittle[0].most, 5);
-    EXPECT_STREQ(read.hints[0], "10.0.0.2");
+    EXPECT_EQ(read.brittle[0].refusals_per_sec, 5);
+    EXPECT_STREQ(read.addresses[0], "10.0.0.2");
     for (size_t cut = 0; cut < len; cut++) {
         EXPECT_FALSE(Ms_Decode(bytes, cut, &read));
     }
@@ -183,33 +183,35 @@
 // hashes, and against counts that are decoded for the wrong tenant.
 TEST(Word, CountsOfThreeWindowsAreShort)
 {
-    static struct ms_word word;
-    static struct ms_word read;
+    static struct ms_message word;
+    static struct ms_message read;
     memset(&word, 0, sizeof(word));
     const uint32_t kUnknown = 3000000000u;
     const size_t kTenants = 16;
     static char bytes[16384];
     word.run = 1;
     for (uint32_t i = 0; i < kTenants; i++) {
-        word.spent[word.spent_count++] = {4000000000u + i, 1, 1};
+        word.usage[word.usage_count++] = {4000000000u + i, 1, 1};
     }
     size_t without = Ms_Encode(&word, bytes, sizeof(bytes));
     for (int64_t window = 353445122; window > 353445119; window--) {
         for (uint32_t i = 0; i < kTenants; i++) {
-            word.counted[word.counted_count++] = {window, 4000000000u + i,
-                                                  100 + i};
+            word.request_counts[word.request_count_rows++] = {
+                window, 4000000000u + i, 100 + i};
         }
     }
     size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
-    EXPECT_LE(len - without, word.counted_count * 4);
-    word.counted[word.counted_count++] = {353445120, kUnknown, 7};
+    EXPECT_LE(len - without, word.request_count_rows * 4);
+    word.request_counts[word.request_count_rows++] = {353445120, kUnknown, 7};
     len = Ms_Encode(&word, bytes, sizeof(bytes));
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
-    ASSERT_EQ(word.counted_count, read.counted_count);
-    for (size_t i = 0; i < word.counted_count; i++) {
-        EXPECT_EQ(word.counted[i].window, read.counted[i].window);
-        EXPECT_EQ(word.counted[i].tenant, read.counted[i].tenant);
-        EXPECT_EQ(word.counted[i].count, read.counted[i].count);
+    ASSERT_EQ(word.request_count_rows, read.request_count_rows);
+    for (size_t i = 0; i < word.request_count_rows; i++) {
+        EXPECT_EQ(word.request_counts[i].window,
+                  read.request_counts[i].window);
+        EXPECT_EQ(word.request_counts[i].tenant,
+                  read.request_counts[i].tenant);
+        EXPECT_EQ(word.request_counts[i].count, read.request_counts[i].count);
     }
 }
 
--- a/packages/edge/test/zones_test.cc
+++ b/packages/edge/test/zones_test.cc
@@ -34,8 +34,8 @@
         strcpy(message_.zone, "dc-b");
         message_.run = reporter;
         message_.up_usec = up_usec;
-        message_.spent_count = 1;
-        message_.spent[0] = {kTenant, total, 2 * total};
+        message_.usage_count = 1;
+        message_.usage[0] = {kTenant, total, 2 * total};
         message_.load_count = 1;
         message_.loads[0] = {1, (int)reporter, 0};
         Zn_ApplySummary(zones_, &message_, Note, &charged_);
@@ -51,7 +51,7 @@
 
     FakeClock clock_;
     struct zn_zones *zones_;
-    struct ms_word message_;
+    struct ms_message message_;
     Charged charged_;
 };
 
@@ -124,7 +124,7 @@
     Summary(1, 1000, 10);
     Summary(2, 1000, 10);
     auto sum = [](void *arg, const struct ms_load *load, int64_t) {
-        *static_cast<int *>(arg) += load->running;
+        *static_cast<int *>(arg) += load->requests;
     };
     int running = 0;
     Zn_EachLoad(zones_, sum, &running);
@@ -143,12 +143,12 @@
     Zn_AddLocalUsage(zones_, &more);
     Zn_AddLocalUsage(zones_, &more);
     memset(&message_, 0, sizeof(message_));
-    message_.spent_count = 1;
-    message_.spent[0] = {kTenant, 5, 6};
+    message_.usage_count = 1;
+    message_.usage[0] = {kTenant, 5, 6};
     Zn_Summarize(zones_, &message_);
-    ASSERT_EQ(1u, message_.spent_count);
-    EXPECT_EQ(65u, message_.spent[0].total);
-    EXPECT_EQ(86u, message_.spent[0].asked);
+    ASSERT_EQ(1u, message_.usage_count);
+    EXPECT_EQ(65u, message_.usage[0].total);
+    EXPECT_EQ(86u, message_.usage[0].asked);
 }
 
 } // namespace
--- a/packages/edge/truetime.c
+++ b/packages/edge/truetime.c
@@ -37,7 +37,7 @@
 
 /* Records the calendar time of a peer's message that has just arrived. */
 void
-Tt_Peer(struct tt_time *time, uint64_t peer, int64_t wall_usec)
+Tt_AddPeerTime(struct tt_time *time, uint64_t peer, int64_t wall_usec)
 {
     int64_t now = Ck_Now(time->clock);
     struct peer_offset *slot = NULL;
--- a/packages/edge/truetime.h
+++ b/packages/edge/truetime.h
@@ -18,7 +18,7 @@
 
 struct tt_time *Tt_Create(const struct ck_clock *clock);
 void Tt_Destroy(struct tt_time *time);
-void Tt_Peer(struct tt_time *time, uint64_t peer, int64_t wall_usec);
+void Tt_AddPeerTime(struct tt_time *time, uint64_t peer, int64_t wall_usec);
 int64_t Tt_Now(struct tt_time *time);
 
 #ifdef __cplusplus
--- a/packages/edge/usage.c
+++ b/packages/edge/usage.c
@@ -122,8 +122,8 @@
 }
 
 void
-Us_Peer(struct us_usage *usage, uint64_t daemon, int64_t window,
-        uint32_t tenant, uint32_t value)
+Us_TakePeerCount(struct us_usage *usage, uint64_t daemon, int64_t window,
+                 uint32_t tenant, uint32_t value)
 {
     struct us_count *count = find_count(usage, daemon, window, tenant);
     if (count != NULL && count->count < value) {
--- a/packages/edge/usage.h
+++ b/packages/edge/usage.h
@@ -28,8 +28,8 @@
 void Us_Destroy(struct us_usage *usage);
 void Us_CountBegun(struct us_usage *usage, int64_t window, uint32_t tenant);
 /* Takes a peer's count; "daemon" identifies one run of the peer. */
-void Us_Peer(struct us_usage *usage, uint64_t daemon, int64_t window,
-             uint32_t tenant, uint32_t count);
+void Us_TakePeerCount(struct us_usage *usage, uint64_t daemon, int64_t window,
+                      uint32_t tenant, uint32_t count);
 size_t Us_Own(const struct us_usage *usage, int64_t window,
               struct us_count out[Us_TENANTS_MAX]);
 size_t Us_Total(const struct us_usage *usage, int64_t window,
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -11,11 +11,11 @@
             const struct ec_service *service, int64_t now)
 {
     struct wu_hosts hosts;
-    Ms_ListHosts(gate->mesh, &hosts);
+    Ms_ListSenders(gate->mesh, &hosts);
     hosts.view.up_usec = now - gate->started_at;
     hosts.view.first_start = gate->options.node->first_start;
-    Wu_RenewClaim(&endpoint->warmup, &hosts, service->cold_per_sec,
-                  endpoint->hash, now);
+    Wu_RenewSelection(&endpoint->warmup, &hosts, service->cold_per_sec,
+                      endpoint->hash, now);
 }
 
 /*
@@ -26,8 +26,8 @@
 has_returned(const struct fl_endpoint *endpoint,
              const struct ec_service *service, int64_t now)
 {
-    return endpoint->returned_at != 0 &&
-           now - endpoint->returned_at < service->cold_usec;
+    return endpoint->zone_restored_at != 0 &&
+           now - endpoint->zone_restored_at < service->cold_usec;
 }
 
 enum wa_state
@@ -36,10 +36,10 @@
 {
     struct wu_warmup *warmup = &endpoint->warmup;
     bool cold = Wu_IsCold(warmup, now) || has_returned(endpoint, service, now);
-    if (!is_limited(service) || (!cold && !Wu_IsDoubted(warmup, now))) {
+    if (!is_limited(service) || (!cold && !Wu_MayBeCold(warmup, now))) {
         return WA_OPEN;
     }
-    if (Wu_ClaimIsOld(warmup, now)) {
+    if (Wu_SelectionIsStale(warmup, now)) {
         renew_claim(gate, endpoint, service, now);
     }
     if (Wu_MaySend(warmup, now)) {
@@ -53,8 +53,8 @@
             const struct ec_service *service, int64_t now)
 {
     if (is_limited(service)) {
-        struct wu_part part =
-            Wu_Part(service->cold_per_sec, Ms_CountAll(gate->mesh));
+        struct wu_pacing part =
+            Wu_Pacing(service->cold_per_sec, Ms_CountAll(gate->mesh));
         Wu_Sent(&endpoint->warmup, &part, now);
     }
 }
@@ -63,5 +63,5 @@
 Wa_NoteBroken(struct fl_endpoint *endpoint, const struct ec_service *service,
               int64_t now)
 {
-    Wu_Doubt(&endpoint->warmup, service->cold_usec, now);
+    Wu_SuspectRestart(&endpoint->warmup, service->cold_usec, now);
 }
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -99,10 +99,10 @@
 }
 
 void
-Zn_Summarize(const struct zn_zones *zones, struct ms_word *message)
+Zn_Summarize(const struct zn_zones *zones, struct ms_message *message)
 {
     for (size_t i = 0; i < zones->peer_usage_count; i++) {
-        add_usage(message->spent, &message->spent_count,
+        add_usage(message->usage, &message->usage_count,
                   &zones->peer_usage[i]);
     }
 }
@@ -166,11 +166,11 @@
 }
 
 static void
-store_summary(struct reporter *reporter, const struct ms_word *summary,
+store_summary(struct reporter *reporter, const struct ms_message *summary,
               int64_t now)
 {
-    reporter->received.count = summary->spent_count;
-    memcpy(reporter->received.rows, summary->spent, sizeof(summary->spent));
+    reporter->received.count = summary->usage_count;
+    memcpy(reporter->received.rows, summary->usage, sizeof(summary->usage));
     if (reporter->run != summary->run) {
         reporter->charged = reporter->received;
     }
@@ -190,7 +190,7 @@
  * usage again.
  */
 void
-Zn_ApplySummary(struct zn_zones *zones, const struct ms_word *summary,
+Zn_ApplySummary(struct zn_zones *zones, const struct ms_message *summary,
                 zn_usage_fn fn, void *arg)
 {
     struct zone *zone = find_or_add_zone(zones, summary->zone);
--- a/packages/edge/zones.h
+++ b/packages/edge/zones.h
@@ -25,11 +25,11 @@
  * Adds the usage of the other daemons in this data centre to that of this
  * daemon.
  */
-void Zn_Summarize(const struct zn_zones *zones, struct ms_word *message);
+void Zn_Summarize(const struct zn_zones *zones, struct ms_message *message);
 
 /* Applies a summary; "fn" is called for each increase in usage. */
 typedef void (*zn_usage_fn)(void *arg, const struct ms_usage *more);
-void Zn_ApplySummary(struct zn_zones *zones, const struct ms_word *summary,
+void Zn_ApplySummary(struct zn_zones *zones, const struct ms_message *summary,
                      zn_usage_fn fn, void *arg);
 /* Whether a data centre is currently reported by summaries. */
 bool Zn_IsReported(const struct zn_zones *zones, const char *zone);
--- a/packages/gate/admin.h
+++ b/packages/gate/admin.h
@@ -69,7 +69,7 @@
 void Ad_Destroy(struct ad_admin *admin);
 int Ad_Port(const struct ad_admin *admin);
 size_t Ad_OpenRequests(const struct ad_admin *admin);
-void Ad_Advanced(struct ad_admin *admin);
+void Ad_AnswerVerdicts(struct ad_admin *admin);
 
 #ifdef __cplusplus
 }
--- a/packages/gate/admin_publish.c
+++ b/packages/gate/admin_publish.c
@@ -319,7 +319,7 @@
  * were applied to the sections.
  */
 void
-Ad_Advanced(struct ad_admin *admin)
+Ad_AnswerVerdicts(struct ad_admin *admin)
 {
     const struct sc_state *state = admin->ops->sections(admin->arg);
     struct ad_publish *publish;
--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -63,7 +63,7 @@
         .clock = options->gate->clock,
         .self = options->self,
         .budget = options->budget,
-        .dead = options->ops->dead,
+        .dead = options->ops->has_ended,
         .dead_arg = options->arg,
     };
     enum st_status status = Kp_Create(&keeper, &claims->keeper);
@@ -107,7 +107,8 @@
     const struct gc_options *options = &claims->options;
     int64_t now = Ck_Now(options->gate->clock);
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
-        bool assigned = options->ops->keeper(options->arg, slot) == NULL;
+        bool assigned =
+            options->ops->assigned_node(options->arg, slot) == NULL;
         bool open = Kp_IsOpen(claims->keeper, slot);
         if (assigned) {
             claims->last_used[slot] = now;
@@ -132,11 +133,12 @@
 
 /* The number of slots assigned to this daemon. */
 int
-Gc_SlotsKept(const struct gc_claims *claims)
+Gc_AssignedSlots(const struct gc_claims *claims)
 {
     int count = 0;
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
-        if (claims->options.ops->keeper(claims->options.arg, slot) == NULL) {
+        if (claims->options.ops->assigned_node(claims->options.arg, slot) ==
+            NULL) {
             count++;
         }
     }
@@ -202,10 +204,10 @@
                 size_t len)
 {
     struct gc_wait *wait = arg;
-    struct cw_answer answer;
-    if (status == ST_OK && Cw_ReadAnswer(payload, len, &answer) == ST_OK) {
+    struct cw_reply answer;
+    if (status == ST_OK && Cw_ReadReply(payload, len, &answer) == ST_OK) {
         finish_wait(wait, &answer.answer);
-        Cw_FreeAnswer(&answer);
+        Cw_FreeReply(&answer);
         return;
     }
     /*
@@ -230,8 +232,8 @@
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
     enum st_status status =
-        options->ops->ask(options->arg, node, payload, strlen(payload),
-                          Gc_PEER_TIMEOUT_USEC, peer_claim_done, wait);
+        options->ops->send(options->arg, node, payload, strlen(payload),
+                           Gc_PEER_TIMEOUT_USEC, peer_claim_done, wait);
     free(payload);
     return status;
 }
@@ -271,7 +273,8 @@
     wait->arg = arg;
     fill_claim(claims, key, deadline, &wait->claim);
     const struct gc_options *options = &claims->options;
-    const char *node = options->ops->keeper(options->arg, Cl_Slot(&key->key));
+    const char *node =
+        options->ops->assigned_node(options->arg, Cl_Slot(&key->key));
     enum st_status status = ST_UNAVAILABLE;
     if (node != NULL) {
         status = claim_remotely(wait, node);
@@ -304,7 +307,7 @@
 }
 
 static enum st_status
-apply_locally(struct gc_claims *claims, const struct cw_ask *ask)
+apply_locally(struct gc_claims *claims, const struct cw_request *ask)
 {
     int slot = Cl_Slot(&ask->key);
     if (!Kp_IsOpen(claims->keeper, slot)) {
@@ -322,13 +325,13 @@
 update_done(void *arg, enum st_status status, const char *payload, size_t len)
 {
     struct update *update = arg;
-    struct cw_ask ask;
+    struct cw_request ask;
     update->claims->pending_updates--;
     /* Without a reply the update is appended locally; it is idempotent. */
     if (status != ST_OK &&
-        Cw_ReadAsk(update->payload, update->len, &ask) == ST_OK) {
+        Cw_ReadRequest(update->payload, update->len, &ask) == ST_OK) {
         apply_locally(update->claims, &ask);
-        Cw_FreeAsk(&ask);
+        Cw_FreeRequest(&ask);
     }
     free(update->payload);
     free(update);
@@ -353,10 +356,10 @@
     update->payload = payload;
     update->len = strlen(payload);
     claims->pending_updates++;
-    const char *node = options->ops->keeper(options->arg, Cl_Slot(key));
-    if (node == NULL || options->ops->ask(options->arg, node, payload,
-                                          update->len, Gc_PEER_TIMEOUT_USEC,
-                                          update_done, update) != ST_OK) {
+    const char *node = options->ops->assigned_node(options->arg, Cl_Slot(key));
+    if (node == NULL || options->ops->send(options->arg, node, payload,
+                                           update->len, Gc_PEER_TIMEOUT_USEC,
+                                           update_done, update) != ST_OK) {
         update_done(update, ST_UNAVAILABLE, NULL, 0);
     }
 }
@@ -409,7 +412,7 @@
 {
     struct request *request = arg;
     char *text =
-        Cw_Answer(answer, &request->claim.key, &request->claim.attempt);
+        Cw_ClaimReply(answer, &request->claim.key, &request->claim.attempt);
     request->answer(request->arg, text != NULL ? text : "",
                     text != NULL ? strlen(text) : 0);
     free(text);
@@ -417,7 +420,7 @@
 }
 
 static enum st_status
-serve_claim(struct gc_claims *claims, const struct cw_ask *ask,
+serve_claim(struct gc_claims *claims, const struct cw_request *ask,
             gc_answer_fn answer, void *arg)
 {
     struct request *request = calloc(1, sizeof(*request));
@@ -445,8 +448,8 @@
 Gc_Serve(struct gc_claims *claims, const char *payload, size_t len,
          gc_answer_fn answer, void *arg)
 {
-    struct cw_ask ask;
-    enum st_status status = Cw_ReadAsk(payload, len, &ask);
+    struct cw_request ask;
+    enum st_status status = Cw_ReadRequest(payload, len, &ask);
     if (status != ST_OK) {
         return status;
     }
@@ -459,6 +462,6 @@
             answer(arg, "", 0);
         }
     }
-    Cw_FreeAsk(&ask);
+    Cw_FreeRequest(&ask);
     return status;
 }
--- a/packages/gate/claims.h
+++ b/packages/gate/claims.h
@@ -39,16 +39,16 @@
 /* Access to the other daemons. */
 struct gc_ops {
     /* The daemon that a slot is assigned to; NULL for this daemon. */
-    const char *(*keeper)(void *arg, int slot);
+    const char *(*assigned_node)(void *arg, int slot);
     /*
      * Sends a request to another daemon.  On ST_OK "reply" is called exactly
      * once, after this function has returned.
      */
-    enum st_status (*ask)(void *arg, const char *node, const char *payload,
-                          size_t len, int64_t timeout_usec, gc_reply_fn reply,
-                          void *reply_arg);
+    enum st_status (*send)(void *arg, const char *node, const char *payload,
+                           size_t len, int64_t timeout_usec, gc_reply_fn reply,
+                           void *reply_arg);
     /* Whether the daemon process that made a claim is known to have ended. */
-    bool (*dead)(void *arg, const struct rc_writer *owner);
+    bool (*has_ended)(void *arg, const struct rc_writer *owner);
 };
 
 struct gc_options {
@@ -65,7 +65,7 @@
 void Gc_Destroy(struct gc_claims *claims);
 void Gc_Tick(struct gc_claims *claims);
 bool Gc_Idle(const struct gc_claims *claims);
-int Gc_SlotsKept(const struct gc_claims *claims);
+int Gc_AssignedSlots(const struct gc_claims *claims);
 
 enum st_status Gc_Claim(struct gc_claims *claims, struct gc_key *key,
                         int64_t deadline, gc_done_fn done, void *arg,
--- a/packages/gate/claims_wire.c
+++ b/packages/gate/claims_wire.c
@@ -61,9 +61,9 @@
     return -1;
 }
 
-/* Decodes a request; Cw_FreeAsk() frees it. */
+/* Decodes a request; Cw_FreeRequest() frees it. */
 enum st_status
-Cw_ReadAsk(const char *payload, size_t len, struct cw_ask *out)
+Cw_ReadRequest(const char *payload, size_t len, struct cw_request *out)
 {
     memset(out, 0, sizeof(*out));
     json_t *root = json_loadb(payload, len, 0, NULL);
@@ -92,7 +92,7 @@
 }
 
 void
-Cw_FreeAsk(struct cw_ask *ask)
+Cw_FreeRequest(struct cw_request *ask)
 {
     free(ask->decoded_body);
     ask->decoded_body = NULL;
@@ -100,8 +100,8 @@
 
 /* Encodes the reply to a claim; the caller frees the text. */
 char *
-Cw_Answer(const struct kp_answer *answer, const struct cl_key *key,
-          const struct cl_attempt *attempt)
+Cw_ClaimReply(const struct kp_answer *answer, const struct cl_key *key,
+              const struct cl_attempt *attempt)
 {
     json_t *root =
         json_pack("{s:s,s:s}", "verdict", verdict_names[answer->verdict],
@@ -116,7 +116,7 @@
 }
 
 static enum st_status
-read_answer(struct cw_answer *out)
+read_answer(struct cw_reply *out)
 {
     int verdict =
         index_of(verdict_names, Cw_VERDICTS,
@@ -139,21 +139,21 @@
     return ST_OK;
 }
 
-/* Decodes the reply to a claim; on success Cw_FreeAnswer() frees it. */
+/* Decodes the reply to a claim; on success Cw_FreeReply() frees it. */
 enum st_status
-Cw_ReadAnswer(const char *payload, size_t len, struct cw_answer *out)
+Cw_ReadReply(const char *payload, size_t len, struct cw_reply *out)
 {
     memset(out, 0, sizeof(*out));
     out->root = json_loadb(payload, len, 0, NULL);
     enum st_status status = read_answer(out);
     if (status != ST_OK) {
-        Cw_FreeAnswer(out);
+        Cw_FreeReply(out);
     }
     return status;
 }
 
 void
-Cw_FreeAnswer(struct cw_answer *answer)
+Cw_FreeReply(struct cw_reply *answer)
 {
     free(answer->decoded_body);
     json_decref(answer->root);
--- a/packages/gate/claims_wire.h
+++ b/packages/gate/claims_wire.h
@@ -16,17 +16,17 @@
 };
 
 /* A request that was read. */
-struct cw_ask {
+struct cw_request {
     enum cw_kind kind;
     struct cl_claim claim;     /* CW_CLAIM */
     struct cl_key key;         /* CW_RESULT, CW_RELEASE */
     struct cl_attempt attempt; /* CW_RESULT, CW_RELEASE */
     struct cl_answer answer;   /* CW_RESULT */
-    void *decoded_body;        /* body of the answer; freed by Cw_FreeAsk() */
+    void *decoded_body; /* body of the answer; freed by Cw_FreeRequest() */
 };
 
 /* A reply to a claim that was read. */
-struct cw_answer {
+struct cw_reply {
     struct kp_answer answer;
     struct cl_answer stored;
     void *decoded_body;
@@ -39,12 +39,13 @@
                        const struct cl_answer *answer);
 char *Cw_ReleaseRequest(const struct cl_key *key,
                         const struct cl_attempt *attempt);
-enum st_status Cw_ReadAsk(const char *payload, size_t len, struct cw_ask *out);
-void Cw_FreeAsk(struct cw_ask *ask);
-char *Cw_Answer(const struct kp_answer *answer, const struct cl_key *key,
-                const struct cl_attempt *attempt);
-enum st_status Cw_ReadAnswer(const char *payload, size_t len,
-                             struct cw_answer *out);
-void Cw_FreeAnswer(struct cw_answer *answer);
+enum st_status Cw_ReadRequest(const char *payload, size_t len,
+                              struct cw_request *out);
+void Cw_FreeRequest(struct cw_request *ask);
+char *Cw_ClaimReply(const struct kp_answer *answer, const struct cl_key *key,
+                    const struct cl_attempt *attempt);
+enum st_status Cw_ReadReply(const char *payload, size_t len,
+                            struct cw_reply *out);
+void Cw_FreeReply(struct cw_reply *answer);
 
 #endif
--- a/packages/gate/confstream.c
+++ b/packages/gate/confstream.c
@@ -34,12 +34,12 @@
     struct cf_config *config = Sc_Config(stream->sections);
     bool notified = stream->notice_at >= 0;
     const struct gt_origin origin = {
-        .by = stream->importing ? "peer" : (notified ? "word" : "read"),
+        .source = stream->importing ? "peer" : (notified ? "word" : "read"),
         .age_usec = stream->age_usec,
-        .word_usec =
+        .since_announced_usec =
             notified ? Ck_Now(stream->options.gate->clock) - stream->notice_at
                      : -1,
-        .unread_usec = Cs_ReadAge(stream),
+        .since_log_read_usec = Cs_ReadAge(stream),
     };
     if (config->offset > 0) {
         Gt_SetConfig(stream->options.gate, config, &origin);
--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -154,7 +154,7 @@
 stop_idle(void *arg)
 {
     struct dm_daemon *daemon = arg;
-    return Rq_Idle(&daemon->gate) && Gc_Idle(daemon->gate.claims) &&
+    return Rq_IsIdle(&daemon->gate) && Gc_Idle(daemon->gate.claims) &&
            Hs_OpenRequests(daemon->callers) == 0 &&
            Rh_CountForPeers(daemon->gate.reach) == 0;
 }
@@ -226,9 +226,10 @@
      * them to keep its peers from treating it as silent.  While the number of
      * daemons changes, as after a start, no publication is skipped.
      */
-    bool idle = daemon->published_demands == 0 &&
-                daemon->published_requests == daemon->gate.next_request &&
-                daemon->published_daemons == In_Daemons(daemon->gate.intake);
+    bool idle =
+        daemon->published_demands == 0 &&
+        daemon->published_requests == daemon->gate.next_request &&
+        daemon->published_daemons == In_DaemonCount(daemon->gate.intake);
     if (idle && daemon->demands_skipped < Dm_DEMANDS_SKIPPED_MAX) {
         daemon->demands_skipped++;
         return;
@@ -259,7 +260,7 @@
 static void
 update_warmup_hosts(struct dm_daemon *daemon, int64_t now)
 {
-    struct wu_hosts *hosts = Ep_Hosts(daemon->gate.endpoints);
+    struct wu_hosts *hosts = Ep_WarmupHosts(daemon->gate.endpoints);
     const struct mb_table *members = Nd_Members(Pe_Node(daemon->peers));
     const char *own = daemon->gate.options->node_id;
     if (now < daemon->next_warmup_hosts) {
@@ -269,7 +270,7 @@
     hosts->own = Hash_String(own, 0);
     hosts->count = 0;
     hosts->view =
-        (struct wu_view){.up_usec = now - daemon->started, .heard = 1};
+        (struct wu_completeness){.up_usec = now - daemon->started, .heard = 1};
     const struct mb_record *member = Mb_First(members);
     for (; member != NULL; member = Mb_Next(member)) {
         if (strcmp(member->id, own) == 0 || hosts->count == Wu_HOSTS_MAX) {
@@ -288,7 +289,7 @@
     int64_t now = Ck_Now(daemon->gate.clock);
     Cs_Tick(daemon->config);
     Gc_Tick(daemon->gate.claims);
-    In_Pump(daemon->gate.intake);
+    In_DispatchQueued(daemon->gate.intake);
     Ct_Tick(daemon->control);
     Mo_Tick(daemon->gate.moves);
     Cs_SetSnapshotWriter(daemon->config,
--- a/packages/gate/daemon_admin.c
+++ b/packages/gate/daemon_admin.c
@@ -76,7 +76,7 @@
         "daemons", Pe_Status(daemon->peers, offset), "services",
         Sd_Services(&daemon->gate), "moves", Mo_Status(daemon->gate.moves),
         "work", "queued", In_Queued(daemon->gate.intake), "claim_slots",
-        Gc_SlotsKept(daemon->gate.claims), "log_in_reach",
+        Gc_AssignedSlots(daemon->gate.claims), "log_in_reach",
         Cs_IsLogReachable(daemon->config));
 }
 
--- a/packages/gate/daemon_internal.h
+++ b/packages/gate/daemon_internal.h
@@ -54,7 +54,7 @@
 extern const struct lw_ops dm_load_ops;
 
 /* Publishes the prompt parts that crash engines to the other daemons. */
-void Dm_PublishPoison(void *arg, const struct gq_word *report);
+void Dm_PublishPoison(void *arg, const struct gq_rows *report);
 
 const char *Dm_NotReady(const struct dm_daemon *daemon);
 void Dm_ConfigApplied(void *arg, uint64_t offset);
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -39,7 +39,7 @@
             listed = listed || strcmp(hosts[i].id, member->id) == 0;
         }
         if (member->state == MB_DEAD && !listed) {
-            In_Member(daemon->gate.intake, member->id, false);
+            In_SetMember(daemon->gate.intake, member->id, false);
         }
     }
 }
@@ -53,7 +53,7 @@
         In_Join(daemon->gate.intake);
     }
     daemon->host_list_read = true;
-    Ep_Sync(daemon->gate.endpoints, hosts, count);
+    Ep_ApplyHostList(daemon->gate.endpoints, hosts, count);
     Pe_Seed(daemon->peers, hosts, count);
 }
 
@@ -67,7 +67,7 @@
         }
         return;
     }
-    Ep_Leaving(daemon->gate.endpoints, host, left_usec);
+    Ep_SetLeaving(daemon->gate.endpoints, host, left_usec);
     Pe_PublishHostLeaving(daemon->peers, host, left_usec);
 }
 
@@ -110,9 +110,9 @@
 }
 
 const struct gc_ops dm_claim_ops = {
-    .keeper = claim_keeper,
-    .ask = claim_call,
-    .dead = claim_owner_ended,
+    .assigned_node = claim_keeper,
+    .send = claim_call,
+    .has_ended = claim_owner_ended,
 };
 
 /*
@@ -126,7 +126,7 @@
     Pe_PublishConfigOffset(daemon->peers, offset);
     daemon->next_offset = Ck_Now(daemon->gate.clock) + Dm_REPUBLISH_USEC;
     if (daemon->admin != NULL) {
-        Ad_Advanced(daemon->admin);
+        Ad_AnswerVerdicts(daemon->admin);
     }
 }
 
@@ -155,17 +155,19 @@
 peer_load(void *arg, const struct lw_report *report)
 {
     struct dm_daemon *daemon = arg;
-    Ep_Report(daemon->gate.endpoints, report->service, report->endpoint,
-              &report->sample);
-    Ep_Brittle(daemon->gate.endpoints, report->service, report->endpoint,
-               report->refusals_borne, report->sample.taken);
-    if (report->tells_cold) {
-        Ep_Cold(daemon->gate.endpoints, report->service, report->endpoint,
-                report->cold_usec, report->sample.taken);
+    Ep_SetLoad(daemon->gate.endpoints, report->service, report->endpoint,
+               &report->sample);
+    Ep_SetRefusalsBorne(daemon->gate.endpoints, report->service,
+                        report->endpoint, report->refusals_borne,
+                        report->sample.taken);
+    if (report->has_cold) {
+        Ep_SetColdLeft(daemon->gate.endpoints, report->service,
+                       report->endpoint, report->cold_left_usec,
+                       report->sample.taken);
     }
     if (report->leaving) {
-        Ep_Leaving(daemon->gate.endpoints, report->endpoint,
-                   report->left_usec);
+        Ep_SetLeaving(daemon->gate.endpoints, report->endpoint,
+                      report->left_usec);
     }
 }
 
@@ -173,7 +175,7 @@
 peer_leaving(void *arg, const char *host, int64_t left_usec)
 {
     struct dm_daemon *daemon = arg;
-    Ep_Leaving(daemon->gate.endpoints, host, left_usec);
+    Ep_SetLeaving(daemon->gate.endpoints, host, left_usec);
 }
 
 static void
@@ -187,7 +189,7 @@
 peer_demand(void *arg, const char *node, const struct pf_demands *demands)
 {
     struct dm_daemon *daemon = arg;
-    In_Hear(daemon->gate.intake, node, demands);
+    In_ReceiveDemands(daemon->gate.intake, node, demands);
 }
 
 static void
@@ -203,7 +205,7 @@
 peer_member(void *arg, const char *node, bool present)
 {
     struct dm_daemon *daemon = arg;
-    In_Member(daemon->gate.intake, node, present);
+    In_SetMember(daemon->gate.intake, node, present);
 }
 
 static void
@@ -232,14 +234,14 @@
 }
 
 static void
-peer_poison(void *arg, const struct gq_word *report)
+peer_poison(void *arg, const struct gq_rows *report)
 {
     struct dm_daemon *daemon = arg;
-    Gq_Hear(daemon->gate.quarantine, report);
+    Gq_Import(daemon->gate.quarantine, report);
 }
 
 void
-Dm_PublishPoison(void *arg, const struct gq_word *report)
+Dm_PublishPoison(void *arg, const struct gq_rows *report)
 {
     struct dm_daemon *daemon = arg;
     Pe_PublishPoison(daemon->peers, report);
@@ -328,7 +330,7 @@
 }
 
 const struct lw_ops dm_load_ops = {
-    .mine = load_is_watcher,
+    .is_assigned = load_is_watcher,
     .report = load_report,
-    .silent = load_silent,
+    .unreachable = load_silent,
 };
--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -209,7 +209,7 @@
              endpoint = Ch_Next(endpoint)) {
             const struct ch_info *info = Ch_Info(endpoint);
             if (strcmp(info->data_centre, data_centre) == 0) {
-                Ch_Cold(service->table, info->id, wanted->cold_usec, now);
+                Ch_SetCold(service->table, info->id, wanted->cold_usec, now);
             }
         }
     }
@@ -257,7 +257,7 @@
 
 /* The daemons among which the senders to a cold endpoint are selected. */
 struct wu_hosts *
-Ep_Hosts(struct ep_pool *pool)
+Ep_WarmupHosts(struct ep_pool *pool)
 {
     return &pool->hosts;
 }
@@ -375,8 +375,8 @@
     Ch_Put(service->table, &info);
     if (fresh) {
         /* The list lags, so its warm-up time only counts the first time. */
-        Ch_Cold(service->table, host->id, host->cold_usec,
-                Ck_Now(pool->gate->clock));
+        Ch_SetCold(service->table, host->id, host->cold_usec,
+                   Ck_Now(pool->gate->clock));
     }
     /*
      * The list lags and may still say "live" after a reclaim notice, so an
@@ -413,7 +413,8 @@
 
 /* Applies a host list: adds, updates and removes endpoints. */
 void
-Ep_Sync(struct ep_pool *pool, const struct hl_host *hosts, size_t count)
+Ep_ApplyHostList(struct ep_pool *pool, const struct hl_host *hosts,
+                 size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         if (hosts[i].role == HL_ENDPOINT && hosts[i].service[0] != '\0') {
@@ -435,7 +436,7 @@
 
 /* Marks a host, which will be reclaimed in left_usec, as leaving. */
 void
-Ep_Leaving(struct ep_pool *pool, const char *host, int64_t left_usec)
+Ep_SetLeaving(struct ep_pool *pool, const char *host, int64_t left_usec)
 {
     struct service *service;
     add_notice(pool, host, Ck_Now(pool->gate->clock) + left_usec);
@@ -459,8 +460,8 @@
 
 /* Applies a load report; "service" may be NULL when it is unknown. */
 void
-Ep_Report(struct ep_pool *pool, const char *service, const char *endpoint,
-          const struct ch_sample *sample)
+Ep_SetLoad(struct ep_pool *pool, const char *service, const char *endpoint,
+           const struct ch_sample *sample)
 {
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
@@ -482,15 +483,15 @@
         return;
     }
     bool before = Ch_IsBrittle(found, now);
-    if (Ch_Brittle(service->table, endpoint, most, taken) == ST_OK &&
+    if (Ch_SetRefusalLimit(service->table, endpoint, most, taken) == ST_OK &&
         before != Ch_IsBrittle(found, now)) {
         Ev_Log(&GT_BRITTLE, "service=%s most=%d", service->name, most);
     }
 }
 
 void
-Ep_Brittle(struct ep_pool *pool, const char *service, const char *endpoint,
-           int most, int64_t taken)
+Ep_SetRefusalsBorne(struct ep_pool *pool, const char *service,
+                    const char *endpoint, int most, int64_t taken)
 {
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
@@ -501,13 +502,13 @@
 }
 
 void
-Ep_Cold(struct ep_pool *pool, const char *service, const char *endpoint,
-        int64_t left_usec, int64_t taken)
+Ep_SetColdLeft(struct ep_pool *pool, const char *service, const char *endpoint,
+               int64_t left_usec, int64_t taken)
 {
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
         if (service == NULL || strcmp(at->name, service) == 0) {
-            Ch_Cold(at->table, endpoint, left_usec, taken);
+            Ch_SetCold(at->table, endpoint, left_usec, taken);
         }
     }
 }
--- a/packages/gate/endpoints.h
+++ b/packages/gate/endpoints.h
@@ -24,21 +24,22 @@
                          struct ep_pool **out);
 void Ep_Destroy(struct ep_pool *pool);
 void Ep_Configure(struct ep_pool *pool, const struct cf_config *config);
-void Ep_Sync(struct ep_pool *pool, const struct hl_host *hosts, size_t count);
-struct wu_hosts *Ep_Hosts(struct ep_pool *pool);
-void Ep_Leaving(struct ep_pool *pool, const char *host, int64_t left_usec);
-void Ep_Report(struct ep_pool *pool, const char *service, const char *endpoint,
-               const struct ch_sample *sample);
+void Ep_ApplyHostList(struct ep_pool *pool, const struct hl_host *hosts,
+                      size_t count);
+struct wu_hosts *Ep_WarmupHosts(struct ep_pool *pool);
+void Ep_SetLeaving(struct ep_pool *pool, const char *host, int64_t left_usec);
+void Ep_SetLoad(struct ep_pool *pool, const char *service,
+                const char *endpoint, const struct ch_sample *sample);
 /*
  * Takes the number of refused requests a second that an endpoint and the
  * others of its service can bear, from a load report taken at "taken".
  * "most" below 0: the report does not contain the number.
  */
-void Ep_Brittle(struct ep_pool *pool, const char *service,
-                const char *endpoint, int most, int64_t taken);
+void Ep_SetRefusalsBorne(struct ep_pool *pool, const char *service,
+                         const char *endpoint, int most, int64_t taken);
 /* Sets how much longer an endpoint will be cold, as measured at "taken". */
-void Ep_Cold(struct ep_pool *pool, const char *service, const char *endpoint,
-             int64_t left_usec, int64_t taken);
+void Ep_SetColdLeft(struct ep_pool *pool, const char *service,
+                    const char *endpoint, int64_t left_usec, int64_t taken);
 void Ep_Distrust(struct ep_pool *pool, const char *service,
                  const char *version);
 void Ep_SetShares(struct ep_pool *pool, const char *service,
--- a/packages/gate/gate.c
+++ b/packages/gate/gate.c
@@ -35,9 +35,9 @@
     In_Configure(gate->intake, config);
     Ev_Log(&GT_CONFIG_IN_FORCE,
            "offset=%llu by=%s age_ms=%lld word_ms=%lld unread_ms=%lld",
-           (unsigned long long)config->offset, origin->by,
-           in_ms(origin->age_usec), in_ms(origin->word_usec),
-           in_ms(origin->unread_usec));
+           (unsigned long long)config->offset, origin->source,
+           in_ms(origin->age_usec), in_ms(origin->since_announced_usec),
+           in_ms(origin->since_log_read_usec));
 }
 
 /* Adds one to a counter with at most one label. */
--- a/packages/gate/gate.h
+++ b/packages/gate/gate.h
@@ -78,10 +78,11 @@
      * "read": from the log; "word": from the log, after a peer announced it;
      * "peer": from a peer, without the log.
      */
-    const char *by;
-    int64_t age_usec;    /* since it was written; -1: unknown */
-    int64_t word_usec;   /* since a peer announced it; -1: none did */
-    int64_t unread_usec; /* since the log was last read to its end; or -1 */
+    const char *source;
+    int64_t age_usec;             /* since it was written; -1: unknown */
+    int64_t since_announced_usec; /* since a peer announced it; -1: none did */
+    int64_t since_log_read_usec;  /* since the log was last read to its end; or
+                                     -1 */
 };
 
 void Gt_SetConfig(struct gt_gate *gate, struct cf_config *config,
--- a/packages/gate/intake.c
+++ b/packages/gate/intake.c
@@ -32,7 +32,7 @@
 static void
 on_dispatch(void *arg)
 {
-    In_Pump(arg);
+    In_DispatchQueued(arg);
 }
 
 /* Creates an intake without customers and queues. */
@@ -128,7 +128,7 @@
 
 /* Adds or removes another daemon that the customer limits are divided by. */
 void
-In_Member(struct in_intake *intake, const char *node, bool present)
+In_SetMember(struct in_intake *intake, const char *node, bool present)
 {
     if (present) {
         Am_AddPeer(intake->limits, node);
@@ -140,12 +140,12 @@
 
 /* Takes the customer demands that another daemon has published. */
 void
-In_Hear(struct in_intake *intake, const char *node,
-        const struct pf_demands *demands)
+In_ReceiveDemands(struct in_intake *intake, const char *node,
+                  const struct pf_demands *demands)
 {
-    Am_Hear(intake->limits, node, demands->rows, demands->count,
-            Ck_Now(intake->gate->clock));
-    Am_HearCount(intake->limits, node, demands->daemons);
+    Am_ReceiveDemands(intake->limits, node, demands->rows, demands->count,
+                      Ck_Now(intake->gate->clock));
+    Am_ReceiveDaemonCount(intake->limits, node, demands->daemons);
 }
 
 /* Starts joining: other daemons exist but do not count this one yet. */
@@ -161,7 +161,7 @@
 {
     out->count = Am_Publish(intake->limits, Ck_Now(intake->gate->clock),
                             out->rows, Pf_DEMANDS_MAX);
-    out->daemons = Am_Daemons(intake->limits);
+    out->daemons = Am_DaemonCount(intake->limits);
 }
 
 /* Whether other daemons may still divide the limits without this one. */
@@ -173,16 +173,16 @@
 
 /* The number of daemons that the customer limits are divided by. */
 size_t
-In_Daemons(const struct in_intake *intake)
+In_DaemonCount(const struct in_intake *intake)
 {
-    return Am_Daemons(intake->limits);
+    return Am_DaemonCount(intake->limits);
 }
 
 /* The interval between two publications of demands, in microseconds. */
 int64_t
 In_PublishInterval(const struct in_intake *intake)
 {
-    return Am_Interval(intake->limits);
+    return Am_PublishInterval(intake->limits);
 }
 
 /* The number of requests waiting in all queues. */
@@ -301,8 +301,8 @@
         request->queued = false;
     }
     if (request->admitted) {
-        Am_Done(intake->limits, request->customer->name,
-                Ck_Now(intake->gate->clock));
+        Am_Release(intake->limits, request->customer->name,
+                   Ck_Now(intake->gate->clock));
         request->admitted = false;
     }
     if (In_Queued(intake) > 0) {
@@ -315,7 +315,7 @@
 refuse_expired(struct service_queue *service_queue, int64_t now)
 {
     struct qu_item *item;
-    while ((item = Qu_Late(service_queue->queue, now)) != NULL) {
+    while ((item = Qu_PopExpired(service_queue->queue, now)) != NULL) {
         struct rq_request *request = item->request;
         request->queued = false;
         Rq_Refuse(request, AN_DEADLINE, In_RETRY_SOON_SEC,
@@ -348,7 +348,7 @@
 
 /* Dispatches queued requests as far as the endpoints have free capacity. */
 void
-In_Pump(struct in_intake *intake)
+In_DispatchQueued(struct in_intake *intake)
 {
     if (intake->dispatching) {
         return;
--- a/packages/gate/intake.h
+++ b/packages/gate/intake.h
@@ -26,17 +26,17 @@
 
 /* Commands. */
 void In_Configure(struct in_intake *intake, const struct cf_config *config);
-void In_Member(struct in_intake *intake, const char *node, bool present);
-void In_Hear(struct in_intake *intake, const char *node,
-             const struct pf_demands *demands);
+void In_SetMember(struct in_intake *intake, const char *node, bool present);
+void In_ReceiveDemands(struct in_intake *intake, const char *node,
+                       const struct pf_demands *demands);
 void In_Join(struct in_intake *intake);
 void In_Publish(struct in_intake *intake, struct pf_demands *out);
 void In_Submit(struct in_intake *intake, struct rq_request *request);
 void In_Remove(struct in_intake *intake, struct rq_request *request);
-void In_Pump(struct in_intake *intake);
+void In_DispatchQueued(struct in_intake *intake);
 
 /* Queries. */
-size_t In_Daemons(const struct in_intake *intake);
+size_t In_DaemonCount(const struct in_intake *intake);
 bool In_IsJoining(const struct in_intake *intake);
 int64_t In_PublishInterval(const struct in_intake *intake);
 int In_Queued(const struct in_intake *intake);
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -88,7 +88,7 @@
     struct lw_watch *watch = poll->watch;
     poll->failures++;
     if (poll->failures == Lw_SILENT_FAILURES) {
-        watch->ops->silent(watch->arg, poll->service, poll->endpoint);
+        watch->ops->unreachable(watch->arg, poll->service, poll->endpoint);
     }
 }
 
@@ -135,13 +135,13 @@
             },
         .leaving = state != NULL && strcmp(state, "leaving") == 0,
         .left_usec = number(body, "left_ms") * Ck_USEC_PER_MSEC,
-        .tells_cold = json_is_integer(json_object_get(body, "cold_ms")),
-        .cold_usec = number(body, "cold_ms") * Ck_USEC_PER_MSEC,
+        .has_cold = json_is_integer(json_object_get(body, "cold_ms")),
+        .cold_left_usec = number(body, "cold_ms") * Ck_USEC_PER_MSEC,
         .refusals_borne =
             json_is_integer(json_object_get(body, "refusals_borne"))
                 ? number(body, "refusals_borne")
                 : -1,
-        .spread_usec = gossip_interval(watch),
+        .gossip_interval_usec = gossip_interval(watch),
     };
     strlcpy(report.version, version != NULL ? version : "",
             sizeof(report.version));
@@ -165,7 +165,7 @@
 poll_if_assigned(struct lw_watch *watch, const char *service,
                  const struct ch_info *info)
 {
-    if (!watch->ops->mine(watch->arg, info)) {
+    if (!watch->ops->is_assigned(watch->arg, info)) {
         return;
     }
     struct poll *poll = find_poll(watch, service, info->id);
--- a/packages/gate/loadwatch.h
+++ b/packages/gate/loadwatch.h
@@ -21,21 +21,21 @@
     const char *endpoint;
     struct ch_sample sample;
     bool leaving;
-    int64_t left_usec;  /* time until it is reclaimed, if leaving */
-    bool tells_cold;    /* cold_usec is valid */
-    int64_t cold_usec;  /* remaining warm-up time when sampled */
+    int64_t left_usec;      /* time until it is reclaimed, if leaving */
+    bool has_cold;          /* cold_usec is valid */
+    int64_t cold_left_usec; /* remaining warm-up time when sampled */
     int refusals_borne; /* refusals a second it can bear; below 0: unknown */
     char version[Ch_NAME_MAX];
     /* The shortest interval between two gossiped samples of one endpoint. */
-    int64_t spread_usec;
+    int64_t gossip_interval_usec;
 };
 
 struct lw_ops {
     /* Whether this daemon polls the endpoint. */
-    bool (*mine)(void *arg, const struct ch_info *info);
+    bool (*is_assigned)(void *arg, const struct ch_info *info);
     void (*report)(void *arg, const struct lw_report *report);
     /* Called when several polls of an endpoint in a row have failed. */
-    void (*silent)(void *arg, const char *service, const char *endpoint);
+    void (*unreachable)(void *arg, const char *service, const char *endpoint);
 };
 
 enum st_status Lw_Create(struct gt_gate *gate, const struct lw_ops *ops,
--- a/packages/gate/moves.h
+++ b/packages/gate/moves.h
@@ -51,7 +51,8 @@
 
 /* Commands. */
 void Mo_Tick(struct mo_moves *moves);
-void Mo_Note(struct mo_moves *moves, const struct mo_outcome *outcome);
+void Mo_RecordOutcome(struct mo_moves *moves,
+                      const struct mo_outcome *outcome);
 void Mo_HandleReport(struct mo_moves *moves, const char *text, size_t len);
 
 /* Queries. */
--- a/packages/gate/moves_holder.c
+++ b/packages/gate/moves_holder.c
@@ -86,7 +86,7 @@
         .fence = permit.fence,
         .move = service->working,
     };
-    Mv_Sentence(&service->working, record.sentence, sizeof(record.sentence));
+    Mv_Describe(&service->working, record.sentence, sizeof(record.sentence));
     int64_t deadline = Ck_Now(moves->gate->clock) + Mo_APPEND_USEC;
     service->appending =
         Ct_Append(moves->control, Mw_KIND, Mw_WriteRecord(&record), deadline,
@@ -95,7 +95,7 @@
 
 static void
 collect_view(struct mo_moves *moves, struct mo_service *service,
-             struct mv_view *view)
+             struct mv_tick_input *view)
 {
     struct ch_table *table = Ep_Table(moves->gate->endpoints, service->name);
     const char *routers[Mo_ROUTERS_MAX];
@@ -124,7 +124,7 @@
     Ch_Capacity(table, Ck_Now(moves->gate->clock), &capacity);
     view->new_capacity =
         old_slots > new_slots ? (double)new_slots / old_slots : 1;
-    view->distrusted = !Ch_Trusted(table, service->working.plan.to);
+    view->any_tripped = !Ch_Trusted(table, service->working.plan.to);
     /* The load is spread evenly, so each router has about the same. */
     view->per_sec =
         capacity.per_sec *
@@ -140,7 +140,7 @@
 {
     int64_t now = Ck_Now(moves->gate->clock);
     int64_t wall = Ck_Wall(moves->gate->clock);
-    struct mv_view view;
+    struct mv_tick_input view;
     if (now - service->block_closed_at >= Mo_CLOSE_USEC) {
         service->block_closed_at = now;
         Mv_CloseBlock(service->evidence);
--- a/packages/gate/moves_router.c
+++ b/packages/gate/moves_router.c
@@ -126,7 +126,7 @@
  * waiting for the log or for a peer.
  */
 void
-Mo_Note(struct mo_moves *moves, const struct mo_outcome *outcome)
+Mo_RecordOutcome(struct mo_moves *moves, const struct mo_outcome *outcome)
 {
     struct mo_service *service = Mo_Find(moves, outcome->service);
     if (service == NULL || service->plan.to[0] == '\0') {
--- a/packages/gate/moves_wire.c
+++ b/packages/gate/moves_wire.c
@@ -59,7 +59,7 @@
     strlcpy(move->reason, text_of(body, "reason"), sizeof(move->reason));
     strlcpy(out->sentence, text_of(body, "sentence"), sizeof(out->sentence));
     return plan->service[0] != '\0' && plan->to[0] != '\0' &&
-           phase >= MV_PLANNED && phase <= MV_TAKEN_BACK;
+           phase >= MV_PLANNED && phase <= MV_ROLLED_BACK;
 }
 
 static json_t *
--- a/packages/gate/peer_facts.c
+++ b/packages/gate/peer_facts.c
@@ -101,7 +101,7 @@
 
 /* Encodes where a daemon accepts tunnels; 0 when it does not fit. */
 size_t
-Pf_WriteTunnel(const struct pf_through *tunnel, char *out, size_t size)
+Pf_WriteTunnel(const struct pf_tunnel *tunnel, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
@@ -109,7 +109,7 @@
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, Pf_TUNNEL_FIELDS);
     msgpack_pack_uint64(&packer, tunnel->port);
-    msgpack_pack_uint64(&packer, tunnel->cut);
+    msgpack_pack_uint64(&packer, tunnel->endpoints_cut);
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
     return len;
@@ -117,7 +117,7 @@
 
 /* Decodes where another daemon accepts tunnels. */
 bool
-Pf_ReadTunnel(const void *value, size_t len, struct pf_through *out)
+Pf_ReadTunnel(const void *value, size_t len, struct pf_tunnel *out)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -128,7 +128,7 @@
     if (valid) {
         const msgpack_object *field = unpacked.data.via.array.ptr;
         out->port = (uint16_t)read_int(&field[0]);
-        out->cut = read_int(&field[1]) != 0;
+        out->endpoints_cut = read_int(&field[1]) != 0;
     }
     msgpack_unpacked_destroy(&unpacked);
     return valid;
@@ -155,9 +155,9 @@
         msgpack_pack_false(&packer);
     }
     msgpack_pack_int64(&packer, report->left_usec / Pf_TIME_UNIT_USEC);
-    msgpack_pack_int64(&packer, report->tells_cold
-                                    ? report->cold_usec / Pf_TIME_UNIT_USEC
-                                    : -1);
+    msgpack_pack_int64(&packer, report->has_cold ? report->cold_left_usec /
+                                                       Pf_TIME_UNIT_USEC
+                                                 : -1);
     msgpack_pack_int(&packer, report->refusals_borne);
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
@@ -202,8 +202,8 @@
         int64_t cold = size >= Pf_LOAD_FIELDS_COLD ? read_int(&field[6]) : -1;
         out->refusals_borne =
             size >= Pf_LOAD_FIELDS ? (int)read_int(&field[7]) : -1;
-        out->tells_cold = cold >= 0;
-        out->cold_usec = cold >= 0 ? cold * Pf_TIME_UNIT_USEC : 0;
+        out->has_cold = cold >= 0;
+        out->cold_left_usec = cold >= 0 ? cold * Pf_TIME_UNIT_USEC : 0;
     }
     msgpack_unpacked_destroy(&unpacked);
     return valid;
@@ -228,7 +228,7 @@
         msgpack_pack_str_body(&packer, row->customer, len);
         msgpack_pack_float(&packer, (float)row->per_sec);
         msgpack_pack_float(&packer, (float)row->in_flight);
-        msgpack_pack_int(&packer, row->places);
+        msgpack_pack_int(&packer, row->slots);
     }
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
@@ -262,9 +262,9 @@
     out->customer[field[0].via.str.size] = '\0';
     out->per_sec = read_double(&field[1]);
     out->in_flight = read_double(&field[2]);
-    out->places = object->via.array.size < Pf_DEMAND_FIELDS
-                      ? -1
-                      : (int)read_int(&field[3]);
+    out->slots = object->via.array.size < Pf_DEMAND_FIELDS
+                     ? -1
+                     : (int)read_int(&field[3]);
     return true;
 }
 
--- a/packages/gate/peer_facts.h
+++ b/packages/gate/peer_facts.h
@@ -35,13 +35,13 @@
 };
 
 /* Where a daemon accepts tunnels: connections that it makes for its peers. */
-struct pf_through {
+struct pf_tunnel {
     uint16_t port;
-    bool cut; /* the daemon itself cannot reach some endpoints */
+    bool endpoints_cut; /* the daemon itself cannot reach some endpoints */
 };
 
-size_t Pf_WriteTunnel(const struct pf_through *tunnel, char *out, size_t size);
-bool Pf_ReadTunnel(const void *value, size_t len, struct pf_through *out);
+size_t Pf_WriteTunnel(const struct pf_tunnel *tunnel, char *out, size_t size);
+bool Pf_ReadTunnel(const void *value, size_t len, struct pf_tunnel *out);
 size_t Pf_WriteConfig(const struct pf_config *config, char *out, size_t size);
 bool Pf_ReadConfig(const void *value, size_t len, struct pf_config *out);
 bool Pf_WriteName(const char *prefix, const char *first, const char *second,
--- a/packages/gate/peer_poison.c
+++ b/packages/gate/peer_poison.c
@@ -7,24 +7,24 @@
 #include "policy/poison_pack.h"
 
 size_t
-Pp_Write(const char *key, const struct gq_word *rows, char *out, size_t size)
+Pp_Write(const char *key, const struct gq_rows *rows, char *out, size_t size)
 {
     msgpack_sbuffer buffer;
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     size_t count = 0;
-    if (strcmp(key, Pp_ENDED) == 0) {
+    if (strcmp(key, Pp_CRASHED) == 0) {
         count = rows->crash_count;
         Pz_PackCrashes(&packer, rows->crashes, count);
     }
-    else if (strcmp(key, Pp_BEGUN) == 0) {
+    else if (strcmp(key, Pp_CLEARED) == 0) {
         count = rows->clear_count;
         Pz_PackClears(&packer, rows->clears, count);
     }
     else {
         count = rows->stop_count;
-        Pz_PackStops(&packer, rows->stops, count);
+        Pz_PackQuarantines(&packer, rows->stops, count);
     }
     size_t len = count > 0 && buffer.size <= size ? buffer.size : 0;
     memcpy(out, buffer.data, len);
@@ -33,21 +33,22 @@
 }
 
 static void
-read_rows(const char *key, const msgpack_object *list, struct gq_word *out)
+read_rows(const char *key, const msgpack_object *list, struct gq_rows *out)
 {
-    if (strcmp(key, Pp_ENDED) == 0) {
+    if (strcmp(key, Pp_CRASHED) == 0) {
         out->crash_count = Pz_ReadCrashes(list, out->crashes, Gq_CRASHES_MAX);
     }
-    else if (strcmp(key, Pp_BEGUN) == 0) {
+    else if (strcmp(key, Pp_CLEARED) == 0) {
         out->clear_count = Pz_ReadClears(list, out->clears, Gq_CLEARS_MAX);
     }
     else {
-        out->stop_count = Pz_ReadStops(list, out->stops, Gq_STOPS_MAX);
+        out->stop_count =
+            Pz_ReadQuarantines(list, out->stops, Gq_QUARANTINES_MAX);
     }
 }
 
 bool
-Pp_Read(const char *key, const void *value, size_t len, struct gq_word *out)
+Pp_Read(const char *key, const void *value, size_t len, struct gq_rows *out)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -135,7 +135,7 @@
 poison_fact(void *arg, const struct fc_fact *fact)
 {
     struct pe_peers *peers = arg;
-    struct gq_word report;
+    struct gq_rows report;
     if (strcmp(fact->owner, Nd_Id(peers->node)) != 0 &&
         Pp_Read(fact->key, fact->value, fact->len, &report)) {
         peers->ops->poison(peers->arg, &report);
@@ -367,8 +367,8 @@
 
 /* Publishes where this daemon accepts tunnels for its peers. */
 void
-Pe_TellThrough(struct pe_peers *peers, const struct pf_through *tunnel,
-               int64_t ttl_usec)
+Pe_PublishTunnel(struct pe_peers *peers, const struct pf_tunnel *tunnel,
+                 int64_t ttl_usec)
 {
     char value[Fc_VALUE_MAX];
     struct fc_post post = {
@@ -385,8 +385,8 @@
 
 /* False when the daemon has not published where it accepts tunnels. */
 bool
-Pe_Through(const struct pe_peers *peers, const char *node,
-           struct pf_through *out)
+Pe_FindTunnel(const struct pe_peers *peers, const char *node,
+              struct pf_tunnel *out)
 {
     struct fc_fact fact;
     return Fc_Get(Nd_Facts(peers->node), node, Pf_TUNNEL, &fact) &&
@@ -496,11 +496,11 @@
     if (!Fc_Get(Nd_Facts(peers->node), "", key, &current) ||
         !Pf_ReadLoad(current.value, current.len, &last) ||
         last.leaving != report->leaving ||
-        (last.cold_usec > 0) != (report->cold_usec > 0)) {
+        (last.cold_left_usec > 0) != (report->cold_left_usec > 0)) {
         return false;
     }
     int64_t age = Ck_Wall(peers->gate->clock) - (int64_t)current.version;
-    return age < report->spread_usec;
+    return age < report->gossip_interval_usec;
 }
 
 /*
@@ -572,9 +572,9 @@
 
 /* Publishes what this daemon knows of prompt parts that crash engines. */
 void
-Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *report)
+Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *report)
 {
-    static const char *const keys[] = {Pp_ENDED, Pp_BEGUN, Pp_STOPPED};
+    static const char *const keys[] = {Pp_CRASHED, Pp_CLEARED, Pp_QUARANTINED};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
         char value[Fc_VALUE_MAX];
         struct fc_post post = {
--- a/packages/gate/peers.h
+++ b/packages/gate/peers.h
@@ -42,7 +42,7 @@
      * network partition it may still serve its portion of the limits.
      */
     void (*member)(void *arg, const char *node, bool present);
-    void (*poison)(void *arg, const struct gq_word *report);
+    void (*poison)(void *arg, const struct gq_rows *report);
     /* A router's report on a version move. */
     void (*move_report)(void *arg, const char *text, size_t len);
     /* A remote call about claims; reply with Lk_Reply(). */
@@ -66,11 +66,11 @@
                            int64_t left_usec);
 void Pe_PublishDistrust(struct pe_peers *peers, const char *service,
                         const char *version);
-void Pe_PublishPoison(struct pe_peers *peers, const struct gq_word *report);
+void Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *report);
 void Pe_PublishDemand(struct pe_peers *peers,
                       const struct pf_demands *demands);
-void Pe_TellThrough(struct pe_peers *peers, const struct pf_through *tunnel,
-                    int64_t ttl_usec);
+void Pe_PublishTunnel(struct pe_peers *peers, const struct pf_tunnel *tunnel,
+                      int64_t ttl_usec);
 void Pe_SendMoveReport(struct pe_peers *peers, const char *node,
                        const char *text, size_t len);
 enum st_status Pe_CallClaimKeeper(struct pe_peers *peers, const char *node,
@@ -86,8 +86,8 @@
 bool Pe_IsWatcher(struct pe_peers *peers, const struct ch_info *info);
 bool Pe_RunEnded(const struct pe_peers *peers, const char *node,
                  uint64_t incarnation);
-bool Pe_Through(const struct pe_peers *peers, const char *node,
-                struct pf_through *out);
+bool Pe_FindTunnel(const struct pe_peers *peers, const char *node,
+                   struct pf_tunnel *out);
 bool Pe_PeerOffsetKnown(const struct pe_peers *peers);
 uint64_t Pe_HighestOffset(const struct pe_peers *peers);
 json_t *Pe_Status(const struct pe_peers *peers, uint64_t own_offset);
--- a/packages/gate/quarantine.c
+++ b/packages/gate/quarantine.c
@@ -18,7 +18,7 @@
     struct pz_table *table;
     struct lp_timer *cancel_timer;
     int64_t published_at;
-    struct gq_word published;
+    struct gq_rows published;
 };
 
 /*
@@ -49,7 +49,8 @@
 }
 
 static void
-on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool from_peer)
+on_stopped(void *arg, const struct pz_quarantine *stop, int crashes,
+           bool from_peer)
 {
     struct gq_quarantine *quarantine = arg;
     Ev_Log(&GT_PART_STOPPED,
@@ -61,7 +62,7 @@
 }
 
 static void
-on_lifted(void *arg, const struct pz_stop *stop, const char *why)
+on_lifted(void *arg, const struct pz_quarantine *stop, const char *why)
 {
     (void)arg;
     Ev_Log(&GT_PART_LIFTED, "part=%08x service=%08x customer=%08x reason=%s",
@@ -100,7 +101,7 @@
     if (quarantine == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the stopped parts");
     }
-    struct pz_rule rule = Pz_Rule();
+    struct pz_rule rule = Pz_DefaultRule();
     quarantine->gate = gate;
     quarantine->publish = publish;
     quarantine->arg = arg;
@@ -133,7 +134,7 @@
                     const struct rq_request *request)
 {
     struct pz_request described = describe(request);
-    Pz_Began(quarantine->table, &described, wall_now(quarantine));
+    Pz_NoteAnswer(quarantine->table, &described, wall_now(quarantine));
 }
 
 void
@@ -144,26 +145,26 @@
     int64_t now = wall_now(quarantine);
     struct pz_crash crash = {
         .endpoint = (uint32_t)Hash_String(broke->endpoint, 0),
-        .begun = broke->head_received,
+        .head_received = broke->head_received,
         .sent_at = now - (Ck_Now(quarantine->gate->clock) - broke->sent_at),
         .ended_at = now,
     };
-    Pz_Ended(quarantine->table, &described, &crash);
-    Pz_Judge(quarantine->table, now);
+    Pz_NoteCrash(quarantine->table, &described, &crash);
+    Pz_Evaluate(quarantine->table, now);
 }
 
 void
 Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint)
 {
-    Pz_Lives(quarantine->table, (uint32_t)Hash_String(endpoint, 0),
-             wall_now(quarantine));
+    Pz_NoteAlive(quarantine->table, (uint32_t)Hash_String(endpoint, 0),
+                 wall_now(quarantine));
 }
 
 void
 Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint)
 {
-    Pz_Dead(quarantine->table, (uint32_t)Hash_String(endpoint, 0));
-    Pz_Judge(quarantine->table, wall_now(quarantine));
+    Pz_ConfirmDead(quarantine->table, (uint32_t)Hash_String(endpoint, 0));
+    Pz_Evaluate(quarantine->table, wall_now(quarantine));
 }
 
 bool
@@ -171,8 +172,8 @@
                  const struct rq_request *request, uint32_t *part)
 {
     struct pz_request described = describe(request);
-    const struct pz_stop *stop =
-        Pz_Refuses(quarantine->table, &described, wall_now(quarantine));
+    const struct pz_quarantine *stop =
+        Pz_FindQuarantine(quarantine->table, &described, wall_now(quarantine));
     *part = stop == NULL ? 0 : stop->key.part;
     return stop != NULL;
 }
@@ -182,39 +183,40 @@
                const struct rq_request *request)
 {
     struct pz_request described = describe(request);
-    return Pz_Doubts(quarantine->table, &described, wall_now(quarantine));
+    return Pz_DeniesRetry(quarantine->table, &described, wall_now(quarantine));
 }
 
 void
-Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *rows)
+Gq_Import(struct gq_quarantine *quarantine, const struct gq_rows *rows)
 {
     for (size_t i = 0; i < rows->clear_count; i++) {
-        Pz_HearClear(quarantine->table, &rows->clears[i]);
+        Pz_ImportClear(quarantine->table, &rows->clears[i]);
     }
     for (size_t i = 0; i < rows->stop_count; i++) {
-        Pz_HearStop(quarantine->table, &rows->stops[i], wall_now(quarantine));
+        Pz_ImportQuarantine(quarantine->table, &rows->stops[i],
+                            wall_now(quarantine));
     }
     for (size_t i = 0; i < rows->crash_count; i++) {
-        Pz_HearCrash(quarantine->table, &rows->crashes[i]);
+        Pz_ImportCrash(quarantine->table, &rows->crashes[i]);
     }
 }
 
 static void
-collect(const struct gq_quarantine *quarantine, struct gq_word *rows)
+collect(const struct gq_quarantine *quarantine, struct gq_rows *rows)
 {
     int64_t now = wall_now(quarantine);
     memset(rows, 0, sizeof(*rows));
-    rows->crash_count =
-        Pz_TellCrashes(quarantine->table, rows->crashes, Gq_CRASHES_MAX, now);
+    rows->crash_count = Pz_ExportCrashes(quarantine->table, rows->crashes,
+                                         Gq_CRASHES_MAX, now);
     rows->clear_count =
-        Pz_TellClears(quarantine->table, rows->clears, Gq_CLEARS_MAX, now);
-    rows->stop_count =
-        Pz_TellStops(quarantine->table, rows->stops, Gq_STOPS_MAX);
+        Pz_ExportClears(quarantine->table, rows->clears, Gq_CLEARS_MAX, now);
+    rows->stop_count = Pz_ExportQuarantines(quarantine->table, rows->stops,
+                                            Gq_QUARANTINES_MAX);
 }
 
 /* Compares the counts and the newest crash, which is in the first row. */
 static bool
-has_changed(const struct gq_word *rows, const struct gq_word *published)
+has_changed(const struct gq_rows *rows, const struct gq_rows *published)
 {
     return rows->crash_count != published->crash_count ||
            rows->clear_count != published->clear_count ||
@@ -231,11 +233,11 @@
 Gq_Tick(struct gq_quarantine *quarantine)
 {
     int64_t now = Ck_Now(quarantine->gate->clock);
-    Pz_Judge(quarantine->table, wall_now(quarantine));
+    Pz_Evaluate(quarantine->table, wall_now(quarantine));
     if (now - quarantine->published_at < Gq_PUBLISH_USEC) {
         return;
     }
-    struct gq_word rows;
+    struct gq_rows rows;
     collect(quarantine, &rows);
     bool any = rows.crash_count + rows.clear_count + rows.stop_count > 0;
     bool changed = has_changed(&rows, &quarantine->published);
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -16,24 +16,24 @@
 struct gq_quarantine;
 
 /* A caller that retries sooner is refused again. */
-#define Gq_RETRY_SEC ((int)(Pz_STOP_LASTS_USEC / Ck_USEC_PER_SEC))
+#define Gq_RETRY_SEC ((int)(Pz_QUARANTINE_TTL_USEC / Ck_USEC_PER_SEC))
 
 /* Rows that a daemon publishes; each list must fit one gossip value. */
 #define Gq_CRASHES_MAX 5
 #define Gq_CLEARS_MAX 8
-#define Gq_STOPS_MAX 7
+#define Gq_QUARANTINES_MAX 7
 
 /* The rows that one daemon publishes; a "stop" is a quarantined part. */
-struct gq_word {
+struct gq_rows {
     size_t crash_count;
     struct pz_crash crashes[Gq_CRASHES_MAX]; /* newest first */
     size_t clear_count;
     struct pz_clear clears[Gq_CLEARS_MAX]; /* parts that got a token */
     size_t stop_count;
-    struct pz_stop stops[Gq_STOPS_MAX];
+    struct pz_quarantine stops[Gq_QUARANTINES_MAX];
 };
 
-typedef void (*gq_publish_fn)(void *arg, const struct gq_word *rows);
+typedef void (*gq_publish_fn)(void *arg, const struct gq_rows *rows);
 
 enum st_status Gq_Create(struct gt_gate *gate, gq_publish_fn publish,
                          void *arg, struct gq_quarantine **out);
@@ -63,7 +63,7 @@
 bool Gq_DeniesRetry(const struct gq_quarantine *quarantine,
                     const struct rq_request *request);
 /* Merges the rows that another daemon has published. */
-void Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *rows);
+void Gq_Import(struct gq_quarantine *quarantine, const struct gq_rows *rows);
 
 #ifdef __cplusplus
 }
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -34,7 +34,7 @@
     TAILQ_ENTRY(link) link;
     struct rh_reach *reach;
     char endpoint[Ch_NAME_MAX];
-    struct wy_link path;
+    struct li_link path;
     struct di_dial *probe;
     int64_t used_at; /* last planned connection */
 };
@@ -46,7 +46,7 @@
     struct pe_peers *peers;
     struct th_through *through;
     struct link_list links;
-    struct wy_failures failures; /* keyed by the hash of a daemon's id */
+    struct li_failures failures; /* keyed by the hash of a daemon's id */
     char credentials[sizeof(Rh_USER) + Hash_DIGEST_HEX];
     bool any_cut; /* any link is cut */
     bool published_cut;
@@ -192,7 +192,7 @@
 /* Peers that have published a port to connect through. */
 struct candidates {
     size_t count;
-    struct wy_peer peers[Rh_PEERS_MAX];
+    struct li_peer peers[Rh_PEERS_MAX];
     struct {
         const struct mb_record *member;
         uint16_t port;
@@ -209,19 +209,19 @@
     const struct mb_record *member = Mb_First(members);
     for (; member != NULL && out->count < Rh_PEERS_MAX;
          member = Mb_Next(member)) {
-        struct pf_through fact;
+        struct pf_tunnel fact;
         if (member->state != MB_ALIVE || !Mb_Usable(members, member) ||
             strcmp(member->id, Nd_Id(node)) == 0 ||
-            !Pe_Through(reach->peers, member->id, &fact)) {
+            !Pe_FindTunnel(reach->peers, member->id, &fact)) {
             continue;
         }
         out->rows[out->count].member = member;
         out->rows[out->count].port = fact.port;
-        out->peers[out->count++] = (struct wy_peer){
-            .near = strcmp(member->data_centre, own) == 0,
-            .cut = fact.cut,
+        out->peers[out->count++] = (struct li_peer){
+            .same_data_centre = strcmp(member->data_centre, own) == 0,
+            .cut = fact.endpoints_cut,
             .failed_at =
-                Wy_FailedAt(&reach->failures, Hash_String(member->id, 0)),
+                Li_LastFailure(&reach->failures, Hash_String(member->id, 0)),
         };
     }
 }
@@ -238,7 +238,7 @@
     }
     struct gt_gate *gate = reach->gate;
     size_t picked =
-        Wy_PickPeer(&link->path, candidates.peers, candidates.count,
+        Li_PickPeer(&link->path, candidates.peers, candidates.count,
                     Rn_Unit(&gate->random), Ck_Now(gate->clock));
     const struct mb_record *member = candidates.rows[picked].member;
     strlcpy(tries->peer_id, member->id, sizeof(tries->peer_id));
@@ -262,16 +262,16 @@
     memset(tries, 0, sizeof(*tries));
     strlcpy(tries->endpoint, info->id, sizeof(tries->endpoint));
     struct link *link = get_link(reach, info->id);
-    enum wy_order order =
-        link == NULL ? WY_DIRECT_ONLY
-                     : Wy_Order(&link->path, Ck_Now(reach->gate->clock));
-    if (order != WY_DIRECT_ONLY && !pick_peer(reach, link, tries)) {
-        order = WY_DIRECT_ONLY;
+    enum li_order order =
+        link == NULL ? LI_DIRECT_ONLY
+                     : Li_Order(&link->path, Ck_Now(reach->gate->clock));
+    if (order != LI_DIRECT_ONLY && !pick_peer(reach, link, tries)) {
+        order = LI_DIRECT_ONLY;
     }
-    if (order == WY_DIRECT_FIRST) {
-        add_step(tries, false, Wy_PATIENCE);
+    if (order == LI_DIRECT_FIRST) {
+        add_step(tries, false, Li_FALLBACK_USEC);
     }
-    if (order != WY_DIRECT_ONLY) {
+    if (order != LI_DIRECT_ONLY) {
         add_step(tries, true, Rh_PEER_CONNECT_USEC);
     }
     /* Last without a shorter limit, for an endpoint slow to connect. */
@@ -305,7 +305,7 @@
     struct link *link;
     TAILQ_FOREACH (link, &reach->links, link) {
         if (link->path.cut) {
-            Wy_TrySoon(&link->path);
+            Li_ProbeSoon(&link->path);
         }
     }
 }
@@ -315,9 +315,9 @@
 {
     struct link *link = find_link(reach, tries->endpoint);
     if (link != NULL &&
-        Wy_Ended(&link->path, tries->direct_outcome, tries->peer_outcome,
-                 Ck_Now(reach->gate->clock))) {
-        handle_change(reach, link, tries->direct_outcome == WY_OVERDUE);
+        Li_RecordOutcome(&link->path, tries->direct_outcome,
+                         tries->peer_outcome, Ck_Now(reach->gate->clock))) {
+        handle_change(reach, link, tries->direct_outcome == LI_OVERDUE);
     }
 }
 
@@ -328,7 +328,7 @@
         tries->connected = true;
         *(tries->steps[tries->step].through ? &tries->peer_outcome
                                             : &tries->direct_outcome) =
-            WY_CAME;
+            LI_CONNECTED;
         record_outcome(reach, tries);
     }
 }
@@ -343,19 +343,19 @@
     }
     bool through = tries->steps[tries->step].through;
     if (through) {
-        tries->peer_outcome = WY_FAILED;
-        Wy_NoteFailure(&reach->failures, Hash_String(tries->peer_id, 0),
+        tries->peer_outcome = LI_FAILED;
+        Li_NoteFailure(&reach->failures, Hash_String(tries->peer_id, 0),
                        Ck_Now(reach->gate->clock));
     }
     else {
         tries->direct_outcome =
-            result->status == ST_TIMEOUT ? WY_OVERDUE : WY_FAILED;
+            result->status == ST_TIMEOUT ? LI_OVERDUE : LI_FAILED;
     }
     /*
      * A direct attempt that failed is not repeated after the peer's; one that
      * only timed out is repeated without its short limit.
      */
-    bool refused = through && tries->direct_outcome == WY_FAILED;
+    bool refused = through && tries->direct_outcome == LI_FAILED;
     if (tries->step + 1 < tries->count && !refused) {
         tries->step++;
         return true;
@@ -371,12 +371,12 @@
     struct rh_reach *reach = link->reach;
     link->probe = NULL;
     if (result->sock == NULL) {
-        Wy_TrialFailed(&link->path);
+        Li_ProbeFailed(&link->path);
         return;
     }
     Sk_Close(result->sock);
-    if (Wy_Ended(&link->path, WY_CAME, WY_NOT_TRIED,
-                 Ck_Now(reach->gate->clock))) {
+    if (Li_RecordOutcome(&link->path, LI_CONNECTED, LI_NOT_TRIED,
+                         Ck_Now(reach->gate->clock))) {
         handle_change(reach, link, false);
     }
 }
@@ -386,20 +386,20 @@
 probe_link(struct rh_reach *reach, struct link *link, int64_t now)
 {
     if (link->probe != NULL) {
-        if (now - link->path.trial_at >= Rh_PROBE_TIMEOUT_USEC) {
+        if (now - link->path.probed_at >= Rh_PROBE_TIMEOUT_USEC) {
             Di_Cancel(link->probe);
             link->probe = NULL;
-            Wy_TrialFailed(&link->path);
+            Li_ProbeFailed(&link->path);
         }
         return;
     }
     struct di_plan plan = {.count = 1};
-    if (!Wy_TrialDue(&link->path, now) ||
+    if (!Li_IsProbeDue(&link->path, now) ||
         !Ep_Address(reach->gate->endpoints, link->endpoint,
                     plan.ways[0].address, sizeof(plan.ways[0].address))) {
         return;
     }
-    Wy_TrialBegun(&link->path, now);
+    Li_ProbeStarted(&link->path, now);
     link->probe = Di_Start(reach->gate->loop, &plan, on_probed, link);
 }
 
@@ -414,9 +414,9 @@
     reach->next_publish =
         now + (first || changed ? Rh_REPUBLISH_USEC : Rh_PUBLISH_USEC);
     reach->published_cut = reach->any_cut;
-    struct pf_through fact = {(uint16_t)Th_Port(reach->through),
-                              reach->any_cut};
-    Pe_TellThrough(reach->peers, &fact, Rh_FACT_TTL_USEC);
+    struct pf_tunnel fact = {(uint16_t)Th_Port(reach->through),
+                             reach->any_cut};
+    Pe_PublishTunnel(reach->peers, &fact, Rh_FACT_TTL_USEC);
 }
 
 void
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -9,7 +9,7 @@
 #include "gate/gate.h"
 #include "gate/peers.h"
 #include "policy/choose.h"
-#include "policy/way.h"
+#include "policy/link.h"
 #include "web/client.h"
 
 #ifdef __cplusplus
@@ -31,8 +31,8 @@
         bool through;         /* through a peer */
         int64_t connect_usec; /* time limit; 0: the client's default */
     } steps[Rh_STEPS_MAX];
-    enum wy_end direct_outcome;
-    enum wy_end peer_outcome;
+    enum li_outcome direct_outcome;
+    enum li_outcome peer_outcome;
     bool connected;
     char peer_address[Rh_ADDRESS_MAX]; /* "USER:SECRET@IP:PORT" */
     char peer_id[Mb_ID_MAX];
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -357,7 +357,7 @@
 {
     Gt_Count(relay->request->gate, "cg_streams_waiting_total", NULL, NULL);
     Lp_TimerSet(relay->retry_timer,
-                Rt_Gap(relay->connect_failures + relay->capacity_waits));
+                Rt_Backoff(relay->connect_failures + relay->capacity_waits));
 }
 
 static void
@@ -405,7 +405,7 @@
 attempt_failed(struct rl_engine *relay, enum hc_stage reached)
 {
     enum rt_stage stage = reached == HC_CONNECTING ? RT_NOT_SENT : RT_SENT;
-    Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
+    Rq_RecordFailure(&relay->attempts, &relay->flight, stage);
     relay->connect_failures =
         stage == RT_NOT_SENT ? relay->connect_failures + 1 : 0;
     if (relay->tokens == 0 &&
@@ -434,7 +434,8 @@
     struct rq_request *request = relay->request;
     /* A connection through a peer may have broken at the peer instead. */
     if (result->stage == HC_CONNECTING || relay->flight.endpoint == NULL ||
-        relay->flight.first_token || relay->tries.peer_outcome == WY_CAME) {
+        relay->flight.first_token ||
+        relay->tries.peer_outcome == LI_CONNECTED) {
         return;
     }
     struct gq_break connection_break = {
@@ -559,7 +560,7 @@
                                ? request->prompt.max_tokens
                                : Rl_EXPECTED_TOKENS;
     ask->budget = request->deadline - Ck_Now(request->gate->clock);
-    ask->again = relay->attempts.total > 0;
+    ask->is_retry = relay->attempts.total > 0;
     ask->failed = Rq_HasFailed(&relay->attempts);
     Rq_Constrain(request, ask);
 }
--- a/packages/gate/relay_leave.c
+++ b/packages/gate/relay_migrate.c
@@ -45,7 +45,7 @@
     int whole = request->prompt.max_tokens > 0 ? request->prompt.max_tokens
                                                : Rl_EXPECTED_TOKENS;
     int tokens_here = relay->tokens - relay->tokens_at_start;
-    stream->left = relay->leaves_at - now;
+    stream->time_left = relay->leaves_at - now;
     stream->prompt_tokens =
         (int)(request->prompt.text_len / Rl_BYTES_PER_TOKEN);
     stream->tokens_given = relay->tokens;
@@ -71,7 +71,7 @@
     target->found =
         Ch_Choose(relay->table, &ask, now, &gate->random, flight) == ST_OK &&
         flight->endpoint != relay->flight.endpoint;
-    target->imports = true;
+    target->imports_cache = true;
     target->wait = target->found ? flight->predicted : 0;
     target->move_usec = Rl_MOVE_USEC;
     target->move_per_token = Rl_MOVE_PER_TOKEN_USEC;
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -168,7 +168,7 @@
     }
     relay->maybe_sent = relay->maybe_sent || maybe_sent;
     enum rt_stage stage = maybe_sent ? RT_SENT : RT_NOT_SENT;
-    Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
+    Rq_RecordFailure(&relay->attempts, &relay->flight, stage);
     if (Rq_MayRetry(request, stage, &relay->attempts)) {
         attempt(request);
         return;
@@ -251,7 +251,7 @@
     int64_t now = Ck_Now(gate->clock);
     struct ch_request ask = {
         .budget = request->deadline - now,
-        .again = relay->attempts.total > 0,
+        .is_retry = relay->attempts.total > 0,
         .failed = Rq_HasFailed(&relay->attempts),
     };
     relay->table = Ep_Table(gate->endpoints, request->service->name);
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -217,8 +217,8 @@
 {
     struct gt_gate *gate = request->gate;
     Ch_Start(table, flight, Ck_Now(gate->clock));
-    Rt_Cover(Ep_RetryBudget(gate->endpoints, request->service->name),
-             Ch_AllInFlight(table));
+    Rt_RaiseCapacity(Ep_RetryBudget(gate->endpoints, request->service->name),
+                     Ch_AllInFlight(table));
     add_tried(request, Ch_Info(flight->endpoint)->id);
     Rq_RecordDispatch(request, Ch_Info(flight->endpoint)->id);
 }
@@ -319,8 +319,8 @@
  * was on trial, so that it does not use up the attempts at the version in use.
  */
 void
-Rq_NoteFailed(struct rq_attempts *attempts, const struct ch_flight *flight,
-              enum rt_stage stage)
+Rq_RecordFailure(struct rq_attempts *attempts, const struct ch_flight *flight,
+                 enum rt_stage stage)
 {
     if (stage == RT_NOT_SENT) {
         attempts->not_sent++;
@@ -355,8 +355,8 @@
            "failed=%d unreached=%d left_ms=%lld retries_left=%.1f sent_to=%s "
            "asked=%s others=%s",
            request->id, request->service->name, last, stages[attempt->stage],
-           reason, sent, attempt->attempts, attempt->unreached,
-           (long long)(attempt->left / Ck_USEC_PER_MSEC), tokens,
+           reason, sent, attempt->attempts, attempt->connect_failures,
+           (long long)(attempt->time_left / Ck_USEC_PER_MSEC), tokens,
            request->sent_to, tried_states, other_states);
     Gt_Count(request->gate, "cg_retries_refused_total", NULL, NULL);
     Gt_Count(request->gate, "cg_retries_refused_by_reason_total", "reason",
@@ -379,15 +379,15 @@
         .idempotent = request->idempotent,
         .keyed = request->has_key,
         .attempts = attempts->failed,
-        .unreached = attempts->not_sent,
-        .left = request->deadline - Ck_Now(gate->clock),
+        .connect_failures = attempts->not_sent,
+        .time_left = request->deadline - Ck_Now(gate->clock),
     };
     if (request->http == NULL || budget == NULL) {
         log_retry_refused(request, &attempt, Rq_SentCount(attempts),
                           budget == NULL ? "no-service" : "caller-gone", 0);
         return false;
     }
-    enum rt_reason why = Rt_Why(budget, &attempt);
+    enum rt_reason why = Rt_DenyReason(budget, &attempt);
     if (Rt_Decide(budget, &attempt) != RT_RETRY) {
         log_retry_refused(request, &attempt, Rq_SentCount(attempts),
                           Rt_ReasonName(why), budget->tokens);
@@ -441,12 +441,12 @@
         .first_token_usec = first_token_usec,
         .target_usec = request->service->first_token_usec,
     };
-    Mo_Note(request->gate->moves, &note);
+    Mo_RecordOutcome(request->gate->moves, &note);
 }
 
 /* Whether no request is in progress. */
 bool
-Rq_Idle(const struct gt_gate *gate)
+Rq_IsIdle(const struct gt_gate *gate)
 {
     return TAILQ_EMPTY(&gate->requests);
 }
--- a/packages/gate/request.h
+++ b/packages/gate/request.h
@@ -87,15 +87,15 @@
 void Rq_RecordDispatch(struct rq_request *request, const char *endpoint);
 int Rq_SentCount(const struct rq_attempts *attempts);
 bool Rq_HasFailed(const struct rq_attempts *attempts);
-void Rq_NoteFailed(struct rq_attempts *attempts,
-                   const struct ch_flight *flight, enum rt_stage stage);
+void Rq_RecordFailure(struct rq_attempts *attempts,
+                      const struct ch_flight *flight, enum rt_stage stage);
 bool Rq_MayRetry(struct rq_request *request, enum rt_stage stage,
                  const struct rq_attempts *attempts);
 void Rq_RecordSuccess(struct rq_request *request);
 void Rq_RecordOutcome(struct rq_request *request,
                       const struct ch_flight *flight, enum ch_outcome outcome,
                       int64_t first_token_usec);
-bool Rq_Idle(const struct gt_gate *gate);
+bool Rq_IsIdle(const struct gt_gate *gate);
 
 /* The relays; each ends the request with Rq_Refuse() or Rq_Finish(). */
 void Rl_EngineStart(struct rq_request *request);
--- a/packages/gate/test/admin_test.cc
+++ b/packages/gate/test/admin_test.cc
@@ -180,7 +180,7 @@
                 ASSERT_EQ(ST_OK, Sc_Apply(daemon.state, at + 1,
                                           log.records[at].c_str()));
             }
-            Ad_Advanced(daemon.admin);
+            Ad_AnswerVerdicts(daemon.admin);
         }
     }
 
--- a/packages/gate/test/endpoints_test.cc
+++ b/packages/gate/test/endpoints_test.cc
@@ -63,7 +63,7 @@
             Copy(hosts[i].service, "rink");
             Copy(hosts[i].version, versions[i]);
         }
-        Ep_Sync(pool, hosts.data(), hosts.size());
+        Ep_ApplyHostList(pool, hosts.data(), hosts.size());
     }
 
     // The versions that 200 requests are sent to, joined in order of first
@@ -126,7 +126,7 @@
     EXPECT_EQ("v2", Chosen());
     List({"v1", "v2"});
     EXPECT_EQ("v1", Chosen());
-    Ep_Leaving(pool, "of-v1", Ck_USEC_PER_SEC);
+    Ep_SetLeaving(pool, "of-v1", Ck_USEC_PER_SEC);
     List({"v1", "v2"});
     EXPECT_EQ("v2", Chosen());
 }
--- a/packages/model/placing.c
+++ b/packages/model/placing.c
@@ -179,7 +179,7 @@
 }
 
 static void
-ask_of(const struct mp_request *request, struct ak_ask *ask)
+ask_of(const struct mp_request *request, struct hd_request_info *ask)
 {
     memset(ask, 0, sizeof(*ask));
     ask->tokens_in = request->prompt;
@@ -203,7 +203,7 @@
 
 static void
 describe(struct model *model, const struct mp_request *request,
-         const struct ak_ask *ask, struct pl_candidate *candidates)
+         const struct hd_request_info *ask, struct pl_candidate *candidates)
 {
     const struct mp_load *load = model->load;
     uint64_t own_id = ask->parts[ask->part_count - 1].id;
@@ -214,18 +214,18 @@
         const struct at_engine *at = at_of(model, request->host, i);
         uint64_t home[2] = {group, i};
         uint64_t lot[2] = {own_id, i};
-        struct px_missing missing = Px_Missing(model->prefixes[request->host],
-                                               ask, (uint32_t)i, model->now);
+        struct px_uncached missing = Px_CountUncached(
+            model->prefixes[request->host], ask, (uint32_t)i, model->now);
         candidates[i] = (struct pl_candidate){
             .slots = load->speed.places,
             .running = at->running + engine->told_running - at->told_running,
-            .reading = at->reading + others_reading(model, engine, at),
-            .missing = missing.tokens,
-            .shared = missing.shared,
-            .near =
+            .prefill_tokens = at->reading + others_reading(model, engine, at),
+            .uncached_tokens = missing.tokens,
+            .uncached_shared = missing.shared,
+            .same_zone =
                 i % load->data_centres == request->host % load->data_centres,
-            .draw = Hash_Bytes(home, sizeof(home), 0),
-            .lot =
+            .home_hash = Hash_Bytes(home, sizeof(home), 0),
+            .sample_hash =
                 (double)Hash_Bytes(lot, sizeof(lot), 0) / (double)UINT64_MAX,
             .long_lane = engine->long_lane,
         };
@@ -248,18 +248,19 @@
 {
     static struct pl_candidate candidates[Mp_ENGINES_MAX];
     const struct mp_load *load = model->load;
-    struct ak_ask ask;
+    struct hd_request_info ask;
     ask_of(request, &ask);
     describe(model, request, &ask, candidates);
     double unheard =
         load->per_sec * (double)load->word_usec / (double)Ck_USEC_PER_SEC;
     struct pl_limits limits = {
         .engine = true,
-        .fill = Mp_FILL,
+        .fill_max = Mp_FILL,
         .lanes = model->long_part > 0,
         .is_long = Pl_IsLong(request->prompt),
-        .drawn_part =
-            model->ways->all_look ? 1 : Pl_DrawnPart(load->engines, unheard),
+        .sampled_fraction = model->ways->all_look
+                                ? 1
+                                : Pl_SampledFraction(load->engines, unheard),
     };
     struct pl_choice choice = {0, 0};
     if (Pl_Choose(candidates, load->engines, &limits, &choice) != PL_CHOSEN) {
@@ -267,11 +268,11 @@
     }
     struct at_engine *at = at_of(model, request->host, choice.index);
     at->running++;
-    at->reading += choice.reading;
+    at->reading += choice.prefill_tokens;
     request->engine = choice.index;
-    request->reading = choice.reading;
-    Px_Note(model->prefixes[request->host], &ask, (uint32_t)choice.index,
-            model->now);
+    request->reading = choice.prefill_tokens;
+    Px_NoteSent(model->prefixes[request->host], &ask, (uint32_t)choice.index,
+                model->now);
     Me_Take(model->engines[choice.index].engine, &request->job);
     if (!model->engines[choice.index].steps) {
         begin_step(model, choice.index);
@@ -357,9 +358,9 @@
     double share = find_long_share(model);
     switch (model->ways->lanes) {
     case MP_AS_DECIDED:
-        return Pl_LongPart(model->load->engines, share);
+        return Pl_LongLaneFraction(model->load->engines, share);
     case MP_ALWAYS:
-        return Pl_LongPart(Mp_MANY_ENDPOINTS, share);
+        return Pl_LongLaneFraction(Mp_MANY_ENDPOINTS, share);
     default:
         return 0;
     }
--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -50,7 +50,7 @@
 list_claimants(struct am_limits *limits, const struct am_customer *customer,
                bool by_rate, int64_t now)
 {
-    int64_t oldest = now - SILENT_INTERVALS * Am_Interval(limits);
+    int64_t oldest = now - SILENT_INTERVALS * Am_PublishInterval(limits);
     const struct am_demand *own = &customer->published;
     size_t count = 0;
     limits->claimants[count++] = (struct am_claimant){
@@ -66,7 +66,7 @@
         claimant->silent = !peer->has_demands || peer->received_at < oldest;
         if (demand != NULL) {
             claimant->demand = by_rate ? demand->per_sec : demand->in_flight;
-            claimant->slots = demand->places;
+            claimant->slots = demand->slots;
         }
     }
     return count;
@@ -102,7 +102,7 @@
 renew_shares(struct am_limits *limits, struct am_customer *customer,
              int64_t now)
 {
-    int64_t interval = Am_Interval(limits);
+    int64_t interval = Am_PublishInterval(limits);
     if (customer->shares_computed_at > 0 &&
         now - customer->shares_computed_at < interval / 4) {
         return;
@@ -176,7 +176,7 @@
 fill_demand(const struct am_customer *customer, int64_t now,
             struct am_demand *demand)
 {
-    *demand = (struct am_demand){.places = -1};
+    *demand = (struct am_demand){.slots = -1};
     strlcpy(demand->customer, customer->name, sizeof(demand->customer));
     demand->per_sec = decay(customer->rate, customer->rate_updated_at, now);
     demand->in_flight =
@@ -209,7 +209,7 @@
         }
         customer->published = demand;
         customer->shares_computed_at = 0;
-        demand.places = grant_slots(limits, customer, listed, now);
+        demand.slots = grant_slots(limits, customer, listed, now);
         if (listed) {
             out[count++] = demand;
         }
@@ -310,8 +310,8 @@
 
 /*
  * Admits a request or refuses it; an admitted one counts as in flight until
- * Am_Done(). On ST_OVERLOAD the request was not run, and *retry_after is the
- * time after which another request could be admitted.
+ * Am_Release(). On ST_OVERLOAD the request was not run, and *retry_after is
+ * the time after which another request could be admitted.
  */
 enum st_status
 Am_Admit(struct am_limits *limits, const char *name, int64_t now,
@@ -351,7 +351,7 @@
 
 /* Releases the slot of an admitted request that has ended. */
 void
-Am_Done(struct am_limits *limits, const char *name, int64_t now)
+Am_Release(struct am_limits *limits, const char *name, int64_t now)
 {
     struct am_customer *customer = am_find_customer(limits, name);
     if (customer != NULL && customer->in_flight > 0) {
--- a/packages/policy/admit.h
+++ b/packages/policy/admit.h
@@ -1,9 +1,10 @@
 /*
  * Limits per customer, divided among all daemons by demand. Each daemon
  * publishes the demand of its callers (Am_Publish) and takes in the demands
- * that its peers publish (Am_Hear); all daemons compute the same shares from
- * the same demands. docs/design/limits.md states what is guaranteed while
- * daemons have received different demands or none. Times are microseconds.
+ * that its peers publish (Am_ReceiveDemands); all daemons compute the same
+ * shares from the same demands. docs/design/limits.md states what is
+ * guaranteed while daemons have received different demands or none. Times are
+ * microseconds.
  */
 #ifndef POLICY_ADMIT_H
 #define POLICY_ADMIT_H
@@ -29,7 +30,7 @@
      * Slots (requests in flight) that the daemon may use until its next
      * publication; -1: its even share.
      */
-    int places;
+    int slots;
 };
 
 /* This daemon's share of a customer's limits; negative: no limit. */
@@ -49,20 +50,21 @@
 void Am_DropCustomer(struct am_limits *limits, const char *customer);
 enum st_status Am_AddPeer(struct am_limits *limits, const char *peer);
 void Am_DropPeer(struct am_limits *limits, const char *peer);
-enum st_status Am_Hear(struct am_limits *limits, const char *peer,
-                       const struct am_demand *demands, size_t count,
-                       int64_t now);
-void Am_HearCount(struct am_limits *limits, const char *peer, size_t daemons);
+enum st_status Am_ReceiveDemands(struct am_limits *limits, const char *peer,
+                                 const struct am_demand *demands, size_t count,
+                                 int64_t now);
+void Am_ReceiveDaemonCount(struct am_limits *limits, const char *peer,
+                           size_t daemons);
 void Am_Join(struct am_limits *limits, int64_t now);
 size_t Am_Publish(struct am_limits *limits, int64_t now, struct am_demand *out,
                   size_t size);
 enum st_status Am_Admit(struct am_limits *limits, const char *customer,
                         int64_t now, int64_t *retry_after);
-void Am_Done(struct am_limits *limits, const char *customer, int64_t now);
+void Am_Release(struct am_limits *limits, const char *customer, int64_t now);
 
 /* Queries. */
-int64_t Am_Interval(const struct am_limits *limits);
-size_t Am_Daemons(const struct am_limits *limits);
+int64_t Am_PublishInterval(const struct am_limits *limits);
+size_t Am_DaemonCount(const struct am_limits *limits);
 bool Am_IsJoining(struct am_limits *limits, int64_t now);
 enum st_status Am_Share(struct am_limits *limits, const char *customer,
                         int64_t now, struct am_share *out);
--- a/packages/policy/admit_table.c
+++ b/packages/policy/admit_table.c
@@ -194,7 +194,7 @@
 
 /* Stores among how many daemons a peer divides the limits. */
 void
-Am_HearCount(struct am_limits *limits, const char *id, size_t daemons)
+Am_ReceiveDaemonCount(struct am_limits *limits, const char *id, size_t daemons)
 {
     struct am_peer *peer = find_peer(limits, id);
     if (peer != NULL) {
@@ -219,7 +219,7 @@
 {
     const struct am_peer *peer;
     TAILQ_FOREACH (peer, &limits->peers, entry) {
-        if (peer->daemon_count < Am_Daemons(limits)) {
+        if (peer->daemon_count < Am_DaemonCount(limits)) {
             return false;
         }
     }
@@ -241,8 +241,9 @@
         limits->last_peer_count = limits->peer_count;
         limits->peer_count_changed_at = now;
     }
-    bool settled = limits->peer_count > 0 && is_counted_by_all_peers(limits) &&
-                   now - limits->peer_count_changed_at >= Am_Interval(limits);
+    bool settled =
+        limits->peer_count > 0 && is_counted_by_all_peers(limits) &&
+        now - limits->peer_count_changed_at >= Am_PublishInterval(limits);
     if (settled || now >= limits->join_until) {
         limits->join_until = 0;
     }
@@ -251,14 +252,14 @@
 
 /* Number of daemons that a limit is divided among, this one included. */
 size_t
-Am_Daemons(const struct am_limits *limits)
+Am_DaemonCount(const struct am_limits *limits)
 {
     return limits->peer_count + 1;
 }
 
 /* Interval between publications; it grows with the number of daemons. */
 int64_t
-Am_Interval(const struct am_limits *limits)
+Am_PublishInterval(const struct am_limits *limits)
 {
     int64_t interval = INTERVAL_PER_PEER_USEC * (int64_t)limits->peer_count;
     return interval > INTERVAL_MIN_USEC ? interval : INTERVAL_MIN_USEC;
@@ -269,8 +270,8 @@
  * demand there. Adds the daemon if it is unknown.
  */
 enum st_status
-Am_Hear(struct am_limits *limits, const char *id,
-        const struct am_demand *demands, size_t count, int64_t now)
+Am_ReceiveDemands(struct am_limits *limits, const char *id,
+                  const struct am_demand *demands, size_t count, int64_t now)
 {
     enum st_status status = Am_AddPeer(limits, id);
     struct am_peer *peer = find_peer(limits, id);
--- a/packages/policy/brittle.c
+++ b/packages/policy/brittle.c
@@ -17,14 +17,14 @@
 /* Hosts of lower rank together send an endpoint one request per turn. */
 #define Br_TURN_USEC (500 * Ck_USEC_PER_MSEC)
 
-struct br_part
-Br_Part(int refusal_limit, size_t hosts, size_t endpoints)
+struct br_quota
+Br_Quota(int refusal_limit, size_t hosts, size_t endpoints)
 {
     size_t full_budget = (size_t)(refusal_limit + Br_FULL_HOSTS_DIVISOR - 1) /
                          Br_FULL_HOSTS_DIVISOR;
-    struct br_part quota = {.full_hosts =
-                                hosts < full_budget ? hosts : full_budget,
-                            .max_unconfirmed = 1};
+    struct br_quota quota = {.full_hosts =
+                                 hosts < full_budget ? hosts : full_budget,
+                             .max_unconfirmed = 1};
     if (quota.full_hosts > 0 && full_budget / quota.full_hosts > 1) {
         quota.max_unconfirmed = (int)(full_budget / quota.full_hosts);
     }
@@ -43,56 +43,56 @@
 }
 
 static void
-record_limit(struct br_room *state, int refusal_limit, int64_t now)
+record_limit(struct br_state *state, int refusal_limit, int64_t now)
 {
     if (!Br_IsBrittle(state, now)) {
         state->learned_at = now;
     }
-    state->most = refusal_limit;
+    state->refusal_limit = refusal_limit;
 }
 
 void
-Br_Told(struct br_room *state, int refusal_limit, int64_t now)
+Br_NoteEndpointReport(struct br_state *state, int refusal_limit, int64_t now)
 {
     record_limit(state, refusal_limit, now);
     state->endpoint_report_at = now;
 }
 
 void
-Br_Heard(struct br_room *state, int refusal_limit, int64_t now)
+Br_NotePeerReport(struct br_state *state, int refusal_limit, int64_t now)
 {
     record_limit(state, refusal_limit, now);
     state->peer_report_at = now;
 }
 
 bool
-Br_IsOver(const struct br_room *state, int64_t sent_at)
+Br_IsWithdrawn(const struct br_state *state, int64_t sent_at)
 {
-    return state->said && sent_at > state->endpoint_report_at;
+    return state->self_reported && sent_at > state->endpoint_report_at;
 }
 
 void
-Br_End(struct br_room *state)
+Br_Clear(struct br_state *state)
 {
     state->endpoint_report_at = 0;
     state->peer_report_at = 0;
-    state->said = false;
+    state->self_reported = false;
 }
 
 bool
-Br_HeardLately(const struct br_room *state, int64_t now)
+Br_IsPeerReportRecent(const struct br_state *state, int64_t now)
 {
     return is_recent(state->peer_report_at, Br_PEER_REPORT_GAP_USEC, now);
 }
 
 bool
-Br_IsTold(const struct br_room *state, int64_t now)
+Br_ShouldReport(const struct br_state *state, int64_t now)
 {
     return is_recent(state->endpoint_report_at, Br_PEER_REPORT_TTL_USEC, now);
 }
 
 bool
-Br_IsBrittle(const struct br_room *state, int64_t now)
+Br_IsBrittle(const struct br_state *state, int64_t now)
 {
     return is_recent(state->endpoint_report_at, Br_ENDPOINT_REPORT_TTL_USEC,
                      now) ||
@@ -100,14 +100,14 @@
 }
 
 bool
-Br_RankIsOld(const struct br_room *state, int64_t now)
+Br_RankIsOld(const struct br_state *state, int64_t now)
 {
     return state->rank_at == 0 || now - state->rank_at >= Br_RANK_TTL_USEC;
 }
 
 /* Requests of this host that the endpoint may still refuse. */
 static int
-unconfirmed_requests(const struct br_room *state, int64_t now)
+unconfirmed_requests(const struct br_state *state, int64_t now)
 {
     return now - state->last_sent_at < Br_CONFIRM_USEC ? state->unconfirmed
                                                        : 0;
@@ -119,7 +119,7 @@
  * endpoint would refuse none.
  */
 static int
-unconfirmed_limit(const struct br_room *state, const struct br_part *quota,
+unconfirmed_limit(const struct br_state *state, const struct br_quota *quota,
                   int running, int slots)
 {
     int free_slots = slots - running;
@@ -137,7 +137,8 @@
  * once.
  */
 static bool
-has_turn(const struct br_room *state, const struct br_part *quota, int64_t now)
+has_turn(const struct br_state *state, const struct br_quota *quota,
+         int64_t now)
 {
     int64_t first_turn =
         (int64_t)(state->rank % quota->hosts_per_endpoint + 1) * Br_TURN_USEC;
@@ -147,7 +148,7 @@
 }
 
 bool
-Br_MaySend(const struct br_room *state, const struct br_part *quota,
+Br_MaySend(const struct br_state *state, const struct br_quota *quota,
            int running, int slots, int64_t now)
 {
     if (now < state->backoff_until ||
@@ -168,14 +169,14 @@
 }
 
 void
-Br_Sent(struct br_room *state, int64_t now)
+Br_Sent(struct br_state *state, int64_t now)
 {
     state->unconfirmed = unconfirmed_requests(state, now) + 1;
     state->last_sent_at = now;
 }
 
 void
-Br_Refused(struct br_room *state, int64_t now)
+Br_Refused(struct br_state *state, int64_t now)
 {
     state->backoff_until = now + Br_BACKOFF_USEC;
 }
--- a/packages/policy/brittle.h
+++ b/packages/policy/brittle.h
@@ -24,65 +24,66 @@
 #endif
 
 /* What one host knows of one endpoint. */
-struct br_room {
-    int most; /* refusal limit, in refusals per second */
+struct br_state {
+    int refusal_limit; /* refusal limit, in refusals per second */
     /* Last report of the limit by an endpoint of the service; 0: none. */
     int64_t endpoint_report_at;
     int64_t peer_report_at; /* last report by another host; 0: none */
-    bool said;              /* this endpoint itself reported the limit */
+    bool self_reported;     /* this endpoint itself reported the limit */
     int64_t learned_at;     /* when it became brittle for this host */
     int64_t backoff_until;  /* nothing is sent to it until then */
     size_t rank;            /* of this host for the endpoint; 0 is first */
     int64_t rank_at;        /* when "rank" was computed; 0: never */
-    bool best;        /* this host ranks no better at any other endpoint */
-    size_t endpoints; /* of the service, when "rank" was computed */
-    int unconfirmed;  /* requests sent that may still be refused */
+    bool best; /* this host ranks no better at any other endpoint */
+    size_t endpoint_count; /* of the service, when "rank" was computed */
+    int unconfirmed;       /* requests sent that may still be refused */
     int64_t last_sent_at;
 };
 
 /* How the hosts divide the capacity of an endpoint. */
-struct br_part {
+struct br_quota {
     size_t full_hosts;   /* hosts of a rank below it may fill all slots */
-    int max_unconfirmed; /* of one host; see br_room.unconfirmed */
+    int max_unconfirmed; /* of one host; see br_state.unconfirmed */
     size_t half_hosts;   /* hosts of a rank below it may fill half the slots */
     size_t hosts_per_endpoint; /* hosts of lower rank that take turns */
 };
 
-struct br_part Br_Part(int refusal_limit, size_t hosts, size_t endpoints);
+struct br_quota Br_Quota(int refusal_limit, size_t hosts, size_t endpoints);
 
 /*
  * Records that an endpoint of the service reported a refusal limit, which
  * holds for all endpoints of the service.
  */
-void Br_Told(struct br_room *state, int refusal_limit, int64_t now);
+void Br_NoteEndpointReport(struct br_state *state, int refusal_limit,
+                           int64_t now);
 /* Records that another host passed on such a report. */
-void Br_Heard(struct br_room *state, int refusal_limit, int64_t now);
+void Br_NotePeerReport(struct br_state *state, int refusal_limit, int64_t now);
 /* Whether another host's report is so recent that a new one adds nothing. */
-bool Br_HeardLately(const struct br_room *state, int64_t now);
+bool Br_IsPeerReportRecent(const struct br_state *state, int64_t now);
 /*
  * Whether an answer without a refusal limit, to a request sent at "sent_at",
  * shows that the endpoint is no longer brittle.  Only an endpoint that itself
  * reported the limit can withdraw it.
  */
-bool Br_IsOver(const struct br_room *state, int64_t sent_at);
+bool Br_IsWithdrawn(const struct br_state *state, int64_t sent_at);
 /* Clears the reports: the endpoint is no longer brittle. */
-void Br_End(struct br_room *state);
+void Br_Clear(struct br_state *state);
 /*
  * Whether to report the limit to other hosts: an endpoint of the service
  * reported it recently.
  */
-bool Br_IsTold(const struct br_room *state, int64_t now);
-bool Br_IsBrittle(const struct br_room *state, int64_t now);
+bool Br_ShouldReport(const struct br_state *state, int64_t now);
+bool Br_IsBrittle(const struct br_state *state, int64_t now);
 /* Whether the rank must be computed again, as hosts come and go. */
-bool Br_RankIsOld(const struct br_room *state, int64_t now);
+bool Br_RankIsOld(const struct br_state *state, int64_t now);
 /*
  * Whether this host may send a request to the endpoint now; "running" is its
  * estimate of the requests of all hosts there.
  */
-bool Br_MaySend(const struct br_room *state, const struct br_part *quota,
+bool Br_MaySend(const struct br_state *state, const struct br_quota *quota,
                 int running, int slots, int64_t now);
-void Br_Sent(struct br_room *state, int64_t now);
-void Br_Refused(struct br_room *state, int64_t now);
+void Br_Sent(struct br_state *state, int64_t now);
+void Br_Refused(struct br_state *state, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/choose.c
+++ b/packages/policy/choose.c
@@ -96,9 +96,9 @@
     if (table->cold_per_sec <= 0) {
         return false;
     }
-    if (Wu_ClaimIsOld(warmup, now)) {
-        Wu_RenewClaim(warmup, table->hosts, table->cold_per_sec,
-                      endpoint->id_hash, now);
+    if (Wu_SelectionIsStale(warmup, now)) {
+        Wu_RenewSelection(warmup, table->hosts, table->cold_per_sec,
+                          endpoint->id_hash, now);
     }
     return !Wu_MaySend(warmup, now);
 }
@@ -121,7 +121,7 @@
         return false;
     }
     if (filter->worst_health < CH_UNREACHABLE &&
-        Wu_IsDoubted(&endpoint->warmup, filter->now) &&
+        Wu_MayBeCold(&endpoint->warmup, filter->now) &&
         must_skip_cold(table, endpoint, filter->now)) {
         return false;
     }
@@ -333,7 +333,8 @@
     if (request->failed) {
         return stable_version(table);
     }
-    return request->again ? main_version(table) : draw_version(table, random);
+    return request->is_retry ? main_version(table)
+                             : draw_version(table, random);
 }
 
 static size_t
@@ -400,11 +401,11 @@
                                        "try again when one has started");
     }
     size_t at = table->ops->pick(table, request, table->candidates, count,
-                                 random, &out->affine);
+                                 random, &out->by_affinity);
     if (request->budget > 0 &&
         table->candidates[at].predicted > request->budget) {
         at = soonest(table->candidates, count);
-        out->affine = false;
+        out->by_affinity = false;
     }
     if (request->budget > 0 &&
         table->candidates[at].predicted > request->budget) {
@@ -487,7 +488,7 @@
         slots += all[i].endpoint->info.slots;
     }
     double own = endpoint->info.slots;
-    double bound = table->settings.bound * load * own / slots;
+    double bound = table->settings.load_bound * load * own / slots;
     /* Endpoints with fewer than half of their slots in use need no bound. */
     return bound > own / 2 ? bound : own / 2;
 }
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -72,7 +72,7 @@
     int prompt_tokens;   /* 0 for a plain service */
     int expected_tokens; /* of the answer */
     int64_t budget;      /* time left for the first token; 0: no limit */
-    bool again;          /* a retry: it was sent before */
+    bool is_retry;       /* a retry: it was sent before */
     bool failed;         /* an attempt at it failed at an endpoint */
     /* Whether the request may run there; NULL: anywhere. */
     bool (*allowed)(const void *arg, const struct ch_info *info);
@@ -89,7 +89,7 @@
     struct ch_endpoint *endpoint;
     int64_t predicted; /* time to the first token */
     int64_t started;
-    bool affine;      /* endpoint chosen for its prefix cache */
+    bool by_affinity; /* endpoint chosen for its prefix cache */
     bool on_trial;    /* its version is on trial */
     bool first_token; /* the first token has been seen */
 };
@@ -113,7 +113,7 @@
     int64_t first_token; /* target time for 95 % of first tokens */
     int64_t base;        /* fixed processing time of a request */
     int64_t per_token;   /* time for a prompt token that is not cached */
-    double bound;        /* cap on load with affinity, times the mean */
+    double load_bound;   /* cap on load with affinity, times the mean */
     double panic_share;  /* ejects at most this share; more bad ones: panic */
 };
 
@@ -162,15 +162,15 @@
  * Records a report, taken at "now", that the endpoint stays cold for another
  * "left"; a report older than the last one is dropped.
  */
-void Ch_Cold(struct ch_table *table, const char *id, int64_t left,
-             int64_t now);
+void Ch_SetCold(struct ch_table *table, const char *id, int64_t left,
+                int64_t now);
 /*
  * Records the refusal limit in a report of the endpoint taken at "at": if the
  * endpoint refuses more requests than that in a second, it fails.  The limit
  * holds for all endpoints of the table; below 0 the report names no limit.
  */
-enum st_status Ch_Brittle(struct ch_table *table, const char *id,
-                          int refusal_limit, int64_t at);
+enum st_status Ch_SetRefusalLimit(struct ch_table *table, const char *id,
+                                  int refusal_limit, int64_t at);
 enum st_status Ch_Distrust(struct ch_table *table, const char *version);
 
 /* Steps of a request. */
--- a/packages/policy/choose_brittle.c
+++ b/packages/policy/choose_brittle.c
@@ -8,27 +8,27 @@
 
 /* Applies the refusal limit of one endpoint's report to the whole table. */
 enum st_status
-Ch_Brittle(struct ch_table *table, const char *id, int refusal_limit,
-           int64_t at)
+Ch_SetRefusalLimit(struct ch_table *table, const char *id, int refusal_limit,
+                   int64_t at)
 {
     struct ch_endpoint *reporter = Ch_Find(table, id);
     if (reporter == NULL) {
         return St_Fail(ST_NOT_FOUND, "endpoint %s is not in the table", id);
     }
-    bool over = refusal_limit < 0 && Br_IsOver(&reporter->brittle, at);
+    bool over = refusal_limit < 0 && Br_IsWithdrawn(&reporter->brittle, at);
     if (refusal_limit < 0 && !over) {
         return ST_OK;
     }
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
         if (over) {
-            Br_End(&endpoint->brittle);
+            Br_Clear(&endpoint->brittle);
         }
         else {
-            Br_Told(&endpoint->brittle, refusal_limit, at);
+            Br_NoteEndpointReport(&endpoint->brittle, refusal_limit, at);
         }
     }
-    reporter->brittle.said = !over;
+    reporter->brittle.self_reported = !over;
     return ST_OK;
 }
 
@@ -51,13 +51,13 @@
     struct ch_endpoint *best = NULL;
     struct ch_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &table->endpoints, entry) {
-        struct br_room *state = &endpoint->brittle;
+        struct br_state *state = &endpoint->brittle;
         state->rank = table->hosts == NULL
                           ? 0
                           : Wu_Rank(table->hosts, endpoint->id_hash);
         state->rank_at = now;
         state->best = false;
-        state->endpoints = table->count;
+        state->endpoint_count = table->count;
         if (best == NULL || state->rank < best->brittle.rank) {
             best = endpoint;
         }
@@ -71,15 +71,15 @@
 ch_is_brittle_blocked(const struct ch_endpoint *endpoint, int64_t now)
 {
     struct ch_table *table = endpoint->table;
-    const struct br_room *state = &endpoint->brittle;
+    const struct br_state *state = &endpoint->brittle;
     if (!Br_IsBrittle(state, now)) {
         return false;
     }
     if (Br_RankIsOld(state, now)) {
         find_ranks(table, now);
     }
-    struct br_part quota =
-        Br_Part(state->most, host_count(table), state->endpoints);
+    struct br_quota quota = Br_Quota(state->refusal_limit, host_count(table),
+                                     state->endpoint_count);
     return !Br_MaySend(state, &quota, (int)ch_load(endpoint, now),
                        endpoint->info.slots, now);
 }
--- a/packages/policy/choose_flight.c
+++ b/packages/policy/choose_flight.c
@@ -175,8 +175,8 @@
     flight->endpoint->in_flight++;
     table->in_flight++;
     if (table->cold_per_sec > 0) {
-        struct wu_part part =
-            Wu_Part(table->cold_per_sec, table->hosts->count + 1);
+        struct wu_pacing part =
+            Wu_Pacing(table->cold_per_sec, table->hosts->count + 1);
         Wu_Sent(&flight->endpoint->warmup, &part, now);
     }
     Br_Sent(&flight->endpoint->brittle, now);
@@ -418,7 +418,7 @@
     if (outcome == CH_UNREACHED) {
         endpoint->unreached_at = now;
         endpoint->unreachable_until = now + UNREACHABLE_USEC;
-        Wu_Doubt(&endpoint->warmup, table->cold_usec, now);
+        Wu_SuspectRestart(&endpoint->warmup, table->cold_usec, now);
         ch_record_outcome(endpoint, CH_FAILED, now);
     }
     if (outcome == CH_GOOD || outcome == CH_FAILED) {
--- a/packages/policy/choose_internal.h
+++ b/packages/policy/choose_internal.h
@@ -65,7 +65,7 @@
     int64_t returned_at;
     struct wu_warmup warmup;
     int64_t cold_report_at;
-    struct br_room brittle;
+    struct br_state brittle;
 };
 
 TAILQ_HEAD(ch_list, ch_endpoint);
--- a/packages/policy/choose_query.c
+++ b/packages/policy/choose_query.c
@@ -178,7 +178,7 @@
     if (endpoint->unreachable_until > now) {
         return "shunned";
     }
-    if (left_to_others && Wu_IsDoubted(warmup, now)) {
+    if (left_to_others && Wu_MayBeCold(warmup, now)) {
         return "maybe-cold";
     }
     if (left_to_others && Wu_IsCold(warmup, now)) {
--- a/packages/policy/choose_table.c
+++ b/packages/policy/choose_table.c
@@ -25,7 +25,7 @@
     settings->first_token = DEFAULT_FIRST_TOKEN_USEC;
     settings->base = DEFAULT_BASE_USEC;
     settings->per_token = DEFAULT_PER_TOKEN_USEC;
-    settings->bound = DEFAULT_BOUND;
+    settings->load_bound = DEFAULT_BOUND;
     settings->panic_share = DEFAULT_PANIC_SHARE;
 }
 
@@ -308,11 +308,11 @@
 }
 
 void
-Ch_Cold(struct ch_table *table, const char *id, int64_t left, int64_t now)
+Ch_SetCold(struct ch_table *table, const char *id, int64_t left, int64_t now)
 {
     struct ch_endpoint *endpoint = Ch_Find(table, id);
     if (endpoint != NULL && now >= endpoint->cold_report_at) {
         endpoint->cold_report_at = now;
-        Wu_Told(&endpoint->warmup, left, now);
+        Wu_SetColdLeft(&endpoint->warmup, left, now);
     }
 }
--- a/packages/policy/way.h
+++ b/packages/policy/link.h
@@ -5,8 +5,8 @@
  * the endpoint and this host cannot; an endpoint that no host reaches has no
  * cut link. Times are microseconds.
  */
-#ifndef POLICY_WAY_H
-#define POLICY_WAY_H
+#ifndef POLICY_LINK_H
+#define POLICY_LINK_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -19,89 +19,89 @@
 #endif
 
 /* A direct connection that takes longer is tried through a peer as well. */
-#define Wy_PATIENCE (100 * Ck_USEC_PER_MSEC)
+#define Li_FALLBACK_USEC (100 * Ck_USEC_PER_MSEC)
 /* Time that a request waits for an answer before its link may be tested. */
-#define Wy_SILENCE (250 * Ck_USEC_PER_MSEC)
+#define Li_SILENCE_USEC (250 * Ck_USEC_PER_MSEC)
 
-struct wy_link {
+struct li_link {
     bool cut;
     int64_t slow_at;        /* a peer connected, this host's attempt did not */
     int64_t unreachable_at; /* both this host and a peer failed */
-    int64_t trial_at;       /* last direct attempt while cut */
+    int64_t probed_at;      /* last direct attempt while cut */
     int64_t tested_at;      /* last test of the link because of its silence */
     int failed_probes;      /* failed direct attempts in a row while cut */
 };
 
-enum wy_order {
-    WY_DIRECT_ONLY,
-    WY_DIRECT_FIRST,
-    WY_PEER_FIRST,
+enum li_order {
+    LI_DIRECT_ONLY,
+    LI_DIRECT_FIRST,
+    LI_PEER_FIRST,
 };
 
 /* A peer that may be asked to connect. */
-struct wy_peer {
-    bool near;         /* in this host's data centre */
-    bool cut;          /* it reports a cut link to some endpoint */
-    int64_t failed_at; /* when it last failed for this host; 0: never */
+struct li_peer {
+    bool same_data_centre; /* in this host's data centre */
+    bool cut;              /* it reports a cut link to some endpoint */
+    int64_t failed_at;     /* when it last failed for this host; 0: never */
 };
 
 /* Peers that recently failed to connect; the oldest entry is overwritten. */
-#define Wy_FAILURES_MAX 32
+#define Li_FAILURES_MAX 32
 
-struct wy_failures {
+struct li_failures {
     struct {
         uint64_t peer;
         int64_t at;
-    } rows[Wy_FAILURES_MAX];
+    } rows[Li_FAILURES_MAX];
     size_t next;
 };
 
-void Wy_NoteFailure(struct wy_failures *failures, uint64_t peer, int64_t now);
+void Li_NoteFailure(struct li_failures *failures, uint64_t peer, int64_t now);
 /* When a peer last failed to connect; 0: not recently. */
-int64_t Wy_FailedAt(const struct wy_failures *failures, uint64_t peer);
+int64_t Li_LastFailure(const struct li_failures *failures, uint64_t peer);
 
 /* Outcome of a connection attempt. */
-enum wy_end {
-    WY_NOT_TRIED,
-    WY_CAME,    /* connected */
-    WY_OVERDUE, /* still pending when the other attempt connected */
-    WY_FAILED,
+enum li_outcome {
+    LI_NOT_TRIED,
+    LI_CONNECTED, /* connected */
+    LI_OVERDUE,   /* still pending when the other attempt connected */
+    LI_FAILED,
 };
 
-enum wy_order Wy_Order(const struct wy_link *link, int64_t now);
+enum li_order Li_Order(const struct li_link *link, int64_t now);
 /*
  * Picks one of "count" peers, at least one, to ask; "unit" is a random number
  * from 0 to 1. Peers in this host's data centre are preferred only once the
  * link is known to be cut: until then, they are likely to have lost the same
  * link as this host.
  */
-size_t Wy_PickPeer(const struct wy_link *link, const struct wy_peer *peers,
+size_t Li_PickPeer(const struct li_link *link, const struct li_peer *peers,
                    size_t count, double unit, int64_t now);
 /*
  * Records the outcome of a direct attempt and of one through a peer; true when
  * the link's cut state has changed.
  */
-bool Wy_Ended(struct wy_link *link, enum wy_end direct, enum wy_end peer,
-              int64_t now);
+bool Li_RecordOutcome(struct li_link *link, enum li_outcome direct,
+                      enum li_outcome peer, int64_t now);
 /*
  * Whether this host should try directly, to find out whether a cut link works
  * again.
  */
-bool Wy_TrialDue(const struct wy_link *link, int64_t now);
-void Wy_TrialBegun(struct wy_link *link, int64_t now);
-void Wy_TrialFailed(struct wy_link *link);
+bool Li_IsProbeDue(const struct li_link *link, int64_t now);
+void Li_ProbeStarted(struct li_link *link, int64_t now);
+void Li_ProbeFailed(struct li_link *link);
 /* The link to another endpoint works again: try this one directly at once. */
-void Wy_TrySoon(struct wy_link *link);
+void Li_ProbeSoon(struct li_link *link);
 /*
  * Whether a request sent on a kept connection at "sent_at" has waited so long
  * without an answer that the link should be tested. "heard_at" is when any
  * endpoint of its service was last heard from directly.
  */
-bool Wy_Doubtful(const struct wy_link *link, int64_t sent_at, int64_t heard_at,
-                 int64_t now);
+bool Li_IsSuspect(const struct li_link *link, int64_t sent_at,
+                  int64_t heard_at, int64_t now);
 /* Whether the link may be tested again, for any reason. */
-bool Wy_MayTest(const struct wy_link *link, int64_t now);
-void Wy_Tested(struct wy_link *link, int64_t now);
+bool Li_MayTest(const struct li_link *link, int64_t now);
+void Li_Tested(struct li_link *link, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/move.c
+++ b/packages/policy/move.c
@@ -70,7 +70,7 @@
 static void
 roll_back(struct mv_move *move, const char *reason, int64_t now)
 {
-    enter_phase(move, MV_TAKEN_BACK, 0, now);
+    enter_phase(move, MV_ROLLED_BACK, 0, now);
     strlcpy(move->reason, reason, sizeof(move->reason));
 }
 
@@ -106,7 +106,7 @@
 bool
 Mv_IsOver(const struct mv_move *move)
 {
-    return move->phase == MV_DONE || move->phase == MV_TAKEN_BACK;
+    return move->phase == MV_DONE || move->phase == MV_ROLLED_BACK;
 }
 
 /* The name of the phase in texts for operators. */
@@ -167,7 +167,8 @@
 }
 
 static bool
-tick_planned(struct mv_move *move, const struct mv_view *view, int64_t now)
+tick_planned(struct mv_move *move, const struct mv_tick_input *view,
+             int64_t now)
 {
     if (view->new_endpoints > 0) {
         enter_phase(move, MV_SMALL, fmin(move->plan.first_share, 0.5), now);
@@ -200,7 +201,7 @@
  * same time.  It is larger at lower request rates.
  */
 static double
-control_share(const struct mv_view *view)
+control_share(const struct mv_tick_input *view)
 {
     double share =
         view->per_sec > 0 ? CONTROL_RATE_PER_SEC / view->per_sec : 1;
@@ -208,7 +209,8 @@
 }
 
 static bool
-tick_growing(struct mv_move *move, const struct mv_view *view, int64_t now)
+tick_growing(struct mv_move *move, const struct mv_tick_input *view,
+             int64_t now)
 {
     int64_t step = clamp_time(span_usec(move) / STEP_DIVISOR, STEP_MIN_USEC,
                               STEP_MAX_USEC);
@@ -258,9 +260,9 @@
 /* Rolls the move back for causes that apply in any phase; true if it did. */
 static bool
 tick_rollback(struct mv_move *move, const struct mv_finding *finding,
-              const struct mv_view *view, int64_t now)
+              const struct mv_tick_input *view, int64_t now)
 {
-    if (view->distrusted) {
+    if (view->any_tripped) {
         roll_back(move, "routers saw requests fail one after another", now);
         return true;
     }
@@ -291,7 +293,7 @@
  */
 bool
 Mv_Tick(struct mv_move *move, const struct mv_evidence *evidence,
-        const struct mv_view *view, int64_t now)
+        const struct mv_tick_input *view, int64_t now)
 {
     struct mv_finding finding;
     struct mv_totals totals;
@@ -354,7 +356,7 @@
 describe_evidence(const struct mv_move *move, char *out, size_t size)
 {
     const struct mv_finding *finding = &move->finding;
-    if (move->phase == MV_TAKEN_BACK && finding->alarm) {
+    if (move->phase == MV_ROLLED_BACK && finding->alarm) {
         snprintf(out, size,
                  "on %s%s %llu of %llu requests %s, against %llu of %llu on "
                  "%s over the same minutes",
@@ -377,7 +379,7 @@
 
 /* Writes the status of the move as a sentence for operators. */
 void
-Mv_Sentence(const struct mv_move *move, char *out, size_t size)
+Mv_Describe(const struct mv_move *move, char *out, size_t size)
 {
     char time[64];
     char evidence[256];
--- a/packages/policy/move.h
+++ b/packages/policy/move.h
@@ -125,12 +125,12 @@
 /* ---- the move ---- */
 
 enum mv_phase {
-    MV_PLANNED,    /* the new version has no endpoint yet */
-    MV_SMALL,      /* the new version gets the first share of the traffic */
-    MV_GROWING,    /* its share is raised step by step */
-    MV_PROBATION,  /* it gets all but a control share for the old version */
-    MV_DONE,       /* it gets all; the old version may be shut down */
-    MV_TAKEN_BACK, /* rolled back: the old version gets all */
+    MV_PLANNED,     /* the new version has no endpoint yet */
+    MV_SMALL,       /* the new version gets the first share of the traffic */
+    MV_GROWING,     /* its share is raised step by step */
+    MV_PROBATION,   /* it gets all but a control share for the old version */
+    MV_DONE,        /* it gets all; the old version may be shut down */
+    MV_ROLLED_BACK, /* rolled back: the old version gets all */
 };
 
 struct mv_plan {
@@ -143,10 +143,10 @@
 };
 
 /* Input of a tick, as seen by the daemon that holds the move's lease. */
-struct mv_view {
+struct mv_tick_input {
     int new_endpoints;   /* live endpoints that have the new version loaded */
     double new_capacity; /* share of the traffic they can serve, 0 to 1 */
-    bool distrusted;     /* the circuit breaker of a router has tripped */
+    bool any_tripped;    /* the circuit breaker of a router has tripped */
     double per_sec;      /* current request rate of the service */
     double peak_per_sec; /* its highest rate in the last day; 0: unknown */
 };
@@ -171,10 +171,10 @@
 enum st_status Mv_Begin(struct mv_move *move, const struct mv_plan *plan,
                         int64_t now);
 bool Mv_Tick(struct mv_move *move, const struct mv_evidence *evidence,
-             const struct mv_view *view, int64_t now);
+             const struct mv_tick_input *view, int64_t now);
 bool Mv_Revise(struct mv_move *move, const struct mv_plan *plan, int64_t now);
 bool Mv_IsOver(const struct mv_move *move);
-void Mv_Sentence(const struct mv_move *move, char *out, size_t size);
+void Mv_Describe(const struct mv_move *move, char *out, size_t size);
 const char *Mv_PhaseName(enum mv_phase phase);
 
 /* What one router may send to the new version. */
--- a/packages/policy/crowd.h
+++ b/packages/policy/overload.h
@@ -7,8 +7,8 @@
  * Connections that this host cannot read in time are closed unread, and the
  * caller connects to another host at once; requests that were read are served.
  */
-#ifndef POLICY_CROWD_H
-#define POLICY_CROWD_H
+#ifndef POLICY_OVERLOAD_H
+#define POLICY_OVERLOAD_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -18,18 +18,18 @@
 extern "C" {
 #endif
 
-struct cr_host {
+struct ov_load {
     int64_t slow_since; /* start of the current run of slow turns; 0: none */
-    bool full;          /* overloaded: close new connections unread */
+    bool overloaded;    /* overloaded: close new connections unread */
 };
 
 /* Records that a turn which took "usec" has ended. */
-void Cr_Turn(struct cr_host *host, int64_t usec, int64_t now);
+void Ov_RecordTurn(struct ov_load *host, int64_t usec, int64_t now);
 /*
  * Whether to accept one more beside "connections" open ones; "most" is the
  * number for which descriptors are available.
  */
-bool Cr_MayTake(const struct cr_host *host, size_t connections, size_t most);
+bool Ov_MayAccept(const struct ov_load *host, size_t connections, size_t most);
 
 #ifdef __cplusplus
 }
