--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -12,7 +12,7 @@
 #define Pz_CRASH_TTL_USEC (600 * Ck_USEC_PER_SEC)
 
 struct pz_rule
-Pz_Rule(void)
+Pz_DefaultRule(void)
 {
     return (struct pz_rule){
         .crashes_after_head = 3,
@@ -83,11 +83,12 @@
     struct pz_crash_entry *entry = find_entry(table, crash);
     if (entry != NULL) {
         bool later = crash->sent_at > entry->crash.sent_at;
-        table->changed |= later || (crash->begun && !entry->crash.begun) ||
-                          (!local && !entry->confirmed);
+        table->changed |=
+            later || (crash->head_received && !entry->crash.head_received) ||
+            (!local && !entry->confirmed);
         entry->local |= local;
         entry->confirmed |= !local;
-        entry->crash.begun |= crash->begun;
+        entry->crash.head_received |= crash->head_received;
         if (later) {
             entry->crash.sent_at = crash->sent_at;
             entry->crash.request = crash->request;
@@ -108,8 +109,8 @@
 }
 
 void
-Pz_Ended(struct pz_table *table, const struct pz_request *request,
-         const struct pz_crash *crash)
+Pz_NoteCrash(struct pz_table *table, const struct pz_request *request,
+             const struct pz_crash *crash)
 {
     for (size_t i = 0; i < request->count; i++) {
         struct pz_crash one = *crash;
@@ -122,7 +123,8 @@
 }
 
 void
-Pz_Began(struct pz_table *table, const struct pz_request *request, int64_t now)
+Pz_NoteAnswer(struct pz_table *table, const struct pz_request *request,
+              int64_t now)
 {
     pz_note_service_answer(table, request->service, now);
     for (size_t i = 0; i < request->count; i++) {
@@ -137,21 +139,21 @@
 }
 
 void
-Pz_Lives(struct pz_table *table, uint32_t endpoint, int64_t at)
+Pz_NoteAlive(struct pz_table *table, uint32_t endpoint, int64_t at)
 {
     struct pz_crash_entry *entry;
     struct pz_crash_entry *next;
     TAILQ_FOREACH_SAFE (entry, &table->crashes, link, next) {
         int64_t since = at - entry->crash.ended_at;
         if (entry->crash.endpoint == endpoint && since > Pz_IN_TRANSIT_USEC &&
-            since < Pz_BACK_USEC) {
+            since < Pz_RESTART_MIN_USEC) {
             remove_entry(table, entry);
         }
     }
 }
 
 void
-Pz_Forget(struct pz_table *table, uint32_t endpoint)
+Pz_DropLocalCrashes(struct pz_table *table, uint32_t endpoint)
 {
     struct pz_crash_entry *entry;
     struct pz_crash_entry *next;
@@ -163,7 +165,7 @@
 }
 
 void
-Pz_Dead(struct pz_table *table, uint32_t endpoint)
+Pz_ConfirmDead(struct pz_table *table, uint32_t endpoint)
 {
     struct pz_crash_entry *entry;
     TAILQ_FOREACH (entry, &table->crashes, link) {
@@ -180,8 +182,8 @@
     return entry->confirmed || now - entry->crash.ended_at >= Pz_CONFIRM_USEC;
 }
 
-struct pz_stop *
-pz_find_stop(struct pz_table *table, const struct pz_key *key)
+struct pz_quarantine *
+pz_find_quarantine(struct pz_table *table, const struct pz_key *key)
 {
     for (size_t i = 0; i < table->stop_count; i++) {
         if (pz_same_key(&table->stops[i].key, key)) {
@@ -192,9 +194,9 @@
 }
 
 bool
-pz_add_stop(struct pz_table *table, const struct pz_stop *stop)
+pz_add_quarantine(struct pz_table *table, const struct pz_quarantine *stop)
 {
-    if (table->stop_count == Pz_STOPS_MAX) {
+    if (table->stop_count == Pz_QUARANTINES_MAX) {
         return false;
     }
     table->stops[table->stop_count++] = *stop;
@@ -203,9 +205,9 @@
 }
 
 static void
-lift(struct pz_table *table, struct pz_stop *stop, const char *why)
+lift(struct pz_table *table, struct pz_quarantine *stop, const char *why)
 {
-    struct pz_stop lifted = *stop;
+    struct pz_quarantine lifted = *stop;
     *stop = table->stops[--table->stop_count];
     table->changed = true;
     table->ops->lifted(table->arg, &lifted, why);
@@ -220,7 +222,7 @@
                const char *why, int64_t now)
 {
     pz_note_answer(table, key, 1, now);
-    struct pz_stop *stop = pz_find_stop(table, key);
+    struct pz_quarantine *stop = pz_find_quarantine(table, key);
     if (stop != NULL) {
         lift(table, stop, why);
     }
@@ -241,24 +243,24 @@
 void
 pz_lift_cleared(struct pz_table *table, const struct pz_key *key)
 {
-    struct pz_stop *stop = pz_find_stop(table, key);
+    struct pz_quarantine *stop = pz_find_quarantine(table, key);
     if (stop != NULL && pz_cleared_at(table, key) > stop->decided_at) {
         lift(table, stop, "began");
     }
 }
 
-const struct pz_stop *
-Pz_Refuses(struct pz_table *table, const struct pz_request *request,
-           int64_t now)
+const struct pz_quarantine *
+Pz_FindQuarantine(struct pz_table *table, const struct pz_request *request,
+                  int64_t now)
 {
     for (size_t i = 0; i < request->count && table->stop_count > 0; i++) {
         struct pz_key key = {request->service, request->customer,
                              request->parts[i]};
         struct pz_key all = pz_all_customers(&key);
-        struct pz_stop *stop = pz_find_stop(table, &key);
-        stop = stop == NULL ? pz_find_stop(table, &all) : stop;
+        struct pz_quarantine *stop = pz_find_quarantine(table, &key);
+        stop = stop == NULL ? pz_find_quarantine(table, &all) : stop;
         if (stop != NULL) {
-            stop->seen_at = now;
+            stop->requested_at = now;
             return stop;
         }
     }
@@ -266,9 +268,9 @@
 }
 
 bool
-pz_is_current(const struct pz_stop *stop, int64_t now)
+pz_is_current(const struct pz_quarantine *stop, int64_t now)
 {
-    return now - stop->seen_at < Pz_STOP_LASTS_USEC;
+    return now - stop->requested_at < Pz_QUARANTINE_TTL_USEC;
 }
 
 void
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -46,10 +46,10 @@
 /* An endpoint crashed while a request with the part waited for its answer. */
 struct pz_crash {
     struct pz_key key;
-    uint32_t endpoint; /* identifies one start of the endpoint */
-    uint32_t request;  /* the same for all repeats of a request */
-    int depth;         /* index of the part in the prompt, from 0 */
-    bool begun;        /* the answer's headers had come, but no event */
+    uint32_t endpoint;  /* identifies one start of the endpoint */
+    uint32_t request;   /* the same for all repeats of a request */
+    int depth;          /* index of the part in the prompt, from 0 */
+    bool head_received; /* the answer's headers had come, but no event */
     int64_t sent_at;
     int64_t ended_at;
 };
@@ -60,21 +60,21 @@
     int64_t at;
 };
 
-struct pz_stop {
+struct pz_quarantine {
     struct pz_key key;
-    int64_t decided_at; /* time of the last crash of its chain */
-    int64_t seen_at;    /* last request with the part */
+    int64_t decided_at;   /* time of the last crash of its chain */
+    int64_t requested_at; /* last request with the part */
 };
 
 /* Largest number of stopped parts. */
-#define Pz_STOPS_MAX 64
+#define Pz_QUARANTINES_MAX 64
 /*
  * No endpoint restarts within this time after a crash, so an earlier sign of
  * life shows that the endpoint did not crash.
  */
-#define Pz_BACK_USEC (1500 * Ck_USEC_PER_MSEC)
+#define Pz_RESTART_MIN_USEC (1500 * Ck_USEC_PER_MSEC)
 /* A stop expires when no request with the part came for this long. */
-#define Pz_STOP_LASTS_USEC (600 * Ck_USEC_PER_SEC)
+#define Pz_QUARANTINE_TTL_USEC (600 * Ck_USEC_PER_SEC)
 
 #define Pz_PARTS_MAX 32
 
@@ -99,14 +99,15 @@
     int64_t startup_grace_usec; /* no decision this soon after the start */
 };
 
-struct pz_rule Pz_Rule(void);
+struct pz_rule Pz_DefaultRule(void);
 
 struct pz_ops {
     /* A part was stopped by this host or, if "from_peer", by another one. */
-    void (*stopped)(void *arg, const struct pz_stop *stop, int crashes,
+    void (*stopped)(void *arg, const struct pz_quarantine *stop, int crashes,
                     bool from_peer);
     /* A stop was lifted. */
-    void (*lifted)(void *arg, const struct pz_stop *stop, const char *why);
+    void (*lifted)(void *arg, const struct pz_quarantine *stop,
+                   const char *why);
 };
 
 struct pz_table;
@@ -116,52 +117,52 @@
 void Pz_Destroy(struct pz_table *table);
 
 /* The first event of an answer arrived. */
-void Pz_Began(struct pz_table *table, const struct pz_request *request,
-              int64_t now);
+void Pz_NoteAnswer(struct pz_table *table, const struct pz_request *request,
+                   int64_t now);
 /* The connection of a request broke before the answer's first event. */
-void Pz_Ended(struct pz_table *table, const struct pz_request *request,
-              const struct pz_crash *crash);
+void Pz_NoteCrash(struct pz_table *table, const struct pz_request *request,
+                  const struct pz_crash *crash);
 /*
  * A connection may break although its endpoint is alive.  Its crash is
  * counted, and gossiped, once the endpoint is known to have ended or has shown
- * no sign of life for a while.  Pz_Lives() reports a sign of life at "at".
+ * no sign of life for a while.  Pz_NoteAlive() reports a sign of life at "at".
  */
-void Pz_Lives(struct pz_table *table, uint32_t endpoint, int64_t at);
+void Pz_NoteAlive(struct pz_table *table, uint32_t endpoint, int64_t at);
 /* The link to the endpoint broke: drops the crashes that this host saw. */
-void Pz_Forget(struct pz_table *table, uint32_t endpoint);
+void Pz_DropLocalCrashes(struct pz_table *table, uint32_t endpoint);
 /* The endpoint is known to have ended. */
-void Pz_Dead(struct pz_table *table, uint32_t endpoint);
+void Pz_ConfirmDead(struct pz_table *table, uint32_t endpoint);
 /*
  * The stop that forbids to send the request, valid until the next call; NULL
  * if the request may be sent.
  */
-const struct pz_stop *Pz_Refuses(struct pz_table *table,
-                                 const struct pz_request *request,
-                                 int64_t now);
+const struct pz_quarantine *Pz_FindQuarantine(struct pz_table *table,
+                                              const struct pz_request *request,
+                                              int64_t now);
 /*
  * Whether the request must not be sent to another endpoint, because one of
  * its parts was never answered and has crashed several endpoints already.
  */
-bool Pz_Doubts(const struct pz_table *table, const struct pz_request *request,
-               int64_t now);
+bool Pz_DeniesRetry(const struct pz_table *table,
+                    const struct pz_request *request, int64_t now);
 /*
  * Decides which parts to stop.  To be called after changes and periodically,
  * since with time unconfirmed crashes begin to count and stops expire.
  */
-void Pz_Judge(struct pz_table *table, int64_t now);
+void Pz_Evaluate(struct pz_table *table, int64_t now);
 
 /* Rows to gossip, at most "most"; crashes and stops with the newest first. */
-size_t Pz_TellCrashes(const struct pz_table *table, struct pz_crash *out,
-                      size_t most, int64_t now);
-size_t Pz_TellClears(const struct pz_table *table, struct pz_clear *out,
-                     size_t most, int64_t now);
-size_t Pz_TellStops(const struct pz_table *table, struct pz_stop *out,
-                    size_t most);
+size_t Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
+                        size_t most, int64_t now);
+size_t Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
+                       size_t most, int64_t now);
+size_t Pz_ExportQuarantines(const struct pz_table *table,
+                            struct pz_quarantine *out, size_t most);
 /* Rows received from other hosts. */
-void Pz_HearCrash(struct pz_table *table, const struct pz_crash *crash);
-void Pz_HearClear(struct pz_table *table, const struct pz_clear *clear);
-void Pz_HearStop(struct pz_table *table, const struct pz_stop *stop,
-                 int64_t now);
+void Pz_ImportCrash(struct pz_table *table, const struct pz_crash *crash);
+void Pz_ImportClear(struct pz_table *table, const struct pz_clear *clear);
+void Pz_ImportQuarantine(struct pz_table *table,
+                         const struct pz_quarantine *stop, int64_t now);
 /* Lifts all stops of a service, for instance at a change of its version. */
 void Pz_LiftService(struct pz_table *table, uint32_t service, const char *why,
                     int64_t now);
--- a/packages/policy/poison_word.c
+++ b/packages/policy/poison_gossip.c
@@ -14,8 +14,8 @@
 }
 
 size_t
-Pz_TellCrashes(const struct pz_table *table, struct pz_crash *out, size_t most,
-               int64_t now)
+Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
+                 size_t most, int64_t now)
 {
     size_t count = 0;
     const struct pz_crash_entry *entry;
@@ -34,8 +34,8 @@
 
 /* Parts that a peer reported as implicated and that were answered since. */
 size_t
-Pz_TellClears(const struct pz_table *table, struct pz_clear *out, size_t most,
-              int64_t now)
+Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
+                size_t most, int64_t now)
 {
     size_t count = 0;
     for (size_t set = 0; set < Pz_SETS; set++) {
@@ -52,7 +52,8 @@
 }
 
 size_t
-Pz_TellStops(const struct pz_table *table, struct pz_stop *out, size_t most)
+Pz_ExportQuarantines(const struct pz_table *table, struct pz_quarantine *out,
+                     size_t most)
 {
     size_t count = table->stop_count < most ? table->stop_count : most;
     for (size_t i = 0; i < count; i++) {
@@ -71,7 +72,7 @@
 }
 
 void
-Pz_HearCrash(struct pz_table *table, const struct pz_crash *crash)
+Pz_ImportCrash(struct pz_table *table, const struct pz_crash *crash)
 {
     note_implicated(table, &crash->key, crash->ended_at);
     if (pz_cleared_at(table, &crash->key) < crash->ended_at) {
@@ -80,7 +81,7 @@
 }
 
 void
-Pz_HearClear(struct pz_table *table, const struct pz_clear *clear)
+Pz_ImportClear(struct pz_table *table, const struct pz_clear *clear)
 {
     const struct pz_history *history = pz_find_history(table, &clear->key);
     if (history != NULL && history->answered_at >= clear->at) {
@@ -96,20 +97,21 @@
  * Pz_GOSSIP_USEC after the decision.
  */
 void
-Pz_HearStop(struct pz_table *table, const struct pz_stop *stop, int64_t now)
+Pz_ImportQuarantine(struct pz_table *table, const struct pz_quarantine *stop,
+                    int64_t now)
 {
     note_implicated(table, &stop->key, stop->decided_at);
     if (pz_cleared_at(table, &stop->key) > stop->decided_at) {
         return;
     }
-    struct pz_stop *existing = pz_find_stop(table, &stop->key);
+    struct pz_quarantine *existing = pz_find_quarantine(table, &stop->key);
     if (existing != NULL) {
-        existing->seen_at = stop->seen_at > existing->seen_at
-                                ? stop->seen_at
-                                : existing->seen_at;
+        existing->requested_at = stop->requested_at > existing->requested_at
+                                     ? stop->requested_at
+                                     : existing->requested_at;
         return;
     }
-    if (pz_is_current(stop, now) && pz_add_stop(table, stop)) {
+    if (pz_is_current(stop, now) && pz_add_quarantine(table, stop)) {
         table->ops->stopped(table->arg, stop, 0, true);
     }
 }
--- a/packages/policy/poison_internal.h
+++ b/packages/policy/poison_internal.h
@@ -56,7 +56,7 @@
     struct pz_crash_list crashes; /* oldest first */
     struct pz_crash_list free_entries;
     struct pz_crash_entry pool[Pz_CRASHES_MAX];
-    struct pz_stop stops[Pz_STOPS_MAX];
+    struct pz_quarantine stops[Pz_QUARANTINES_MAX];
     size_t stop_count;
     size_t service_count;
     struct pz_recent_answers recent_answers[Pz_SERVICES_MAX];
@@ -92,11 +92,13 @@
 
 void pz_add_crash(struct pz_table *table, const struct pz_crash *crash,
                   bool local);
-struct pz_stop *pz_find_stop(struct pz_table *table, const struct pz_key *key);
+struct pz_quarantine *pz_find_quarantine(struct pz_table *table,
+                                         const struct pz_key *key);
 /* False: the table of stops is full. */
-bool pz_add_stop(struct pz_table *table, const struct pz_stop *stop);
+bool pz_add_quarantine(struct pz_table *table,
+                       const struct pz_quarantine *stop);
 /* Whether a request with the part came recently enough to keep the stop. */
-bool pz_is_current(const struct pz_stop *stop, int64_t now);
+bool pz_is_current(const struct pz_quarantine *stop, int64_t now);
 /* Removes expired crashes and stops. */
 void pz_expire(struct pz_table *table, int64_t now);
 /* Lifts the stop of a part that was answered after the decision. */
--- a/packages/policy/poison_judge.c
+++ b/packages/policy/poison_judge.c
@@ -19,8 +19,8 @@
 is_stopped(struct pz_table *table, const struct pz_key *key)
 {
     struct pz_key all = pz_all_customers(key);
-    return pz_find_stop(table, key) != NULL ||
-           pz_find_stop(table, &all) != NULL;
+    return pz_find_quarantine(table, key) != NULL ||
+           pz_find_quarantine(table, &all) != NULL;
 }
 
 /*
@@ -32,7 +32,7 @@
 {
     return stopped->endpoint == other->endpoint &&
            stopped->key.part != other->key.part &&
-           (stopped->begun || !other->begun);
+           (stopped->head_received || !other->head_received);
 }
 
 static void
@@ -82,7 +82,7 @@
     TAILQ_FOREACH (entry, &table->crashes, link) {
         if (matches_key(key, &entry->crash) &&
             entry->crash.ended_at > cleared_at &&
-            (entry->crash.begun || !begun) && !entry->explained &&
+            (entry->crash.head_received || !begun) && !entry->explained &&
             pz_is_counted(entry, now)) {
             out[count++] = entry->crash;
         }
@@ -227,7 +227,7 @@
 }
 
 void
-Pz_Judge(struct pz_table *table, int64_t now)
+Pz_Evaluate(struct pz_table *table, int64_t now)
 {
     pz_expire(table, now);
     if ((!table->changed && !table->pending) ||
@@ -238,8 +238,9 @@
     table->pending = false;
     struct suspect likeliest;
     while (find_likeliest(table, &likeliest, now)) {
-        struct pz_stop stop = {likeliest.key, likeliest.chain.last_at, now};
-        if (!pz_add_stop(table, &stop)) {
+        struct pz_quarantine stop = {likeliest.key, likeliest.chain.last_at,
+                                     now};
+        if (!pz_add_quarantine(table, &stop)) {
             return;
         }
         table->ops->stopped(table->arg, &stop, likeliest.chain.length, false);
@@ -247,8 +248,8 @@
 }
 
 bool
-Pz_Doubts(const struct pz_table *table, const struct pz_request *request,
-          int64_t now)
+Pz_DeniesRetry(const struct pz_table *table, const struct pz_request *request,
+               int64_t now)
 {
     for (size_t i = 0; i < request->count && !TAILQ_EMPTY(&table->crashes);
          i++) {
--- a/packages/policy/poison_pack.c
+++ b/packages/policy/poison_pack.c
@@ -3,7 +3,7 @@
 #define Pz_KEY_FIELDS 3
 #define Pz_CRASH_FIELDS (Pz_KEY_FIELDS + 6)
 #define Pz_CLEAR_FIELDS (Pz_KEY_FIELDS + 1)
-#define Pz_STOP_FIELDS (Pz_KEY_FIELDS + 2)
+#define Pz_QUARANTINE_FIELDS (Pz_KEY_FIELDS + 2)
 
 static void
 pack_key(msgpack_packer *packer, const struct pz_key *key)
@@ -23,7 +23,7 @@
         pack_key(packer, &row->key);
         msgpack_pack_uint32(packer, row->endpoint);
         msgpack_pack_int(packer, row->depth);
-        msgpack_pack_int(packer, row->begun);
+        msgpack_pack_int(packer, row->head_received);
         msgpack_pack_int64(packer, row->sent_at);
         msgpack_pack_int64(packer, row->ended_at);
         msgpack_pack_uint32(packer, row->request);
@@ -42,13 +42,14 @@
 }
 
 void
-Pz_PackStops(msgpack_packer *packer, const struct pz_stop *rows, size_t count)
+Pz_PackQuarantines(msgpack_packer *packer, const struct pz_quarantine *rows,
+                   size_t count)
 {
-    msgpack_pack_array(packer, count * Pz_STOP_FIELDS);
+    msgpack_pack_array(packer, count * Pz_QUARANTINE_FIELDS);
     for (size_t i = 0; i < count; i++) {
         pack_key(packer, &rows[i].key);
         msgpack_pack_int64(packer, rows[i].decided_at);
-        msgpack_pack_int64(packer, rows[i].seen_at);
+        msgpack_pack_int64(packer, rows[i].requested_at);
     }
 }
 
@@ -91,7 +92,7 @@
             .key = read_key(row),
             .endpoint = (uint32_t)number(&field[0]),
             .depth = (int)number(&field[1]),
-            .begun = number(&field[2]) != 0,
+            .head_received = number(&field[2]) != 0,
             .sent_at = number(&field[3]),
             .ended_at = number(&field[4]),
             .request = (uint32_t)number(&field[5]),
@@ -112,13 +113,16 @@
 }
 
 size_t
-Pz_ReadStops(const msgpack_object *list, struct pz_stop *out, size_t most)
+Pz_ReadQuarantines(const msgpack_object *list, struct pz_quarantine *out,
+                   size_t most)
 {
-    size_t count = count_rows(list, Pz_STOP_FIELDS, most);
+    size_t count = count_rows(list, Pz_QUARANTINE_FIELDS, most);
     for (size_t i = 0; i < count; i++) {
-        const msgpack_object *row = &list->via.array.ptr[i * Pz_STOP_FIELDS];
-        out[i] = (struct pz_stop){read_key(row), number(&row[Pz_KEY_FIELDS]),
-                                  number(&row[Pz_KEY_FIELDS + 1])};
+        const msgpack_object *row =
+            &list->via.array.ptr[i * Pz_QUARANTINE_FIELDS];
+        out[i] =
+            (struct pz_quarantine){read_key(row), number(&row[Pz_KEY_FIELDS]),
+                                   number(&row[Pz_KEY_FIELDS + 1])};
     }
     return count;
 }
--- a/packages/policy/queue.c
+++ b/packages/policy/queue.c
@@ -306,7 +306,7 @@
  * refuse; NULL when there is none.
  */
 struct qu_item *
-Qu_Late(struct qu_queue *queue, int64_t now)
+Qu_PopExpired(struct qu_queue *queue, int64_t now)
 {
     struct qu_flow *flow;
     LIST_FOREACH (flow, &queue->flows, entry) {
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -2,8 +2,8 @@
  * The queue in front of a service's endpoints: weighted fair queueing between
  * customers; by class and deadline within a customer; bounded; and it refuses
  * at once a request that cannot be served before its deadline. The caller owns
- * the items and must answer the ones that Qu_Push(), Qu_Late() and Qu_Pop()
- * return. Times are microseconds.
+ * the items and must answer the ones that Qu_Push(), Qu_PopExpired() and
+ * Qu_Pop() return. Times are microseconds.
  */
 #ifndef POLICY_QUEUE_H
 #define POLICY_QUEUE_H
@@ -71,7 +71,7 @@
                        struct qu_item *item, double per_sec, int64_t now,
                        struct qu_refusal *refusal);
 struct qu_item *Qu_Pop(struct qu_queue *queue, int64_t now);
-struct qu_item *Qu_Late(struct qu_queue *queue, int64_t now);
+struct qu_item *Qu_PopExpired(struct qu_queue *queue, int64_t now);
 void Qu_Remove(struct qu_queue *queue, struct qu_item *item);
 
 /* Queries. */
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -19,7 +19,7 @@
 {
     budget->tokens = most;
     budget->ratio = ratio;
-    budget->most = most;
+    budget->capacity = most;
 }
 
 /*
@@ -29,11 +29,11 @@
  * add no retries.
  */
 void
-Rt_Cover(struct rt_budget *budget, int in_flight)
+Rt_RaiseCapacity(struct rt_budget *budget, int in_flight)
 {
-    if (in_flight > budget->most) {
-        budget->tokens *= in_flight / budget->most;
-        budget->most = in_flight;
+    if (in_flight > budget->capacity) {
+        budget->tokens *= in_flight / budget->capacity;
+        budget->capacity = in_flight;
     }
 }
 
@@ -42,8 +42,8 @@
 Rt_Success(struct rt_budget *budget)
 {
     budget->tokens += budget->ratio;
-    if (budget->tokens > budget->most) {
-        budget->tokens = budget->most;
+    if (budget->tokens > budget->capacity) {
+        budget->tokens = budget->capacity;
     }
 }
 
@@ -85,7 +85,7 @@
  * charge would be made twice.
  */
 enum rt_reason
-Rt_Why(const struct rt_budget *budget, const struct rt_attempt *attempt)
+Rt_DenyReason(const struct rt_budget *budget, const struct rt_attempt *attempt)
 {
     bool unreached = attempt->stage == RT_NOT_SENT;
     if (!attempt->idempotent && !unreached && attempt->stage != RT_REFUSED) {
@@ -97,10 +97,10 @@
     if (attempt->attempts >= ATTEMPTS_MAX) {
         return RT_ATTEMPTS_SPENT;
     }
-    if (attempt->unreached >= CONNECT_FAILURES_MAX) {
+    if (attempt->connect_failures >= CONNECT_FAILURES_MAX) {
         return RT_NOBODY_REACHED;
     }
-    if (attempt->left <= attempt->predicted) {
+    if (attempt->time_left <= attempt->predicted) {
         return RT_NO_TIME_LEFT;
     }
     if (!needs_no_token(attempt) && budget->tokens < 1) {
@@ -134,7 +134,7 @@
 enum rt_verdict
 Rt_Decide(struct rt_budget *budget, const struct rt_attempt *attempt)
 {
-    if (Rt_Why(budget, attempt) != RT_ALLOWED) {
+    if (Rt_DenyReason(budget, attempt) != RT_ALLOWED) {
         return final_verdict(attempt);
     }
     if (!needs_no_token(attempt)) {
@@ -150,7 +150,7 @@
  * where the only endpoint left refuses connections.
  */
 int64_t
-Rt_Gap(int unreached)
+Rt_Backoff(int unreached)
 {
     if (unreached <= 1) {
         return 0;
@@ -176,7 +176,8 @@
         attempt->attempts != 1) {
         return false;
     }
-    if (usual <= 0 || waited < usual || attempt->left <= attempt->predicted) {
+    if (usual <= 0 || waited < usual ||
+        attempt->time_left <= attempt->predicted) {
         return false;
     }
     return take_token(budget);
--- a/packages/policy/stream.c
+++ b/packages/policy/stream.c
@@ -69,7 +69,7 @@
 resume_after(const struct sm_settings *settings,
              const struct sm_stream *stream, struct rn_random *random)
 {
-    int64_t available = stream->left - settings->margin;
+    int64_t available = stream->time_left - settings->margin;
     return available > 0 ? (int64_t)((double)available * Rn_Unit(random)) : 0;
 }
 
@@ -85,7 +85,7 @@
           struct sm_decision *out)
 {
     double remaining = (double)stream->token_usec * stream->tokens_expected;
-    int64_t available = stream->left - settings->margin;
+    int64_t available = stream->time_left - settings->margin;
     *out = (struct sm_decision){.plan = SM_FINISH,
                                 .act_after = DECIDE_AGAIN_USEC};
     if (remaining * settings->safety_factor <= (double)available) {
@@ -96,15 +96,15 @@
         return;
     }
     int64_t move = time_to_move(stream, target);
-    if (target->imports && move <= available &&
+    if (target->imports_cache && move <= available &&
         is_move_better(settings, stream, target)) {
         out->plan = SM_MOVE;
         out->act_after = 0;
-        out->gap = move;
+        out->pause = move;
         return;
     }
     out->plan = SM_RESUME;
     out->act_after = resume_after(settings, stream, random);
-    out->gap = time_to_resume(stream, target);
+    out->pause = time_to_resume(stream, target);
     out->recomputed = tokens_to_recompute(stream, target);
 }
--- a/packages/policy/stream.h
+++ b/packages/policy/stream.h
@@ -25,7 +25,7 @@
 };
 
 struct sm_stream {
-    int64_t left; /* time until the endpoint is gone */
+    int64_t time_left; /* time until the endpoint is gone */
     int prompt_tokens;
     int tokens_given;
     int tokens_expected; /* tokens still to come */
@@ -35,10 +35,10 @@
 /* The endpoint that would take the stream over. */
 struct sm_target {
     bool found;
-    bool imports;      /* takes KV caches from this endpoint */
-    int64_t wait;      /* time until the target has a free slot */
-    int cached_tokens; /* prompt tokens probably in its prefix cache */
-    int64_t move_usec; /* fixed duration of a move */
+    bool imports_cache; /* takes KV caches from this endpoint */
+    int64_t wait;       /* time until the target has a free slot */
+    int cached_tokens;  /* prompt tokens probably in its prefix cache */
+    int64_t move_usec;  /* fixed duration of a move */
     int64_t move_per_token;
     int64_t prefill_per_token;
 };
@@ -53,7 +53,7 @@
     enum sm_plan plan;
     int64_t act_after; /* delay until the action; with SM_FINISH until the next
                           decision */
-    int64_t gap;       /* predicted pause between two tokens for the caller */
+    int64_t pause;     /* predicted pause between two tokens for the caller */
     int recomputed;    /* predicted number of tokens computed again */
     bool at_risk;      /* not expected to end before the endpoint is gone */
 };
--- a/packages/policy/test/admit_test.cc
+++ b/packages/policy/test/admit_test.cc
@@ -74,8 +74,9 @@
             for (auto &m : in_transit) {
                 for (size_t i = 0; m.at <= now && i < daemons.size(); i++) {
                     if (i != m.from && partition[i] == partition[m.from]) {
-                        Am_Hear(daemons[i], name(m.from).c_str(),
-                                m.demands.data(), m.demands.size(), now);
+                        Am_ReceiveDemands(daemons[i], name(m.from).c_str(),
+                                          m.demands.data(), m.demands.size(),
+                                          now);
                     }
                 }
             }
@@ -91,7 +92,7 @@
                     bool ok = Am_Admit(daemons[i], "c", now, &retry) == ST_OK;
                     admitted += ok;
                     if (ok && !hold_slots) {
-                        Am_Done(daemons[i], "c", now);
+                        Am_Release(daemons[i], "c", now);
                     }
                 }
             }
@@ -225,15 +226,16 @@
             Am_Admit(f.daemons[0], "c", f.now, &retry);
         }
         for (int k = 0; k < 10; k++) {
-            Am_Done(f.daemons[0], "c", f.now);
+            Am_Release(f.daemons[0], "c", f.now);
         }
         Am_Publish(f.daemons[0], f.now, out, 4);
         for (size_t from = 1; from < 3; from++) {
             size_t n = Am_Publish(f.daemons[from], f.now, out, 4);
             for (size_t to = 0; to < 3; to++) {
                 if (to != from) {
-                    Am_Hear(f.daemons[to], Cluster::name(from).c_str(), out, n,
-                            f.now);
+                    Am_ReceiveDemands(f.daemons[to],
+                                      Cluster::name(from).c_str(), out, n,
+                                      f.now);
                 }
             }
         }
@@ -344,7 +346,7 @@
                 messages.push_back({now + Draw(100000),
                                     to,
                                     i,
-                                    Am_Daemons(daemons[i]),
+                                    Am_DaemonCount(daemons[i]),
                                     {out, out + n}});
             }
         }
@@ -358,9 +360,11 @@
                 continue;
             }
             std::string from = Cluster::name(message.from);
-            Am_Hear(daemons[message.to], from.c_str(), message.demands.data(),
-                    message.demands.size(), now);
-            Am_HearCount(daemons[message.to], from.c_str(), message.daemons);
+            Am_ReceiveDemands(daemons[message.to], from.c_str(),
+                              message.demands.data(), message.demands.size(),
+                              now);
+            Am_ReceiveDaemonCount(daemons[message.to], from.c_str(),
+                                  message.daemons);
         }
         messages.erase(std::remove_if(messages.begin(), messages.end(),
                                       [&](const Message &message) {
@@ -513,7 +517,7 @@
     Am_SetCustomer(limits, "d", 0, 1);
     EXPECT_EQ(ST_OK, Am_Admit(limits, "d", now, &retry));
     EXPECT_EQ(ST_OVERLOAD, Am_Admit(limits, "d", now, &retry));
-    Am_Done(limits, "d", now);
+    Am_Release(limits, "d", now);
     EXPECT_EQ(ST_OK, Am_Admit(limits, "d", now, &retry));
     EXPECT_EQ(1, Am_InFlight(limits, "d"));
     Am_Destroy(limits);
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -18,18 +18,18 @@
 // between that the endpoint is brittle.
 TEST(Brittle, EndpointReportExpiresAfter30Seconds)
 {
-    struct br_room state = {};
+    struct br_state state = {};
     EXPECT_FALSE(Br_IsBrittle(&state, kNow));
-    Br_Told(&state, 5, kNow);
+    Br_NoteEndpointReport(&state, 5, kNow);
     EXPECT_TRUE(Br_IsBrittle(&state, kNow + 29999 * kMs));
     EXPECT_FALSE(Br_IsBrittle(&state, kNow + 30000 * kMs));
 }
 
 TEST(Brittle, PeerReportExpiresAfter3Seconds)
 {
-    struct br_room state = {};
-    Br_Heard(&state, 5, kNow);
-    EXPECT_FALSE(Br_IsTold(&state, kNow));
+    struct br_state state = {};
+    Br_NotePeerReport(&state, 5, kNow);
+    EXPECT_FALSE(Br_ShouldReport(&state, kNow));
     EXPECT_TRUE(Br_IsBrittle(&state, kNow + 2999 * kMs));
     EXPECT_FALSE(Br_IsBrittle(&state, kNow + 3000 * kMs));
 }
@@ -38,24 +38,24 @@
 // never expire.
 TEST(Brittle, OnlyARecentEndpointReportIsPassedOn)
 {
-    struct br_room state = {};
-    Br_Told(&state, 5, kNow);
-    Br_Heard(&state, 5, kNow + 2999 * kMs);
-    EXPECT_TRUE(Br_IsTold(&state, kNow + 2999 * kMs));
-    EXPECT_FALSE(Br_IsTold(&state, kNow + 3000 * kMs));
+    struct br_state state = {};
+    Br_NoteEndpointReport(&state, 5, kNow);
+    Br_NotePeerReport(&state, 5, kNow + 2999 * kMs);
+    EXPECT_TRUE(Br_ShouldReport(&state, kNow + 2999 * kMs));
+    EXPECT_FALSE(Br_ShouldReport(&state, kNow + 3000 * kMs));
 }
 
 // Guards against a limit that is withdrawn for all endpoints by the answer to
 // an earlier request, or by an endpoint that never reported the limit.
 TEST(Brittle, IsOverWithAnAnswerOfTheSameEndpointToALaterRequest)
 {
-    struct br_room state = {};
-    Br_Told(&state, 5, kNow);
-    EXPECT_FALSE(Br_IsOver(&state, kNow + 1));
-    state.said = true;
-    EXPECT_FALSE(Br_IsOver(&state, kNow));
-    EXPECT_TRUE(Br_IsOver(&state, kNow + 1));
-    Br_End(&state);
+    struct br_state state = {};
+    Br_NoteEndpointReport(&state, 5, kNow);
+    EXPECT_FALSE(Br_IsWithdrawn(&state, kNow + 1));
+    state.self_reported = true;
+    EXPECT_FALSE(Br_IsWithdrawn(&state, kNow));
+    EXPECT_TRUE(Br_IsWithdrawn(&state, kNow + 1));
+    Br_Clear(&state);
     EXPECT_FALSE(Br_IsBrittle(&state, kNow + 1));
 }
 
@@ -65,7 +65,7 @@
 {
     for (int refusal_limit = 1; refusal_limit <= 40; refusal_limit++) {
         for (size_t hosts : {1, 2, 7, 60, 420}) {
-            struct br_part quota = Br_Part(refusal_limit, hosts, 9);
+            struct br_quota quota = Br_Quota(refusal_limit, hosts, 9);
             EXPECT_GE(quota.full_hosts, 1u);
             EXPECT_LE(quota.full_hosts * (size_t)quota.max_unconfirmed +
                           quota.half_hosts - quota.full_hosts,
@@ -79,8 +79,8 @@
 // endpoint counts refusals.
 TEST(Brittle, SendsNothingForASecondAfterARefusal)
 {
-    struct br_room state = {};
-    struct br_part quota = {1, 1, 1, 1};
+    struct br_state state = {};
+    struct br_quota quota = {1, 1, 1, 1};
     EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow));
     Br_Refused(&state, kNow);
     EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + 1000 * kMs));
@@ -89,8 +89,8 @@
 
 TEST(Brittle, OneRequestAtATimeIsUnconfirmed)
 {
-    struct br_room state = {};
-    struct br_part quota = {2, 1, 2, 1};
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 2, 1};
     Br_Sent(&state, kNow);
     EXPECT_FALSE(Br_MaySend(&state, &quota, 1, 8, kNow + 49 * kMs));
     EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow + 50 * kMs));
@@ -98,8 +98,8 @@
 
 TEST(Brittle, NextRanksUseOnlyHalfOfTheirBestEndpoint)
 {
-    struct br_room state = {};
-    struct br_part quota = {2, 1, 3, 2};
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 3, 2};
     state.rank = 2;
     EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow));
     state.best = true;
@@ -109,8 +109,8 @@
 
 TEST(Brittle, LowRanksUseANearlyIdleEndpointAtIntervals)
 {
-    struct br_room state = {};
-    struct br_part quota = {2, 1, 3, 2};
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 3, 2};
     state.rank = 3;
     state.best = true;
     EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow));
@@ -124,12 +124,12 @@
 // none of them has sent anything yet.
 TEST(Brittle, LowRanksTakeTheirFirstTurnsOneAfterTheOther)
 {
-    struct br_part quota = {2, 1, 3, 2};
+    struct br_quota quota = {2, 1, 3, 2};
     for (size_t rank = 3; rank <= 4; rank++) {
-        struct br_room state = {};
+        struct br_state state = {};
         state.rank = rank;
         state.best = true;
-        Br_Told(&state, 5, kNow);
+        Br_NoteEndpointReport(&state, 5, kNow);
         int64_t turn = (rank % 2 == 0 ? 500 : 1000) * kMs;
         EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + turn - 1));
         EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow + turn));
@@ -175,10 +175,10 @@
     Model(const Scene &scene, Policy policy, Learning learning, unsigned seed)
         : scene_(scene), policy_(policy), learning_(learning), random_(seed),
           endpoints_(scene.endpoints),
-          states_(scene.hosts, std::vector<struct br_room>(scene.endpoints)),
+          states_(scene.hosts, std::vector<struct br_state>(scene.endpoints)),
           own_(scene.hosts, std::vector<int>(scene.endpoints)),
           reported_(scene.endpoints),
-          quota_(Br_Part(scene.refusal_limit, scene.hosts, scene.endpoints)),
+          quota_(Br_Quota(scene.refusal_limit, scene.hosts, scene.endpoints)),
           begins_(learning == kKnown ? kNow : kNow + kBrittleAfter)
     {
         if (policy == kBackOff) {
@@ -289,13 +289,13 @@
     }
 
     bool
-    IsKnownBrittle(const struct br_room *state) const
+    IsKnownBrittle(const struct br_state *state) const
     {
         if (learning_ == kKnown) {
             return true;
         }
         return Br_IsBrittle(state, now_) &&
-               (learning_ != kForgetful || Br_IsTold(state, now_));
+               (learning_ != kForgetful || Br_ShouldReport(state, now_));
     }
 
     // An answer reports the refusal limit; it holds for all endpoints.
@@ -305,8 +305,8 @@
         if (now_ < begins_) {
             return;
         }
-        for (struct br_room &state : states_[host]) {
-            Br_Told(&state, scene_.refusal_limit, now_);
+        for (struct br_state &state : states_[host]) {
+            Br_NoteEndpointReport(&state, scene_.refusal_limit, now_);
         }
         first_report_ = std::min(first_report_, now_);
     }
@@ -319,8 +319,8 @@
             return;
         }
         for (auto &states : states_) {
-            for (struct br_room &state : states) {
-                Br_Heard(&state, scene_.refusal_limit, now_);
+            for (struct br_state &state : states) {
+                Br_NotePeerReport(&state, scene_.refusal_limit, now_);
             }
         }
     }
@@ -339,7 +339,7 @@
     {
         const int queue_factor = 3;
         int running = EstimatedRunning(host, e);
-        const struct br_room *state = &states_.data()[host].data()[e];
+        const struct br_state *state = &states_.data()[host].data()[e];
         if (policy_ == kUnlimited || !IsKnownBrittle(state)) {
             return running < queue_factor * scene_.slots;
         }
@@ -352,7 +352,7 @@
         result_.asked++;
         const size_t count = scene_.endpoints;
         const Endpoint *endpoints = endpoints_.data();
-        const struct br_room *states = states_[host].data();
+        const struct br_state *states = states_[host].data();
         size_t best = count;
         for (size_t e = 0; e < count; e++) {
             if (endpoints[e].down_until > now_ || !MaySend(host, e)) {
@@ -405,10 +405,10 @@
     int64_t first_report_ = INT64_MAX / 2;
     std::mt19937 random_;
     std::vector<Endpoint> endpoints_;
-    std::vector<std::vector<struct br_room>> states_;
+    std::vector<std::vector<struct br_state>> states_;
     std::vector<std::vector<int>> own_;
     std::vector<int> reported_; // running at each endpoint, after the lag
-    struct br_part quota_;
+    struct br_quota quota_;
     int64_t begins_; // when endpoints begin to report the limit
     int64_t now_ = kNow;
     Result result_;
--- a/packages/policy/test/model.c
+++ b/packages/policy/test/choose_model.c
@@ -1,4 +1,4 @@
-#include "model.h"
+#include "choose_model.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/packages/policy/test/model.h
+++ b/packages/policy/test/choose_model.h
@@ -3,8 +3,8 @@
  * bounded prefix cache and delayed load reports.  It measures the balancing
  * policies of policy/choose.h.
  */
-#ifndef POLICY_TEST_MODEL_H
-#define POLICY_TEST_MODEL_H
+#ifndef POLICY_TEST_CHOOSE_MODEL_H
+#define POLICY_TEST_CHOOSE_MODEL_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/packages/policy/test/choose_test.cc
+++ b/packages/policy/test/choose_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "model.h"
+#include "choose_model.h"
 #include "policy/choose.h"
 
 namespace {
@@ -343,7 +343,7 @@
     struct ch_share shares[2] = {{"v1", 0.6, 0}, {"v2", 0.4, 0}};
     ASSERT_EQ(ST_OK, Ch_SetShares(t.table, shares, 2));
     struct ch_request request = {};
-    request.again = true;
+    request.is_retry = true;
     for (int i = 0; i < 100; i++) {
         struct ch_flight flight;
         ASSERT_EQ(ST_OK,
@@ -364,7 +364,7 @@
     Ch_SetTrial(t.table, "v2");
     const char *tried[] = {"new"};
     struct ch_request request = {};
-    request.again = true;
+    request.is_retry = true;
     request.failed = true;
     request.tried = tried;
     request.tried_count = 1;
@@ -422,8 +422,8 @@
 choose_after(Table &t, const char *tried)
 {
     struct ch_request request = {};
-    request.again = tried != nullptr;
-    request.failed = request.again;
+    request.is_retry = tried != nullptr;
+    request.failed = request.is_retry;
     request.tried = &tried;
     request.tried_count = tried != nullptr ? 1 : 0;
     struct ch_flight flight;
@@ -674,7 +674,7 @@
     Table t;
     t.put("cold", "v1", "a", 1, 64);
     Ch_SetWarmup(t.table, 4, 30 * kSec, &hosts);
-    Ch_Cold(t.table, "cold", 30 * kSec, t.now);
+    Ch_SetCold(t.table, "cold", 30 * kSec, t.now);
     struct ch_flight flight;
     int sent = 0;
     for (int i = 0; i < 100; i++) {
@@ -694,7 +694,7 @@
         EXPECT_STREQ("warm", Ch_Info(flight.endpoint)->id);
     }
     // An older report does not make the endpoint warm.
-    Ch_Cold(t.table, "cold", 0, t.now - 2 * kSec);
+    Ch_SetCold(t.table, "cold", 0, t.now - 2 * kSec);
     EXPECT_TRUE(Ch_IsCold(Ch_Find(t.table, "cold"), t.now));
     t.now += 31 * kSec;
     EXPECT_FALSE(Ch_IsCold(Ch_Find(t.table, "cold"), t.now));
@@ -706,7 +706,7 @@
 {
     Table t;
     t.put("a1");
-    ASSERT_EQ(ST_OK, Ch_Brittle(t.table, "a1", 6, t.now));
+    ASSERT_EQ(ST_OK, Ch_SetRefusalLimit(t.table, "a1", 6, t.now));
     struct ch_sample sample = {};
     sample.taken = t.now;
     sample.running = 3; // of other hosts
@@ -726,7 +726,7 @@
 {
     Table t;
     t.put("a1");
-    Ch_Brittle(t.table, "a1", 6, t.now);
+    Ch_SetRefusalLimit(t.table, "a1", 6, t.now);
     EXPECT_EQ("a1", t.run(CH_OVERLOADED));
     t.now += kSec;
     EXPECT_EQ("", t.run());
@@ -741,11 +741,11 @@
     Table t;
     t.put("a1");
     t.put("a2");
-    Ch_Brittle(t.table, "a1", 6, t.now);
-    Ch_Brittle(t.table, "a1", -1, t.now - 1);
-    Ch_Brittle(t.table, "a2", -1, t.now + 1);
+    Ch_SetRefusalLimit(t.table, "a1", 6, t.now);
+    Ch_SetRefusalLimit(t.table, "a1", -1, t.now - 1);
+    Ch_SetRefusalLimit(t.table, "a2", -1, t.now + 1);
     EXPECT_TRUE(Ch_IsBrittle(Ch_Find(t.table, "a2"), t.now));
-    Ch_Brittle(t.table, "a1", -1, t.now + 1);
+    Ch_SetRefusalLimit(t.table, "a1", -1, t.now + 1);
     EXPECT_FALSE(Ch_IsBrittle(Ch_Find(t.table, "a1"), t.now));
     EXPECT_FALSE(Ch_IsBrittle(Ch_Find(t.table, "a2"), t.now));
 }
--- a/packages/policy/test/fleet_model.c
+++ b/packages/policy/test/fleet_model.c
@@ -120,7 +120,7 @@
             s->hosts[step->index].in_flight = 6;
         }
         else {
-            s->out->cut += s->hosts[step->index].in_flight > 0;
+            s->out->cut_off += s->hosts[step->index].in_flight > 0;
             remove_host(s, step->index);
         }
     }
--- a/packages/policy/test/fleet_model.h
+++ b/packages/policy/test/fleet_model.h
@@ -18,7 +18,7 @@
     double cost;      /* per day */
     double uncovered; /* fraction of the requests above the capacity */
     double on_demand; /* fraction of the host hours */
-    int cut;          /* hosts released with requests in flight */
+    int cut_off;      /* hosts released with requests in flight */
 };
 
 void Fleet_Run(const struct ft_ops *ops, uint64_t seed, int days,
--- a/packages/policy/test/fleet_test.cc
+++ b/packages/policy/test/fleet_test.cc
@@ -333,7 +333,7 @@
             Fleet_Run(ops[i], seed, 3, &result);
             cost[i] += result.cost;
             missed[i] += result.uncovered;
-            EXPECT_EQ(0, result.cut);
+            EXPECT_EQ(0, result.cut_off);
         }
     }
     EXPECT_LT(cost[0], cost[1]);
--- a/packages/policy/test/way_test.cc
+++ b/packages/policy/test/link_test.cc
@@ -3,97 +3,100 @@
 #include <random>
 #include <vector>
 
-#include "policy/way.h"
+#include "policy/link.h"
 
 namespace {
 
 const int64_t kMs = Ck_USEC_PER_MSEC;
 const int64_t kNow = 1000 * Ck_USEC_PER_SEC;
 
-wy_link
+li_link
 CutLink()
 {
-    wy_link link = {};
-    EXPECT_TRUE(Wy_Ended(&link, WY_FAILED, WY_CAME, kNow));
+    li_link link = {};
+    EXPECT_TRUE(Li_RecordOutcome(&link, LI_FAILED, LI_CONNECTED, kNow));
     return link;
 }
 
 TEST(Way, DirectFirstThenThroughAPeer)
 {
-    wy_link link = {};
-    EXPECT_EQ(Wy_Order(&link, kNow), WY_DIRECT_FIRST);
+    li_link link = {};
+    EXPECT_EQ(Li_Order(&link, kNow), LI_DIRECT_FIRST);
 }
 
 // Guards against a host that cannot connect where a peer can, and does not
 // remember it.
 TEST(Way, ThroughAPeerOnceTheLinkIsCut)
 {
-    wy_link link = CutLink();
-    EXPECT_EQ(Wy_Order(&link, kNow), WY_PEER_FIRST);
-    EXPECT_TRUE(Wy_TrialDue(&link, kNow + 250 * kMs));
-    EXPECT_TRUE(Wy_Ended(&link, WY_CAME, WY_NOT_TRIED, kNow));
-    EXPECT_EQ(Wy_Order(&link, kNow), WY_DIRECT_FIRST);
+    li_link link = CutLink();
+    EXPECT_EQ(Li_Order(&link, kNow), LI_PEER_FIRST);
+    EXPECT_TRUE(Li_IsProbeDue(&link, kNow + 250 * kMs));
+    EXPECT_TRUE(Li_RecordOutcome(&link, LI_CONNECTED, LI_NOT_TRIED, kNow));
+    EXPECT_EQ(Li_Order(&link, kNow), LI_DIRECT_FIRST);
 }
 
 // Guards against a crashed endpoint that is taken for a cut link, so that
 // peers are asked to connect to it at every request.
 TEST(Way, AnEndpointThatNoHostReachesIsNotACutLink)
 {
-    wy_link link = {};
-    EXPECT_FALSE(Wy_Ended(&link, WY_FAILED, WY_FAILED, kNow));
-    EXPECT_EQ(Wy_Order(&link, kNow + kMs), WY_DIRECT_ONLY);
-    EXPECT_EQ(Wy_Order(&link, kNow + 100 * kMs), WY_DIRECT_FIRST);
+    li_link link = {};
+    EXPECT_FALSE(Li_RecordOutcome(&link, LI_FAILED, LI_FAILED, kNow));
+    EXPECT_EQ(Li_Order(&link, kNow + kMs), LI_DIRECT_ONLY);
+    EXPECT_EQ(Li_Order(&link, kNow + 100 * kMs), LI_DIRECT_FIRST);
 }
 
 // Guards against a peer's failure that counts against the link although the
 // direct connection was made.
 TEST(Way, ADirectConnectionProvesTheLink)
 {
-    wy_link link = {};
-    EXPECT_FALSE(Wy_Ended(&link, WY_CAME, WY_FAILED, kNow));
-    EXPECT_EQ(Wy_Order(&link, kNow + kMs), WY_DIRECT_FIRST);
+    li_link link = {};
+    EXPECT_FALSE(Li_RecordOutcome(&link, LI_CONNECTED, LI_FAILED, kNow));
+    EXPECT_EQ(Li_Order(&link, kNow + kMs), LI_DIRECT_FIRST);
 }
 
 // Guards against a single lost segment that makes the host test all links and
 // close kept connections.
 TEST(Way, OneSlowConnectionIsNoCut)
 {
-    wy_link link = {};
-    EXPECT_FALSE(Wy_Ended(&link, WY_OVERDUE, WY_CAME, kNow));
+    li_link link = {};
+    EXPECT_FALSE(Li_RecordOutcome(&link, LI_OVERDUE, LI_CONNECTED, kNow));
     EXPECT_FALSE(link.cut);
-    EXPECT_TRUE(Wy_Ended(&link, WY_OVERDUE, WY_CAME, kNow + 400 * kMs));
-    wy_link other = {};
-    EXPECT_FALSE(Wy_Ended(&other, WY_OVERDUE, WY_CAME, kNow));
-    EXPECT_FALSE(Wy_Ended(&other, WY_CAME, WY_NOT_TRIED, kNow + 100 * kMs));
-    EXPECT_FALSE(Wy_Ended(&other, WY_OVERDUE, WY_CAME, kNow + 200 * kMs));
+    EXPECT_TRUE(
+        Li_RecordOutcome(&link, LI_OVERDUE, LI_CONNECTED, kNow + 400 * kMs));
+    li_link other = {};
+    EXPECT_FALSE(Li_RecordOutcome(&other, LI_OVERDUE, LI_CONNECTED, kNow));
+    EXPECT_FALSE(Li_RecordOutcome(&other, LI_CONNECTED, LI_NOT_TRIED,
+                                  kNow + 100 * kMs));
+    EXPECT_FALSE(
+        Li_RecordOutcome(&other, LI_OVERDUE, LI_CONNECTED, kNow + 200 * kMs));
 }
 
 TEST(Way, DirectAttemptsBackOff)
 {
-    wy_link link = CutLink();
+    li_link link = CutLink();
     int64_t now = kNow;
     for (int64_t gap : {250, 500, 1000, 1000}) {
-        EXPECT_FALSE(Wy_TrialDue(&link, now + gap * kMs - 1)) << gap;
+        EXPECT_FALSE(Li_IsProbeDue(&link, now + gap * kMs - 1)) << gap;
         now += gap * kMs;
-        EXPECT_TRUE(Wy_TrialDue(&link, now)) << gap;
-        Wy_TrialBegun(&link, now);
-        Wy_TrialFailed(&link);
+        EXPECT_TRUE(Li_IsProbeDue(&link, now)) << gap;
+        Li_ProbeStarted(&link, now);
+        Li_ProbeFailed(&link);
     }
-    Wy_TrySoon(&link);
-    EXPECT_TRUE(Wy_TrialDue(&link, now + kMs));
+    Li_ProbeSoon(&link);
+    EXPECT_TRUE(Li_IsProbeDue(&link, now + kMs));
 }
 
 // Guards against a busy service that is taken for a cut link: each slow answer
 // would cost its endpoint another connection.
 TEST(Way, ASlowAnswerOfAServiceHeardFromTestsNoLink)
 {
-    wy_link link = {};
-    int64_t later = kNow + Wy_SILENCE;
-    EXPECT_FALSE(Wy_Doubtful(&link, kNow, kNow + kMs, later));
-    EXPECT_FALSE(Wy_Doubtful(&link, kNow, kNow - kMs, later - 1));
-    EXPECT_TRUE(Wy_Doubtful(&link, kNow, kNow - kMs, later));
-    Wy_Tested(&link, later);
-    EXPECT_FALSE(Wy_Doubtful(&link, kNow, kNow - kMs, later + kMs));
+    li_link link = {};
+    int64_t later = kNow + Li_SILENCE_USEC;
+    EXPECT_FALSE(Li_IsSuspect(&link, kNow, kNow + kMs, later));
+    EXPECT_FALSE(Li_IsSuspect(&link, kNow, kNow - kMs, later - 1));
+    EXPECT_TRUE(Li_IsSuspect(&link, kNow, kNow - kMs, later));
+    Li_Tested(&link, later);
+    EXPECT_FALSE(Li_IsSuspect(&link, kNow, kNow - kMs, later + kMs));
 }
 
 /*
@@ -148,7 +151,7 @@
         bool cut;
         bool knows_cut = false;
         bool reports_cut = false;
-        std::vector<wy_link> links;
+        std::vector<li_link> links;
         std::vector<int64_t> failed; // by peer
     };
 
@@ -159,13 +162,13 @@
     }
 
     size_t
-    PickPeer(size_t own, const wy_link &link, int64_t now)
+    PickPeer(size_t own, const li_link &link, int64_t now)
     {
-        std::vector<wy_peer> peers;
+        std::vector<li_peer> peers;
         std::vector<size_t> names;
         for (size_t i = 0; i < hosts_.size(); i++) {
             if (i != own) {
-                wy_peer peer = {hosts_[i].zone == hosts_[own].zone,
+                li_peer peer = {hosts_[i].zone == hosts_[own].zone,
                                 hosts_[i].reports_cut, hosts_[own].failed[i]};
                 if (choice_ == kRandomPeer) {
                     peer = {false, false, 0};
@@ -174,14 +177,14 @@
                 names.push_back(i);
             }
         }
-        wy_link seen = link;
+        li_link seen = link;
         seen.cut |= choice_ == kSameZoneFirst;
         if (choice_ == kSameZoneFirst) {
-            for (wy_peer &peer : peers) {
+            for (li_peer &peer : peers) {
                 peer.failed_at = 0;
             }
         }
-        return names[Wy_PickPeer(&seen, peers.data(), peers.size(), Unit(),
+        return names[Li_PickPeer(&seen, peers.data(), peers.size(), Unit(),
                                  now)];
     }
 
@@ -190,27 +193,27 @@
     {
         Host &host = hosts_[own];
         size_t endpoint = (size_t)(Unit() * (double)scene_.endpoints);
-        wy_link &link = host.links[endpoint];
+        li_link &link = host.links[endpoint];
         int64_t now = kNow + at;
         int64_t took = -1;
-        enum wy_order order = Wy_Order(&link, now);
-        enum wy_end direct = scene_.silent ? WY_OVERDUE : WY_FAILED;
-        if (order == WY_PEER_FIRST) {
-            direct = WY_NOT_TRIED;
+        enum li_order order = Li_Order(&link, now);
+        enum li_outcome direct = scene_.silent ? LI_OVERDUE : LI_FAILED;
+        if (order == LI_PEER_FIRST) {
+            direct = LI_NOT_TRIED;
         }
-        enum wy_end peer_end = WY_NOT_TRIED;
-        if (choice_ != kNoPeer && order != WY_DIRECT_ONLY) {
+        enum li_outcome peer_end = LI_NOT_TRIED;
+        if (choice_ != kNoPeer && order != LI_DIRECT_ONLY) {
             size_t peer = PickPeer(own, link, now);
-            peer_end = hosts_[peer].cut ? WY_FAILED : WY_CAME;
-            took = order == WY_PEER_FIRST ? 4 * kMs
-                   : scene_.silent        ? Wy_PATIENCE + 4 * kMs
+            peer_end = hosts_[peer].cut ? LI_FAILED : LI_CONNECTED;
+            took = order == LI_PEER_FIRST ? 4 * kMs
+                   : scene_.silent        ? Li_FALLBACK_USEC + 4 * kMs
                                           : 6 * kMs;
-            if (peer_end == WY_FAILED) {
+            if (peer_end == LI_FAILED) {
                 host.failed[peer] = now;
                 took = -1;
             }
         }
-        Wy_Ended(&link, direct, peer_end, now);
+        Li_RecordOutcome(&link, direct, peer_end, now);
         host.knows_cut |= link.cut;
         if (at >= 3000 * kMs) {
             attempts_++;
--- a/packages/policy/test/model/poison_model.cc
+++ b/packages/policy/test/model/poison_model.cc
@@ -57,7 +57,7 @@
 struct Message {
     std::vector<pz_crash> crashes;
     std::vector<pz_clear> clears;
-    std::vector<pz_stop> stops;
+    std::vector<pz_quarantine> stops;
 };
 
 struct Host {
@@ -69,18 +69,18 @@
 };
 
 void
-OnStopped(void *arg, const pz_stop *stop, int crashes, bool from_peer)
+OnStopped(void *arg, const pz_quarantine *stop, int crashes, bool from_peer)
 {
     // A host's own stops are kept in the store, for hosts that restart.
     if (!from_peer) {
-        static_cast<std::vector<pz_stop> *>(arg)->push_back(*stop);
+        static_cast<std::vector<pz_quarantine> *>(arg)->push_back(*stop);
     }
 }
 
 void
-OnLifted(void *arg, const pz_stop *stop, const char *why)
+OnLifted(void *arg, const pz_quarantine *stop, const char *why)
 {
-    auto *store = static_cast<std::vector<pz_stop> *>(arg);
+    auto *store = static_cast<std::vector<pz_quarantine> *>(arg);
     for (size_t i = store->size(); i > 0; i--) {
         if ((*store)[i - 1].key.part == stop->key.part &&
             (*store)[i - 1].key.customer == stop->key.customer) {
@@ -157,7 +157,7 @@
             }
             if ((now_ - kStart) % kTick == 0) {
                 for (size_t i = 0; i < hosts_.size(); i++) {
-                    Pz_Judge(hosts_[i].table, At(i));
+                    Pz_Evaluate(hosts_[i].table, At(i));
                 }
             }
         }
@@ -206,9 +206,9 @@
         hosts_[i].started = now_;
         for (size_t k = 0; restore && policy_.gossip && k < store_.size();
              k++) {
-            pz_stop stop = store_[k];
-            stop.seen_at = At(i);
-            Pz_HearStop(hosts_[i].table, &stop, At(i));
+            pz_quarantine stop = store_[k];
+            stop.requested_at = At(i);
+            Pz_ImportQuarantine(hosts_[i].table, &stop, At(i));
         }
     }
 
@@ -247,14 +247,14 @@
     {
         auto message = std::make_shared<Message>();
         message->crashes.resize(kCrashRowsMax);
-        message->crashes.resize(Pz_TellCrashes(table, message->crashes.data(),
-                                               kCrashRowsMax, now));
+        message->crashes.resize(Pz_ExportCrashes(
+            table, message->crashes.data(), kCrashRowsMax, now));
         message->clears.resize(kClearRowsMax);
-        message->clears.resize(
-            Pz_TellClears(table, message->clears.data(), kClearRowsMax, now));
+        message->clears.resize(Pz_ExportClears(table, message->clears.data(),
+                                               kClearRowsMax, now));
         message->stops.resize(kStopRowsMax);
         message->stops.resize(
-            Pz_TellStops(table, message->stops.data(), kStopRowsMax));
+            Pz_ExportQuarantines(table, message->stops.data(), kStopRowsMax));
         return message;
     }
 
@@ -285,13 +285,13 @@
     {
         pz_table *table = hosts_[to].table;
         for (const pz_clear &clear : message.clears) {
-            Pz_HearClear(table, &clear);
+            Pz_ImportClear(table, &clear);
         }
-        for (const pz_stop &stop : message.stops) {
-            Pz_HearStop(table, &stop, At(to));
+        for (const pz_quarantine &stop : message.stops) {
+            Pz_ImportQuarantine(table, &stop, At(to));
         }
         for (const pz_crash &crash : message.crashes) {
-            Pz_HearCrash(table, &crash);
+            Pz_ImportCrash(table, &crash);
         }
     }
 
@@ -355,8 +355,8 @@
     void
     Admit(Request request)
     {
-        const pz_stop *stop = Pz_Refuses(hosts_[request.host].table,
-                                         &request.prompt, At(request.host));
+        const pz_quarantine *stop = Pz_FindQuarantine(
+            hosts_[request.host].table, &request.prompt, At(request.host));
         if (!request.poison && !request.is_repeat &&
             IsAfterDetection(request)) {
             result_.sound_requests++;
@@ -443,8 +443,8 @@
                 }
                 endpoint.waiting.erase(endpoint.waiting.begin() +
                                        static_cast<long>(i));
-                Pz_Began(hosts_[request.host].table, &request.prompt,
-                         At(request.host));
+                Pz_NoteAnswer(hosts_[request.host].table, &request.prompt,
+                              At(request.host));
                 result_.sound_served += IsAfterDetection(request);
             }
         }
@@ -464,18 +464,18 @@
         for (const Request &request : victims) {
             pz_crash crash = {};
             crash.endpoint = run;
-            crash.begun = request.due - now_ <= kHeadToEvent;
+            crash.head_received = request.due - now_ <= kHeadToEvent;
             crash.sent_at = request.sent_at;
             crash.ended_at = At(request.host);
-            Pz_Ended(hosts_[request.host].table, &request.prompt, &crash);
+            Pz_NoteCrash(hosts_[request.host].table, &request.prompt, &crash);
         }
         for (const Request &request : victims) {
             pz_table *table = hosts_[request.host].table;
-            Pz_Judge(table, At(request.host));
+            Pz_Evaluate(table, At(request.host));
             bool no_retry =
                 policy_.limit_retries &&
-                Pz_Doubts(table, &request.prompt, At(request.host));
-            if (Pz_Refuses(table, &request.prompt, At(request.host))) {
+                Pz_DeniesRetry(table, &request.prompt, At(request.host));
+            if (Pz_FindQuarantine(table, &request.prompt, At(request.host))) {
                 result_.sound_refused += !request.poison;
                 continue;
             }
@@ -501,11 +501,11 @@
         crash.endpoint = endpoint.run;
         crash.sent_at = request.sent_at;
         crash.ended_at = At(request.host) + 2 * kMs;
-        Pz_Ended(table, &request.prompt, &crash);
+        Pz_NoteCrash(table, &request.prompt, &crash);
         probes_.push_back(
             {now_ + kProbeTime, request.host, endpoint.run, true});
         if (request.attempts < kAttemptsMax &&
-            !Pz_Doubts(table, &request.prompt, At(request.host))) {
+            !Pz_DeniesRetry(table, &request.prompt, At(request.host))) {
             Send(request);
         }
     }
@@ -520,10 +520,10 @@
             const Probe &probe = probes_.front();
             pz_table *table = hosts_[probe.host].table;
             if (probe.alive) {
-                Pz_Lives(table, probe.endpoint, At(probe.host));
+                Pz_NoteAlive(table, probe.endpoint, At(probe.host));
             }
             else {
-                Pz_Dead(table, probe.endpoint);
+                Pz_ConfirmDead(table, probe.endpoint);
             }
         }
     }
@@ -564,7 +564,7 @@
         bool alive;
     };
     std::deque<Probe> probes_;
-    std::vector<pz_stop> store_;
+    std::vector<pz_quarantine> store_;
     std::priority_queue<ScheduledMessage, std::vector<ScheduledMessage>,
                         std::greater<ScheduledMessage>>
         schedule_;
--- a/packages/policy/test/move_model.c
+++ b/packages/policy/test/move_model.c
@@ -37,7 +37,7 @@
 static double
 failure_rate(const struct simulation *run, enum mv_side side, int route)
 {
-    double usual_rate = run->model->old_failed;
+    double usual_rate = run->model->usual_failure_rate;
     if (side == MV_OLD) {
         return usual_rate;
     }
@@ -119,7 +119,7 @@
     cell->failed[side] += failed;
     cell->first_token[side][Mv_Bucket(first)] += !failed;
     run->out->requests += new;
-    run->out->hurt += new &&failed;
+    run->out->new_failures += new &&failed;
     Mv_TripNote(trip, side, failed ? MV_FAILED : MV_GOOD);
 }
 
@@ -193,11 +193,11 @@
         if (run.now % Mv_BLOCK_USEC == 0) {
             send_reports(&run, ++sequence);
         }
-        struct mv_view view = {2, 1, false, per_sec, model->per_sec};
+        struct mv_tick_input view = {2, 1, false, per_sec, model->per_sec};
         for (int r = 0; r < model->routers; r++) {
-            view.distrusted |= run.trips[r].tripped && !model->without_trip;
+            view.any_tripped |= run.trips[r].tripped && !model->without_trip;
         }
-        out->tripped = view.distrusted;
+        out->tripped = view.any_tripped;
         out->share_at_end = out->move.share;
         Mv_Tick(&out->move, run.evidence, &view, run.now + USEC_PER_SEC);
     }
@@ -249,8 +249,9 @@
 record_outcome(struct router *router, enum mv_side side,
                const struct engine *engine, int request, bool failed)
 {
-    bool bad = router->model->new_bad > 0 && request >= router->model->bad_at;
-    router->out->hurt += side == MV_NEW && failed && bad;
+    bool bad = router->model->new_failure_rate > 0 &&
+               request >= router->model->bad_at;
+    router->out->new_failures += side == MV_NEW && failed && bad;
     bool tripped = Mv_TripNoteAt(&router->trip, side,
                                  failed ? MV_FAILED : MV_GOOD, engine->id);
     if (tripped && !router->out->tripped) {
@@ -279,8 +280,9 @@
     bool broken = engine == 0 && model->failing &&
                   side == model->failing_side && request >= model->failing_at;
     bool resets = engine == 0 && side == MV_OLD && drawn < model->resets;
-    return drawn < (outage ? model->outage : USUAL_FAILURE_RATE) ||
-           (bad && drawn < model->new_bad) || broken || resets;
+    return drawn <
+               (outage ? model->outage_failure_rate : USUAL_FAILURE_RATE) ||
+           (bad && drawn < model->new_failure_rate) || broken || resets;
 }
 
 /* Models the endpoint ejection of choose.h. */
--- a/packages/policy/test/move_model.h
+++ b/packages/policy/test/move_model.h
@@ -29,7 +29,7 @@
     uint64_t seed;
     double per_sec; /* peak rate; the rate swings between half and all of it */
     int routers;
-    double old_failed; /* failure rate of a good version */
+    double usual_failure_rate; /* failure rate of a good version */
     enum move_fault fault;
     bool without_trip;
     double stalls_per_min; /* of a random engine of a random version */
@@ -37,12 +37,12 @@
 
 struct move_outcome {
     struct mv_move move;
-    bool tripped;        /* the circuit breaker of a router tripped */
-    int64_t fault_at;    /* since the start of the move; -1: no fault */
-    int64_t ended_at;    /* since the start of the move */
-    uint64_t hurt;       /* failed requests of the new version */
-    uint64_t requests;   /* all requests of the new version */
-    double share_at_end; /* of the new version, before the last tick */
+    bool tripped;          /* the circuit breaker of a router tripped */
+    int64_t fault_at;      /* since the start of the move; -1: no fault */
+    int64_t ended_at;      /* since the start of the move */
+    uint64_t new_failures; /* failed requests of the new version */
+    uint64_t requests;     /* all requests of the new version */
+    double share_at_end;   /* of the new version, before the last tick */
 };
 
 /*
@@ -63,9 +63,11 @@
     double share; /* traffic share of the new version */
     int new_engines;
     int requests;
-    double new_bad; /* failure rate of the new version from "bad_at" on */
+    double new_failure_rate; /* failure rate of the new version from "bad_at"
+                                on */
     int bad_at;
-    double outage; /* failure rate of both versions in an outage */
+    double
+        outage_failure_rate; /* failure rate of both versions in an outage */
     int outage_at;
     int outage_for;
     bool killed; /* the first engine of "killed_side" is killed */
@@ -82,8 +84,8 @@
 
 struct trip_outcome {
     bool tripped;
-    bool early; /* tripped before the fault of the new version began */
-    int hurt;   /* failures of the new version since its fault began */
+    bool early;       /* tripped before the fault of the new version began */
+    int new_failures; /* failures of the new version since its fault began */
 };
 
 void Trip_Run(const struct trip_model *model, struct trip_outcome *out);
--- a/packages/policy/test/move_test.cc
+++ b/packages/policy/test/move_test.cc
@@ -15,7 +15,7 @@
 struct MoveRun {
     struct mv_evidence *evidence = Mv_EvidenceCreate(0.01);
     struct mv_move move;
-    struct mv_view view = {2, 1, false, 10, 10};
+    struct mv_tick_input view = {2, 1, false, 10, 10};
     int64_t now = kSec;
     uint64_t sequence = 0;
 
@@ -64,7 +64,7 @@
     sentence()
     {
         char out[512];
-        Mv_Sentence(&move, out, sizeof(out));
+        Mv_Describe(&move, out, sizeof(out));
         return out;
     }
 };
@@ -159,7 +159,7 @@
         model.seed = seed;
         model.share = 0.5;
         model.new_engines = 1 + (int)(seed % 2);
-        model.new_bad = 1;
+        model.new_failure_rate = 1;
         model.requests = 2000;
         model.killed = true;
         model.killed_side = MV_OLD;
@@ -168,7 +168,7 @@
         struct trip_outcome out;
         Trip_Run(&model, &out);
         EXPECT_TRUE(out.tripped) << seed;
-        EXPECT_LE(out.hurt, kMostFailures) << seed;
+        EXPECT_LE(out.new_failures, kMostFailures) << seed;
     }
 }
 
@@ -270,7 +270,7 @@
         Mv_CloseBlock(m.evidence);
     }
     EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
-    EXPECT_EQ(MV_TAKEN_BACK, m.move.phase);
+    EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
     EXPECT_EQ(0, m.move.share);
     EXPECT_STREQ("/seats", m.move.finding.route);
     EXPECT_EQ(1, m.move.finding.request_class);
@@ -286,10 +286,10 @@
         m.view.new_endpoints = phase == MV_PLANNED ? 0 : 2;
         m.until((enum mv_phase)phase);
         ASSERT_EQ(phase, m.move.phase);
-        m.view.distrusted = true;
+        m.view.any_tripped = true;
         EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
-        EXPECT_EQ(MV_TAKEN_BACK, m.move.phase);
-        m.view.distrusted = false;
+        EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
+        m.view.any_tripped = false;
         EXPECT_FALSE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
     }
 }
@@ -316,12 +316,12 @@
     MoveRun no_endpoint;
     no_endpoint.view.new_endpoints = 0;
     no_endpoint.until(MV_DONE);
-    EXPECT_EQ(MV_TAKEN_BACK, no_endpoint.move.phase);
+    EXPECT_EQ(MV_ROLLED_BACK, no_endpoint.move.phase);
     EXPECT_EQ(3601 * kSec, no_endpoint.now);
     MoveRun low_capacity;
     low_capacity.view.new_capacity = 0.3;
     low_capacity.until(MV_DONE);
-    EXPECT_EQ(MV_TAKEN_BACK, low_capacity.move.phase);
+    EXPECT_EQ(MV_ROLLED_BACK, low_capacity.move.phase);
     MoveRun low_traffic;
     low_traffic.view.per_sec = 1;
     low_traffic.until(MV_DONE);
@@ -351,12 +351,12 @@
     plan = m.move.plan;
     plan.withdrawn = true;
     EXPECT_TRUE(Mv_Revise(&m.move, &plan, m.now));
-    EXPECT_EQ(MV_TAKEN_BACK, m.move.phase);
+    EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
     EXPECT_NE(std::string::npos, m.sentence().find("withdrawn"));
     plan.withdrawn = false;
     plan.deadline += 60 * kSec;
     EXPECT_FALSE(Mv_Revise(&m.move, &plan, m.now));
-    EXPECT_EQ(MV_TAKEN_BACK, m.move.phase);
+    EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
     MoveRun over;
     over.until(MV_DONE);
     plan = over.move.plan;
@@ -409,7 +409,7 @@
                                    fault,          !trip,   stalls};
         struct move_outcome out;
         Move_Run(&model, &out);
-        sum.taken_back += out.move.phase == MV_TAKEN_BACK;
+        sum.taken_back += out.move.phase == MV_ROLLED_BACK;
         sum.done += out.move.phase == MV_DONE;
         sum.delay += (double)(out.ended_at - out.fault_at) / 1e6 / seeds;
         sum.worst_share = std::max(sum.worst_share, out.share_at_end);
--- a/packages/policy/test/crowd_test.cc
+++ b/packages/policy/test/overload_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "policy/crowd.h"
+#include "policy/overload.h"
 
 namespace {
 
@@ -16,35 +16,35 @@
 
 TEST(Crowd, NoConnectionsAfterASlowPeriod)
 {
-    cr_host host = {};
-    Cr_Turn(&host, 50 * kMs, kNow);
-    EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
-    Cr_Turn(&host, 50 * kMs, kNow + 99 * kMs);
-    EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
-    Cr_Turn(&host, 30 * kMs, kNow + 100 * kMs);
-    EXPECT_FALSE(Cr_MayTake(&host, 10, 100));
-    Cr_Turn(&host, 19 * kMs, kNow + 120 * kMs);
-    EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
+    ov_load host = {};
+    Ov_RecordTurn(&host, 50 * kMs, kNow);
+    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
+    Ov_RecordTurn(&host, 50 * kMs, kNow + 99 * kMs);
+    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
+    Ov_RecordTurn(&host, 30 * kMs, kNow + 100 * kMs);
+    EXPECT_FALSE(Ov_MayAccept(&host, 10, 100));
+    Ov_RecordTurn(&host, 19 * kMs, kNow + 120 * kMs);
+    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
 }
 
 // Guards against a host that was frozen and turns callers away though no
 // request waits.
 TEST(Crowd, OneLongTurnIsNotOverload)
 {
-    cr_host host = {};
-    Cr_Turn(&host, 5 * kSecond, kNow);
-    EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
-    Cr_Turn(&host, 1 * kMs, kNow + kSecond);
-    EXPECT_TRUE(Cr_MayTake(&host, 10, 100));
+    ov_load host = {};
+    Ov_RecordTurn(&host, 5 * kSecond, kNow);
+    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
+    Ov_RecordTurn(&host, 1 * kMs, kNow + kSecond);
+    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
 }
 
 // Guards against callers that use up all descriptors, so that the host can
 // connect to no endpoint.
 TEST(Crowd, DescriptorsBoundConnections)
 {
-    cr_host host = {};
-    EXPECT_TRUE(Cr_MayTake(&host, 99, 100));
-    EXPECT_FALSE(Cr_MayTake(&host, 100, 100));
+    ov_load host = {};
+    EXPECT_TRUE(Ov_MayAccept(&host, 99, 100));
+    EXPECT_FALSE(Ov_MayAccept(&host, 100, 100));
 }
 
 // What an overloaded host does with connections it cannot read in time.
@@ -100,7 +100,7 @@
     static const int64_t kUnreadTimeout = 1 * kSecond;
 
     struct Host {
-        cr_host load = {};
+        ov_load load = {};
         std::deque<int64_t> backlog;
         std::deque<int64_t> accepted;
         int64_t busy_until = 0;
@@ -141,14 +141,15 @@
         for (; accepted < kAcceptsAtOnce && !host.backlog.empty();
              host.backlog.pop_front()) {
             at += scene_.close_usec;
-            if (policy_ == kCloseUnread && !Cr_MayTake(&host.load, 0, 1000)) {
+            if (policy_ == kCloseUnread &&
+                !Ov_MayAccept(&host.load, 0, 1000)) {
                 result_.unread++;
                 continue;
             }
             host.accepted.push_back(host.backlog.front());
             accepted++;
         }
-        Cr_Turn(&host.load, at - now_, at);
+        Ov_RecordTurn(&host.load, at - now_, at);
         host.busy_until = at;
     }
 
@@ -157,7 +158,7 @@
     CheckReadiness()
     {
         Host &host = hosts_[target_];
-        bool late = host.load.full;
+        bool late = host.load.overloaded;
         host.failed_checks =
             policy_ == kNotReady && late ? host.failed_checks + 1 : 0;
         if (host.failed_checks >= 2) {
--- a/packages/policy/test/poison_test.cc
+++ b/packages/policy/test/poison_test.cc
@@ -28,7 +28,7 @@
 const int kSentLateMax = 3;
 
 struct Event {
-    pz_stop stop;
+    pz_quarantine stop;
     int crashes;
     bool from_peer;
     bool lifted;
@@ -38,7 +38,7 @@
   protected:
     Poison()
     {
-        SetRule(Pz_Rule());
+        SetRule(Pz_DefaultRule());
     }
 
     ~Poison() override
@@ -75,12 +75,12 @@
     {
         pz_crash crash = {};
         crash.endpoint = endpoint;
-        crash.begun = begun;
+        crash.head_received = begun;
         crash.sent_at = at - 40 * kMs;
         crash.ended_at = at;
-        Pz_Ended(table_, &request, &crash);
+        Pz_NoteCrash(table_, &request, &crash);
         if (confirm_crashes_) {
-            Pz_Dead(table_, endpoint);
+            Pz_ConfirmDead(table_, endpoint);
         }
     }
 
@@ -88,14 +88,15 @@
     Answer(const pz_request &request, int64_t at, int times = 1)
     {
         for (int i = 0; i < times; i++) {
-            Pz_Began(table_, &request, at);
+            Pz_NoteAnswer(table_, &request, at);
         }
     }
 
     bool
     IsRefused(const pz_request &request)
     {
-        return Pz_Refuses(table_, &request, kNow + 2 * kSecond) != nullptr;
+        return Pz_FindQuarantine(table_, &request, kNow + 2 * kSecond) !=
+               nullptr;
     }
 
     // Three endpoints crash one after the other; others answer meanwhile.
@@ -107,18 +108,19 @@
             Crash(100 + i, request, at + i * 200 * kMs);
             Answer(Request({99}, kOtherCustomer), at + i * 200 * kMs + 1, 2);
         }
-        Pz_Judge(table_, at + kSecond);
+        Pz_Evaluate(table_, at + kSecond);
     }
 
     static void
-    OnStopped(void *arg, const pz_stop *stop, int crashes, bool from_peer)
+    OnStopped(void *arg, const pz_quarantine *stop, int crashes,
+              bool from_peer)
     {
         static_cast<std::vector<Event> *>(arg)->push_back(
             {*stop, crashes, from_peer, false});
     }
 
     static void
-    OnLifted(void *arg, const pz_stop *stop, const char *why)
+    OnLifted(void *arg, const pz_quarantine *stop, const char *why)
     {
         static_cast<std::vector<Event> *>(arg)->push_back(
             {*stop, 0, false, true});
@@ -150,7 +152,7 @@
         Answer(Request({kFirstPart, kDeepPart}),
                kNow + i * 200 * kMs + 100 * kMs, 2);
     }
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_FALSE(IsRefused(Request({kFirstPart, kDeepPart})));
     EXPECT_TRUE(IsRefused(Request({kFirstPart, kPoisonPart})));
 }
@@ -163,7 +165,7 @@
         Crash(100 + i, Request({kPoisonPart}), kNow + i * kMs);
     }
     Answer(Request({99}, kOtherCustomer), kNow + 100 * kMs, 9);
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
@@ -175,13 +177,13 @@
         pz_request request = Request({kPoisonPart});
         pz_crash crash = {};
         crash.endpoint = 100 + i;
-        crash.begun = true;
+        crash.head_received = true;
         crash.sent_at = kNow + i * kMs;
         crash.ended_at = kNow + (i + 1) * kMs;
-        Pz_Ended(table_, &request, &crash);
+        Pz_NoteCrash(table_, &request, &crash);
     }
     Answer(Request({99}, kOtherCustomer), kNow + 100 * kMs, 9);
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
@@ -191,10 +193,10 @@
     for (uint32_t i = 0; i < 9; i++) {
         Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs);
     }
-    Pz_Judge(table_, kNow + 3 * kSecond);
+    Pz_Evaluate(table_, kNow + 3 * kSecond);
     EXPECT_TRUE(events_.empty());
     Answer(Request({99}, kOtherCustomer), kNow + 3 * kSecond, 2);
-    Pz_Judge(table_, kNow + 3 * kSecond);
+    Pz_Evaluate(table_, kNow + 3 * kSecond);
     EXPECT_EQ(events_.size(), 1u);
 }
 
@@ -206,7 +208,7 @@
         EXPECT_TRUE(events_.empty());
         Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs, false);
         Answer(Request({99}, kOtherCustomer), kNow + i * 200 * kMs, 2);
-        Pz_Judge(table_, kNow + i * 200 * kMs);
+        Pz_Evaluate(table_, kNow + i * 200 * kMs);
     }
     EXPECT_EQ(events_.size(), 1u);
 }
@@ -221,13 +223,13 @@
         crash.key = {kService, kCustomer, kPoisonPart};
         crash.endpoint = 100 + i;
         crash.request = 1000 + i;
-        crash.begun = true;
+        crash.head_received = true;
         crash.ended_at = kNow + i * 200 * kMs;
         crash.sent_at = crash.ended_at - 40 * kMs;
-        Pz_HearCrash(table_, &crash);
+        Pz_ImportCrash(table_, &crash);
     }
     Answer(Request({99}, kOtherCustomer), kNow + 500 * kMs, 2);
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_TRUE(IsRefused(Request({kPoisonPart})));
 }
 
@@ -241,14 +243,14 @@
     }
     Answer(Request({99}, kOtherCustomer), kNow + 210 * kMs, 2);
     pz_crash rows[8];
-    Pz_Judge(table_, kNow + 250 * kMs);
+    Pz_Evaluate(table_, kNow + 250 * kMs);
     EXPECT_TRUE(events_.empty());
-    EXPECT_EQ(Pz_TellCrashes(table_, rows, 8, kNow + 250 * kMs), 0u);
+    EXPECT_EQ(Pz_ExportCrashes(table_, rows, 8, kNow + 250 * kMs), 0u);
     for (uint32_t i = 0; i < 3; i++) {
-        Pz_Dead(table_, 100 + i);
+        Pz_ConfirmDead(table_, 100 + i);
     }
-    EXPECT_EQ(Pz_TellCrashes(table_, rows, 8, kNow + 250 * kMs), 3u);
-    Pz_Judge(table_, kNow + 250 * kMs);
+    EXPECT_EQ(Pz_ExportCrashes(table_, rows, 8, kNow + 250 * kMs), 3u);
+    Pz_Evaluate(table_, kNow + 250 * kMs);
     EXPECT_EQ(events_.size(), 1u);
 }
 
@@ -258,14 +260,14 @@
 {
     CrashThree(Request({kPoisonPart}));
     pz_clear clear = {{kService, kCustomer, kPoisonPart}, kNow + 2 * kSecond};
-    Pz_HearClear(table_, &clear);
+    Pz_ImportClear(table_, &clear);
     EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
-    pz_stop stop = {clear.key, kNow + kSecond, kNow + kSecond};
-    Pz_HearStop(table_, &stop, kNow + 3 * kSecond);
+    pz_quarantine stop = {clear.key, kNow + kSecond, kNow + kSecond};
+    Pz_ImportQuarantine(table_, &stop, kNow + 3 * kSecond);
     EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
     // A peer that still gossips the stop gets a clear in return.
     pz_clear rows[4];
-    EXPECT_EQ(Pz_TellClears(table_, rows, 4, kNow + 3 * kSecond), 1u);
+    EXPECT_EQ(Pz_ExportClears(table_, rows, 4, kNow + 3 * kSecond), 1u);
 }
 
 // Guards against a customer that gets another one's part stopped by putting it
@@ -281,7 +283,7 @@
 {
     CrashThree(Request({kPoisonPart}));
     Crash(200, Request({kPoisonPart}, kOtherCustomer), kNow + kSecond);
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_TRUE(IsRefused(Request({kPoisonPart}, kOtherCustomer)));
     EXPECT_TRUE(IsRefused(Request({kPoisonPart}, kOtherCustomer + 1)));
 }
@@ -294,11 +296,11 @@
     for (uint32_t i = 0; i < 9; i++) {
         Crash(100 + i, request, kNow + i * 200 * kMs);
         Answer(Request({99}, kOtherCustomer), kNow + i * 200 * kMs, 2);
-        Pz_Judge(table_, kNow + i * 200 * kMs + 1);
+        Pz_Evaluate(table_, kNow + i * 200 * kMs + 1);
     }
     EXPECT_TRUE(events_.empty());
     Crash(200, Request({kPoisonPart}), kNow + 2 * kSecond);
-    Pz_Judge(table_, kNow + 2 * kSecond);
+    Pz_Evaluate(table_, kNow + 2 * kSecond);
     EXPECT_TRUE(IsRefused(Request({kPoisonPart, kFirstPart})));
     EXPECT_FALSE(IsRefused(Request({kFirstPart, kDeepPart})));
 }
@@ -310,9 +312,9 @@
     for (uint32_t i = 0; i < 3; i++) {
         Crash(100 + i, Request({kPoisonPart}), kNow + i * 200 * kMs);
     }
-    Pz_Lives(table_, 101, kNow + 300 * kMs);
+    Pz_NoteAlive(table_, 101, kNow + 300 * kMs);
     Answer(Request({99}, kOtherCustomer), kNow + kSecond, 2);
-    Pz_Judge(table_, kNow + kSecond);
+    Pz_Evaluate(table_, kNow + kSecond);
     EXPECT_TRUE(events_.empty());
 }
 
@@ -320,7 +322,7 @@
 // any answers.
 TEST_F(Poison, AHostDecidesNothingDuringStartup)
 {
-    pz_rule rule = Pz_Rule();
+    pz_rule rule = Pz_DefaultRule();
     rule.startup_grace_usec = 20 * kSecond;
     SetRule(rule);
     CrashThree(Request({kPoisonPart}));
@@ -335,12 +337,14 @@
     int64_t now = kNow + kSecond;
     pz_request request = Request({kPoisonPart});
     for (int i = 0; i < 5; i++) {
-        now += Pz_STOP_LASTS_USEC - kSecond;
-        Pz_Judge(table_, now);
-        EXPECT_NE(Pz_Refuses(table_, &request, now), nullptr);
+        now += Pz_QUARANTINE_TTL_USEC - kSecond;
+        Pz_Evaluate(table_, now);
+        EXPECT_NE(Pz_FindQuarantine(table_, &request, now), nullptr);
     }
-    Pz_Judge(table_, now + Pz_STOP_LASTS_USEC);
-    EXPECT_EQ(Pz_Refuses(table_, &request, now + Pz_STOP_LASTS_USEC), nullptr);
+    Pz_Evaluate(table_, now + Pz_QUARANTINE_TTL_USEC);
+    EXPECT_EQ(
+        Pz_FindQuarantine(table_, &request, now + Pz_QUARANTINE_TTL_USEC),
+        nullptr);
 }
 
 TEST_F(Poison, AnotherVersionLiftsTheStopsOfItsService)
@@ -358,12 +362,12 @@
     pz_request request = Request({kFirstPart, kPoisonPart});
     Answer(Request({kFirstPart}), kNow - kSecond);
     Crash(100, request, kNow);
-    EXPECT_FALSE(Pz_Doubts(table_, &request, kNow));
+    EXPECT_FALSE(Pz_DeniesRetry(table_, &request, kNow));
     Crash(101, request, kNow + 200 * kMs);
-    EXPECT_TRUE(Pz_Doubts(table_, &request, kNow + 200 * kMs));
+    EXPECT_TRUE(Pz_DeniesRetry(table_, &request, kNow + 200 * kMs));
     // The retry is denied only for the part that was never answered.
     pz_request sound = Request({kFirstPart, kDeepPart});
-    EXPECT_FALSE(Pz_Doubts(table_, &sound, kNow + 200 * kMs));
+    EXPECT_FALSE(Pz_DeniesRetry(table_, &sound, kNow + 200 * kMs));
 }
 
 // Guards against a caller that fills the table with new parts and evicts other
@@ -383,7 +387,7 @@
 GossipPolicy()
 {
     PoisonPolicy policy;
-    policy.rule = Pz_Rule();
+    policy.rule = Pz_DefaultRule();
     return policy;
 }
 
--- a/packages/policy/test/queue_test.cc
+++ b/packages/policy/test/queue_test.cc
@@ -158,10 +158,10 @@
     Queue q;
     q.push("c", QU_URGENT, kSec);
     q.push("c", QU_URGENT, 9 * kSec);
-    EXPECT_EQ(nullptr, Qu_Late(q.queue, q.now));
+    EXPECT_EQ(nullptr, Qu_PopExpired(q.queue, q.now));
     q.now += 2 * kSec;
-    EXPECT_EQ(&q.items.front(), Qu_Late(q.queue, q.now));
-    EXPECT_EQ(nullptr, Qu_Late(q.queue, q.now));
+    EXPECT_EQ(&q.items.front(), Qu_PopExpired(q.queue, q.now));
+    EXPECT_EQ(nullptr, Qu_PopExpired(q.queue, q.now));
     Qu_Remove(q.queue, &q.items.back());
     Qu_Remove(q.queue, &q.items.back());
     EXPECT_EQ(0, Qu_Length(q.queue));
@@ -239,7 +239,7 @@
         attempt.attempts = 3;
         EXPECT_NE(RT_RETRY, Rt_Decide(&budget, &attempt));
         attempt.attempts = 1;
-        attempt.left = 500;
+        attempt.time_left = 500;
         EXPECT_NE(RT_RETRY, Rt_Decide(&budget, &attempt));
     }
 }
@@ -281,11 +281,11 @@
     attempt.attempts = 1;
     EXPECT_EQ(RT_RETRY, Rt_Decide(&budget, &attempt));
     EXPECT_EQ(RT_RETRY, Rt_Decide(&budget, &attempt));
-    EXPECT_EQ(RT_BUDGET_SPENT, Rt_Why(&budget, &attempt));
+    EXPECT_EQ(RT_BUDGET_SPENT, Rt_DenyReason(&budget, &attempt));
     attempt.attempts = 0;
-    EXPECT_EQ(RT_ALLOWED, Rt_Why(&budget, &attempt));
+    EXPECT_EQ(RT_ALLOWED, Rt_DenyReason(&budget, &attempt));
     attempt.idempotent = false;
-    EXPECT_EQ(RT_MAY_HAVE_RUN, Rt_Why(&budget, &attempt));
+    EXPECT_EQ(RT_MAY_HAVE_RUN, Rt_DenyReason(&budget, &attempt));
 }
 
 // Guards against requests answered "unknown" because an endpoint that dies
@@ -295,12 +295,12 @@
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 10);
     for (int in_flight = 1; in_flight <= 64; in_flight++) {
-        Rt_Cover(&budget, in_flight);
+        Rt_RaiseCapacity(&budget, in_flight);
     }
     struct rt_attempt attempt = {RT_SENT, true, false, 1, 0, kSec, 0};
     int retried = 0;
     for (int i = 0; i < 1000; i++) {
-        Rt_Cover(&budget, 64);
+        Rt_RaiseCapacity(&budget, 64);
         retried += Rt_Decide(&budget, &attempt) == RT_RETRY;
     }
     EXPECT_EQ(64, retried);
@@ -310,19 +310,19 @@
 // on an endpoint that refuses connections.
 TEST(Retry, BackoffAfterConnectFailuresGrows)
 {
-    EXPECT_EQ(0, Rt_Gap(0));
-    EXPECT_EQ(0, Rt_Gap(1));
+    EXPECT_EQ(0, Rt_Backoff(0));
+    EXPECT_EQ(0, Rt_Backoff(1));
     int64_t before = 0;
     int64_t sum = 0;
     for (int unreached = 2; unreached <= 16; unreached++) {
-        int64_t gap = Rt_Gap(unreached);
+        int64_t gap = Rt_Backoff(unreached);
         EXPECT_GT(gap, 0);
         EXPECT_GE(gap, before);
         before = gap;
         sum += gap;
     }
     EXPECT_GT(sum, 2 * kSec);
-    EXPECT_EQ(Rt_Gap(100), Rt_Gap(1000));
+    EXPECT_EQ(Rt_Backoff(100), Rt_Backoff(1000));
 }
 
 // Guards against endpoints that refuse connections and so use up the retry
@@ -333,18 +333,18 @@
     struct rt_budget budget;
     Rt_Init(&budget, 0.1, 1);
     struct rt_attempt attempt = {RT_NOT_SENT, false, false, 0, 1, kSec, 0};
-    while (attempt.unreached < kAttemptsMax &&
+    while (attempt.connect_failures < kAttemptsMax &&
            Rt_Decide(&budget, &attempt) == RT_RETRY) {
-        attempt.unreached++;
+        attempt.connect_failures++;
     }
-    EXPECT_GT(attempt.unreached, 3);
-    EXPECT_LT(attempt.unreached, kAttemptsMax);
-    EXPECT_EQ(RT_NOBODY_REACHED, Rt_Why(&budget, &attempt));
+    EXPECT_GT(attempt.connect_failures, 3);
+    EXPECT_LT(attempt.connect_failures, kAttemptsMax);
+    EXPECT_EQ(RT_NOBODY_REACHED, Rt_DenyReason(&budget, &attempt));
     EXPECT_EQ(RT_NOT_RUN, Rt_Decide(&budget, &attempt));
     EXPECT_EQ(1, budget.tokens);
-    attempt.left = 0;
-    attempt.unreached = 1;
-    EXPECT_EQ(RT_NO_TIME_LEFT, Rt_Why(&budget, &attempt));
+    attempt.time_left = 0;
+    attempt.connect_failures = 1;
+    EXPECT_EQ(RT_NO_TIME_LEFT, Rt_DenyReason(&budget, &attempt));
 }
 
 TEST(Retry, HedgesOnlyIdempotentRequestsWithoutAKey)
--- a/packages/policy/test/stream_test.cc
+++ b/packages/policy/test/stream_test.cc
@@ -31,7 +31,7 @@
     struct sm_target no_import = kTarget;
     struct sm_target warm = kTarget;
     struct sm_target none = {};
-    no_import.imports = false;
+    no_import.imports_cache = false;
     warm.cached_tokens = 4000;
     EXPECT_EQ(SM_FINISH, decide(30 * kSec, 4000, 10, 100, kTarget).plan);
     EXPECT_EQ(SM_MOVE, decide(5 * kSec, 4000, 10, 1000, kTarget).plan);
@@ -57,7 +57,7 @@
         slow.prefill_per_token = 1000;
         struct sm_decision d = decide(left, 4000, 10, 1000, slow);
         if (d.plan == SM_MOVE) {
-            EXPECT_GE(left, d.gap + 500000);
+            EXPECT_GE(left, d.pause + 500000);
         }
         else {
             EXPECT_EQ(SM_RESUME, d.plan);
@@ -75,7 +75,7 @@
     struct sm_settings settings;
     struct rn_random random;
     struct sm_target target = kTarget;
-    target.imports = false;
+    target.imports_cache = false;
     struct sm_stream stream = {10 * kSec, 1000, 10, 1000, 33000};
     Rn_Seed(&random, 1);
     Sm_Defaults(&settings);
--- a/packages/policy/test/unknown_model.c
+++ b/packages/policy/test/unknown_model.c
@@ -252,7 +252,7 @@
         .prefix = request->prefix,
         .prompt_tokens = model->prompt_tokens,
         .budget = request->arrived + DEADLINE_USEC - model->now,
-        .again = request->attempts > 0,
+        .is_retry = request->attempts > 0,
         .failed = request->failed_on_trial || request->failed > 0,
         .tried = request->tried_list,
         .tried_count = request->tried_count,
@@ -269,7 +269,7 @@
     }
     if (status == ST_OK) {
         Ch_Start(model->table, &request->flight, model->now);
-        Rt_Cover(&model->retries, Ch_AllInFlight(model->table));
+        Rt_RaiseCapacity(&model->retries, Ch_AllInFlight(model->table));
         snprintf(request->tried[request->tried_count], Ch_NAME_MAX, "%s",
                  Ch_Info(request->flight.endpoint)->id);
         request->tried_count += request->tried_count + 1 < TRIED_MAX;
@@ -295,11 +295,11 @@
         fail_request(model, request, RT_ALLOWED);
         return;
     }
-    request->due =
-        model->now + Rt_Gap(request->unreached_in_row + request->full_in_row);
+    request->due = model->now + Rt_Backoff(request->unreached_in_row +
+                                           request->full_in_row);
 }
 
-/* Does what Rq_NoteFailed() in packages/gate/request.c does. */
+/* Does what Rq_RecordFailure() in packages/gate/request.c does. */
 static void
 note_failed(struct request *request, bool reached)
 {
@@ -328,12 +328,12 @@
         .stage = reached ? RT_SENT : RT_NOT_SENT,
         .idempotent = true,
         .attempts = request->failed,
-        .unreached = request->unreached,
-        .left = request->arrived + DEADLINE_USEC - model->now,
+        .connect_failures = request->unreached,
+        .time_left = request->arrived + DEADLINE_USEC - model->now,
     };
     bool ran = request->attempts > request->unreached;
     if (!request->begun) {
-        enum rt_reason why = Rt_Why(&model->retries, &attempt);
+        enum rt_reason why = Rt_DenyReason(&model->retries, &attempt);
         if (Rt_Decide(&model->retries, &attempt) != RT_RETRY) {
             fail_request(model, request, why);
             return;
@@ -352,13 +352,14 @@
     }
     if (ran && request->unreached_in_row > 0) {
         request->next = NEXT_SEND;
-        request->due = model->now + Rt_Gap(request->unreached_in_row);
+        request->due = model->now + Rt_Backoff(request->unreached_in_row);
         return;
     }
     choose_and_send(model, request);
 }
 
-/* Ends an attempt, as Re_EndFlight() and Mo_Note() in packages/gate do. */
+/* Ends an attempt, as Re_EndFlight() and Mo_RecordOutcome() in packages/gate
+ * do. */
 static void
 end_flight(struct um_model *model, struct request *request,
            enum ch_outcome outcome)
--- a/packages/policy/test/warmup_test.cc
+++ b/packages/policy/test/warmup_test.cc
@@ -159,8 +159,9 @@
         if (warmup.selected_at == 0 || now - warmup.selected_at > kSec / 2) {
             size_t known = CountKnown(host, now);
             warmup.selected_at = now;
-            struct wu_part pacing = Wu_Part(kPerSec, known);
-            struct wu_view view = {now - host.started, false, known, known};
+            struct wu_pacing pacing = Wu_Pacing(kPerSec, known);
+            struct wu_completeness view = {now - host.started, false, known,
+                                           known};
             warmup.selected =
                 IsSender(host, endpoint, Wu_SenderCount(&pacing, &view), now);
         }
@@ -170,9 +171,9 @@
     void
     Send(Host &host, size_t endpoint, int64_t now)
     {
-        struct wu_part pacing = Wu_Part(kPerSec, CountKnown(host, now));
+        struct wu_pacing pacing = Wu_Pacing(kPerSec, CountKnown(host, now));
         if (policy_ == SendPolicy::kRateDivided) {
-            pacing.gap_usec =
+            pacing.interval_usec =
                 (int64_t)((double)kSec * (double)hosts_.size() / kPerSec);
         }
         Wu_Sent(&host.warmups[endpoint], &pacing, now);
@@ -267,12 +268,13 @@
 {
     for (double per_sec = 0.1; per_sec < 200; per_sec += 0.7) {
         for (size_t hosts = 1; hosts < 500; hosts += 3) {
-            struct wu_part pacing = Wu_Part(per_sec, hosts);
-            int64_t each = (kSec + pacing.gap_usec - 1) / pacing.gap_usec;
-            EXPECT_LE((double)each * (double)pacing.hosts,
+            struct wu_pacing pacing = Wu_Pacing(per_sec, hosts);
+            int64_t each =
+                (kSec + pacing.interval_usec - 1) / pacing.interval_usec;
+            EXPECT_LE((double)each * (double)pacing.senders,
                       std::max(per_sec, 1.0))
                 << per_sec << " " << hosts;
-            EXPECT_GE(pacing.hosts, 1u);
+            EXPECT_GE(pacing.senders, 1u);
         }
     }
 }
@@ -282,18 +284,18 @@
 TEST(Warmup, InvalidInputIsBounded)
 {
     for (double per_sec : {0.0, -1.0, -1e300, 1e-300, 0.0 / 0.0}) {
-        struct wu_part pacing = Wu_Part(per_sec, 0);
-        EXPECT_EQ(pacing.hosts, 1u);
-        EXPECT_GT(pacing.gap_usec, kSec);
+        struct wu_pacing pacing = Wu_Pacing(per_sec, 0);
+        EXPECT_EQ(pacing.senders, 1u);
+        EXPECT_GT(pacing.interval_usec, kSec);
     }
     struct wu_warmup warmup = {};
-    Wu_Told(&warmup, INT64_MAX, kSec);
+    Wu_SetColdLeft(&warmup, INT64_MAX, kSec);
     EXPECT_TRUE(Wu_IsCold(&warmup, kSec + 1));
     EXPECT_FALSE(Wu_IsCold(&warmup, 3600 * kSec));
-    Wu_Told(&warmup, -5, kSec);
+    Wu_SetColdLeft(&warmup, -5, kSec);
     EXPECT_FALSE(Wu_IsCold(&warmup, kSec));
-    Wu_Doubt(&warmup, INT64_MAX, kSec);
-    EXPECT_FALSE(Wu_IsDoubted(&warmup, 3600 * kSec));
+    Wu_SuspectRestart(&warmup, INT64_MAX, kSec);
+    EXPECT_FALSE(Wu_MayBeCold(&warmup, 3600 * kSec));
 }
 
 } // namespace
--- a/packages/policy/warmup.c
+++ b/packages/policy/warmup.c
@@ -23,8 +23,8 @@
  */
 #define GAP_MARGIN_USEC (1 * Ck_USEC_PER_MSEC)
 
-struct wu_part
-Wu_Part(double per_sec, size_t hosts)
+struct wu_pacing
+Wu_Pacing(double per_sec, size_t hosts)
 {
     if (!(per_sec > PER_SEC_MIN)) {
         per_sec = PER_SEC_MIN;
@@ -32,18 +32,18 @@
     if (hosts < 1) {
         hosts = 1;
     }
-    struct wu_part pacing = {.hosts = 1};
+    struct wu_pacing pacing = {.senders = 1};
     if (per_sec >= 2) {
         double hosts_max = floor(fmin(per_sec, (double)hosts));
-        pacing.hosts = (size_t)hosts_max;
+        pacing.senders = (size_t)hosts_max;
     }
     /*
      * Each sender gets whole requests a second: a fraction above one could put
      * one request more into some seconds.
      */
-    double each = per_sec / (double)pacing.hosts;
+    double each = per_sec / (double)pacing.senders;
     each = each >= 1 ? floor(each) : each;
-    pacing.gap_usec =
+    pacing.interval_usec =
         (int64_t)((double)Ck_USEC_PER_SEC / each) + GAP_MARGIN_USEC;
     return pacing;
 }
@@ -61,15 +61,16 @@
  * endpoint would get twice the requests that it can serve.
  */
 size_t
-Wu_SenderCount(const struct wu_part *pacing, const struct wu_view *view)
+Wu_SenderCount(const struct wu_pacing *pacing,
+               const struct wu_completeness *view)
 {
     if (view->up_usec < DISCOVERY_USEC || view->heard * 2 < view->known) {
         return 0;
     }
     if (view->first_start || view->up_usec >= PARTITION_MAX_USEC) {
-        return pacing->hosts;
+        return pacing->senders;
     }
-    return (pacing->hosts + 1) / 2;
+    return (pacing->senders + 1) / 2;
 }
 
 size_t
@@ -84,17 +85,17 @@
 }
 
 bool
-Wu_ClaimIsOld(const struct wu_warmup *warmup, int64_t now)
+Wu_SelectionIsStale(const struct wu_warmup *warmup, int64_t now)
 {
     return warmup->selected_at == 0 ||
            now - warmup->selected_at >= SELECTION_MAX_AGE_USEC;
 }
 
 void
-Wu_RenewClaim(struct wu_warmup *warmup, const struct wu_hosts *hosts,
-              double per_sec, uint64_t endpoint, int64_t now)
+Wu_RenewSelection(struct wu_warmup *warmup, const struct wu_hosts *hosts,
+                  double per_sec, uint64_t endpoint, int64_t now)
 {
-    struct wu_part pacing = Wu_Part(per_sec, hosts->count + 1);
+    struct wu_pacing pacing = Wu_Pacing(per_sec, hosts->count + 1);
     warmup->selected_at = now;
     warmup->selected =
         Wu_Rank(hosts, endpoint) < Wu_SenderCount(&pacing, &hosts->view);
@@ -107,13 +108,13 @@
 }
 
 bool
-Wu_IsDoubted(const struct wu_warmup *warmup, int64_t now)
+Wu_MayBeCold(const struct wu_warmup *warmup, int64_t now)
 {
     return now < warmup->maybe_cold_until;
 }
 
 void
-Wu_Told(struct wu_warmup *warmup, int64_t cold_left_usec, int64_t now)
+Wu_SetColdLeft(struct wu_warmup *warmup, int64_t cold_left_usec, int64_t now)
 {
     if (cold_left_usec > COLD_MAX_USEC) {
         cold_left_usec = COLD_MAX_USEC;
@@ -122,7 +123,7 @@
 }
 
 void
-Wu_Doubt(struct wu_warmup *warmup, int64_t cold_usec, int64_t now)
+Wu_SuspectRestart(struct wu_warmup *warmup, int64_t cold_usec, int64_t now)
 {
     if (cold_usec > COLD_MAX_USEC) {
         cold_usec = COLD_MAX_USEC;
@@ -139,7 +140,7 @@
 }
 
 void
-Wu_Sent(struct wu_warmup *warmup, const struct wu_part *pacing, int64_t now)
+Wu_Sent(struct wu_warmup *warmup, const struct wu_pacing *pacing, int64_t now)
 {
-    warmup->next_send_at = now + pacing->gap_usec;
+    warmup->next_send_at = now + pacing->interval_usec;
 }
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -22,9 +22,9 @@
 #endif
 
 /* How the senders divide the rate that a cold endpoint can serve. */
-struct wu_part {
-    size_t hosts;     /* number of senders */
-    int64_t gap_usec; /* least time between two requests of one sender */
+struct wu_pacing {
+    size_t senders;        /* number of senders */
+    int64_t interval_usec; /* least time between two requests of one sender */
 };
 
 /* One host's state of an endpoint's warm-up. */
@@ -40,14 +40,14 @@
  * Divides the "per_sec" requests a second that a cold endpoint can serve among
  * the senders of "hosts" hosts, this one included.
  */
-struct wu_part Wu_Part(double per_sec, size_t hosts);
+struct wu_pacing Wu_Pacing(double per_sec, size_t hosts);
 /*
  * Rendezvous hash of a host and an endpoint; the hosts with the highest ones
  * are the senders.
  */
 uint64_t Wu_Weight(uint64_t host, uint64_t endpoint);
 /* What is known about how complete a host's list of hosts is. */
-struct wu_view {
+struct wu_completeness {
     int64_t up_usec;  /* time since this host started */
     bool first_start; /* this host started together with all others */
     size_t heard;     /* hosts heard from since the start, this one included */
@@ -61,7 +61,7 @@
     uint64_t own; /* hash of this host */
     size_t count; /* number of others */
     uint64_t others[Wu_HOSTS_MAX];
-    struct wu_view view;
+    struct wu_completeness view;
 };
 
 /* Number of hosts whose hash for the endpoint is higher than this host's. */
@@ -73,36 +73,38 @@
  * and has heard from half of the known hosts; about half of the senders while
  * the list may lack hosts that it is partitioned from.
  */
-size_t Wu_SenderCount(const struct wu_part *pacing,
-                      const struct wu_view *view);
+size_t Wu_SenderCount(const struct wu_pacing *pacing,
+                      const struct wu_completeness *view);
 
 /*
  * Computes again whether this host is a sender of an endpoint that can serve
  * "per_sec" requests a second. To be repeated regularly, because hosts join
  * and leave.
  */
-bool Wu_ClaimIsOld(const struct wu_warmup *warmup, int64_t now);
-void Wu_RenewClaim(struct wu_warmup *warmup, const struct wu_hosts *hosts,
-                   double per_sec, uint64_t endpoint, int64_t now);
+bool Wu_SelectionIsStale(const struct wu_warmup *warmup, int64_t now);
+void Wu_RenewSelection(struct wu_warmup *warmup, const struct wu_hosts *hosts,
+                       double per_sec, uint64_t endpoint, int64_t now);
 
 /*
  * Whether the endpoint has reported that it is cold; whether it may be cold
  * because it may have restarted.
  */
 bool Wu_IsCold(const struct wu_warmup *warmup, int64_t now);
-bool Wu_IsDoubted(const struct wu_warmup *warmup, int64_t now);
+bool Wu_MayBeCold(const struct wu_warmup *warmup, int64_t now);
 /*
  * Records for how much longer the endpoint reports that it is cold; 0: warm.
  */
-void Wu_Told(struct wu_warmup *warmup, int64_t cold_left_usec, int64_t now);
+void Wu_SetColdLeft(struct wu_warmup *warmup, int64_t cold_left_usec,
+                    int64_t now);
 /*
  * Records that the endpoint may have restarted without a report; it is then
  * cold for "cold_usec".
  */
-void Wu_Doubt(struct wu_warmup *warmup, int64_t cold_usec, int64_t now);
+void Wu_SuspectRestart(struct wu_warmup *warmup, int64_t cold_usec,
+                       int64_t now);
 /* Whether this host may send to the endpoint now; records that it has sent. */
 bool Wu_MaySend(const struct wu_warmup *warmup, int64_t now);
-void Wu_Sent(struct wu_warmup *warmup, const struct wu_part *pacing,
+void Wu_Sent(struct wu_warmup *warmup, const struct wu_pacing *pacing,
              int64_t now);
 
 #ifdef __cplusplus
--- a/standins/daemons.c
+++ b/standins/daemons.c
@@ -131,7 +131,7 @@
             abort();
         }
     }
-    Ad_Advanced(daemon->admin);
+    Ad_AnswerVerdicts(daemon->admin);
 }
 
 static void
--- a/tools/policy_bench.c
+++ b/tools/policy_bench.c
@@ -10,8 +10,8 @@
 #include <time.h>
 
 #include "base/random.h"
+#include "choose_model.h"
 #include "fleet_model.h"
-#include "model.h"
 #include "move_model.h"
 #include "policy/admit.h"
 #include "policy/admit_internal.h"
@@ -99,12 +99,12 @@
     struct sm_settings settings;
     struct sm_decision decision;
     int64_t now = 0;
-    int64_t gone = stream.left;
+    int64_t gone = stream.time_left;
     int expected = stream.tokens_expected;
     int first = tokens_left;
     Sm_Defaults(&settings);
     for (;;) {
-        stream.left = gone - now;
+        stream.time_left = gone - now;
         Sm_Decide(&settings, &stream, target, random, &decision);
         if (way == LEAVE_ALL) {
             decision = (struct sm_decision){.act_after = gone};
@@ -219,16 +219,16 @@
             .seed = (uint64_t)seed + 1,
             .per_sec = per_sec,
             .routers = 7,
-            .old_failed = 0.005,
+            .usual_failure_rate = 0.005,
             .fault = fault,
             .without_trip = without_trip,
         };
         struct move_outcome out;
         Move_Run(&model, &out);
-        back += out.move.phase == MV_TAKEN_BACK;
+        back += out.move.phase == MV_ROLLED_BACK;
         tripped += out.tripped;
         delays[seed] = (double)(out.ended_at - out.fault_at) / 1e6;
-        hurt[seed] = (double)out.hurt;
+        hurt[seed] = (double)out.new_failures;
         share += out.share_at_end / seeds;
     }
     qsort(delays, (size_t)seeds, sizeof(*delays), compare_double);
@@ -276,7 +276,7 @@
         model.seed = (uint64_t)seed + 1;
         Trip_Run(&model, &out);
         trips += out.tripped;
-        hurt[seed] = out.hurt;
+        hurt[seed] = out.new_failures;
     }
     qsort(hurt, TRIP_SEEDS, sizeof(*hurt), compare_double);
     printf("| %s | %.0f%% | %d | %.0f | %.0f | %.0f |\n", what,
@@ -294,14 +294,14 @@
     for (size_t s = 0; s < sizeof(shares) / sizeof(shares[0]); s++) {
         struct trip_model model = {
             .share = shares[s], .new_engines = 2, .requests = 5000};
-        model.new_bad = 1;
+        model.new_failure_rate = 1;
         bench_trip("the new version fails all", &model);
         model.killed = true;
         model.killed_side = MV_OLD;
         model.in_flight = 32;
         model.refused = 5;
         bench_trip("the same, an old engine killed with 32 in flight", &model);
-        model.new_bad = 0;
+        model.new_failure_rate = 0;
         model.killed_side = MV_NEW;
         model.killed_at = 500;
         bench_trip("a good one's engine killed with 32 in flight", &model);
@@ -351,10 +351,11 @@
             sum.cost += result.cost / SEEDS;
             sum.uncovered += result.uncovered / SEEDS;
             sum.on_demand += result.on_demand / SEEDS;
-            sum.cut += result.cut;
+            sum.cut_off += result.cut_off;
         }
         printf("| %s | %.0f | %.3f%% | %.1f%% | %d |\n", ops[i]->name,
-               sum.cost, sum.uncovered * 100, sum.on_demand * 100, sum.cut);
+               sum.cost, sum.uncovered * 100, sum.on_demand * 100,
+               sum.cut_off);
     }
     printf("\n");
 }
@@ -419,7 +420,7 @@
     }
     for (int i = 0; i < peers; i++) {
         snprintf(name, sizeof(name), "daemon-%d", i);
-        Am_Hear(limits, name, &demand, 1, 1000000);
+        Am_ReceiveDemands(limits, name, &demand, 1, 1000000);
     }
     const int times = 200;
     double began = seconds();
@@ -435,7 +436,7 @@
     char what[96];
     snprintf(what, sizeof(what),
              "all shares anew, %d daemons, %d customers (each %lld ms)", peers,
-             customers, (long long)Am_Interval(limits) / 1000);
+             customers, (long long)Am_PublishInterval(limits) / 1000);
     print_cost(what, began, times);
     Am_Destroy(limits);
 }
