--- a/packages/state/lease.c
+++ b/packages/state/lease.c
@@ -3,8 +3,7 @@
 #include <bsd/string.h>
 #include <string.h>
 
-/* A holder renews this often within its term. */
-#define Ls_RENEWALS 3
+#define Ls_RENEWALS_PER_TERM 3
 
 static const char *const op_names[] = {
     [LS_NOTHING] = "",
@@ -14,12 +13,12 @@
 };
 
 /*
- * Applies a record to a job's lease; false when the record does not count.
- * Everyone who reads the same records comes to the same lease.
+ * Applies a record to a job's lease; returns false if the record is rejected.
+ * The result depends on the records only, so all readers agree on it.
  */
 bool
-Ls_Judge(struct ls_lease *lease, const struct rc_writer *writer,
-         uint64_t offset, const struct ls_change *change)
+Ls_Accept(struct ls_lease *lease, const struct rc_writer *writer,
+          uint64_t offset, const struct ls_change *change)
 {
     if (change->base != lease->last) {
         return false;
@@ -49,7 +48,10 @@
     return true;
 }
 
-/* Begins with a job nobody holds; give it the lease records in order. */
+/*
+ * Starts with a lease that has no holder; the caller then passes in the lease
+ * records in log order.
+ */
 void
 Ls_Init(struct ls_agent *agent, const struct rc_writer *self,
         const struct ls_terms *terms)
@@ -59,7 +61,10 @@
     agent->terms = *terms;
 }
 
-/* Whether this host should hold the job; a holder that should not releases. */
+/*
+ * Sets whether this host should hold the lease.  A holder that should not hold
+ * it releases it.
+ */
 void
 Ls_Want(struct ls_agent *agent, bool wanted)
 {
@@ -67,26 +72,27 @@
 }
 
 /*
- * Notes that a record is about to be sent.  Call it before: a holder that
- * was paused between sending and noting would count its term from too late.
+ * Notes that a record is about to be sent.  Must be called before the send: a
+ * holder paused between sending and this call would start its term too late
+ * and keep acting after other hosts consider the term over.
  */
 void
-Ls_Sent(struct ls_agent *agent, enum ls_op op, int64_t now)
+Ls_BeforeSend(struct ls_agent *agent, enum ls_op op, int64_t now)
 {
-    agent->sent = op;
-    agent->sent_base = agent->lease.last;
-    agent->sent_at = now;
+    agent->pending_op = op;
+    agent->pending_base = agent->lease.last;
+    agent->pending_sent_at = now;
     if (op == LS_RELEASE) {
-        /* From here on another host may take the job at any moment. */
-        agent->until = now;
+        /* Another host may take the lease as soon as the release is sent. */
+        agent->term_end = now;
     }
 }
 
-/* Our record surely was not written. */
+/* Notes that the record in flight was not and will not be written. */
 void
 Ls_NotWritten(struct ls_agent *agent)
 {
-    agent->sent = LS_NOTHING;
+    agent->pending_op = LS_NOTHING;
 }
 
 static void
@@ -94,35 +100,37 @@
 {
     const struct ls_terms *terms = &agent->terms;
     if (op != LS_RELEASE) {
-        agent->until = agent->sent_at + terms->term_usec - terms->margin_usec;
+        agent->term_end =
+            agent->pending_sent_at + terms->term_usec - terms->margin_usec;
     }
     if (op == LS_TAKE) {
         /*
-         * An order that the holder before us checked at the end of its term
-         * may still take effect at an endpoint that compares no fencing
-         * numbers.  That term had ended when our take was sent.
+         * The previous holder may have sent an order at the end of its term,
+         * and an endpoint that does not check fencing numbers may still
+         * execute it until the order expires.  That term had ended when this
+         * host's take was sent.
          */
-        agent->act_from = agent->sent_at + terms->order_usec;
+        agent->orders_from = agent->pending_sent_at + terms->order_usec;
     }
 }
 
 /*
- * Takes the next lease record of the job into account.  "now" must be read
- * after the record was received.
+ * Applies the next lease record of the job.  "now" must be read after the
+ * record was received.
  */
 void
 Ls_Applied(struct ls_agent *agent, const struct rc_writer *writer,
            uint64_t offset, const struct ls_change *change, int64_t now)
 {
-    bool accepted = Ls_Judge(&agent->lease, writer, offset, change);
+    bool accepted = Ls_Accept(&agent->lease, writer, offset, change);
     bool ours = Rc_CompareWriters(writer, &agent->self) == 0;
     /*
-     * A state that is built again from a snapshot passes older records of
-     * this host a second time: the base tells them from the one on its way,
-     * whose sending alone begins a new term.
+     * A replica that reloads its state from a snapshot reads older records of
+     * this host a second time.  Their base differs from that of the record in
+     * flight, and only the sending of the latter starts a new term.
      */
-    bool awaited =
-        ours && agent->sent == change->op && agent->sent_base == change->base;
+    bool awaited = ours && agent->pending_op == change->op &&
+                   agent->pending_base == change->base;
     if (accepted) {
         agent->seen_at = now;
     }
@@ -130,14 +138,14 @@
         confirm(agent, change->op);
     }
     if (awaited) {
-        agent->sent = LS_NOTHING;
+        agent->pending_op = LS_NOTHING;
     }
     if (accepted && !ours) {
-        agent->until = 0;
+        agent->term_end = 0;
     }
 }
 
-/* Takes over a job's lease from a snapshot. */
+/* Replaces the lease by one loaded from a snapshot. */
 void
 Ls_Loaded(struct ls_agent *agent, const struct ls_lease *lease, int64_t now)
 {
@@ -145,7 +153,7 @@
     agent->seen_at = now;
 }
 
-/* Whether the log says that this host holds the job. */
+/* Whether this host is the holder according to the log. */
 bool
 Ls_Holds(const struct ls_agent *agent)
 {
@@ -160,21 +168,22 @@
     if (!agent->wanted) {
         return LS_RELEASE;
     }
-    int64_t next = agent->until + terms->margin_usec - terms->term_usec +
-                   terms->term_usec / Ls_RENEWALS;
+    int64_t next = agent->term_end + terms->margin_usec - terms->term_usec +
+                   terms->term_usec / Ls_RENEWALS_PER_TERM;
     return now >= next ? LS_RENEW : LS_NOTHING;
 }
 
 /*
- * What this host should append now; the base is agent->lease.last.
- * "tail_asked" is when the last read that reached the end of the stream was
- * sent: during a log outage nobody can renew, so a silence that could not be
- * read proves nothing about the holder.
+ * Returns the record that this host should append now; its base is
+ * agent->lease.last.  "tail_read_at" is when the last read that reached the
+ * end of the stream was sent.  A take requires such a read after the holder's
+ * term: during a log outage nobody can renew, so missing renewals that could
+ * not have been read do not prove that the term lapsed.
  */
 enum ls_op
-Ls_Due(const struct ls_agent *agent, int64_t now, int64_t tail_asked)
+Ls_Due(const struct ls_agent *agent, int64_t now, int64_t tail_read_at)
 {
-    if (agent->sent != LS_NOTHING) {
+    if (agent->pending_op != LS_NOTHING) {
         return LS_NOTHING;
     }
     if (Ls_Holds(agent)) {
@@ -184,22 +193,23 @@
         return LS_NOTHING;
     }
     if (agent->lease.fence == 0) {
-        return LS_TAKE; /* released or never taken: no term is running */
+        return LS_TAKE; /* released or never taken: no term to wait for */
     }
     int64_t free_at = agent->seen_at + agent->terms.term_usec;
-    return now >= free_at && tail_asked >= free_at ? LS_TAKE : LS_NOTHING;
+    return now >= free_at && tail_read_at >= free_at ? LS_TAKE : LS_NOTHING;
 }
 
 /*
- * Whether this host may send an order at this moment; "now" must be read
- * from the clock for this call.  A host paused right after the check sends
- * late: the order's fencing number, or its expiry where endpoints compare no
- * numbers, makes that harmless.
+ * Whether this host may send an order now; "now" must be read from the clock
+ * for this call.  A host that is paused right after the check sends its order
+ * late.  The endpoint then rejects the order by its fencing number or, if it
+ * does not check fencing numbers, by the order's expiry.
  */
 bool
 Ls_MayAct(const struct ls_agent *agent, int64_t now, struct ls_permit *out)
 {
-    if (!Ls_Holds(agent) || now >= agent->until || now < agent->act_from) {
+    if (!Ls_Holds(agent) || now >= agent->term_end ||
+        now < agent->orders_from) {
         return false;
     }
     out->fence = agent->lease.fence;
@@ -207,7 +217,7 @@
     return true;
 }
 
-/* A lease record's body; NULL without memory. */
+/* Returns the body of a lease record, or NULL if out of memory. */
 json_t *
 Ls_Body(const struct ls_change *change)
 {
@@ -215,7 +225,7 @@
                      op_names[change->op], "base", (json_int_t)change->base);
 }
 
-/* Reads a lease record's body; false when it is none. */
+/* Reads the body of a lease record; returns false if it is malformed. */
 bool
 Ls_Read(const json_t *body, struct ls_change *out)
 {
--- a/packages/state/leases.c
+++ b/packages/state/leases.c
@@ -32,7 +32,7 @@
     struct ls_terms terms;
 };
 
-/* Makes a book without jobs; it must outlive its writer. */
+/* Creates an empty set of leases; it must outlive its writer. */
 enum st_status
 Le_Create(const struct le_options *options, struct le_book **out)
 {
@@ -52,7 +52,7 @@
     return ST_OK;
 }
 
-/* Frees a book; its writer must be destroyed before. */
+/* Frees the leases; their writer must be destroyed before. */
 void
 Le_Destroy(struct le_book *book)
 {
@@ -73,7 +73,7 @@
 {
     struct le_job probe;
     strlcpy(probe.name, name, sizeof(probe.name));
-    /* RB_FIND() does not change the tree but takes no const one. */
+    /* RB_FIND() does not modify the tree but takes no const pointer. */
     return RB_FIND(le_tree, (struct le_tree *)&book->jobs, &probe);
 }
 
@@ -86,7 +86,7 @@
     }
     job = calloc(1, sizeof(*job));
     if (job == NULL) {
-        abort(); /* a book without this job would judge unlike others */
+        abort(); /* replicas would diverge without this job */
     }
     strlcpy(job->name, name, sizeof(job->name));
     Ls_Init(&job->agent, &book->self, &book->terms);
@@ -95,9 +95,9 @@
 }
 
 /*
- * Says whether this host should hold a job.  "order_usec" is the longest
- * life of an order at endpoints that compare no fencing numbers, 0 where all
- * compare them; every host must give the same.
+ * Sets whether this host should hold a job's lease.  "order_usec" is how long
+ * an order stays valid at endpoints that do not check fencing numbers, 0 if
+ * all endpoints check them; every host must pass the same value.
  */
 enum st_status
 Le_Want(struct le_book *book, const char *name, bool wanted,
@@ -127,7 +127,7 @@
 {
     struct ls_change change = {.op = op, .base = job->agent.lease.last};
     strlcpy(change.job, job->name, sizeof(change.job));
-    Ls_Sent(&job->agent, op, now);
+    Ls_BeforeSend(&job->agent, op, now);
     if (Wr_Put(book->writer, BG_LEASE, Ls_KIND, Ls_Body(&change),
                now + book->terms.term_usec, change_written, job) != ST_OK) {
         Ls_NotWritten(&job->agent);
@@ -135,11 +135,12 @@
 }
 
 /*
- * Appends what is due.  "ready" and "tail_asked" are Sn_AtTail() of the
- * control stream's replica: without a known state nothing is taken.
+ * Appends the lease records that are due.  "ready" and "tail_read_at" are the
+ * results of Sn_AtTail() for the control stream's replica: no lease is taken
+ * while the replica's state is not known.
  */
 void
-Le_Tick(struct le_book *book, bool ready, int64_t tail_asked)
+Le_Tick(struct le_book *book, bool ready, int64_t tail_read_at)
 {
     if (!ready) {
         return;
@@ -147,14 +148,17 @@
     int64_t now = Ck_Now(book->clock);
     struct le_job *job;
     RB_FOREACH (job, le_tree, &book->jobs) {
-        enum ls_op op = Ls_Due(&job->agent, now, tail_asked);
+        enum ls_op op = Ls_Due(&job->agent, now, tail_read_at);
         if (op != LS_NOTHING) {
             append(book, job, op, now);
         }
     }
 }
 
-/* Forgets what the log said; what this host wants and has sent stays. */
+/*
+ * Clears the leases; which leases this host wants and its records in flight
+ * stay.
+ */
 void
 Le_Reset(struct le_book *book)
 {
@@ -178,7 +182,9 @@
                Ck_Now(book->clock));
 }
 
-/* Adds the entry of one job; entries of other modules are skipped. */
+/*
+ * Loads the snapshot entry of one job; entries of other modules are ignored.
+ */
 void
 Le_Load(struct le_book *book, const json_t *entry)
 {
@@ -195,7 +201,7 @@
     Ls_Loaded(&find_or_add(book, name)->agent, &lease, Ck_Now(book->clock));
 }
 
-/* Appends the entries of all jobs to a snapshot's list. */
+/* Appends the snapshot entries of all jobs to a list. */
 void
 Le_Save(const struct le_book *book, json_t *list)
 {
@@ -215,7 +221,10 @@
     }
 }
 
-/* As Ls_MayAct(), with the clock read now.  Call it right before an order. */
+/*
+ * Calls Ls_MayAct() with the current time.  Must be called right before each
+ * order is sent.
+ */
 bool
 Le_MayAct(const struct le_book *book, const char *name, struct ls_permit *out)
 {
@@ -223,7 +232,7 @@
     return job != NULL && Ls_MayAct(&job->agent, Ck_Now(book->clock), out);
 }
 
-/* Whether the log says that this host holds the job. */
+/* Whether this host holds the job's lease according to the log. */
 bool
 Le_Holds(const struct le_book *book, const char *name)
 {
@@ -231,7 +240,7 @@
     return job != NULL && Ls_Holds(&job->agent);
 }
 
-/* What the log says about a job; false when nothing. */
+/* Gets a job's lease; returns false if the log has no record of it. */
 bool
 Le_Get(const struct le_book *book, const char *name, struct ls_lease *out)
 {
@@ -243,7 +252,7 @@
     return true;
 }
 
-/* Number of jobs this host holds. */
+/* Number of leases that this host holds. */
 size_t
 Le_Held(const struct le_book *book)
 {
--- a/packages/state/leases.h
+++ b/packages/state/leases.h
@@ -1,7 +1,7 @@
 /*
- * The leases of all jobs, on the control stream: a part of the state of a
- * replica (snapshot.h) of that stream, and the records that this host's
- * agents append to it.
+ * The leases of all jobs, kept on the control stream.  They are part of the
+ * state of that stream's replica (snapshot.h).  This module also appends the
+ * lease records that are due for this host.
  */
 #ifndef STATE_LEASES_H
 #define STATE_LEASES_H
@@ -19,8 +19,8 @@
 
 struct le_options {
     const struct ck_clock *clock;
-    struct rc_writer self;    /* as that of the writer */
-    struct wr_writer *writer; /* of the control stream */
+    struct rc_writer self;    /* the same as that of the writer */
+    struct wr_writer *writer; /* writer of the control stream */
     int64_t term_usec;        /* 0: 15 s */
     int64_t margin_usec;      /* 0: 1 s */
 };
@@ -32,9 +32,9 @@
 void Le_Destroy(struct le_book *book);
 enum st_status Le_Want(struct le_book *book, const char *job, bool wanted,
                        int64_t order_usec);
-void Le_Tick(struct le_book *book, bool ready, int64_t tail_asked);
+void Le_Tick(struct le_book *book, bool ready, int64_t tail_read_at);
 
-/* For the table of sn_ops; Le_Apply() skips records of other kinds. */
+/* Callbacks for struct sn_ops; Le_Apply() ignores other kinds of record. */
 void Le_Reset(struct le_book *book);
 void Le_Apply(struct le_book *book, const struct rc_record *record);
 void Le_Load(struct le_book *book, const json_t *entry);
--- a/packages/state/test/fake_clock.h
+++ b/packages/state/test/fake_clock.h
@@ -1,4 +1,4 @@
-/* A clock that a test sets. */
+/* A clock whose readings are set by the test. */
 #ifndef STATE_TEST_FAKE_CLOCK_H
 #define STATE_TEST_FAKE_CLOCK_H
 
--- a/packages/state/test/lease_test.cc
+++ b/packages/state/test/lease_test.cc
@@ -1,4 +1,7 @@
-/* Leases: cases by hand, and every interleaving of two hosts in a bound. */
+/*
+ * Leases: single cases, and a bounded search of the interleavings of two
+ * hosts.
+ */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -31,7 +34,7 @@
 }
 
 /* A log of lease records of one job, and hosts that read it. */
-struct Bench {
+struct SimulatedLog {
     struct Entry {
         struct rc_writer writer;
         struct ls_change change;
@@ -41,7 +44,7 @@
     std::vector<struct ls_agent> agents;
     std::vector<size_t> read;
 
-    Bench(int count, const struct ls_terms &terms)
+    SimulatedLog(int count, const struct ls_terms &terms)
         : agents(count), read(count, 0)
     {
         for (int i = 0; i < count; i++) {
@@ -51,7 +54,9 @@
         }
     }
 
-    /* What agent i sends now, not yet in the log. */
+    /*
+     * Returns the record that agent i sends now, without adding it to the log.
+     */
     Entry
     Send(int i, int64_t now, enum ls_op expected)
     {
@@ -61,7 +66,7 @@
         Entry entry = {agent.self, {}};
         entry.change.op = op;
         entry.change.base = agent.lease.last;
-        Ls_Sent(&agent, op, now);
+        Ls_BeforeSend(&agent, op, now);
         return entry;
     }
 
@@ -88,7 +93,7 @@
     }
 };
 
-TEST(Lease, BodiesSurviveTheLog)
+TEST(Lease, BodiesAreReadBackUnchanged)
 {
     struct ls_change change = {"snapshots/claims-03", LS_RENEW, 77};
     json_t *body = Ls_Body(&change);
@@ -104,179 +109,187 @@
 }
 
 /*
- * Two hosts order the same version to different roles: both saw the lease
- * free and took it.  The second take in the log names a stale base.
+ * Two hosts read that the lease is free and both take it.  The second take in
+ * the log has a stale base and is rejected; otherwise both hosts would send
+ * orders for the same version.
  */
-TEST(Lease, OfTwoTakersTheFirstInTheLogHolds)
+TEST(Lease, TheFirstTakeInTheLogWins)
 {
-    Bench bench(2, Terms(30, 3, 0));
-    bench.Append(0, 10, LS_TAKE);
-    bench.Append(1, 10, LS_TAKE);
-    bench.Read(0, 11);
-    bench.Read(1, 11);
-    EXPECT_EQ(1u, bench.Fence(0, 12));
-    EXPECT_EQ(0u, bench.Fence(1, 12));
-    EXPECT_EQ(LS_NOTHING, Ls_Due(&bench.agents[1], 40, 40));
-    EXPECT_EQ(LS_TAKE, Ls_Due(&bench.agents[1], 41, 41));
+    SimulatedLog sim(2, Terms(30, 3, 0));
+    sim.Append(0, 10, LS_TAKE);
+    sim.Append(1, 10, LS_TAKE);
+    sim.Read(0, 11);
+    sim.Read(1, 11);
+    EXPECT_EQ(1u, sim.Fence(0, 12));
+    EXPECT_EQ(0u, sim.Fence(1, 12));
+    EXPECT_EQ(LS_NOTHING, Ls_Due(&sim.agents[1], 40, 40));
+    EXPECT_EQ(LS_TAKE, Ls_Due(&sim.agents[1], 41, 41));
 }
 
 /*
- * A holder is paused for longer than its term and wakes up; meanwhile
- * another host took the job.  The first one must not go on, although it has
- * not read that yet.
+ * A holder is paused for longer than its term, and another host takes the
+ * lease meanwhile.  When the first holder resumes, it must stop by its own
+ * clock, although it has not read the other host's take yet.
  */
 TEST(Lease, APausedHolderStopsByItsOwnClock)
 {
-    Bench bench(2, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    bench.Read(1, 1);
-    EXPECT_EQ(1u, bench.Fence(0, 26));
-    EXPECT_EQ(0u, bench.Fence(0, 27));
-    bench.Append(1, 31, LS_TAKE);
-    bench.Read(1, 32);
-    EXPECT_EQ(2u, bench.Fence(1, 33));
-    EXPECT_EQ(0u, bench.Fence(0, 33));
-    bench.Append(0, 33, LS_RENEW);
-    bench.Read(0, 34);
-    bench.Read(1, 34);
-    EXPECT_EQ(0u, bench.Fence(0, 35));
-    EXPECT_EQ(2u, bench.Fence(1, 35));
+    SimulatedLog sim(2, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    sim.Read(1, 1);
+    EXPECT_EQ(1u, sim.Fence(0, 26));
+    EXPECT_EQ(0u, sim.Fence(0, 27));
+    sim.Append(1, 31, LS_TAKE);
+    sim.Read(1, 32);
+    EXPECT_EQ(2u, sim.Fence(1, 33));
+    EXPECT_EQ(0u, sim.Fence(0, 33));
+    sim.Append(0, 33, LS_RENEW);
+    sim.Read(0, 34);
+    sim.Read(1, 34);
+    EXPECT_EQ(0u, sim.Fence(0, 35));
+    EXPECT_EQ(2u, sim.Fence(1, 35));
 }
 
 /*
- * A renewal's answer is lost and the record is read back only much later.
- * The term runs from the sending, so it may be over by then.
+ * The answer to a renewal is lost, and the record is read back only much
+ * later.  The term runs from the sending of the renewal, so it may be over
+ * when the record is read.
  */
-TEST(Lease, ALateRenewalCountsFromItsSending)
+TEST(Lease, ARenewalsTermRunsFromItsSending)
 {
-    Bench bench(1, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    bench.Append(0, 10, LS_RENEW);
-    EXPECT_EQ(0u, bench.Fence(0, 30));
-    bench.Read(0, 36);
-    EXPECT_EQ(1u, bench.Fence(0, 36));
-    EXPECT_EQ(0u, bench.Fence(0, 37));
-    bench.Append(0, 37, LS_RENEW);
-    bench.Read(0, 38);
-    EXPECT_EQ(1u, bench.Fence(0, 38));
+    SimulatedLog sim(1, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    sim.Append(0, 10, LS_RENEW);
+    EXPECT_EQ(0u, sim.Fence(0, 30));
+    sim.Read(0, 36);
+    EXPECT_EQ(1u, sim.Fence(0, 36));
+    EXPECT_EQ(0u, sim.Fence(0, 37));
+    sim.Append(0, 37, LS_RENEW);
+    sim.Read(0, 38);
+    EXPECT_EQ(1u, sim.Fence(0, 38));
 }
 
 /*
- * A holder that fell behind builds its state again and reads its older
- * renewal a second time, while a new one is on its way and may never land.
- * The old one must not begin the term of the new one.
+ * A holder that fell behind reloads its state and reads its older renewal a
+ * second time, while a new renewal is in flight and may never be written.  The
+ * old renewal must not start the term of the new one.
  */
-TEST(Lease, ARenewalReadASecondTimeBeginsNoTerm)
+TEST(Lease, ARenewalReadTwiceStartsNoTerm)
 {
-    Bench bench(1, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    struct ls_lease before = bench.agents[0].lease;
-    bench.Append(0, 10, LS_RENEW);
-    bench.Read(0, 11);
-    bench.Send(0, 20, LS_RENEW);
-    Ls_Loaded(&bench.agents[0], &before, 25);
-    bench.read[0] = 1;
-    bench.Read(0, 25);
-    EXPECT_EQ(1u, bench.Fence(0, 36));
-    EXPECT_EQ(0u, bench.Fence(0, 37));
+    SimulatedLog sim(1, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    struct ls_lease before = sim.agents[0].lease;
+    sim.Append(0, 10, LS_RENEW);
+    sim.Read(0, 11);
+    sim.Send(0, 20, LS_RENEW);
+    Ls_Loaded(&sim.agents[0], &before, 25);
+    sim.read[0] = 1;
+    sim.Read(0, 25);
+    EXPECT_EQ(1u, sim.Fence(0, 36));
+    EXPECT_EQ(0u, sim.Fence(0, 37));
 }
 
-/* A renewal that was refused is sent again, at once. */
+/* A renewal that the log refused is sent again at once. */
 TEST(Lease, ARefusedRenewalIsSentAgain)
 {
-    Bench bench(1, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    bench.Send(0, 10, LS_RENEW);
-    EXPECT_EQ(LS_NOTHING, Ls_Due(&bench.agents[0], 20, 20));
-    Ls_NotWritten(&bench.agents[0]);
-    bench.Append(0, 20, LS_RENEW);
-    bench.Read(0, 21);
-    EXPECT_EQ(1u, bench.Fence(0, 46));
+    SimulatedLog sim(1, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    sim.Send(0, 10, LS_RENEW);
+    EXPECT_EQ(LS_NOTHING, Ls_Due(&sim.agents[0], 20, 20));
+    Ls_NotWritten(&sim.agents[0]);
+    sim.Append(0, 20, LS_RENEW);
+    sim.Read(0, 21);
+    EXPECT_EQ(1u, sim.Fence(0, 46));
 }
 
 /*
- * The log is down for longer than a term.  The holder stops; a taker that
- * could not read must not take the silence for a lapse: after the outage
- * each of the two may come first, and the log's order decides.
+ * The log is down for longer than a term.  The holder stops.  The other host
+ * could not read the log, so it must not conclude that the lease lapsed.
+ * After the outage either host may append first, and the log's order decides.
  */
-TEST(Lease, AnOutageLongerThanTheTermMovesNothingByItself)
+TEST(Lease, AnOutageLongerThanTheTermDoesNotMoveTheLease)
 {
-    Bench bench(2, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    bench.Read(1, 1);
-    EXPECT_EQ(LS_NOTHING, Ls_Due(&bench.agents[1], 100, 5));
-    EXPECT_EQ(0u, bench.Fence(0, 100));
-    Bench::Entry renewal = bench.Send(0, 100, LS_RENEW);
-    Bench::Entry take = bench.Send(1, 100, LS_TAKE);
-    bench.log.push_back(renewal);
-    bench.log.push_back(take);
-    bench.Read(0, 101);
-    bench.Read(1, 101);
-    EXPECT_EQ(1u, bench.Fence(0, 102));
-    EXPECT_EQ(0u, bench.Fence(1, 102));
+    SimulatedLog sim(2, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    sim.Read(1, 1);
+    EXPECT_EQ(LS_NOTHING, Ls_Due(&sim.agents[1], 100, 5));
+    EXPECT_EQ(0u, sim.Fence(0, 100));
+    SimulatedLog::Entry renewal = sim.Send(0, 100, LS_RENEW);
+    SimulatedLog::Entry take = sim.Send(1, 100, LS_TAKE);
+    sim.log.push_back(renewal);
+    sim.log.push_back(take);
+    sim.Read(0, 101);
+    sim.Read(1, 101);
+    EXPECT_EQ(1u, sim.Fence(0, 102));
+    EXPECT_EQ(0u, sim.Fence(1, 102));
 }
 
 /*
- * Endpoints that compare no fencing numbers obey an order of the old holder
- * after one of the new holder: it was checked at the end of the old term and
- * arrived late.  The new holder waits that long before its first order.
+ * An order of the old holder, checked at the end of its term, arrives late.
+ * An endpoint that does not check fencing numbers would execute it after an
+ * order of the new holder, so the new holder waits until such an order has
+ * expired.
  */
-TEST(Lease, OrdersOfTheOldHolderEndBeforeTheFirstOfTheNew)
+TEST(Lease, OrdersOfTheOldHolderExpireBeforeTheFirstOfTheNew)
 {
-    Bench bench(2, Terms(30, 3, 8));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    bench.Read(1, 1);
-    EXPECT_EQ(0u, bench.Fence(0, 7));
-    EXPECT_EQ(1u, bench.Fence(0, 26));
-    bench.Append(1, 31, LS_TAKE);
-    bench.Read(1, 32);
-    EXPECT_EQ(0u, bench.Fence(1, 38));
-    EXPECT_EQ(2u, bench.Fence(1, 39));
+    SimulatedLog sim(2, Terms(30, 3, 8));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    sim.Read(1, 1);
+    EXPECT_EQ(0u, sim.Fence(0, 7));
+    EXPECT_EQ(1u, sim.Fence(0, 26));
+    sim.Append(1, 31, LS_TAKE);
+    sim.Read(1, 32);
+    EXPECT_EQ(0u, sim.Fence(1, 38));
+    EXPECT_EQ(2u, sim.Fence(1, 39));
 }
 
-/* A host that leaves hands its jobs over at once and orders nothing more. */
+/*
+ * A host that shuts down releases its leases at once and sends no more orders.
+ */
 TEST(Lease, AReleasedJobIsTakenWithoutWaiting)
 {
-    Bench bench(2, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    Ls_Want(&bench.agents[0], false);
-    bench.Append(0, 5, LS_RELEASE);
-    EXPECT_EQ(0u, bench.Fence(0, 5));
-    bench.Read(1, 6);
-    bench.Append(1, 6, LS_TAKE);
-    bench.Read(1, 7);
-    EXPECT_EQ(3u, bench.Fence(1, 8));
+    SimulatedLog sim(2, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    Ls_Want(&sim.agents[0], false);
+    sim.Append(0, 5, LS_RELEASE);
+    EXPECT_EQ(0u, sim.Fence(0, 5));
+    sim.Read(1, 6);
+    sim.Append(1, 6, LS_TAKE);
+    sim.Read(1, 7);
+    EXPECT_EQ(3u, sim.Fence(1, 8));
 }
 
-/* A clock that jumps ahead (a suspended host) only ends a term early. */
+/*
+ * A clock that jumps ahead (after the host was suspended) only ends the term
+ * early.
+ */
 TEST(Lease, AJumpAheadEndsTheHoldersTerm)
 {
-    Bench bench(1, Terms(30, 3, 0));
-    bench.Append(0, 0, LS_TAKE);
-    bench.Read(0, 1);
-    EXPECT_EQ(1u, bench.Fence(0, 2));
-    EXPECT_EQ(0u, bench.Fence(0, 1000000));
-    bench.Append(0, 1000000, LS_RENEW);
-    bench.Read(0, 1000001);
-    EXPECT_EQ(1u, bench.Fence(0, 1000002));
+    SimulatedLog sim(1, Terms(30, 3, 0));
+    sim.Append(0, 0, LS_TAKE);
+    sim.Read(0, 1);
+    EXPECT_EQ(1u, sim.Fence(0, 2));
+    EXPECT_EQ(0u, sim.Fence(0, 1000000));
+    sim.Append(0, 1000000, LS_RENEW);
+    sim.Read(0, 1000001);
+    EXPECT_EQ(1u, sim.Fence(0, 1000002));
 }
 
-/* ---- Every interleaving of two hosts within a bound ---- */
+/* Search of all interleavings of two hosts within a bound. */
 
-enum class Flaw {
+enum class Fault {
     kNone,
-    kTermFromAnswer, /* the term runs from the reading back */
-    kImpatient,      /* the taker waits one tick less than needed */
-    kNoBase,         /* takes count whatever they build on */
-    kNoWaitOut,      /* the new holder orders at once */
-    kActAfterRelease /* a holder goes on until its release is read back */
+    kTermFromRead,   /* the term runs from reading the record back */
+    kTakesEarly,     /* the taker waits one tick too few */
+    kNoBase,         /* takes are accepted with any base */
+    kNoOrderWait,    /* the new holder sends orders at once */
+    kActAfterRelease /* a holder acts until its release is read back */
 };
 
 const int kHosts = 2;
@@ -291,35 +304,35 @@
     uint64_t base;
 };
 
-/* Compared by its bytes, so it is cleared before use. */
+/* Compared by its bytes, so it must be zeroed before use. */
 struct Model {
     struct ls_agent agents[kHosts];
-    Change flights[kHosts]; /* op LS_NOTHING: none */
+    Change in_flight[kHosts]; /* records in flight; LS_NOTHING: none */
     Change log[kRecords];
     int records;
     int read[kHosts];
     int now;
-    int ahead[kHosts];       /* a clock that gained a tick */
-    uint64_t last_fence;     /* of the newest order checked */
-    int ends[kHosts];        /* when a host's last order expires */
-    uint64_t fences[kHosts]; /* of that order */
+    int clock_ahead[kHosts]; /* ticks by which a host's clock is ahead */
+    uint64_t last_fence;     /* fencing number of the newest order sent */
+    int order_ends[kHosts];  /* expiry of each host's last order */
+    uint64_t order_fences[kHosts]; /* fencing number of that order */
 };
 
 struct Search {
-    Flaw flaw;
+    Fault fault;
     int order;
-    std::unordered_set<uint64_t> seen;
+    std::unordered_set<uint64_t> visited;
     std::string failure;
     int takeovers = 0;
 
-    explicit Search(Flaw f, int o) : flaw(f), order(o)
+    explicit Search(Fault f, int o) : fault(f), order(o)
     {
     }
 
     static int64_t
     Clock(const Model &m, int i)
     {
-        return m.now + m.ahead[i] + 1000 * i;
+        return m.now + m.clock_ahead[i] + 1000 * i;
     }
 
     void
@@ -336,23 +349,28 @@
         Visit(m);
     }
 
-    /* Two states that differ only in what can matter no longer are one. */
+    /*
+     * Clears the fields that can no longer affect the outcome, so that states
+     * that differ only in those count as the same state.
+     */
     static uint64_t
     Digest(Model m)
     {
         for (int i = 0; i < kHosts; i++) {
             struct ls_agent &agent = m.agents[i];
             bool holds = Ls_Holds(&agent);
-            agent.sent_at = agent.sent != LS_NOTHING ? agent.sent_at : 0;
-            agent.until = holds ? agent.until : 0;
-            agent.act_from =
-                holds && agent.act_from > Clock(m, i) ? agent.act_from : 0;
+            agent.pending_sent_at =
+                agent.pending_op != LS_NOTHING ? agent.pending_sent_at : 0;
+            agent.term_end = holds ? agent.term_end : 0;
+            agent.orders_from = holds && agent.orders_from > Clock(m, i)
+                                    ? agent.orders_from
+                                    : 0;
             if (holds || agent.lease.fence == 0) {
                 agent.seen_at = 0;
             }
-            if (m.ends[i] <= m.now) {
-                m.ends[i] = 0;
-                m.fences[i] = 0;
+            if (m.order_ends[i] <= m.now) {
+                m.order_ends[i] = 0;
+                m.order_fences[i] = 0;
             }
         }
         for (int i = 0; i < m.read[0] && i < m.read[1]; i++) {
@@ -365,9 +383,9 @@
     Visit(Model m)
     {
         for (int i = 0; i < kHosts; i++) {
-            Order(m, i);
+            SendOrder(m, i);
         }
-        if (!failure.empty() || !seen.insert(Digest(m)).second) {
+        if (!failure.empty() || !visited.insert(Digest(m)).second) {
             return;
         }
         if (m.now < kTicks) {
@@ -376,43 +394,47 @@
             Visit(next);
         }
         for (int i = 0; i < kHosts; i++) {
-            Decide(m, i);
-            Land(m, i);
+            SendDue(m, i);
+            Write(m, i);
             Refuse(m, i);
             Read(m, i);
             Skew(m, i);
-            GiveUp(m, i);
+            Withdraw(m, i);
         }
     }
 
-    /* A host always believes that it read to the end: a stale tail shows it
-     * just that. */
+    /*
+     * Every host behaves as if it had read to the end of the log: with a stale
+     * tail that is what a host observes.
+     */
     void
-    Decide(Model m, int i)
+    SendDue(Model m, int i)
     {
         struct ls_agent &agent = m.agents[i];
         int64_t now = Clock(m, i);
-        int64_t early = flaw == Flaw::kImpatient ? kMargin + 1 : 0;
+        int64_t early = fault == Fault::kTakesEarly ? kMargin + 1 : 0;
         enum ls_op op = Ls_Due(&agent, now + early, now + early);
         if (op == LS_NOTHING || m.records == kRecords) {
             return;
         }
-        m.flights[i] = {i, op, agent.lease.last};
-        int64_t until = agent.until;
-        Ls_Sent(&agent, op, now);
-        if (flaw == Flaw::kActAfterRelease) {
-            agent.until = until;
+        m.in_flight[i] = {i, op, agent.lease.last};
+        int64_t term_end = agent.term_end;
+        Ls_BeforeSend(&agent, op, now);
+        if (fault == Fault::kActAfterRelease) {
+            agent.term_end = term_end;
         }
         Visit(m);
     }
 
-    /* The append takes effect; its answer, lost or not, changes nothing. */
+    /*
+     * The append takes effect; whether its answer is lost makes no difference.
+     */
     void
-    Land(Model m, int i)
+    Write(Model m, int i)
     {
-        if (m.flights[i].op != LS_NOTHING && m.records < kRecords) {
-            m.log[m.records++] = m.flights[i];
-            m.flights[i] = {};
+        if (m.in_flight[i].op != LS_NOTHING && m.records < kRecords) {
+            m.log[m.records++] = m.in_flight[i];
+            m.in_flight[i] = {};
             Visit(m);
         }
     }
@@ -420,8 +442,8 @@
     void
     Refuse(Model m, int i)
     {
-        if (m.flights[i].op != LS_NOTHING) {
-            m.flights[i] = {};
+        if (m.in_flight[i].op != LS_NOTHING) {
+            m.in_flight[i] = {};
             Ls_NotWritten(&m.agents[i]);
             Visit(m);
         }
@@ -439,24 +461,27 @@
         struct ls_change change = {};
         change.op = entry.op;
         change.base = entry.base;
-        if (flaw == Flaw::kNoBase && entry.op == LS_TAKE) {
+        if (fault == Fault::kNoBase && entry.op == LS_TAKE) {
             change.base = agent.lease.last;
-            agent.sent_base = agent.lease.last;
+            agent.pending_base = agent.lease.last;
         }
-        if (flaw == Flaw::kTermFromAnswer && entry.host == i) {
-            agent.sent_at = now;
+        if (fault == Fault::kTermFromRead && entry.host == i) {
+            agent.pending_sent_at = now;
         }
         struct rc_writer writer = Writer(entry.host);
         Ls_Applied(&agent, &writer, (uint64_t)m.read[i], &change, now);
-        if (flaw == Flaw::kNoWaitOut) {
-            agent.act_from = 0;
+        if (fault == Fault::kNoOrderWait) {
+            agent.orders_from = 0;
         }
         Visit(m);
     }
 
-    /* Orders whenever it may: an order more never makes a later one safe. */
+    /*
+     * Sends an order whenever the host may: an additional order cannot hide a
+     * violation by a later one.
+     */
     void
-    Order(Model &m, int i)
+    SendOrder(Model &m, int i)
     {
         struct ls_permit permit;
         if (!Ls_MayAct(&m.agents[i], Clock(m, i), &permit)) {
@@ -464,30 +489,34 @@
         }
         int other = 1 - i;
         if (permit.fence < m.last_fence) {
-            failure = "an older holder acted after a newer one";
+            failure =
+                "an order of an older holder followed one of a newer holder";
         }
-        if (order > 0 && m.fences[other] != 0 &&
-            m.fences[other] < permit.fence && m.ends[other] > m.now) {
-            failure = "an order of the older holder was still alive";
+        if (order > 0 && m.order_fences[other] != 0 &&
+            m.order_fences[other] < permit.fence &&
+            m.order_ends[other] > m.now) {
+            failure = "an order of the older holder had not expired";
         }
         takeovers += m.last_fence != 0 && permit.fence > m.last_fence;
         m.last_fence = permit.fence;
-        m.fences[i] = permit.fence;
-        m.ends[i] = m.now + (int)permit.life_usec;
+        m.order_fences[i] = permit.fence;
+        m.order_ends[i] = m.now + (int)permit.life_usec;
     }
 
-    /* The drift that the margin must cover: one tick, of either host. */
+    /*
+     * The drift that the margin must cover: one tick, of either host's clock.
+     */
     void
     Skew(Model m, int i)
     {
-        if (m.ahead[0] + m.ahead[1] == 0) {
-            m.ahead[i] = 1;
+        if (m.clock_ahead[0] + m.clock_ahead[1] == 0) {
+            m.clock_ahead[i] = 1;
             Visit(m);
         }
     }
 
     void
-    GiveUp(Model m, int i)
+    Withdraw(Model m, int i)
     {
         if (m.agents[i].wanted && Ls_Holds(&m.agents[i])) {
             Ls_Want(&m.agents[i], false);
@@ -497,41 +526,42 @@
 };
 
 /*
- * Every order of sending, landing, refusing, reading, pausing, ticking and
- * ordering by two hosts, within the bound, over the code that runs.
+ * Searches every sequence, within the bound, of the steps of two hosts: send a
+ * record, have it written or refused, read, advance time, skew a clock, send
+ * an order.  The search runs the production code.
  */
 TEST(LeaseSearch, NoTwoHoldersActAtOnceWithFences)
 {
-    Search search(Flaw::kNone, 0);
+    Search search(Fault::kNone, 0);
     search.Run();
     EXPECT_EQ("", search.failure);
     EXPECT_GT(search.takeovers, 0);
-    printf("states searched: %zu\n", search.seen.size());
+    printf("states searched: %zu\n", search.visited.size());
 }
 
 TEST(LeaseSearch, NoTwoOrdersLiveAtOnceWithoutFences)
 {
-    Search search(Flaw::kNone, 2);
+    Search search(Fault::kNone, 2);
     search.Run();
     EXPECT_EQ("", search.failure);
     EXPECT_GT(search.takeovers, 0);
-    printf("states searched: %zu\n", search.seen.size());
+    printf("states searched: %zu\n", search.visited.size());
 }
 
-TEST(LeaseSearch, FindsEveryFlawPutIn)
+TEST(LeaseSearch, DetectsEveryInjectedFault)
 {
     struct {
-        Flaw flaw;
+        Fault fault;
         int order;
     } table[] = {
-        {Flaw::kTermFromAnswer, 0}, {Flaw::kTermFromAnswer, 2},
-        {Flaw::kImpatient, 0},      {Flaw::kNoBase, 0},
-        {Flaw::kNoWaitOut, 2},      {Flaw::kActAfterRelease, 0},
+        {Fault::kTermFromRead, 0}, {Fault::kTermFromRead, 2},
+        {Fault::kTakesEarly, 0},   {Fault::kNoBase, 0},
+        {Fault::kNoOrderWait, 2},  {Fault::kActAfterRelease, 0},
     };
     for (const auto &row : table) {
-        Search search(row.flaw, row.order);
+        Search search(row.fault, row.order);
         search.Run();
-        EXPECT_NE("", search.failure) << (int)row.flaw << " " << row.order;
+        EXPECT_NE("", search.failure) << (int)row.fault << " " << row.order;
     }
 }
 
--- a/packages/state/test/leases_test.cc
+++ b/packages/state/test/leases_test.cc
@@ -16,10 +16,13 @@
 const int64_t kTerm = 3 * Ck_USEC_PER_SEC;
 const int64_t kOrder = 3 * Ck_USEC_PER_SEC / 2;
 
-/* What the endpoints saw: the newest fence, and when orders end. */
+/*
+ * The newest fencing number that an endpoint received, and when the last order
+ * expires.
+ */
 struct Endpoint {
     uint64_t fence = 0;
-    int64_t ends = 0;
+    int64_t order_ends = 0;
     std::string by;
     int orders = 0;
     int changes = 0;
@@ -82,9 +85,9 @@
     void
     Tick()
     {
-        int64_t asked = 0;
-        bool ready = Sn_AtTail(replica, &asked);
-        Le_Tick(book, ready, asked);
+        int64_t sent_at = 0;
+        bool ready = Sn_AtTail(replica, &sent_at);
+        Le_Tick(book, ready, sent_at);
         Wr_Tick(writer);
         Sn_Tick(replica);
     }
@@ -120,10 +123,12 @@
 
 const struct sn_ops Host::kOps = {Reset, Apply, Save, Load, nullptr};
 
-/* Orders when it may; fails when an older holder acts after a newer one, or
- * while an order of an older one still lives. */
+/*
+ * Sends an order if the host may; fails if an older holder acts after a newer
+ * one, or while an order of an older holder has not expired.
+ */
 void
-Order(Host &host, const char *job, Endpoint &endpoint)
+SendOrder(Host &host, const char *job, Endpoint &endpoint)
 {
     struct ls_permit permit;
     if (!Le_MayAct(host.book, job, &permit)) {
@@ -131,22 +136,21 @@
     }
     ASSERT_GE(permit.fence, endpoint.fence) << job;
     if (permit.fence > endpoint.fence) {
-        ASSERT_LE(endpoint.ends, host.clock.boot) << job;
+        ASSERT_LE(endpoint.order_ends, host.clock.boot) << job;
         endpoint.changes++;
     }
     endpoint.fence = permit.fence;
-    endpoint.ends = host.clock.boot + permit.life_usec;
+    endpoint.order_ends = host.clock.boot + permit.life_usec;
     endpoint.orders++;
 }
 
 /*
- * A host orders a version although another one took its job: it was paused,
- * cut off from the log or restarted, answers were lost, the log was down for
- * longer than the term, its state was built again from a snapshot.  Whatever
- * comes, orders follow the order of fencing numbers, and the job is held
- * again once the trouble is over.
+ * A host must not send orders after another host took its lease.  The test
+ * pauses and restarts hosts, loses answers, takes the log down for longer than
+ * the term and reloads state from snapshots.  Fencing numbers of orders must
+ * never decrease, and every lease must be held again once the faults end.
  */
-TEST(Leases, OrdersFollowTheFencesWhateverFails)
+TEST(Leases, FencingNumbersOfOrdersNeverDecrease)
 {
     Endpoint total;
     for (uint64_t seed = 1; seed <= 400; seed++) {
@@ -182,8 +186,8 @@
             }
             if (i != paused) {
                 hosts[i]->Tick();
-                Order(*hosts[i], "fenced", endpoints["fenced"]);
-                Order(*hosts[i], "plain", endpoints["plain"]);
+                SendOrder(*hosts[i], "fenced", endpoints["fenced"]);
+                SendOrder(*hosts[i], "plain", endpoints["plain"]);
             }
             ASSERT_FALSE(HasFatalFailure()) << "seed " << seed;
             log.Run((int)Rn_Below(&log.random, 6));
@@ -205,8 +209,8 @@
     EXPECT_GT(total.changes, 1000);
 }
 
-/* A planned stop hands every job over without waiting for a term. */
-TEST(Leases, AHostThatLeavesHandsItsJobsOver)
+/* A planned stop hands over every lease without waiting for a term. */
+TEST(Leases, AStoppingHostHandsOverItsLeases)
 {
     FakeLog log;
     FakeClock clock;
