--- a/packages/state/follower.c
+++ b/packages/state/follower.c
@@ -9,31 +9,34 @@
 #define Fo_POLL_USEC (500 * Ck_USEC_PER_MSEC)
 #define Fo_RETRY_USEC (100 * Ck_USEC_PER_MSEC)
 
-/* Outlives the follower when that is destroyed under a read. */
-struct fo_flight {
+/*
+ * Context of a read in flight; outlives a follower that is destroyed
+ * meanwhile.
+ */
+struct fo_pending_read {
     struct fo_follower *follower;
-    int64_t asked;
+    int64_t sent_at;
 };
 
 struct fo_follower {
     struct pl_log *log;
     char stream[Pl_STREAM_MAX];
     const struct ck_clock *clock;
-    struct se_table *seen;
+    struct se_table *sequences;
     const struct fo_ops *ops;
     void *arg;
     int64_t poll_usec;
-    struct fo_flight *flight;
+    struct fo_pending_read *pending_read;
     uint64_t next;
-    int64_t read_at;    /* when to read next */
-    int64_t tail_asked; /* when the last read that saw the tail was sent */
+    int64_t next_read_at;
+    int64_t tail_read_at; /* when the last read at the tail was sent */
     bool at_tail;
-    bool kicked;
-    bool handing; /* records are being handed over */
+    bool read_requested;
+    bool delivering;
     bool stopped;
 };
 
-/* Makes a follower that starts at options->from with the first Fo_Tick(). */
+/* Creates a follower; the first Fo_Tick() reads from options->from. */
 enum st_status
 Fo_Create(const struct fo_options *options, struct fo_follower **out)
 {
@@ -44,32 +47,32 @@
     follower->log = options->log;
     strlcpy(follower->stream, options->stream, sizeof(follower->stream));
     follower->clock = options->clock;
-    follower->seen = options->seen;
+    follower->sequences = options->sequences;
     follower->ops = options->ops;
     follower->arg = options->arg;
     follower->poll_usec =
         options->poll_usec > 0 ? options->poll_usec : Fo_POLL_USEC;
     follower->next = options->from;
-    follower->read_at = Ck_Now(options->clock);
+    follower->next_read_at = Ck_Now(options->clock);
     *out = follower;
     return ST_OK;
 }
 
-/* Stops following; an answer on its way is dropped. */
+/* Destroys a follower; the answer to a read in flight is dropped. */
 void
 Fo_Destroy(struct fo_follower *follower)
 {
     if (follower == NULL) {
         return;
     }
-    if (follower->flight != NULL) {
-        follower->flight->follower = NULL;
+    if (follower->pending_read != NULL) {
+        follower->pending_read->follower = NULL;
     }
     free(follower);
 }
 
 static void
-hand_over(struct fo_follower *follower, const struct pl_record *raw)
+deliver(struct fo_follower *follower, const struct pl_record *raw)
 {
     struct rc_record record;
     if (Rc_Parse(raw->text, raw->offset, &record) != ST_OK) {
@@ -77,15 +80,16 @@
                (unsigned long long)raw->offset);
         return;
     }
-    if (follower->seen == NULL || Se_Accept(follower->seen, &record)) {
+    if (follower->sequences == NULL ||
+        Se_Accept(follower->sequences, &record)) {
         follower->ops->record(follower->arg, &record);
     }
     Rc_Clear(&record);
 }
 
-/* Returns false when the answer skips an offset that should be there. */
+/* Returns false if the answer skips an offset. */
 static bool
-hand_over_all(struct fo_follower *follower, const struct pl_read *result)
+deliver_all(struct fo_follower *follower, const struct pl_read *result)
 {
     for (size_t i = 0; i < result->count; i++) {
         const struct pl_record *raw = &result->records[i];
@@ -96,51 +100,53 @@
             return false;
         }
         follower->next++;
-        hand_over(follower, raw);
+        deliver(follower, raw);
     }
     return true;
 }
 
 /*
- * The answer tells how the stream stood when the log was asked, at the
- * earliest; what came while it was on its way must not wait any longer.
+ * Returns when to read next at the tail.  The poll interval counts from when
+ * the last read was sent: its answer may lack records that were written while
+ * it was in flight, and these should not wait a full interval from the answer.
  */
 static int64_t
-next_look(const struct fo_follower *follower, int64_t now)
+next_poll(const struct fo_follower *follower, int64_t now)
 {
     int64_t poll = follower->poll_usec;
     int64_t soonest = now + (poll < Fo_RETRY_USEC ? poll : Fo_RETRY_USEC);
-    int64_t at = follower->tail_asked + poll;
+    int64_t at = follower->tail_read_at + poll;
     return at > soonest ? at : soonest;
 }
 
 static void
-take_read(struct fo_follower *follower, const struct pl_read *result,
-          int64_t asked)
+process_read(struct fo_follower *follower, const struct pl_read *result,
+             int64_t sent_at)
 {
     int64_t now = Ck_Now(follower->clock);
-    follower->handing = true;
-    bool whole = hand_over_all(follower, result);
-    follower->handing = false;
-    if (!whole) {
-        follower->read_at = now + Fo_RETRY_USEC;
+    follower->delivering = true;
+    bool complete = deliver_all(follower, result);
+    follower->delivering = false;
+    if (!complete) {
+        follower->next_read_at = now + Fo_RETRY_USEC;
         return;
     }
     if (result->count > 0 && result->next > follower->next) {
-        follower->read_at = now;
+        follower->next_read_at = now;
         return;
     }
     /*
-     * A tail below what was read before is a stale answer: it proves nothing
-     * about the present, and going back would undo decisions.
+     * A tail below the offsets already read comes from a stale replica of the
+     * log.  It does not show that the tail was reached, and going back would
+     * undo decisions based on later records.
      */
     if (result->next != follower->next) {
-        follower->read_at = now + Fo_RETRY_USEC;
+        follower->next_read_at = now + Fo_RETRY_USEC;
         return;
     }
     follower->at_tail = true;
-    follower->tail_asked = asked;
-    follower->read_at = next_look(follower, now);
+    follower->tail_read_at = sent_at;
+    follower->next_read_at = next_poll(follower, now);
     if (follower->ops->tail != NULL) {
         follower->ops->tail(follower->arg);
     }
@@ -149,31 +155,34 @@
 static void
 read_done(void *arg, const struct pl_read *result)
 {
-    struct fo_flight *flight = arg;
-    struct fo_follower *follower = flight->follower;
-    int64_t asked = flight->asked;
-    free(flight);
+    struct fo_pending_read *pending = arg;
+    struct fo_follower *follower = pending->follower;
+    int64_t sent_at = pending->sent_at;
+    free(pending);
     if (follower == NULL) {
         return;
     }
-    follower->flight = NULL;
+    follower->pending_read = NULL;
     switch (result->kind) {
     case PL_READ:
-        take_read(follower, result, asked);
+        process_read(follower, result, sent_at);
         break;
     case PL_EXPIRED:
-        /* A stale answer cannot ask for less than was already read. */
+        /*
+         * A stale answer may report an "oldest" offset that was already read;
+         * the read is retried.
+         */
         if (result->oldest > follower->next) {
             follower->stopped = true;
             follower->at_tail = false;
             follower->ops->expired(follower->arg, result->oldest);
         }
         else {
-            follower->read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
+            follower->next_read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
         }
         break;
     case PL_FAILED:
-        follower->read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
+        follower->next_read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
         break;
     }
 }
@@ -181,72 +190,77 @@
 static void
 start_read(struct fo_follower *follower)
 {
-    struct fo_flight *flight = malloc(sizeof(*flight));
-    follower->kicked = false;
-    follower->read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
-    if (flight == NULL) {
+    struct fo_pending_read *pending = malloc(sizeof(*pending));
+    follower->read_requested = false;
+    follower->next_read_at = Ck_Now(follower->clock) + Fo_RETRY_USEC;
+    if (pending == NULL) {
         return;
     }
-    flight->follower = follower;
-    flight->asked = Ck_Now(follower->clock);
+    pending->follower = follower;
+    pending->sent_at = Ck_Now(follower->clock);
     if (Pl_Read(follower->log, follower->stream, follower->next,
-                Fo_READ_RECORDS, read_done, flight) != ST_OK) {
-        free(flight);
+                Fo_READ_RECORDS, read_done, pending) != ST_OK) {
+        free(pending);
         return;
     }
-    follower->flight = flight;
+    follower->pending_read = pending;
 }
 
-/* Reads when it is time.  Call it at least every few milliseconds. */
+/* Reads if a read is due.  Call it at least every few milliseconds. */
 void
 Fo_Tick(struct fo_follower *follower)
 {
-    if (follower->flight != NULL || follower->handing || follower->stopped) {
+    if (follower->pending_read != NULL || follower->delivering ||
+        follower->stopped) {
         return;
     }
-    if (follower->kicked || Ck_Now(follower->clock) >= follower->read_at) {
+    if (follower->read_requested ||
+        Ck_Now(follower->clock) >= follower->next_read_at) {
         start_read(follower);
     }
 }
 
-/* Changes the time between reads at the tail; a shorter one counts at once. */
+/*
+ * Changes the interval of reads at the tail; a shorter interval takes effect
+ * at once.
+ */
 void
 Fo_SetPoll(struct fo_follower *follower, int64_t poll_usec)
 {
     if (poll_usec < follower->poll_usec) {
-        follower->read_at -= follower->poll_usec - poll_usec;
+        follower->next_read_at -= follower->poll_usec - poll_usec;
     }
     follower->poll_usec = poll_usec;
 }
 
-/* Reads now; a read on its way is followed by another one. */
+/* Reads at once, or right after the read in flight. */
 void
 Fo_Kick(struct fo_follower *follower)
 {
-    follower->kicked = true;
+    follower->read_requested = true;
     Fo_Tick(follower);
 }
 
 /*
- * Goes on from another offset, for a state that was loaded from a snapshot
- * or comes from a peer.  Offsets already handed over are never repeated.
+ * Continues from another offset, after a state was loaded from a snapshot or a
+ * peer.  Offsets that were already delivered are not delivered again.
  */
 void
 Fo_Restart(struct fo_follower *follower, uint64_t from)
 {
-    if (follower->flight != NULL) {
-        follower->flight->follower = NULL;
-        follower->flight = NULL;
+    if (follower->pending_read != NULL) {
+        follower->pending_read->follower = NULL;
+        follower->pending_read = NULL;
     }
     if (from > follower->next) {
         follower->next = from;
     }
     follower->stopped = false;
     follower->at_tail = false;
-    follower->read_at = Ck_Now(follower->clock);
+    follower->next_read_at = Ck_Now(follower->clock);
 }
 
-/* The offset that will be handed over next. */
+/* Returns the offset of the next record to deliver. */
 uint64_t
 Fo_Next(const struct fo_follower *follower)
 {
@@ -254,14 +268,14 @@
 }
 
 /*
- * Whether the end of the stream was ever reached; "asked" (may be NULL) gets
- * the boot-clock time at which the last read that reached it was sent.
+ * Whether the tail was reached; "sent_at" (may be NULL) gets the boot-clock
+ * time at which the last read that reached it was sent.
  */
 bool
-Fo_AtTail(const struct fo_follower *follower, int64_t *asked)
+Fo_AtTail(const struct fo_follower *follower, int64_t *sent_at)
 {
-    if (asked != NULL) {
-        *asked = follower->tail_asked;
+    if (sent_at != NULL) {
+        *sent_at = follower->tail_read_at;
     }
     return follower->at_tail;
 }
--- a/packages/state/follower.h
+++ b/packages/state/follower.h
@@ -1,6 +1,7 @@
 /*
- * Follows one stream of the log and hands its records over in order, each
- * offset exactly once.  It never goes back, whatever tail the log shows.
+ * Follows one stream of the log and delivers its records in order, each offset
+ * exactly once.  It never goes back to an earlier offset, even if the log
+ * reports a shorter tail.
  */
 #ifndef STATE_FOLLOWER_H
 #define STATE_FOLLOWER_H
@@ -17,14 +18,13 @@
 #endif
 
 struct fo_ops {
-    /* A record.  It must not destroy the follower. */
+    /* Delivers a record.  Must not destroy the follower. */
     void (*record)(void *arg, const struct rc_record *record);
-    /* A read came to the end of the stream as the log shows it.  May be
-     * NULL. */
+    /* A read reached the tail that the log reported.  May be NULL. */
     void (*tail)(void *arg);
     /*
-     * The records up to "oldest" are gone.  Nothing is read until
-     * Fo_Restart().
+     * The records before "oldest" have expired.  The follower reads no more
+     * until Fo_Restart().
      */
     void (*expired)(void *arg, uint64_t oldest);
 };
@@ -33,9 +33,9 @@
     struct pl_log *log;
     const char *stream;
     uint64_t from;
-    int64_t poll_usec; /* between reads at the tail; 0: 500 ms */
+    int64_t poll_usec; /* interval of reads at the tail; 0: 500 ms */
     const struct ck_clock *clock;
-    struct se_table *seen; /* drops repeats; NULL: they are handed over */
+    struct se_table *sequences; /* drops duplicates; NULL: delivers them */
     const struct fo_ops *ops;
     void *arg;
 };
@@ -50,7 +50,7 @@
 void Fo_Restart(struct fo_follower *follower, uint64_t from);
 void Fo_Tick(struct fo_follower *follower);
 uint64_t Fo_Next(const struct fo_follower *follower);
-bool Fo_AtTail(const struct fo_follower *follower, int64_t *asked);
+bool Fo_AtTail(const struct fo_follower *follower, int64_t *sent_at);
 
 #ifdef __cplusplus
 }
--- a/packages/state/record.c
+++ b/packages/state/record.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /*
- * Writes a record as JSON text, which the caller frees.  The body stays the
- * caller's.
+ * Encodes a record as JSON text, which the caller frees.  The caller keeps
+ * ownership of the body.
  */
 enum st_status
 Rc_Format(const struct rc_record *record, char **out)
@@ -24,8 +24,8 @@
 }
 
 /*
- * Reads a record; Rc_Clear() frees it.  ST_INVALID when the text is no
- * record of ours: readers skip it.
+ * Decodes a record; Rc_Clear() frees it.  Returns ST_INVALID if the text is
+ * not a record of this system; readers skip such texts.
  */
 enum st_status
 Rc_Parse(const char *text, uint64_t offset, struct rc_record *out)
@@ -59,7 +59,6 @@
     return ST_OK;
 }
 
-/* Frees what Rc_Parse() allocated. */
 void
 Rc_Clear(struct rc_record *record)
 {
@@ -67,14 +66,15 @@
     record->body = NULL;
 }
 
-/* Whether the record is of a kind. */
 bool
 Rc_Is(const struct rc_record *record, const char *kind)
 {
     return strcmp(record->kind, kind) == 0;
 }
 
-/* Orders writers by node, then incarnation; 0 for the same writer. */
+/*
+ * Orders writers by node, then by incarnation; returns 0 for the same writer.
+ */
 int
 Rc_CompareWriters(const struct rc_writer *a, const struct rc_writer *b)
 {
@@ -86,7 +86,6 @@
            (a->incarnation < b->incarnation);
 }
 
-/* A text field, or "". */
 const char *
 Rc_Text(const json_t *body, const char *name)
 {
@@ -94,7 +93,6 @@
     return text != NULL ? text : "";
 }
 
-/* An integer field, or 0. */
 int64_t
 Rc_Number(const json_t *body, const char *name)
 {
--- a/packages/state/record.h
+++ b/packages/state/record.h
@@ -1,8 +1,8 @@
 /*
- * The envelope of every record this system writes to the platform's log:
- * schema version, writer (node and incarnation), the writer's sequence, its
- * calendar time, a kind and a body.  Unknown fields are skipped and older
- * schemas accepted, so that old and new daemons run together.
+ * The envelope of every record that this system writes to the platform's log:
+ * schema version, writer (node and incarnation), the writer's sequence number,
+ * its calendar time, a kind and a body.  Unknown fields are ignored and older
+ * schemas are accepted, so that old and new daemons can run together.
  */
 #ifndef STATE_RECORD_H
 #define STATE_RECORD_H
@@ -23,14 +23,14 @@
 
 struct rc_writer {
     char node[Rc_NODE_MAX];
-    uint64_t incarnation; /* new at each start; below 2^63 */
+    uint64_t incarnation; /* new at each start of the process; below 2^63 */
 };
 
 struct rc_record {
-    uint64_t offset; /* where it was read; 0 before it is written */
+    uint64_t offset; /* offset in the stream; 0 before it is written */
     int schema;
     struct rc_writer writer;
-    uint64_t sequence; /* of this writer on this stream, from 1 */
+    uint64_t sequence; /* per writer and stream, from 1 */
     int64_t wall_ms;   /* the writer's calendar time; 0 in schema 1 */
     char kind[Rc_KIND_MAX];
     json_t *body; /* owned after Rc_Parse(), borrowed by Rc_Format() */
@@ -43,7 +43,7 @@
 bool Rc_Is(const struct rc_record *record, const char *kind);
 int Rc_CompareWriters(const struct rc_writer *a, const struct rc_writer *b);
 
-/* Fields of a body; absent or of another type: "", 0. */
+/* Return a field of a body, or "" and 0 if it is absent or of another type. */
 const char *Rc_Text(const json_t *body, const char *name);
 int64_t Rc_Number(const json_t *body, const char *name);
 
--- a/packages/state/seen.c
+++ b/packages/state/seen.c
@@ -24,12 +24,15 @@
 
 struct se_table {
     struct se_tree tree;
-    TAILQ_HEAD(se_order, se_writer) order; /* by last offset, oldest first */
+    TAILQ_HEAD(se_order, se_writer) order; /* by last offset, lowest first */
     size_t count;
     size_t max;
 };
 
-/* Makes an empty table of at most "max" writers; NULL without memory. */
+/*
+ * Creates an empty table of at most "max" writers; returns NULL if out of
+ * memory.
+ */
 struct se_table *
 Se_Create(size_t max)
 {
@@ -43,7 +46,7 @@
 }
 
 static void
-forget_oldest(struct se_table *table)
+evict_oldest(struct se_table *table)
 {
     struct se_writer *oldest = TAILQ_FIRST(&table->order);
     TAILQ_REMOVE(&table->order, oldest, link);
@@ -52,16 +55,14 @@
     free(oldest);
 }
 
-/* Forgets every writer. */
 void
 Se_Reset(struct se_table *table)
 {
     while (table->count > 0) {
-        forget_oldest(table);
+        evict_oldest(table);
     }
 }
 
-/* Frees a table. */
 void
 Se_Destroy(struct se_table *table)
 {
@@ -76,7 +77,7 @@
 {
     struct se_writer *entry = calloc(1, sizeof(*entry));
     if (entry == NULL) {
-        abort(); /* a reader that skipped this would judge unlike others */
+        abort(); /* the state would diverge from other readers */
     }
     entry->writer = *writer;
     RB_INSERT(se_tree, &table->tree, entry);
@@ -86,9 +87,10 @@
 }
 
 /*
- * Whether the record is its writer's next one.  The writer that was silent
- * longest is forgotten when the table is full; the choice depends on the
- * order of records alone, so every reader forgets the same.
+ * Whether the record is new: its sequence number is above the highest one read
+ * from its writer.  If the table is full, the writer whose last record is
+ * oldest is evicted.  The choice depends only on the order of the records, so
+ * every reader evicts the same writer.
  */
 bool
 Se_Accept(struct se_table *table, const struct rc_record *record)
@@ -105,19 +107,21 @@
     TAILQ_REMOVE(&table->order, entry, link);
     TAILQ_INSERT_TAIL(&table->order, entry, link);
     if (table->count > table->max) {
-        forget_oldest(table);
+        evict_oldest(table);
     }
     return true;
 }
 
-/* Number of writers known. */
 size_t
 Se_Count(const struct se_table *table)
 {
     return table->count;
 }
 
-/* The table as a list of entries for Se_Load(), oldest first. */
+/*
+ * Returns the table as a list of entries for Se_Load(), the writer whose last
+ * record is oldest first.
+ */
 json_t *
 Se_Save(const struct se_table *table)
 {
@@ -132,7 +136,7 @@
     return list;
 }
 
-/* Adds one saved entry. */
+/* Loads one entry of Se_Save(). */
 void
 Se_Load(struct se_table *table, const json_t *entry)
 {
--- a/packages/state/seen.h
+++ b/packages/state/seen.h
@@ -1,8 +1,8 @@
 /*
- * The highest sequence read of each writer of a stream.  A writer has one
- * append on its way at a time and repeats it unchanged until it is settled,
- * so a sequence that is not above the highest one is a repeat, or comes too
- * late to count.
+ * The highest sequence number read from each writer of a stream.  A writer has
+ * one append in flight at a time and resends it unchanged until it is settled.
+ * So a record whose sequence number is not above the highest one read is a
+ * duplicate, or arrived after later records of its writer, and is dropped.
  */
 #ifndef STATE_SEEN_H
 #define STATE_SEEN_H
--- a/packages/state/test/stream_test.cc
+++ b/packages/state/test/stream_test.cc
@@ -1,4 +1,7 @@
-/* Records, the table of writers, the writer and the follower of a stream. */
+/*
+ * Tests of records, the table of sequence numbers, budgets, followers and
+ * writers.
+ */
 #include <gtest/gtest.h>
 
 #include <map>
@@ -47,9 +50,9 @@
 }
 
 /*
- * After an upgrade of half the hosts the new daemons ignore what the old
- * ones wrote, and a charge runs twice.  The text is a record as schema 1
- * wrote it, before records carried a time.
+ * A record as schema 1 wrote it, before records carried a time.  During an
+ * upgrade new daemons must read the records of old ones; if they ignored a
+ * claim, a charge would run twice.
  */
 TEST(Record, ReadsTheFirstSchema)
 {
@@ -63,7 +66,7 @@
     Rc_Clear(&read);
 }
 
-TEST(Record, RefusesWhatIsNotOurs)
+TEST(Record, RefusesForeignTexts)
 {
     const char *const texts[] = {
         "",
@@ -82,7 +85,7 @@
     }
 }
 
-TEST(Seen, AReloadedTableForgetsTheSameWriters)
+TEST(Seen, AReloadedTableEvictsTheSameWriters)
 {
     struct se_table *table = Se_Create(2);
     struct se_table *copy = Se_Create(2);
@@ -104,7 +107,7 @@
     }
     json_decref(saved);
     for (struct se_table *t : {table, copy}) {
-        EXPECT_TRUE(accept(t, "c", 1)); /* forgets b */
+        EXPECT_TRUE(accept(t, "c", 1)); /* evicts b */
         EXPECT_FALSE(accept(t, "a", 2));
         EXPECT_TRUE(accept(t, "b", 5));
         EXPECT_EQ(2u, Se_Count(t));
@@ -112,7 +115,7 @@
     }
 }
 
-TEST(Budget, ImportantPurposesTakeFromTheOthersButNotTheReverse)
+TEST(Budget, ImportantPurposesTakeTokensOfLessImportantOnes)
 {
     FakeClock clock;
     struct bg_budget *budget = Bg_Create(&clock.clock);
@@ -123,7 +126,7 @@
     EXPECT_TRUE(Bg_Take(budget, BG_EVIDENCE));
     EXPECT_FALSE(Bg_Take(budget, BG_EVIDENCE));
     EXPECT_TRUE(Bg_Take(budget, BG_CONFIG));
-    EXPECT_TRUE(Bg_Take(budget, BG_CONFIG)); /* from the claims */
+    EXPECT_TRUE(Bg_Take(budget, BG_CONFIG)); /* takes a token of BG_CLAIM */
     EXPECT_TRUE(Bg_Take(budget, BG_CLAIM));
     EXPECT_FALSE(Bg_Take(budget, BG_CLAIM));
     EXPECT_TRUE(Bg_Take(budget, BG_LEASE));
@@ -134,7 +137,7 @@
     Bg_Destroy(budget);
 }
 
-/* A reader that notes what it is handed. */
+/* A reader that collects the records delivered to it. */
 struct Reader {
     struct fo_follower *follower = nullptr;
     struct se_table *seen = Se_Create(100);
@@ -151,7 +154,7 @@
         options.stream = "control";
         options.from = from;
         options.clock = &clock.clock;
-        options.seen = seen;
+        options.sequences = seen;
         options.ops = &kOps;
         options.arg = this;
         EXPECT_EQ(ST_OK, Fo_Create(&options, &follower));
@@ -195,9 +198,9 @@
 using Offsets = std::vector<uint64_t>;
 
 /*
- * An accepted configuration is turned back for minutes: the log's answer
- * comes from a replica that is behind, with a shorter tail, and the reader
- * starts over from there.
+ * The log's answer comes from a replica that lags and shows a shorter tail.
+ * The reader must not start over from there: it would revert an accepted
+ * configuration for minutes.
  */
 TEST(Follower, NeverGoesBackOnAShorterTail)
 {
@@ -226,7 +229,7 @@
     EXPECT_EQ((Offsets{1, 2, 3, 4}), reader.offsets);
 }
 
-TEST(Follower, DropsRepeatsAndSkipsForeignText)
+TEST(Follower, DropsDuplicatesAndSkipsForeignText)
 {
     FakeLog log;
     FakeClock clock;
@@ -242,9 +245,9 @@
 }
 
 /*
- * A daemon that was cut off for hours goes on with a state that lacks the
- * records in between: the log no longer holds them.  It must stop and ask
- * for a snapshot.
+ * A daemon was cut off for hours, and the log no longer holds the records that
+ * it missed.  The follower must stop until it is restarted from a snapshot;
+ * otherwise the daemon would continue with a state that lacks these records.
  */
 TEST(Follower, StopsAtAnExpiredRange)
 {
@@ -280,13 +283,13 @@
     log.outage = false;
     log.Put("control", Text("a", 1));
     clock.Advance(Ck_USEC_PER_SEC);
-    int64_t asked = 0;
+    int64_t sent_at = 0;
     int64_t now = clock.boot;
     Fo_Tick(reader.follower);
     clock.Advance(7);
     log.Run();
-    EXPECT_TRUE(Fo_AtTail(reader.follower, &asked));
-    EXPECT_EQ(now, asked);
+    EXPECT_TRUE(Fo_AtTail(reader.follower, &sent_at));
+    EXPECT_EQ(now, sent_at);
     log.Put("control", Text("a", 2));
     Fo_Tick(reader.follower);
     log.Run();
@@ -296,13 +299,13 @@
     EXPECT_EQ(2u, reader.offsets.size());
 }
 
-struct Sent {
+struct Outcomes {
     std::map<uint64_t, enum wr_result> results; /* by value */
     uint64_t sequence = 0;
 };
 
 struct Put {
-    Sent *sent;
+    Outcomes *outcomes;
     uint64_t value;
 };
 
@@ -310,9 +313,9 @@
 on_written(void *arg, enum wr_result result, uint64_t sequence)
 {
     auto *put = static_cast<Put *>(arg);
-    EXPECT_EQ(0u, put->sent->results.count(put->value));
-    put->sent->results[put->value] = result;
-    put->sent->sequence = sequence;
+    EXPECT_EQ(0u, put->outcomes->results.count(put->value));
+    put->outcomes->results[put->value] = result;
+    put->outcomes->sequence = sequence;
     delete put;
 }
 
@@ -320,7 +323,7 @@
     struct wr_writer *writer = nullptr;
     struct bg_budget *budget;
     FakeClock &clock;
-    Sent sent;
+    Outcomes outcomes;
     uint64_t last = 0;
 
     Appender(FakeLog &log, FakeClock &c, const char *node)
@@ -349,15 +352,15 @@
         uint64_t value = ++last;
         json_t *body = json_pack("{s:I}", "x", (json_int_t)value);
         EXPECT_EQ(ST_OK, Wr_Put(writer, BG_LEASE, "lease", body, deadline,
-                                on_written, new Put{&sent, value}));
+                                on_written, new Put{&outcomes, value}));
         return value;
     }
 };
 
 /*
- * The caller is told "not run", yet the record of its claim stands in the
- * log: the append was refused once its first try had already been lost.
- * Once a try ended unknown, a refusal of a later one proves nothing.
+ * The answer to the first try of an append is lost, and later tries are
+ * refused.  The refusals do not prove that the record was not written: the
+ * first try is written later.  The record must not be reported as not written.
  */
 TEST(Writer, ARefusalAfterALostAnswerProvesNothing)
 {
@@ -372,13 +375,13 @@
         log.Run();
         clock.Advance(3 * Ck_USEC_PER_SEC);
     }
-    EXPECT_TRUE(appender.sent.results.empty());
+    EXPECT_TRUE(appender.outcomes.results.empty());
     log.DeliverLate();
     Reader reader(log, clock, 1);
     reader.writers = {appender.writer};
     Fo_Tick(reader.follower);
     log.Run();
-    EXPECT_EQ(WR_WRITTEN, appender.sent.results[value]);
+    EXPECT_EQ(WR_WRITTEN, appender.outcomes.results[value]);
     EXPECT_EQ((Offsets{1}), reader.offsets);
 }
 
@@ -393,14 +396,14 @@
     log.Run();
     clock.Advance(2 * Ck_USEC_PER_SEC);
     Wr_Tick(appender.writer);
-    EXPECT_EQ(WR_NOT_WRITTEN, appender.sent.results[value]);
+    EXPECT_EQ(WR_NOT_WRITTEN, appender.outcomes.results[value]);
     log.outage = false;
     value = appender.Append();
     clock.Advance(2 * Ck_USEC_PER_SEC);
     Wr_Tick(appender.writer);
     log.Run();
-    EXPECT_EQ(WR_WRITTEN, appender.sent.results[value]);
-    EXPECT_EQ(1u, appender.sent.sequence);
+    EXPECT_EQ(WR_WRITTEN, appender.outcomes.results[value]);
+    EXPECT_EQ(1u, appender.outcomes.sequence);
     EXPECT_EQ(1u, log.streams["control"].records.size());
 }
 
@@ -412,46 +415,45 @@
     std::string large(Pl_RECORD_MAX, 'x');
     ASSERT_EQ(ST_OK, Wr_Put(appender.writer, BG_LEASE, "lease",
                             json_pack("{s:s}", "y", large.c_str()), 0,
-                            on_written, new Put{&appender.sent, 1000}));
+                            on_written, new Put{&appender.outcomes, 1000}));
     Wr_Tick(appender.writer);
-    EXPECT_EQ(WR_NOT_WRITTEN, appender.sent.results[1000]);
+    EXPECT_EQ(WR_NOT_WRITTEN, appender.outcomes.results[1000]);
     uint64_t value = appender.Append();
     Wr_Tick(appender.writer);
     log.Run();
-    EXPECT_EQ(WR_WRITTEN, appender.sent.results[value]);
+    EXPECT_EQ(WR_WRITTEN, appender.outcomes.results[value]);
 }
 
-TEST(Writer, DestroyEndsWhatIsQueuedOrOnItsWay)
+TEST(Writer, DestroyEndsRecordsQueuedOrInFlight)
 {
     FakeLog log;
     FakeClock clock;
-    Sent *sent;
+    Outcomes *outcomes;
     {
         auto appender = std::make_unique<Appender>(log, clock, "a");
-        static Sent kept;
-        sent = &kept;
-        appender->sent.results.clear();
+        static Outcomes kept;
+        outcomes = &kept;
+        appender->outcomes.results.clear();
         for (uint64_t value : {1, 2}) {
             ASSERT_EQ(ST_OK, Wr_Put(appender->writer, BG_LEASE, "lease",
                                     json_object(), 0, on_written,
-                                    new Put{sent, value}));
+                                    new Put{outcomes, value}));
             if (value == 1) {
                 Wr_Tick(appender->writer);
             }
         }
     }
     log.Run();
-    EXPECT_EQ(WR_UNKNOWN, sent->results[1]);
-    EXPECT_EQ(WR_NOT_WRITTEN, sent->results[2]);
+    EXPECT_EQ(WR_UNKNOWN, outcomes->results[1]);
+    EXPECT_EQ(WR_NOT_WRITTEN, outcomes->results[2]);
 }
 
 /*
- * Records vanish, stand twice or in another order after a bad hour of the
- * log, with answers lost before and after the effect, appends that take
- * effect much later, refusals and stale tails.  Every reader must be handed
- * exactly the records reported as written, each once, in order.
+ * Answers are lost before and after the append took effect, appends take
+ * effect late, appends are refused and tails are stale.  Every reader must get
+ * exactly the records that were reported as written, each once and in order.
  */
-TEST(Writer, EveryReaderSeesEachRecordOnceWhateverTheLogDoes)
+TEST(Writer, EveryReaderSeesEachRecordOnceUnderFaults)
 {
     for (uint64_t seed = 1; seed <= 1000; seed++) {
         FakeLog log;
@@ -493,8 +495,8 @@
         }
         for (Appender *one : {&a, &b}) {
             std::vector<int64_t> written;
-            ASSERT_EQ(one->last, one->sent.results.size()) << seed;
-            for (const auto &[value, result] : one->sent.results) {
+            ASSERT_EQ(one->last, one->outcomes.results.size()) << seed;
+            for (const auto &[value, result] : one->outcomes.results) {
                 ASSERT_NE(WR_UNKNOWN, result);
                 if (result == WR_WRITTEN) {
                     written.push_back((int64_t)value);
--- a/packages/state/writer.c
+++ b/packages/state/writer.c
@@ -7,15 +7,15 @@
 
 #define Wr_BATCH_RECORDS 256
 #define Wr_BATCH_BYTES ((size_t)256 << 10)
-#define Wr_RETRY_USEC (50 * Ck_USEC_PER_MSEC)
-#define Wr_RETRY_MOST (2 * Ck_USEC_PER_SEC)
+#define Wr_RETRY_MIN_USEC (50 * Ck_USEC_PER_MSEC)
+#define Wr_RETRY_MAX_USEC (2 * Ck_USEC_PER_SEC)
 
 struct wr_item {
     TAILQ_ENTRY(wr_item) link;
     enum bg_purpose purpose;
     char kind[Rc_KIND_MAX];
     json_t *body;
-    char *text; /* set once the sequence is */
+    char *text; /* NULL until a sequence number is assigned */
     uint64_t sequence;
     int64_t deadline;
     wr_done_fn done;
@@ -24,8 +24,11 @@
 
 TAILQ_HEAD(wr_items, wr_item);
 
-/* Outlives the writer when that is destroyed under an append. */
-struct wr_flight {
+/*
+ * Context of an append in flight; outlives a writer that is destroyed
+ * meanwhile.
+ */
+struct wr_pending_append {
     struct wr_writer *writer;
 };
 
@@ -38,16 +41,15 @@
     int64_t batch_usec;
     struct wr_items waiting;
     struct wr_items batch;
-    struct wr_flight *flight;
-    bool maybe_written; /* an append of this batch ended unknown */
-    uint64_t sequence;  /* the last one given out */
-    int64_t first_put;
+    struct wr_pending_append *pending_append;
+    bool maybe_written; /* an append of this batch had no definite answer */
+    uint64_t sequence;  /* last sequence number assigned */
+    int64_t first_queued_at;
     int64_t retry_at;
-    int64_t retry_usec;
+    int64_t retry_delay_usec;
     size_t pending;
 };
 
-/* Makes a writer of one stream. */
 enum st_status
 Wr_Create(const struct wr_options *options, struct wr_writer **out)
 {
@@ -61,16 +63,17 @@
     writer->clock = options->clock;
     writer->budget = options->budget;
     writer->batch_usec = options->batch_usec;
-    writer->retry_usec = Wr_RETRY_USEC;
+    writer->retry_delay_usec = Wr_RETRY_MIN_USEC;
     TAILQ_INIT(&writer->waiting);
     TAILQ_INIT(&writer->batch);
     *out = writer;
     return ST_OK;
 }
 
-/* Frees an item that is in no list any longer and reports its end. */
+/* Frees an item that is in no list and reports its result. */
 static void
-item_end(struct wr_writer *writer, struct wr_item *item, enum wr_result result)
+finish_item(struct wr_writer *writer, struct wr_item *item,
+            enum wr_result result)
 {
     wr_done_fn done = item->done;
     void *arg = item->arg;
@@ -85,31 +88,34 @@
 }
 
 static void
-end_all(struct wr_writer *writer, struct wr_items *items,
-        enum wr_result result)
+finish_all(struct wr_writer *writer, struct wr_items *items,
+           enum wr_result result)
 {
-    /* A callback may queue more records: these are not to be ended. */
-    struct wr_items ending = TAILQ_HEAD_INITIALIZER(ending);
-    TAILQ_CONCAT(&ending, items, link);
+    /* A callback may queue more records, which must not be finished here. */
+    struct wr_items finishing = TAILQ_HEAD_INITIALIZER(finishing);
+    TAILQ_CONCAT(&finishing, items, link);
     struct wr_item *item;
     struct wr_item *next;
-    TAILQ_FOREACH_SAFE (item, &ending, link, next) {
-        item_end(writer, item, result);
+    TAILQ_FOREACH_SAFE (item, &finishing, link, next) {
+        finish_item(writer, item, result);
     }
 }
 
-/* Ends every record: not written, or unknown when it may be on its way. */
+/*
+ * Destroys a writer.  Records of an append that may be in flight end as
+ * WR_UNKNOWN, all others as WR_NOT_WRITTEN.
+ */
 void
 Wr_Destroy(struct wr_writer *writer)
 {
     if (writer == NULL) {
         return;
     }
-    if (writer->flight != NULL) {
-        writer->flight->writer = NULL;
+    if (writer->pending_append != NULL) {
+        writer->pending_append->writer = NULL;
     }
-    end_all(writer, &writer->batch, WR_UNKNOWN);
-    end_all(writer, &writer->waiting, WR_NOT_WRITTEN);
+    finish_all(writer, &writer->batch, WR_UNKNOWN);
+    finish_all(writer, &writer->waiting, WR_NOT_WRITTEN);
     free(writer);
 }
 
@@ -128,10 +134,10 @@
 }
 
 /*
- * Queues a record; "body" is taken over.  A record that could not be sent by
- * "deadline" (boot clock; 0: none) ends as not written; once it may have left
- * it is settled however long that takes.  "done" may be NULL and is not
- * called when this fails.
+ * Queues a record; takes ownership of "body".  A record that could not be sent
+ * by "deadline" (boot clock; 0: none) ends as not written.  A record that may
+ * have been sent is retried until it is settled, even past its deadline.
+ * "done" may be NULL and is not called if this function fails.
  */
 enum st_status
 Wr_Put(struct wr_writer *writer, enum bg_purpose purpose, const char *kind,
@@ -150,7 +156,7 @@
     item->done = done;
     item->arg = arg;
     if (TAILQ_EMPTY(&writer->waiting)) {
-        writer->first_put = Ck_Now(writer->clock);
+        writer->first_queued_at = Ck_Now(writer->clock);
     }
     insert_by_purpose(&writer->waiting, item);
     writer->pending++;
@@ -158,18 +164,18 @@
 }
 
 static void
-drop_late(struct wr_writer *writer, int64_t now)
+expire_waiting(struct wr_writer *writer, int64_t now)
 {
     struct wr_item *item;
     struct wr_item *next;
-    struct wr_items late = TAILQ_HEAD_INITIALIZER(late);
+    struct wr_items expired = TAILQ_HEAD_INITIALIZER(expired);
     TAILQ_FOREACH_SAFE (item, &writer->waiting, link, next) {
         if (item->deadline != 0 && item->deadline <= now) {
             TAILQ_REMOVE(&writer->waiting, item, link);
-            TAILQ_INSERT_TAIL(&late, item, link);
+            TAILQ_INSERT_TAIL(&expired, item, link);
         }
     }
-    end_all(writer, &late, WR_NOT_WRITTEN);
+    finish_all(writer, &expired, WR_NOT_WRITTEN);
 }
 
 static enum st_status
@@ -204,12 +210,12 @@
         bytes += strlen(item->text);
     }
     writer->maybe_written = false;
-    writer->first_put = Ck_Now(writer->clock);
+    writer->first_queued_at = Ck_Now(writer->clock);
 }
 
 /*
- * Takes a batch that surely was not written back into the queue.  Its
- * sequences are given out again: no reader has seen them.
+ * Moves a batch that was not written back into the queue.  Its sequence
+ * numbers are assigned again, since no reader has seen them.
  */
 static void
 return_batch(struct wr_writer *writer)
@@ -227,10 +233,10 @@
 static void
 back_off(struct wr_writer *writer)
 {
-    writer->retry_at = Ck_Now(writer->clock) + writer->retry_usec;
-    writer->retry_usec *= 2;
-    if (writer->retry_usec > Wr_RETRY_MOST) {
-        writer->retry_usec = Wr_RETRY_MOST;
+    writer->retry_at = Ck_Now(writer->clock) + writer->retry_delay_usec;
+    writer->retry_delay_usec *= 2;
+    if (writer->retry_delay_usec > Wr_RETRY_MAX_USEC) {
+        writer->retry_delay_usec = Wr_RETRY_MAX_USEC;
     }
 }
 
@@ -246,27 +252,27 @@
 static void
 append_done(void *arg, const struct pl_append *result)
 {
-    struct wr_flight *flight = arg;
-    struct wr_writer *writer = flight->writer;
-    free(flight);
+    struct wr_pending_append *pending = arg;
+    struct wr_writer *writer = pending->writer;
+    free(pending);
     if (writer == NULL) {
         return;
     }
-    writer->flight = NULL;
+    writer->pending_append = NULL;
     switch (result->kind) {
     case PL_WRITTEN:
-        writer->retry_usec = Wr_RETRY_USEC;
-        end_all(writer, &writer->batch, WR_WRITTEN);
+        writer->retry_delay_usec = Wr_RETRY_MIN_USEC;
+        finish_all(writer, &writer->batch, WR_WRITTEN);
         break;
     case PL_REFUSED:
         batch_refused(writer);
         break;
     case PL_UNKNOWN:
         /*
-         * The batch may be in the log, or come into it later.  Under the
-         * same sequences it can be sent again: whichever copy stands first
-         * counts and readers drop the other.  A copy that arrives after
-         * later records of this writer is dropped as well.
+         * The batch may be in the log already or be written later.  It can be
+         * resent with the same sequence numbers: the copy that comes first in
+         * the log counts, and readers drop the other one.  They also drop a
+         * copy that comes after later records of this writer.
          */
         writer->maybe_written = true;
         back_off(writer);
@@ -283,39 +289,40 @@
     TAILQ_FOREACH (item, &writer->batch, link) {
         texts[count++] = item->text;
     }
-    struct wr_flight *flight = malloc(sizeof(*flight));
+    struct wr_pending_append *pending = malloc(sizeof(*pending));
     enum st_status status = ST_NO_MEMORY;
-    if (flight != NULL && count > 0) {
-        flight->writer = writer;
+    if (pending != NULL && count > 0) {
+        pending->writer = writer;
         status = Pl_Append(writer->log, writer->stream, texts, count,
-                           append_done, flight);
+                           append_done, pending);
     }
     if (status == ST_OK) {
-        writer->flight = flight;
+        writer->pending_append = pending;
         return;
     }
-    free(flight);
+    free(pending);
     if (status == ST_INVALID && !writer->maybe_written) {
-        /* A record is too large: it would block the stream for ever. */
-        end_all(writer, &writer->batch, WR_NOT_WRITTEN);
+        /* A record is too large and would block the stream. */
+        finish_all(writer, &writer->batch, WR_NOT_WRITTEN);
         return;
     }
     batch_refused(writer);
 }
 
-/* Sends what is due.  Call it at least every few milliseconds. */
+/* Sends the batch that is due.  Call it at least every few milliseconds. */
 void
 Wr_Tick(struct wr_writer *writer)
 {
     int64_t now = Ck_Now(writer->clock);
-    drop_late(writer, now);
-    if (writer->flight != NULL || now < writer->retry_at) {
+    expire_waiting(writer, now);
+    if (writer->pending_append != NULL || now < writer->retry_at) {
         return;
     }
     const struct wr_item *first = TAILQ_FIRST(&writer->batch);
     if (first == NULL) {
         first = TAILQ_FIRST(&writer->waiting);
-        if (first == NULL || now - writer->first_put < writer->batch_usec) {
+        if (first == NULL ||
+            now - writer->first_queued_at < writer->batch_usec) {
             return;
         }
     }
@@ -329,8 +336,9 @@
 }
 
 /*
- * Takes note of a record read back from the stream; call it for each record
- * in order, repeats dropped.  One of our own settles itself.
+ * Processes a record read back from the stream; call it for each record in
+ * order, without duplicates.  A record of this writer settles the items of the
+ * batch up to its sequence number.
  */
 void
 Wr_Observe(struct wr_writer *writer, const struct rc_record *record)
@@ -347,10 +355,10 @@
             TAILQ_INSERT_TAIL(&settled, item, link);
         }
     }
-    end_all(writer, &settled, WR_WRITTEN);
+    finish_all(writer, &settled, WR_WRITTEN);
 }
 
-/* Records queued or on their way. */
+/* Number of records that are queued or in flight. */
 size_t
 Wr_Pending(const struct wr_writer *writer)
 {
--- a/packages/state/writer.h
+++ b/packages/state/writer.h
@@ -1,8 +1,8 @@
 /*
- * Appends this daemon's records to one stream: in batches, one append on its
- * way at a time, within the budget.  An append whose answer was lost is
- * repeated unchanged until an answer or the record itself, read back, settles
- * it; readers drop the repeat.
+ * Appends this daemon's records to one stream: in batches, one append in
+ * flight at a time, within the budget.  An append whose answer was lost is
+ * resent unchanged until it is settled, by an answer or by reading the record
+ * back; readers drop the duplicate.
  */
 #ifndef STATE_WRITER_H
 #define STATE_WRITER_H
@@ -20,9 +20,10 @@
 #endif
 
 enum wr_result {
-    WR_WRITTEN,     /* stands in the log; its first reading gives the offset */
-    WR_NOT_WRITTEN, /* surely not in the log, and never will be */
-    WR_UNKNOWN,     /* only from Wr_Destroy() */
+    /* the record is in the log; reading it back gives its offset */
+    WR_WRITTEN,
+    WR_NOT_WRITTEN, /* the record is not in the log and will not be */
+    WR_UNKNOWN,     /* reported only by Wr_Destroy() */
 };
 
 typedef void (*wr_done_fn)(void *arg, enum wr_result result,
@@ -34,7 +35,7 @@
     struct rc_writer self;
     const struct ck_clock *clock;
     struct bg_budget *budget;
-    int64_t batch_usec; /* how long a record waits for others; 0: not */
+    int64_t batch_usec; /* how long records are batched; 0: not at all */
 };
 
 struct wr_writer;
