--- a/packages/state/budget.c
+++ b/packages/state/budget.c
@@ -13,11 +13,14 @@
 
 struct bg_budget {
     const struct ck_clock *clock;
-    int64_t filled;
+    int64_t refilled_at;
     struct bucket buckets[BG_PURPOSES];
 };
 
-/* Makes a budget of 2 appends a second and purpose; NULL without memory. */
+/*
+ * Creates a budget of 2 appends per second for each purpose; returns NULL if
+ * out of memory.
+ */
 struct bg_budget *
 Bg_Create(const struct ck_clock *clock)
 {
@@ -26,7 +29,7 @@
         return NULL;
     }
     budget->clock = clock;
-    budget->filled = Ck_Now(clock);
+    budget->refilled_at = Ck_Now(clock);
     for (int i = 0; i < BG_PURPOSES; i++) {
         Bg_Set(budget, (enum bg_purpose)i, Bg_DEFAULT_PER_SEC,
                Bg_DEFAULT_BURST);
@@ -34,14 +37,14 @@
     return budget;
 }
 
-/* Frees a budget; no writer may use it any longer. */
+/* Frees a budget; no writer may use it afterwards. */
 void
 Bg_Destroy(struct bg_budget *budget)
 {
     free(budget);
 }
 
-/* Sets the rate and the burst of a purpose; its bucket starts full. */
+/* Sets the rate and the burst of a purpose and fills its bucket. */
 void
 Bg_Set(struct bg_budget *budget, enum bg_purpose purpose, double per_sec,
        double burst)
@@ -53,11 +56,11 @@
 }
 
 static void
-fill(struct bg_budget *budget)
+refill(struct bg_budget *budget)
 {
     int64_t now = Ck_Now(budget->clock);
-    double seconds = (double)(now - budget->filled) / Ck_USEC_PER_SEC;
-    budget->filled = now;
+    double seconds = (double)(now - budget->refilled_at) / Ck_USEC_PER_SEC;
+    budget->refilled_at = now;
     if (seconds <= 0) {
         return;
     }
@@ -70,11 +73,11 @@
     }
 }
 
-/* Takes the token for one append; false when it must wait. */
+/* Takes the token for one append; returns false if the append must wait. */
 bool
 Bg_Take(struct bg_budget *budget, enum bg_purpose purpose)
 {
-    fill(budget);
+    refill(budget);
     if (budget->buckets[purpose].tokens >= 1) {
         budget->buckets[purpose].tokens -= 1;
         return true;
--- a/packages/state/budget.h
+++ b/packages/state/budget.h
@@ -1,7 +1,7 @@
 /*
- * Token buckets that keep this daemon's appends within its share of what the
- * log takes, one for each purpose.  A more important purpose whose bucket is
- * empty takes from the least important one that has tokens left.
+ * Token buckets, one for each purpose, that limit this daemon's rate of
+ * appends to the log.  If the bucket of a purpose is empty, the append takes a
+ * token from the least important purpose that has one left.
  */
 #ifndef STATE_BUDGET_H
 #define STATE_BUDGET_H
--- a/packages/state/claim.c
+++ b/packages/state/claim.c
@@ -7,8 +7,8 @@
 #include "state/claim_internal.h"
 
 #define Cl_WINDOW_MS (INT64_C(24) * 3600 * 1000)
-#define Cl_ENTRIES ((size_t)20000)
-#define Cl_BODIES ((size_t)4 << 20)
+#define Cl_MAX_ENTRIES ((size_t)20000)
+#define Cl_MAX_BODY_BYTES ((size_t)4 << 20)
 
 static int
 compare(struct cl_entry *a, struct cl_entry *b)
@@ -22,7 +22,7 @@
 
 RB_GENERATE(cl_tree, cl_entry, node, compare)
 
-/* Makes an empty table; NULL without memory. */
+/* Creates an empty table; returns NULL if out of memory. */
 struct cl_table *
 Cl_Create(const struct cl_options *options)
 {
@@ -35,10 +35,10 @@
         table->options.window_ms = Cl_WINDOW_MS;
     }
     if (table->options.max_entries == 0) {
-        table->options.max_entries = Cl_ENTRIES;
+        table->options.max_entries = Cl_MAX_ENTRIES;
     }
     if (table->options.max_bodies == 0) {
-        table->options.max_bodies = Cl_BODIES;
+        table->options.max_bodies = Cl_MAX_BODY_BYTES;
     }
     RB_INIT(&table->tree);
     TAILQ_INIT(&table->order);
@@ -81,18 +81,17 @@
     }
 }
 
-/* Forgets everything, the time included. */
+/* Clears the table, including its record time. */
 void
 Cl_Reset(struct cl_table *table)
 {
     remove_all(table);
-    memset(&table->first, 0, sizeof(table->first));
-    memset(&table->second, 0, sizeof(table->second));
-    table->time_ms = 0;
-    table->results = 0;
+    memset(&table->latest, 0, sizeof(table->latest));
+    memset(&table->second_latest, 0, sizeof(table->second_latest));
+    table->record_time_ms = 0;
+    table->result_count = 0;
 }
 
-/* Frees a table. */
 void
 Cl_Destroy(struct cl_table *table)
 {
@@ -111,53 +110,60 @@
 }
 
 static int64_t
-later(int64_t a, int64_t b)
+max_ms(int64_t a, int64_t b)
 {
     return a > b ? a : b;
 }
 
 static void
-state_time(struct cl_table *table, const char *node, int64_t wall_ms)
+note_node_time(struct cl_table *table, const char *node, int64_t wall_ms)
 {
-    struct cl_voucher *first = &table->first;
-    struct cl_voucher *second = &table->second;
-    if (strcmp(node, first->node) == 0) {
-        first->wall_ms = later(first->wall_ms, wall_ms);
+    struct cl_node_time *latest = &table->latest;
+    struct cl_node_time *second_latest = &table->second_latest;
+    if (strcmp(node, latest->node) == 0) {
+        latest->wall_ms = max_ms(latest->wall_ms, wall_ms);
         return;
     }
-    if (strcmp(node, second->node) == 0 || wall_ms > second->wall_ms) {
-        strlcpy(second->node, node, sizeof(second->node));
-        second->wall_ms = later(second->wall_ms, wall_ms);
+    if (strcmp(node, second_latest->node) == 0 ||
+        wall_ms > second_latest->wall_ms) {
+        strlcpy(second_latest->node, node, sizeof(second_latest->node));
+        second_latest->wall_ms = max_ms(second_latest->wall_ms, wall_ms);
     }
-    if (second->wall_ms > first->wall_ms) {
-        struct cl_voucher swap = *first;
-        *first = *second;
-        *second = swap;
+    if (second_latest->wall_ms > latest->wall_ms) {
+        struct cl_node_time swap = *latest;
+        *latest = *second_latest;
+        *second_latest = swap;
     }
 }
 
 /*
- * Advances record time to what two different nodes have stated.  One node
- * whose clock runs days ahead would otherwise end the window of every key at
- * once, and a late repeat of a charge would run again.
+ * Advances record time to the latest time that two different nodes have
+ * reported.  If one node were enough, a clock that runs days ahead would end
+ * the retention window of every key at once, and a late retry of a charge
+ * would run again.
  */
 static void
-advance(struct cl_table *table, const struct rc_record *record,
-        const struct cl_claim *claim)
+advance_record_time(struct cl_table *table, const struct rc_record *record,
+                    const struct cl_claim *claim)
 {
-    state_time(table, record->writer.node, record->wall_ms);
-    state_time(table, claim->attempt.owner.node, claim->wall_ms);
-    table->time_ms = later(table->time_ms, table->second.wall_ms);
+    note_node_time(table, record->writer.node, record->wall_ms);
+    note_node_time(table, claim->attempt.owner.node, claim->wall_ms);
+    table->record_time_ms =
+        max_ms(table->record_time_ms, table->second_latest.wall_ms);
 }
 
-/* Ends the window of old keys; it holds at least as long as was promised. */
+/*
+ * Removes keys whose retention window has ended.  Windows start at the latest
+ * time known and record time lags behind it, so no key is removed early.
+ */
 static void
 expire(struct cl_table *table)
 {
     struct cl_entry *entry;
     struct cl_entry *next;
     TAILQ_FOREACH_SAFE (entry, &table->order, link, next) {
-        if (entry->since_ms + table->options.window_ms >= table->time_ms) {
+        if (entry->window_start_ms + table->options.window_ms >=
+            table->record_time_ms) {
             return;
         }
         entry_remove(table, entry);
@@ -166,14 +172,14 @@
 
 static struct cl_entry *
 entry_add(struct cl_table *table, const struct cl_claim *claim,
-          int64_t since_ms)
+          int64_t window_start_ms)
 {
     struct cl_entry *entry = calloc(1, sizeof(*entry));
     if (entry == NULL) {
-        abort(); /* a table without this claim would judge unlike others */
+        abort(); /* verdicts would differ from other daemons */
     }
     entry->claim = *claim;
-    entry->since_ms = since_ms;
+    entry->window_start_ms = window_start_ms;
     RB_INSERT(cl_tree, &table->tree, entry);
     TAILQ_INSERT_TAIL(&table->order, entry, link);
     table->count++;
@@ -186,7 +192,7 @@
 {
     struct cl_claim claim;
     Cl_ReadClaim(record->body, &claim);
-    advance(table, record, &claim);
+    advance_record_time(table, record, &claim);
     expire(table);
     Cl_Lookup(table, &claim.key, claim.body_digest, out);
     if (out->verdict != CL_NONE) {
@@ -197,21 +203,22 @@
         return;
     }
     /*
-     * Record time stands still while a stream is idle, so it alone would
-     * begin the window of this key in the past: the latest time known
-     * counts.
+     * Record time does not advance while the stream is idle, so a window that
+     * starts at record time would start in the past.  The window starts at the
+     * latest time known instead.
      */
-    int64_t since = later(later(table->time_ms, table->first.wall_ms),
-                          later(claim.wall_ms, record->wall_ms));
-    entry_add(table, &claim, since);
+    int64_t window_start =
+        max_ms(max_ms(table->record_time_ms, table->latest.wall_ms),
+               max_ms(claim.wall_ms, record->wall_ms));
+    entry_add(table, &claim, window_start);
     out->verdict = CL_WON;
     out->holder = claim.attempt;
     out->expires_ms = claim.expires_ms;
 }
 
-/* The entry that an attempt holds without a result, or NULL. */
+/* Returns the entry that an attempt holds without a result, or NULL. */
 static struct cl_entry *
-find_held(struct cl_table *table, const json_t *body)
+find_in_progress(struct cl_table *table, const json_t *body)
 {
     struct cl_key key;
     struct cl_attempt attempt;
@@ -225,15 +232,18 @@
     return entry;
 }
 
-/* Bodies are dropped in the order of their results, which a table that was
- * loaded must know as well: it gets the entries in the order of claims. */
+/*
+ * Inserts an entry by the order of results, in which bodies are dropped.  A
+ * table that is loaded from a snapshot gets its entries in the order of
+ * claims, so the place has to be searched.
+ */
 static void
 insert_body(struct cl_table *table, struct cl_entry *entry)
 {
     struct cl_entry *other;
     TAILQ_FOREACH_REVERSE(other, &table->bodies, cl_bodies, body_link)
     {
-        if (other->done_order < entry->done_order) {
+        if (other->result_order < entry->result_order) {
             TAILQ_INSERT_AFTER(&table->bodies, other, entry, body_link);
             return;
         }
@@ -243,10 +253,10 @@
 
 static void
 set_answer(struct cl_table *table, struct cl_entry *entry, const json_t *body,
-           uint64_t done_order)
+           uint64_t result_order)
 {
     entry->done = Cl_ReadAnswer(body, &entry->answer, &entry->bytes);
-    entry->done_order = done_order;
+    entry->result_order = result_order;
     if (entry->bytes == NULL) {
         return;
     }
@@ -258,10 +268,10 @@
 }
 
 /*
- * Applies the next record of the stream.  "out" tells a claim's verdict; for
- * other records it is CL_NONE.  A result or a release counts only from the
- * attempt that holds the key: one that comes late, after a release and a new
- * claim, changes nothing.
+ * Applies the next record of the stream.  "out" gets the verdict on a claim,
+ * and CL_NONE for other records.  A result or a release counts only from the
+ * attempt that holds the key; one that arrives after a release and a new claim
+ * is ignored.
  */
 void
 Cl_Apply(struct cl_table *table, const struct rc_record *record,
@@ -276,12 +286,12 @@
     if (!result && !Rc_Is(record, Cl_RELEASE)) {
         return;
     }
-    struct cl_entry *entry = find_held(table, record->body);
+    struct cl_entry *entry = find_in_progress(table, record->body);
     if (entry == NULL) {
         return;
     }
     if (result) {
-        set_answer(table, entry, record->body, ++table->results);
+        set_answer(table, entry, record->body, ++table->result_count);
     }
     else {
         entry_remove(table, entry);
@@ -291,17 +301,20 @@
 static void
 load_time(struct cl_table *table, const json_t *entry)
 {
-    table->time_ms = Rc_Number(entry, "time");
-    table->results = (uint64_t)Rc_Number(entry, "results");
-    strlcpy(table->first.node, Rc_Text(entry, "n1"),
-            sizeof(table->first.node));
-    table->first.wall_ms = Rc_Number(entry, "t1");
-    strlcpy(table->second.node, Rc_Text(entry, "n2"),
-            sizeof(table->second.node));
-    table->second.wall_ms = Rc_Number(entry, "t2");
+    table->record_time_ms = Rc_Number(entry, "time");
+    table->result_count = (uint64_t)Rc_Number(entry, "results");
+    strlcpy(table->latest.node, Rc_Text(entry, "n1"),
+            sizeof(table->latest.node));
+    table->latest.wall_ms = Rc_Number(entry, "t1");
+    strlcpy(table->second_latest.node, Rc_Text(entry, "n2"),
+            sizeof(table->second_latest.node));
+    table->second_latest.wall_ms = Rc_Number(entry, "t2");
 }
 
-/* Adds one entry of Cl_Save(), in the order it was saved. */
+/*
+ * Loads one entry of Cl_Save(); entries must be loaded in the order in which
+ * they were saved.
+ */
 void
 Cl_Load(struct cl_table *table, const json_t *entry)
 {
--- a/packages/state/claim.h
+++ b/packages/state/claim.h
@@ -1,7 +1,9 @@
 /*
- * The claims of one stream, by which a request with an idempotency key runs
- * at most once: the first claim in log order wins.  A pure table: the same
- * records in the same order give the same verdicts on every daemon.
+ * The table of claims of one stream.  A claim is the record by which a daemon
+ * reserves an idempotency key before it dispatches the request: the first
+ * claim of a key in log order wins, so the request runs at most once.  The
+ * table depends on the records alone: the same records in the same order give
+ * the same verdicts on every daemon.
  */
 #ifndef STATE_CLAIM_H
 #define STATE_CLAIM_H
@@ -20,23 +22,23 @@
 #define Cl_SLOTS 16
 #define Cl_CUSTOMER_MAX 48
 #define Cl_TYPE_MAX 64
-#define Cl_BODY_MAX ((size_t)8 << 10) /* larger answers are kept as digest */
+#define Cl_BODY_MAX ((size_t)8 << 10) /* larger: digest only */
 #define Cl_CLAIM "claim"
 #define Cl_RESULT "result"
 #define Cl_RELEASE "release"
 
-/* What names one intent of a customer. */
+/* Identifies one request of a customer, including its retries. */
 struct cl_key {
     char customer[Cl_CUSTOMER_MAX];
-    char digest[Hash_DIGEST_HEX]; /* of the idempotency key */
+    char digest[Hash_DIGEST_HEX]; /* digest of the idempotency key */
 };
 
 /*
- * One try to win a key.  The owner numbers its attempts and never uses a
- * number twice: a second attempt of the same owner is one more claim.
+ * One attempt to win a key.  The owner numbers its attempts and never reuses a
+ * number, so a second attempt of the same owner is a separate claim.
  */
 struct cl_attempt {
-    struct rc_writer owner; /* the daemon that would dispatch */
+    struct rc_writer owner; /* the daemon that dispatches if it wins */
     uint64_t number;
 };
 
@@ -44,41 +46,44 @@
     struct cl_key key;
     struct cl_attempt attempt;
     char body_digest[Hash_DIGEST_HEX];
-    int64_t wall_ms;    /* the owner's calendar time */
-    int64_t expires_ms; /* calendar time after which, without a result, the
-                           outcome is called unknown */
+    int64_t wall_ms; /* the owner's calendar time */
+    /*
+     * Calendar time after which a claim without a result has an unknown
+     * outcome.
+     */
+    int64_t expires_ms;
 };
 
-/* The first answer, as it is repeated. */
+/* The answer of the request that ran; retries get the same answer. */
 struct cl_answer {
     int code;
     char type[Cl_TYPE_MAX];
-    char digest[Hash_DIGEST_HEX]; /* of the whole body */
+    char digest[Hash_DIGEST_HEX]; /* digest of the complete body */
     const void *body;
     size_t len;
-    bool truncated; /* the body was too large to be kept */
+    bool truncated; /* the body is not kept */
 };
 
 enum cl_verdict {
-    CL_NONE,        /* nobody holds the key */
-    CL_WON,         /* this claim holds it: its owner alone may dispatch */
-    CL_IN_PROGRESS, /* another claim holds it and has no result yet */
-    CL_DONE,        /* there is a kept answer */
-    CL_REUSED,      /* the key was used with another body */
-    CL_FULL,        /* the table is at its bound; the claim does not count */
+    CL_NONE,        /* no claim holds the key */
+    CL_WON,         /* this claim holds the key: only its owner may dispatch */
+    CL_IN_PROGRESS, /* another claim holds the key and has no result */
+    CL_DONE,        /* the request has run and its answer is kept */
+    CL_REUSED,      /* the key was used with another request body */
+    CL_FULL,        /* the table is full; the claim is not recorded */
 };
 
 struct cl_outcome {
     enum cl_verdict verdict;
     struct cl_attempt holder; /* for CL_WON and CL_IN_PROGRESS */
-    int64_t expires_ms;       /* of the holder's claim */
+    int64_t expires_ms;       /* expiry of the holder's claim */
     struct cl_answer answer;  /* for CL_DONE; valid until the next record */
 };
 
 struct cl_options {
-    int64_t window_ms;  /* how long a key is remembered; 0: 24 hours */
+    int64_t window_ms;  /* how long a key is kept; 0: 24 hours */
     size_t max_entries; /* 0: 20000 */
-    size_t max_bodies;  /* bytes of kept bodies; 0: 4 MiB */
+    size_t max_bodies;  /* total bytes of kept bodies; 0: 4 MiB */
 };
 
 struct cl_table;
@@ -95,13 +100,13 @@
 size_t Cl_Count(const struct cl_table *table);
 size_t Cl_BodyBytes(const struct cl_table *table);
 json_t *Cl_Save(const struct cl_table *table);
-void Cl_Each(const struct cl_table *table,
-             void (*emit)(void *arg, json_t *entry), void *arg);
+void Cl_ForEach(const struct cl_table *table,
+                void (*emit)(void *arg, json_t *entry), void *arg);
 
 int Cl_Slot(const struct cl_key *key);
 bool Cl_SameAttempt(const struct cl_attempt *a, const struct cl_attempt *b);
 
-/* Bodies of the three kinds of record; NULL without memory. */
+/* Bodies of the claim, result and release records; NULL if out of memory. */
 json_t *Cl_ClaimBody(const struct cl_claim *claim);
 json_t *Cl_ResultBody(const struct cl_key *key,
                       const struct cl_attempt *attempt,
--- a/packages/state/claim_internal.h
+++ b/packages/state/claim_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the commands and the queries of the claim table only. */
+/* Shared by claim.c and claim_query.c only. */
 #ifndef STATE_CLAIM_INTERNAL_H
 #define STATE_CLAIM_INTERNAL_H
 
@@ -12,17 +12,17 @@
 struct cl_entry {
     RB_ENTRY(cl_entry) node;
     TAILQ_ENTRY(cl_entry) link;
-    TAILQ_ENTRY(cl_entry) body_link; /* only with a body */
+    TAILQ_ENTRY(cl_entry) body_link; /* linked only if the body is kept */
     struct cl_claim claim;
-    int64_t since_ms; /* where the window of this key begins */
+    int64_t window_start_ms; /* start of the retention window of this key */
     bool done;
-    uint64_t done_order; /* counts the results of the table */
+    uint64_t result_order; /* number of this result in the table's order */
     struct cl_answer answer;
     void *bytes;
 };
 
-/* The latest time a node has stated. */
-struct cl_voucher {
+/* The latest calendar time that a node has put into a record. */
+struct cl_node_time {
     char node[Rc_NODE_MAX];
     int64_t wall_ms;
 };
@@ -32,15 +32,15 @@
 
 struct cl_table {
     struct cl_tree tree;
-    TAILQ_HEAD(cl_order, cl_entry) order;   /* as claimed */
-    TAILQ_HEAD(cl_bodies, cl_entry) bodies; /* as answered */
+    TAILQ_HEAD(cl_order, cl_entry) order;   /* in the order of claims */
+    TAILQ_HEAD(cl_bodies, cl_entry) bodies; /* kept ones, by result */
     size_t count;
     size_t body_bytes;
-    uint64_t results;
+    uint64_t result_count;
     struct cl_options options;
-    struct cl_voucher first;  /* the node that stated the latest time */
-    struct cl_voucher second; /* the latest of all other nodes */
-    int64_t time_ms;          /* record time: only ever advanced */
+    struct cl_node_time latest;        /* the node with the latest time */
+    struct cl_node_time second_latest; /* the latest time of all other nodes */
+    int64_t record_time_ms; /* time taken from records; never goes back */
 };
 
 #endif
--- a/packages/state/claim_query.c
+++ b/packages/state/claim_query.c
@@ -3,8 +3,8 @@
 #include "state/claim_internal.h"
 
 /*
- * What a claim of a key with this body would be told: CL_NONE when it would
- * win.  Nothing changes.
+ * Gets the verdict that a claim of this key and body would get, or CL_NONE if
+ * it would win.  Does not modify the table.
  */
 void
 Cl_Lookup(const struct cl_table *table, const struct cl_key *key,
@@ -13,7 +13,7 @@
     memset(out, 0, sizeof(*out));
     struct cl_entry probe;
     probe.claim.key = *key;
-    /* RB_FIND() does not change the tree but takes no const one. */
+    /* RB_FIND() does not modify the tree but takes no const pointer. */
     struct cl_tree *tree = (struct cl_tree *)&table->tree;
     const struct cl_entry *entry = RB_FIND(cl_tree, tree, &probe);
     if (entry == NULL) {
@@ -33,14 +33,13 @@
     }
 }
 
-/* Number of keys remembered. */
 size_t
 Cl_Count(const struct cl_table *table)
 {
     return table->count;
 }
 
-/* Bytes of the bodies kept. */
+/* Total bytes of the kept bodies. */
 size_t
 Cl_BodyBytes(const struct cl_table *table)
 {
@@ -51,9 +50,10 @@
 save_time(const struct cl_table *table)
 {
     return json_pack(
-        "{s:I, s:s, s:I, s:s, s:I}", "time", (json_int_t)table->time_ms, "n1",
-        table->first.node, "t1", (json_int_t)table->first.wall_ms, "n2",
-        table->second.node, "t2", (json_int_t)table->second.wall_ms);
+        "{s:I, s:s, s:I, s:s, s:I}", "time", (json_int_t)table->record_time_ms,
+        "n1", table->latest.node, "t1", (json_int_t)table->latest.wall_ms,
+        "n2", table->second_latest.node, "t2",
+        (json_int_t)table->second_latest.wall_ms);
 }
 
 static json_t *
@@ -66,16 +66,19 @@
         json_object_update(body, answer);
         json_decref(answer);
         json_object_set_new(body, "order",
-                            json_integer((json_int_t)entry->done_order));
+                            json_integer((json_int_t)entry->result_order));
     }
-    json_object_set_new(body, "since", json_integer(entry->since_ms));
+    json_object_set_new(body, "since", json_integer(entry->window_start_ms));
     return body;
 }
 
-/* Gives the entries for Cl_Load() one by one; "emit" takes each over. */
+/*
+ * Passes the entries for Cl_Load() to "emit" one by one; "emit" takes
+ * ownership of each.
+ */
 void
-Cl_Each(const struct cl_table *table, void (*emit)(void *arg, json_t *entry),
-        void *arg)
+Cl_ForEach(const struct cl_table *table,
+           void (*emit)(void *arg, json_t *entry), void *arg)
 {
     emit(arg, save_time(table));
     const struct cl_entry *entry;
@@ -90,16 +93,16 @@
     json_array_append_new(arg, entry);
 }
 
-/* The table as a list of entries for Cl_Load(). */
+/* Returns the table as a list of entries for Cl_Load(). */
 json_t *
 Cl_Save(const struct cl_table *table)
 {
     json_t *list = json_array();
-    Cl_Each(table, append_entry, list);
+    Cl_ForEach(table, append_entry, list);
     return list;
 }
 
-/* The slot, and so the stream, of a key. */
+/* Returns the slot of a key, which selects its stream. */
 int
 Cl_Slot(const struct cl_key *key)
 {
@@ -107,7 +110,6 @@
     return (int)(Hash_String(key->digest, seed) % Cl_SLOTS);
 }
 
-/* Whether two attempts are the same one. */
 bool
 Cl_SameAttempt(const struct cl_attempt *a, const struct cl_attempt *b)
 {
--- a/packages/state/claim_record.c
+++ b/packages/state/claim_record.c
@@ -1,4 +1,4 @@
-/* The records of claims.h as JSON. */
+/* Encodes and decodes the JSON bodies of claim, result and release records. */
 #include <bsd/string.h>
 #include <openssl/evp.h>
 #include <stdlib.h>
@@ -21,7 +21,7 @@
     return value;
 }
 
-/* Returns the bytes, which the caller frees, or NULL. */
+/* Returns the decoded bytes, which the caller frees, or NULL. */
 static void *
 decode_bytes(const char *text, size_t *len)
 {
@@ -51,7 +51,6 @@
                      (json_int_t)attempt->number);
 }
 
-/* The body of a claim record. */
 json_t *
 Cl_ClaimBody(const struct cl_claim *claim)
 {
@@ -63,8 +62,8 @@
 }
 
 /*
- * The body of a result record; the answer's own body goes along when it is
- * at most 8 KiB, else the record says that it was cut.
+ * Returns the body of a result record.  It includes the answer's own body if
+ * that has at most 8 KiB; otherwise the field "cut" is set.
  */
 json_t *
 Cl_ResultBody(const struct cl_key *key, const struct cl_attempt *attempt,
@@ -86,14 +85,13 @@
     return body;
 }
 
-/* The body of a release record. */
 json_t *
 Cl_ReleaseBody(const struct cl_key *key, const struct cl_attempt *attempt)
 {
     return key_body(key, attempt);
 }
 
-/* Reads the key of any of the three kinds. */
+/* Reads the key of a claim, result or release record. */
 void
 Cl_ReadKey(const json_t *body, struct cl_key *out)
 {
@@ -101,7 +99,7 @@
     strlcpy(out->digest, Rc_Text(body, "k"), sizeof(out->digest));
 }
 
-/* Reads the attempt of any of the three kinds. */
+/* Reads the attempt of a claim, result or release record. */
 void
 Cl_ReadAttempt(const json_t *body, struct cl_attempt *out)
 {
@@ -110,7 +108,6 @@
     out->number = (uint64_t)Rc_Number(body, "a");
 }
 
-/* Reads a claim record's body. */
 void
 Cl_ReadClaim(const json_t *body, struct cl_claim *out)
 {
@@ -122,8 +119,9 @@
 }
 
 /*
- * Reads the answer of a result record.  "bytes" gets its body, which the
- * caller frees, or NULL when none was kept.  False when there is no answer.
+ * Reads the answer of a result record.  "bytes" gets the answer's body, which
+ * the caller frees, or NULL if none was kept.  Returns false if the record has
+ * no answer.
  */
 bool
 Cl_ReadAnswer(const json_t *body, struct cl_answer *out, void **bytes)
--- a/packages/state/keeper.c
+++ b/packages/state/keeper.c
@@ -7,9 +7,9 @@
 #define Kp_APPENDS_PER_SLOT 12.0
 #define Kp_BURST_PER_SLOT 4.0
 #define Kp_BATCH_USEC (20 * Ck_USEC_PER_MSEC)
-#define Kp_CLAIM_USEC (2 * Ck_USEC_PER_SEC)
+#define Kp_CLAIM_TIMEOUT_USEC (2 * Ck_USEC_PER_SEC)
 
-/* Makes a keeper of no slot. */
+/* Creates a keeper with no open slot. */
 enum st_status
 Kp_Create(const struct kp_options *options, struct kp_keeper **out)
 {
@@ -26,12 +26,12 @@
         own->batch_usec = Kp_BATCH_USEC;
     }
     if (own->claim_usec <= 0) {
-        own->claim_usec = Kp_CLAIM_USEC;
+        own->claim_usec = Kp_CLAIM_TIMEOUT_USEC;
     }
     for (int i = 0; i < Cl_SLOTS; i++) {
         keeper->slots[i].keeper = keeper;
         keeper->slots[i].number = i;
-        TAILQ_INIT(&keeper->slots[i].waits);
+        TAILQ_INIT(&keeper->slots[i].pending);
     }
     *out = keeper;
     return ST_OK;
@@ -49,8 +49,8 @@
 }
 
 /*
- * Ends everything.  Claims not answered yet end as not run: their owners
- * cannot be told of a win any longer.
+ * Destroys a keeper.  Claims without an answer end as not run, since a win can
+ * no longer be reported to their owners.
  */
 void
 Kp_Destroy(struct kp_keeper *keeper)
@@ -60,14 +60,15 @@
     }
     for (int i = 0; i < Cl_SLOTS; i++) {
         struct kp_slot *slot = &keeper->slots[i];
-        struct kp_wait *wait;
-        struct kp_wait *next;
-        TAILQ_FOREACH (wait, &slot->waits, link) {
-            Kp_TellNotRun(wait, "this host stops; send the request again");
+        struct kp_pending *pending;
+        struct kp_pending *next;
+        TAILQ_FOREACH (pending, &slot->pending, link) {
+            Kp_CompleteNotRun(pending,
+                              "this host stops; send the request again");
         }
         Wr_Destroy(slot->writer);
-        TAILQ_FOREACH_SAFE (wait, &slot->waits, link, next) {
-            Kp_WaitFree(wait);
+        TAILQ_FOREACH_SAFE (pending, &slot->pending, link, next) {
+            Kp_PendingFree(pending);
         }
         Kp_SlotStop(slot);
     }
@@ -75,8 +76,8 @@
 }
 
 /*
- * Takes a slot over: its stream is followed from the last snapshot to the
- * tail before the first claim is answered.
+ * Opens a slot.  Its stream is read from the last snapshot to the tail before
+ * the first claim is answered.
  */
 enum st_status
 Kp_Open(struct kp_keeper *keeper, int slot_number)
@@ -96,7 +97,10 @@
     return ST_OK;
 }
 
-/* Gives a slot up once nothing of it is on its way any longer. */
+/*
+ * Closes a slot once it has no pending claims and no records queued or in
+ * flight.
+ */
 void
 Kp_Close(struct kp_keeper *keeper, int slot_number)
 {
@@ -104,8 +108,8 @@
 }
 
 /*
- * Claims a key; "done" gets the verdict, at the latest at "deadline" (boot
- * clock).  The slot is opened when it is not.  Fails only without memory.
+ * Claims a key.  "done" gets the verdict, no later than "deadline" (boot
+ * clock).  Opens the slot if it is closed.  Fails only if out of memory.
  */
 enum st_status
 Kp_Claim(struct kp_keeper *keeper, const struct cl_claim *claim,
@@ -116,24 +120,25 @@
     if (status != ST_OK) {
         return status;
     }
-    struct kp_wait *wait = calloc(1, sizeof(*wait));
-    if (wait == NULL) {
+    struct kp_pending *pending = calloc(1, sizeof(*pending));
+    if (pending == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
     int64_t latest =
         Ck_Now(keeper->options.clock) + keeper->options.claim_usec;
-    wait->slot = slot;
-    wait->claim = *claim;
-    wait->deadline = deadline < latest ? deadline : latest;
-    wait->done = done;
-    wait->arg = arg;
-    TAILQ_INSERT_TAIL(&slot->waits, wait, link);
+    pending->slot = slot;
+    pending->claim = *claim;
+    pending->deadline = deadline < latest ? deadline : latest;
+    pending->done = done;
+    pending->arg = arg;
+    TAILQ_INSERT_TAIL(&slot->pending, pending, link);
     return ST_OK;
 }
 
 /*
- * Records the answer of an attempt that won, so that repeats get it.  It is
- * written however long the log is down; "done" may be NULL.
+ * Records the answer of an attempt that won, so that retries get it.  The
+ * record is retried until it is written, however long the log is down.  "done"
+ * may be NULL.
  */
 enum st_status
 Kp_Result(struct kp_keeper *keeper, const struct cl_key *key,
@@ -145,13 +150,13 @@
     if (status != ST_OK) {
         return status;
     }
-    return Kp_PutNote(slot, Cl_RESULT, Cl_ResultBody(key, attempt, answer),
-                      done, arg);
+    return Kp_QueueUpdate(slot, Cl_RESULT, Cl_ResultBody(key, attempt, answer),
+                          done, arg);
 }
 
 /*
- * Frees the key of an attempt that won and was not dispatched.  The owner
- * must never dispatch it afterwards.
+ * Releases the key of an attempt that won and was not dispatched.  The owner
+ * must not dispatch the attempt afterwards.
  */
 enum st_status
 Kp_Release(struct kp_keeper *keeper, const struct cl_key *key,
@@ -162,11 +167,14 @@
     if (status != ST_OK) {
         return status;
     }
-    return Kp_PutNote(slot, Cl_RELEASE, Cl_ReleaseBody(key, attempt), done,
-                      arg);
+    return Kp_QueueUpdate(slot, Cl_RELEASE, Cl_ReleaseBody(key, attempt), done,
+                          arg);
 }
 
-/* Reads, writes and answers what is due; call it every few milliseconds. */
+/*
+ * Performs the reads, writes and answers that are due; call it every few
+ * milliseconds.
+ */
 void
 Kp_Tick(struct kp_keeper *keeper)
 {
--- a/packages/state/keeper.h
+++ b/packages/state/keeper.h
@@ -1,13 +1,14 @@
 /*
- * Keeps claim slots: gathers the claims of all daemons for a slot into one
- * append each interval and answers each from the table once its record was
- * read back.  Two daemons may keep the same slot at once; the order of
- * records in the log decides between them.
+ * Decides claims for the claim slots that this daemon keeps.  A keeper
+ * collects the claims of all daemons for a slot and appends them to the slot's
+ * stream in one batch per interval.  It answers each claim from the table
+ * after the claim's record was read back.  Two daemons may keep the same slot
+ * at the same time; the order of the records in the log decides between them.
  *
- * What the caller of this module must do, as the owner of its attempts:
- * dispatch only on KP_WON, at once and once; give every try of every request
- * an attempt number of its own; and call Kp_Release() for an attempt whose
- * KP_WON comes after the owner has given that attempt up.
+ * Requirements on the owner of an attempt: it dispatches only on KP_WON, at
+ * once and only once; it uses a new attempt number for every try of every
+ * request; and it calls Kp_Release() for an attempt whose KP_WON arrives after
+ * the owner has abandoned that attempt.
  */
 #ifndef STATE_KEEPER_H
 #define STATE_KEEPER_H
@@ -25,38 +26,41 @@
 #endif
 
 enum kp_verdict {
-    KP_WON,         /* dispatch, once */
-    KP_DONE,        /* repeat the kept answer */
+    KP_WON,         /* dispatch the request, once */
+    KP_DONE,        /* return the kept answer */
     KP_IN_PROGRESS, /* another request with this key is running */
-    KP_REUSED,      /* the key belongs to another body */
-    KP_UNKNOWN,     /* an earlier request may have run; never run it again */
-    KP_NOT_RUN,     /* nothing was won; see the reason */
+    KP_REUSED,      /* the key was used with another request body */
+    KP_UNKNOWN,     /* an earlier request may have run; never dispatch */
+    KP_NOT_RUN,     /* the claim was not won; see the reason */
 };
 
 struct kp_answer {
     enum kp_verdict verdict;
     const struct cl_answer *answer; /* for KP_DONE, during the callback */
-    const char *reason;             /* for KP_NOT_RUN: names the remedy */
+    const char *reason;             /* for KP_NOT_RUN: what to do */
 };
 
-/* Called once, never from within Kp_Claim(). */
+/* Called exactly once, and not from within Kp_Claim(). */
 typedef void (*kp_claim_fn)(void *arg, const struct kp_answer *answer);
 
-/* "written" is false when the keeper was destroyed before it was certain. */
+/*
+ * "written" is false if the keeper was destroyed before the record was known
+ * to be in the log.
+ */
 typedef void (*kp_done_fn)(void *arg, bool written);
 
 struct kp_options {
     struct pl_log *log;
     const struct ck_clock *clock;
     struct rc_writer self;
-    struct bg_budget *budget; /* the keeper sets its rate for claims */
-    double appends_per_slot;  /* a second; 0: 12 */
-    int64_t batch_usec;       /* claims gathered into one append; 0: 20 ms */
-    int64_t claim_usec;       /* longest wait for a verdict; 0: 2 s */
+    struct bg_budget *budget; /* the keeper sets the rate of claims */
+    double appends_per_slot;  /* per second; 0: 12 */
+    int64_t batch_usec;       /* how long claims are batched; 0: 20 ms */
+    int64_t claim_usec;       /* time-out of a claim; 0: 2 s */
     int64_t snapshot_usec;    /* see snapshot.h; 0: 10 minutes */
     uint64_t snapshot_records;
     struct cl_options table;
-    /* Whether a daemon's run is known to have ended.  May be NULL. */
+    /* Whether a daemon's process is known to have ended.  May be NULL. */
     bool (*dead)(void *arg, const struct rc_writer *owner);
     void *dead_arg;
 };
--- a/packages/state/keeper_internal.h
+++ b/packages/state/keeper_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the modules of the keeper only. */
+/* Shared by the source files of the keeper only. */
 #ifndef STATE_KEEPER_INTERNAL_H
 #define STATE_KEEPER_INTERNAL_H
 
@@ -10,22 +10,24 @@
 
 struct kp_slot;
 
-/* A claim on its way.  It stays until its record was read back or surely
- * never will be, even when it was answered before. */
-struct kp_wait {
-    TAILQ_ENTRY(kp_wait) link;
+/*
+ * A claim that is not finished.  It is kept until its record was read back or
+ * can no longer be written, even if it was answered before.
+ */
+struct kp_pending {
+    TAILQ_ENTRY(kp_pending) link;
     struct kp_slot *slot;
     struct cl_claim claim;
     int64_t deadline;
-    bool put;       /* handed to the writer */
-    bool in_writer; /* the writer will still call claim_written() */
-    bool settled;   /* read back, or never to be */
+    bool queued;    /* passed to the writer */
+    bool in_writer; /* the writer has yet to call claim_written() */
+    bool settled;   /* read back, or can no longer be written */
     bool answered;
     kp_claim_fn done;
     void *arg;
 };
 
-TAILQ_HEAD(kp_waits, kp_wait);
+TAILQ_HEAD(kp_pending_list, kp_pending);
 
 struct kp_slot {
     struct kp_keeper *keeper;
@@ -35,8 +37,9 @@
     struct cl_table *table;
     struct wr_writer *writer;
     struct sn_replica *replica;
-    struct kp_waits waits;
-    int64_t read_at; /* when to read again while claims are on their way */
+    struct kp_pending_list pending;
+    /* Time of the next read of the stream while claims are in flight. */
+    int64_t next_read_at;
 };
 
 struct kp_keeper {
@@ -47,9 +50,9 @@
 enum st_status Kp_SlotStart(struct kp_slot *slot);
 void Kp_SlotStop(struct kp_slot *slot);
 void Kp_SlotTick(struct kp_slot *slot, int64_t now);
-enum st_status Kp_PutNote(struct kp_slot *slot, const char *kind, json_t *body,
-                          kp_done_fn done, void *arg);
-void Kp_TellNotRun(struct kp_wait *wait, const char *reason);
-void Kp_WaitFree(struct kp_wait *wait);
+enum st_status Kp_QueueUpdate(struct kp_slot *slot, const char *kind,
+                              json_t *body, kp_done_fn done, void *arg);
+void Kp_CompleteNotRun(struct kp_pending *pending, const char *reason);
+void Kp_PendingFree(struct kp_pending *pending);
 
 #endif
--- a/packages/state/keeper_slot.c
+++ b/packages/state/keeper_slot.c
@@ -1,16 +1,16 @@
-/* One claim slot: its stream, its table and the claims on their way. */
+/* One claim slot: its stream, its table and its pending claims. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "state/events.h"
 #include "state/keeper_internal.h"
 
-#define Kp_READ_USEC (20 * Ck_USEC_PER_MSEC)
-#define Kp_FORGET_USEC (600 * Ck_USEC_PER_SEC)
+#define Kp_READ_INTERVAL_USEC (20 * Ck_USEC_PER_MSEC)
+#define Kp_PENDING_MAX_USEC (600 * Ck_USEC_PER_SEC)
 #define Kp_MSEC(usec) ((usec) / Ck_USEC_PER_MSEC)
 
-/* A result or a release on its way. */
-struct kp_note {
+/* A result or release record that is queued or in flight. */
+struct kp_update {
     struct kp_slot *slot;
     kp_done_fn done;
     void *arg;
@@ -23,27 +23,30 @@
     return options->dead != NULL && options->dead(options->dead_arg, owner);
 }
 
-/* Tells the waiting owner; only the first call for a claim does. */
+/*
+ * Answers the owner of a claim; later answers to the same claim are dropped.
+ */
 static void
-tell(struct kp_wait *wait, const struct kp_answer *answer)
+complete_claim(struct kp_pending *pending, const struct kp_answer *answer)
 {
-    if (!wait->answered) {
-        wait->answered = true;
-        wait->done(wait->arg, answer);
+    if (!pending->answered) {
+        pending->answered = true;
+        pending->done(pending->arg, answer);
     }
 }
 
-/* Tells the owner that nothing was won, and what to do. */
+/* Answers that the claim was not won, and what to do. */
 void
-Kp_TellNotRun(struct kp_wait *wait, const char *reason)
+Kp_CompleteNotRun(struct kp_pending *pending, const char *reason)
 {
     struct kp_answer answer = {.verdict = KP_NOT_RUN, .reason = reason};
-    tell(wait, &answer);
+    complete_claim(pending, &answer);
 }
 
 /*
- * A claim without a result whose owner is gone, or that is past its expiry,
- * may have run: nobody can know, so it is called unknown for ever.
+ * The verdict on a claim without a result.  If its owner's process has ended,
+ * or the claim has expired, the request may have run and nobody can find out:
+ * the outcome is unknown from then on.
  */
 static enum kp_verdict
 running_verdict(const struct kp_keeper *keeper, const struct cl_outcome *out)
@@ -56,7 +59,7 @@
 }
 
 static void
-tell_outcome(struct kp_wait *wait, const struct cl_outcome *out)
+complete_with_outcome(struct kp_pending *pending, const struct cl_outcome *out)
 {
     struct kp_answer answer = {.verdict = KP_NOT_RUN};
     switch (out->verdict) {
@@ -73,61 +76,62 @@
         answer.verdict = KP_REUSED;
         break;
     case CL_IN_PROGRESS:
-        answer.verdict = running_verdict(wait->slot->keeper, out);
+        answer.verdict = running_verdict(pending->slot->keeper, out);
         break;
     case CL_FULL:
         answer.reason = "too many keys are remembered; try again later";
         break;
     }
-    tell(wait, &answer);
+    complete_claim(pending, &answer);
 }
 
-/* Forgets a claim. */
+/* Unlinks and frees a pending claim. */
 void
-Kp_WaitFree(struct kp_wait *wait)
+Kp_PendingFree(struct kp_pending *pending)
 {
-    TAILQ_REMOVE(&wait->slot->waits, wait, link);
-    free(wait);
+    TAILQ_REMOVE(&pending->slot->pending, pending, link);
+    free(pending);
 }
 
 static void
-wait_free_if_over(struct kp_wait *wait)
+free_if_finished(struct kp_pending *pending)
 {
-    if (wait->settled && wait->answered && !wait->in_writer) {
-        Kp_WaitFree(wait);
+    if (pending->settled && pending->answered && !pending->in_writer) {
+        Kp_PendingFree(pending);
     }
 }
 
 /*
- * Acts on our own claim read back.  A claim that won after its owner was
- * told "not run" is released: nobody will dispatch it, and without a release
- * every repeat would be told "in progress" and then "unknown".
+ * Processes a claim of this keeper that was read back.  A claim that won after
+ * its owner was answered "not run" is released: nobody will dispatch it, and
+ * without the release every retry would be answered "in progress" and later
+ * "unknown".
  */
 static void
-act_on_claim(struct kp_slot *slot, const struct rc_record *record,
+settle_claim(struct kp_slot *slot, const struct rc_record *record,
              const struct cl_outcome *out)
 {
     struct cl_claim claim;
     Cl_ReadClaim(record->body, &claim);
-    struct kp_wait *wait;
-    TAILQ_FOREACH (wait, &slot->waits, link) {
-        if (!wait->settled && wait->put &&
-            Cl_SameAttempt(&wait->claim.attempt, &claim.attempt)) {
+    struct kp_pending *pending;
+    TAILQ_FOREACH (pending, &slot->pending, link) {
+        if (!pending->settled && pending->queued &&
+            Cl_SameAttempt(&pending->claim.attempt, &claim.attempt)) {
             break;
         }
     }
-    if (wait == NULL) {
+    if (pending == NULL) {
         return;
     }
-    wait->settled = true;
-    if (wait->answered && out->verdict == CL_WON) {
+    pending->settled = true;
+    if (pending->answered && out->verdict == CL_WON) {
         Ev_Log(&STATE_LATE_CLAIM, "slot=%d customer=%s key=%s", slot->number,
                claim.key.customer, claim.key.digest);
-        Kp_PutNote(slot, Cl_RELEASE,
-                   Cl_ReleaseBody(&claim.key, &claim.attempt), NULL, NULL);
+        Kp_QueueUpdate(slot, Cl_RELEASE,
+                       Cl_ReleaseBody(&claim.key, &claim.attempt), NULL, NULL);
     }
-    tell_outcome(wait, out);
-    wait_free_if_over(wait);
+    complete_with_outcome(pending, out);
+    free_if_finished(pending);
 }
 
 static void
@@ -138,10 +142,11 @@
 }
 
 /*
- * Verdicts are given here and nowhere else: the claim was read back, in its
- * place in the log.  An append's own answer is no verdict, since a claim of
- * another keeper may stand before it.  A state that is built again from a
- * snapshot passes records a second time; their claims wait no longer.
+ * The only place where a claim that was appended gets its verdict: when it is
+ * read back, in its place in the log.  The answer to the append is no verdict,
+ * since a claim of another keeper may precede it in the log.  A replica that
+ * reloads its state from a snapshot reads records a second time; their claims
+ * are no longer pending.
  */
 static void
 table_apply(void *arg, const struct rc_record *record)
@@ -152,7 +157,7 @@
     const struct rc_writer *self = &slot->keeper->options.self;
     if (Rc_Is(record, Cl_CLAIM) &&
         Rc_CompareWriters(&record->writer, self) == 0) {
-        act_on_claim(slot, record, &out);
+        settle_claim(slot, record, &out);
     }
 }
 
@@ -167,7 +172,7 @@
 table_each(void *arg, sn_emit_fn emit, void *emit_arg)
 {
     const struct kp_slot *slot = arg;
-    Cl_Each(slot->table, emit, emit_arg);
+    Cl_ForEach(slot->table, emit, emit_arg);
 }
 
 static void
@@ -185,7 +190,7 @@
     .each = table_each,
 };
 
-/* Forgets a slot's state; its writer stays. */
+/* Closes a slot and frees its state, except for its writer. */
 void
 Kp_SlotStop(struct kp_slot *slot)
 {
@@ -198,8 +203,9 @@
 }
 
 /*
- * The writer lives as long as the keeper, also while the slot is closed: one
- * that began its sequence again would have its records dropped as repeats.
+ * Creates the writer of a slot.  It is kept until the keeper is destroyed,
+ * also while the slot is closed: a new writer would restart its sequence
+ * numbers, and readers would drop its records as duplicates.
  */
 static enum st_status
 writer_create(struct kp_slot *slot, const char *stream)
@@ -216,7 +222,7 @@
     return slot->writer != NULL ? ST_OK : Wr_Create(&write, &slot->writer);
 }
 
-/* Begins to follow a slot's stream. */
+/* Starts following a slot's stream. */
 enum st_status
 Kp_SlotStart(struct kp_slot *slot)
 {
@@ -249,35 +255,35 @@
 }
 
 static void
-note_written(void *arg, enum wr_result result, uint64_t sequence)
+update_written(void *arg, enum wr_result result, uint64_t sequence)
 {
-    struct kp_note note = *(struct kp_note *)arg;
+    struct kp_update update = *(struct kp_update *)arg;
     free(arg);
-    if (note.slot->replica != NULL) {
-        Sn_Kick(note.slot->replica);
+    if (update.slot->replica != NULL) {
+        Sn_Kick(update.slot->replica);
     }
-    if (note.done != NULL) {
-        note.done(note.arg, result == WR_WRITTEN);
+    if (update.done != NULL) {
+        update.done(update.arg, result == WR_WRITTEN);
     }
 }
 
-/* Queues a result or a release; takes "body" over. */
+/* Queues a result or release record; takes ownership of "body". */
 enum st_status
-Kp_PutNote(struct kp_slot *slot, const char *kind, json_t *body,
-           kp_done_fn done, void *arg)
+Kp_QueueUpdate(struct kp_slot *slot, const char *kind, json_t *body,
+               kp_done_fn done, void *arg)
 {
-    struct kp_note *note = malloc(sizeof(*note));
-    if (note == NULL) {
+    struct kp_update *update = malloc(sizeof(*update));
+    if (update == NULL) {
         json_decref(body);
         return St_Fail(ST_NO_MEMORY, "no memory for a claim's %s", kind);
     }
-    note->slot = slot;
-    note->done = done;
-    note->arg = arg;
+    update->slot = slot;
+    update->done = done;
+    update->arg = arg;
     enum st_status status =
-        Wr_Put(slot->writer, BG_CLAIM, kind, body, 0, note_written, note);
+        Wr_Put(slot->writer, BG_CLAIM, kind, body, 0, update_written, update);
     if (status != ST_OK) {
-        free(note);
+        free(update);
     }
     return status;
 }
@@ -285,79 +291,85 @@
 static void
 claim_written(void *arg, enum wr_result result, uint64_t sequence)
 {
-    struct kp_wait *wait = arg;
-    wait->in_writer = false;
+    struct kp_pending *pending = arg;
+    pending->in_writer = false;
     if (result == WR_NOT_WRITTEN) {
-        wait->settled = true;
-        Kp_TellNotRun(wait, "the platform's log takes no records; send the "
-                            "request again later");
+        pending->settled = true;
+        Kp_CompleteNotRun(pending,
+                          "the platform's log takes no records; send the "
+                          "request again later");
     }
-    else if (!wait->settled && wait->slot->replica != NULL) {
-        Sn_Kick(wait->slot->replica);
+    else if (!pending->settled && pending->slot->replica != NULL) {
+        Sn_Kick(pending->slot->replica);
     }
-    wait_free_if_over(wait);
+    free_if_finished(pending);
 }
 
-/* Answers from the table, or queues the claim's record. */
+/* Answers a claim from the table, or queues the claim's record. */
 static void
-put_claim(struct kp_slot *slot, struct kp_wait *wait)
+queue_claim(struct kp_slot *slot, struct kp_pending *pending)
 {
     struct cl_outcome out;
-    Cl_Lookup(slot->table, &wait->claim.key, wait->claim.body_digest, &out);
+    Cl_Lookup(slot->table, &pending->claim.key, pending->claim.body_digest,
+              &out);
     if (out.verdict != CL_NONE) {
-        wait->settled = true;
-        tell_outcome(wait, &out);
+        pending->settled = true;
+        complete_with_outcome(pending, &out);
         return;
     }
-    wait->put = true;
-    wait->in_writer = true;
-    if (Wr_Put(slot->writer, BG_CLAIM, Cl_CLAIM, Cl_ClaimBody(&wait->claim),
-               wait->deadline, claim_written, wait) != ST_OK) {
-        wait->in_writer = false;
-        wait->settled = true;
-        Kp_TellNotRun(wait, "no memory; send the request again later");
+    pending->queued = true;
+    pending->in_writer = true;
+    if (Wr_Put(slot->writer, BG_CLAIM, Cl_CLAIM, Cl_ClaimBody(&pending->claim),
+               pending->deadline, claim_written, pending) != ST_OK) {
+        pending->in_writer = false;
+        pending->settled = true;
+        Kp_CompleteNotRun(pending, "no memory; send the request again later");
     }
 }
 
 static void
-tick_wait(struct kp_slot *slot, struct kp_wait *wait, int64_t now)
+tick_pending(struct kp_slot *slot, struct kp_pending *pending, int64_t now)
 {
-    if (!wait->put && !wait->settled && now < wait->deadline &&
+    if (!pending->queued && !pending->settled && now < pending->deadline &&
         Sn_Phase(slot->replica) == SN_READY) {
-        put_claim(slot, wait);
+        queue_claim(slot, pending);
     }
-    if (!wait->answered && now >= wait->deadline) {
-        wait->settled = wait->settled || !wait->put;
-        Kp_TellNotRun(wait, Sn_Phase(slot->replica) == SN_HOLE
-                                ? "the log has lost records that no snapshot "
-                                  "covers; publish the slot's state again"
-                                : "the platform's log did not answer in time; "
-                                  "send the request again");
+    if (!pending->answered && now >= pending->deadline) {
+        pending->settled = pending->settled || !pending->queued;
+        Kp_CompleteNotRun(pending,
+                          Sn_Phase(slot->replica) == SN_GAP
+                              ? "the log has lost records that no snapshot "
+                                "covers; publish the slot's state again"
+                              : "the platform's log did not answer in time; "
+                                "send the request again");
     }
-    if (!wait->in_writer && now >= wait->deadline + Kp_FORGET_USEC) {
-        wait->settled = true;
+    if (!pending->in_writer &&
+        now >= pending->deadline + Kp_PENDING_MAX_USEC) {
+        pending->settled = true;
     }
-    wait_free_if_over(wait);
+    free_if_finished(pending);
 }
 
-/* Does what is due for one slot. */
+/* Performs the reads, writes and answers that are due for one slot. */
 void
 Kp_SlotTick(struct kp_slot *slot, int64_t now)
 {
-    struct kp_wait *wait;
-    struct kp_wait *next;
-    bool awaits = false; /* an owner waits for a claim to be read back */
-    TAILQ_FOREACH_SAFE (wait, &slot->waits, link, next) {
-        awaits = awaits || (wait->put && !wait->answered);
-        tick_wait(slot, wait, now);
+    struct kp_pending *pending;
+    struct kp_pending *next;
+    /* Whether an unanswered claim has yet to be read back. */
+    bool awaiting_read = false;
+    TAILQ_FOREACH_SAFE (pending, &slot->pending, link, next) {
+        awaiting_read =
+            awaiting_read || (pending->queued && !pending->answered);
+        tick_pending(slot, pending, now);
     }
-    if (awaits && now >= slot->read_at) {
-        slot->read_at = now + Kp_READ_USEC;
+    if (awaiting_read && now >= slot->next_read_at) {
+        slot->next_read_at = now + Kp_READ_INTERVAL_USEC;
         Sn_Kick(slot->replica);
     }
     Sn_Tick(slot->replica);
     Wr_Tick(slot->writer);
-    if (slot->closing && TAILQ_EMPTY(&slot->waits) &&
+    if (slot->closing && TAILQ_EMPTY(&slot->pending) &&
         Wr_Pending(slot->writer) == 0) {
         Kp_SlotStop(slot);
     }
--- a/packages/state/snapshot.c
+++ b/packages/state/snapshot.c
@@ -11,101 +11,107 @@
 #define Sn_SNAPSHOT_RECORDS 20000
 
 static void
-set_free(struct sn_replica *replica, struct sn_set *set)
+partial_free(struct sn_replica *replica, struct sn_partial *partial)
 {
-    TAILQ_REMOVE(&replica->sets, set, link);
-    for (size_t i = 0; i < set->parts; i++) {
-        json_decref(set->bodies[i]);
+    TAILQ_REMOVE(&replica->partials, partial, link);
+    for (size_t i = 0; i < partial->parts; i++) {
+        json_decref(partial->bodies[i]);
     }
-    free((void *)set->bodies);
-    free(set);
+    free((void *)partial->bodies);
+    free(partial);
 }
 
 static void
-forget_sets(struct sn_replica *replica)
+discard_partials(struct sn_replica *replica)
 {
-    struct sn_set *set;
-    struct sn_set *next;
-    TAILQ_FOREACH_SAFE (set, &replica->sets, link, next) {
-        set_free(replica, set);
+    struct sn_partial *partial;
+    struct sn_partial *next;
+    TAILQ_FOREACH_SAFE (partial, &replica->partials, link, next) {
+        partial_free(replica, partial);
     }
 }
 
 static void
-forget_kept(struct sn_replica *replica)
+discard_buffered(struct sn_replica *replica)
 {
-    struct sn_kept *kept;
-    struct sn_kept *next;
-    TAILQ_FOREACH_SAFE (kept, &replica->kept, link, next) {
-        Rc_Clear(&kept->record);
-        free(kept);
+    struct sn_buffered *buffered;
+    struct sn_buffered *next;
+    TAILQ_FOREACH_SAFE (buffered, &replica->buffered, link, next) {
+        Rc_Clear(&buffered->record);
+        free(buffered);
     }
-    TAILQ_INIT(&replica->kept);
+    TAILQ_INIT(&replica->buffered);
 }
 
-static struct sn_set *
-find_set(struct sn_replica *replica, const struct rc_record *record)
+static struct sn_partial *
+find_partial(struct sn_replica *replica, const struct rc_record *record)
 {
-    struct sn_set *set;
-    TAILQ_FOREACH (set, &replica->sets, link) {
-        if (Rc_CompareWriters(&set->writer, &record->writer) == 0 &&
-            set->id == Rc_Number(record->body, "id")) {
-            return set;
+    struct sn_partial *partial;
+    TAILQ_FOREACH (partial, &replica->partials, link) {
+        if (Rc_CompareWriters(&partial->writer, &record->writer) == 0 &&
+            partial->id == Rc_Number(record->body, "id")) {
+            return partial;
         }
     }
     return NULL;
 }
 
-static struct sn_set *
-add_set(struct sn_replica *replica, const struct rc_record *record)
+static struct sn_partial *
+add_partial(struct sn_replica *replica, const struct rc_record *record)
 {
     int64_t parts = Rc_Number(record->body, "parts");
     if (parts < 1 || parts > Sn_PARTS_MAX) {
         return NULL;
     }
-    struct sn_set *set = calloc(1, sizeof(*set));
-    if (set == NULL) {
+    struct sn_partial *partial = calloc(1, sizeof(*partial));
+    if (partial == NULL) {
         return NULL;
     }
-    set->bodies = (json_t **)calloc((size_t)parts, sizeof(json_t *));
-    if (set->bodies == NULL) {
-        free(set);
+    partial->bodies = (json_t **)calloc((size_t)parts, sizeof(json_t *));
+    if (partial->bodies == NULL) {
+        free(partial);
         return NULL;
     }
-    set->writer = record->writer;
-    set->id = Rc_Number(record->body, "id");
-    set->covers = (uint64_t)Rc_Number(record->body, "covers");
-    set->parts = (size_t)parts;
-    TAILQ_INSERT_TAIL(&replica->sets, set, link);
-    return set;
+    partial->writer = record->writer;
+    partial->id = Rc_Number(record->body, "id");
+    partial->covers = (uint64_t)Rc_Number(record->body, "covers");
+    partial->parts = (size_t)parts;
+    TAILQ_INSERT_TAIL(&replica->partials, partial, link);
+    return partial;
 }
 
-/* Notes one part.  Returns its set when that is whole now. */
-static struct sn_set *
-take_part(struct sn_replica *replica, const struct rc_record *record)
+/*
+ * Adds one part of a snapshot.  Returns the snapshot if that was its last
+ * missing part, otherwise NULL.
+ */
+static struct sn_partial *
+add_part(struct sn_replica *replica, const struct rc_record *record)
 {
-    struct sn_set *set = find_set(replica, record);
-    if (set == NULL) {
-        set = add_set(replica, record);
+    struct sn_partial *partial = find_partial(replica, record);
+    if (partial == NULL) {
+        partial = add_partial(replica, record);
     }
     int64_t part = Rc_Number(record->body, "part");
-    if (set == NULL || part < 0 || (size_t)part >= set->parts ||
-        set->bodies[part] != NULL) {
+    if (partial == NULL || part < 0 || (size_t)part >= partial->parts ||
+        partial->bodies[part] != NULL) {
         return NULL;
     }
-    set->bodies[part] = json_incref(record->body);
-    set->have++;
-    return set->have == set->parts ? set : NULL;
+    partial->bodies[part] = json_incref(record->body);
+    partial->parts_read++;
+    return partial->parts_read == partial->parts ? partial : NULL;
 }
 
-/* The entries of one part, as text in a snapshot, as a list from a peer. */
+/*
+ * Loads the entries of one part: a snapshot has them as text, a peer's state
+ * as a list.
+ */
 static void
 load_entries(struct sn_replica *replica, const json_t *body)
 {
     size_t i;
     json_t *entry;
     json_array_foreach (json_object_get(body, "seen"), i, entry) {
-        Se_Load(replica->seen, entry);
+        Se_Load(replica->sequences, entry);
     }
     json_t *entries = json_loads(Rc_Text(body, "z"), 0, NULL);
     json_array_foreach (entries, i, entry) {
@@ -120,8 +126,8 @@
 static void
 apply(struct sn_replica *replica, const struct rc_record *record)
 {
-    if (Se_Accept(replica->seen, record) && !Rc_Is(record, Sn_KIND)) {
-        replica->applied++;
+    if (Se_Accept(replica->sequences, record) && !Rc_Is(record, Sn_KIND)) {
+        replica->applied_records++;
         replica->ops->apply(replica->arg, record);
     }
 }
@@ -129,85 +135,87 @@
 static void
 replay(struct sn_replica *replica, uint64_t after)
 {
-    struct sn_kept *kept;
-    TAILQ_FOREACH (kept, &replica->kept, link) {
-        if (kept->record.offset > after) {
-            apply(replica, &kept->record);
+    struct sn_buffered *buffered;
+    TAILQ_FOREACH (buffered, &replica->buffered, link) {
+        if (buffered->record.offset > after) {
+            apply(replica, &buffered->record);
         }
     }
-    forget_kept(replica);
+    discard_buffered(replica);
 }
 
 static void
-begin_valid(struct sn_replica *replica)
+mark_valid(struct sn_replica *replica)
 {
     replica->valid = true;
-    replica->tail_empty = false;
+    replica->no_snapshot = false;
 }
 
 static void
-load_set(struct sn_replica *replica, const struct sn_set *set)
+load_snapshot(struct sn_replica *replica, const struct sn_partial *partial)
 {
     replica->ops->reset(replica->arg);
-    Se_Reset(replica->seen);
-    for (size_t i = 0; i < set->parts; i++) {
-        load_entries(replica, set->bodies[i]);
+    Se_Reset(replica->sequences);
+    for (size_t i = 0; i < partial->parts; i++) {
+        load_entries(replica, partial->bodies[i]);
     }
-    begin_valid(replica);
-    replay(replica, set->covers);
+    mark_valid(replica);
+    replay(replica, partial->covers);
 }
 
 static void
-keep(struct sn_replica *replica, const struct rc_record *record)
+buffer_record(struct sn_replica *replica, const struct rc_record *record)
 {
-    struct sn_kept *kept = calloc(1, sizeof(*kept));
-    if (kept == NULL) {
-        abort(); /* a state without this record would judge unlike others */
+    struct sn_buffered *buffered = calloc(1, sizeof(*buffered));
+    if (buffered == NULL) {
+        abort(); /* the state would diverge from other replicas */
     }
-    kept->record = *record;
-    json_incref(kept->record.body);
-    TAILQ_INSERT_TAIL(&replica->kept, kept, link);
+    buffered->record = *record;
+    json_incref(buffered->record.body);
+    TAILQ_INSERT_TAIL(&replica->buffered, buffered, link);
 }
 
 static void
-note_whole(struct sn_replica *replica, uint64_t covers)
+note_complete(struct sn_replica *replica, uint64_t covers)
 {
-    if (covers > replica->last_covers) {
-        replica->last_covers = covers;
-        replica->applied = 0;
-        replica->last_at = Ck_Now(replica->clock);
+    if (covers > replica->snapshot_covers) {
+        replica->snapshot_covers = covers;
+        replica->applied_records = 0;
+        replica->snapshot_at = Ck_Now(replica->clock);
     }
 }
 
-/* A replica that knows its state only notes that a snapshot was completed;
- * the parts of one are written in order. */
+/*
+ * Processes a part of a snapshot when the state is known: only notes the end
+ * of the snapshot, since its parts are written in order.
+ */
 static void
 note_part(struct sn_replica *replica, const struct rc_record *record)
 {
     if (Rc_Number(record->body, "part") + 1 ==
         Rc_Number(record->body, "parts")) {
-        note_whole(replica, (uint64_t)Rc_Number(record->body, "covers"));
+        note_complete(replica, (uint64_t)Rc_Number(record->body, "covers"));
     }
 }
 
 static void
 load_part(struct sn_replica *replica, const struct rc_record *record)
 {
-    struct sn_set *set = take_part(replica, record);
-    if (set == NULL) {
+    struct sn_partial *partial = add_part(replica, record);
+    if (partial == NULL) {
         return;
     }
-    note_whole(replica, set->covers);
+    note_complete(replica, partial->covers);
     /*
-     * A snapshot that ends below the first record read leaves a gap of
-     * records that nobody can read any longer: it cannot be used.
+     * A snapshot whose covered range ends before the first record read leaves
+     * a gap of expired records, so it cannot be used.
      */
-    if (set->covers + 1 >= replica->begin) {
-        load_set(replica, set);
-        forget_sets(replica);
+    if (partial->covers + 1 >= replica->first_read) {
+        load_snapshot(replica, partial);
+        discard_partials(replica);
     }
     else {
-        set_free(replica, set);
+        partial_free(replica, partial);
     }
 }
 
@@ -215,14 +223,14 @@
 on_record(void *arg, const struct rc_record *record)
 {
     struct sn_replica *replica = arg;
-    if (!replica->valid && replica->begin == Pl_FIRST_OFFSET) {
-        begin_valid(replica);
+    if (!replica->valid && replica->first_read == Pl_FIRST_OFFSET) {
+        mark_valid(replica);
     }
     if (replica->valid) {
         apply(replica, record);
     }
     else {
-        keep(replica, record);
+        buffer_record(replica, record);
     }
     if (Rc_Is(record, Sn_KIND)) {
         if (replica->valid) {
@@ -241,18 +249,21 @@
 on_tail(void *arg)
 {
     struct sn_replica *replica = arg;
-    if (!replica->valid && replica->begin == Pl_FIRST_OFFSET) {
-        begin_valid(replica);
+    if (!replica->valid && replica->first_read == Pl_FIRST_OFFSET) {
+        mark_valid(replica);
     }
-    if (!replica->valid && !replica->tail_empty) {
+    if (!replica->valid && !replica->no_snapshot) {
         Ev_Log(&STATE_HOLE, "stream=%s from=%llu", replica->stream,
-               (unsigned long long)replica->begin);
+               (unsigned long long)replica->first_read);
     }
-    replica->reached = replica->valid;
-    replica->tail_empty = !replica->valid;
+    replica->tail_reached = replica->valid;
+    replica->no_snapshot = !replica->valid;
 }
 
-/* The state is not known any longer; begin again at the oldest record. */
+/*
+ * Discards the state, which can no longer be continued, and reads again from
+ * the oldest record.
+ */
 static void
 on_expired(void *arg, uint64_t oldest)
 {
@@ -262,10 +273,10 @@
                (unsigned long long)oldest);
     }
     replica->valid = false;
-    replica->reached = false;
-    replica->begin = oldest;
-    forget_kept(replica);
-    forget_sets(replica);
+    replica->tail_reached = false;
+    replica->first_read = oldest;
+    discard_buffered(replica);
+    discard_partials(replica);
     Fo_Restart(replica->follower, oldest);
 }
 
@@ -275,7 +286,7 @@
     .expired = on_expired,
 };
 
-/* Makes a replica that reads its stream from the first offset on. */
+/* Creates a replica that reads its stream from the first offset. */
 enum st_status
 Sn_Create(const struct sn_options *options, struct sn_replica **out)
 {
@@ -293,11 +304,11 @@
     replica->snapshot_records = options->snapshot_records > 0
                                     ? options->snapshot_records
                                     : Sn_SNAPSHOT_RECORDS;
-    replica->begin = Pl_FIRST_OFFSET;
-    replica->last_at = Ck_Now(options->clock);
-    TAILQ_INIT(&replica->kept);
-    TAILQ_INIT(&replica->sets);
-    replica->seen = Se_Create(Se_WRITERS);
+    replica->first_read = Pl_FIRST_OFFSET;
+    replica->snapshot_at = Ck_Now(options->clock);
+    TAILQ_INIT(&replica->buffered);
+    TAILQ_INIT(&replica->partials);
+    replica->sequences = Se_Create(Se_WRITERS);
     struct fo_options follow = {
         .log = options->log,
         .stream = options->stream,
@@ -308,7 +319,7 @@
         .arg = replica,
     };
     enum st_status status = Fo_Create(&follow, &replica->follower);
-    if (status != ST_OK || replica->seen == NULL) {
+    if (status != ST_OK || replica->sequences == NULL) {
         Sn_Destroy(replica);
         return status != ST_OK ? status : St_Fail(ST_NO_MEMORY, "no memory");
     }
@@ -316,21 +327,24 @@
     return ST_OK;
 }
 
-/* Stops following.  The writer must be destroyed before. */
+/* Destroys a replica.  Its writer must be destroyed before. */
 void
 Sn_Destroy(struct sn_replica *replica)
 {
     if (replica == NULL) {
         return;
     }
-    forget_kept(replica);
-    forget_sets(replica);
+    discard_buffered(replica);
+    discard_partials(replica);
     Fo_Destroy(replica->follower);
-    Se_Destroy(replica->seen);
+    Se_Destroy(replica->sequences);
     free(replica);
 }
 
-/* Reads and writes what is due.  The writer has a tick of its own. */
+/*
+ * Performs the reads and snapshots that are due.  The writer needs a separate
+ * Wr_Tick().
+ */
 void
 Sn_Tick(struct sn_replica *replica)
 {
@@ -340,21 +354,22 @@
     }
 }
 
-/* Reads now. */
 void
 Sn_Kick(struct sn_replica *replica)
 {
     Fo_Kick(replica->follower);
 }
 
-/* Changes the time between reads at the tail, in microseconds. */
+/* Changes the interval of reads at the tail, in microseconds. */
 void
 Sn_SetPoll(struct sn_replica *replica, int64_t poll_usec)
 {
     Fo_SetPoll(replica->follower, poll_usec);
 }
 
-/* Whether this replica writes snapshots; one of them should. */
+/*
+ * Sets whether this replica writes snapshots; one replica of a stream should.
+ */
 void
 Sn_SetWriting(struct sn_replica *replica, bool writing)
 {
@@ -362,63 +377,65 @@
 }
 
 /*
- * Takes over a peer's state made by Sn_Export().  One that covers no more than
- * this replica has read is refused: a peer that was restarted with an old
- * state must not turn it back.  A later one is taken also by a replica that
- * knows its state, since its own way to the log may be cut.
+ * Replaces the state by a peer's, made by Sn_Export().  A state that covers no
+ * more than this replica has read is refused: a peer that restarted with an
+ * old state must not set this replica back.  A later state is accepted even if
+ * this replica's state is known, since this host may be cut off from the log.
  */
 enum st_status
 Sn_Import(struct sn_replica *replica, const json_t *state)
 {
     uint64_t covers = (uint64_t)Rc_Number(state, "covers");
     bool older = replica->valid && covers < Fo_Next(replica->follower);
-    if (older || covers + 1 < replica->begin) {
+    if (older || covers + 1 < replica->first_read) {
         return St_Fail(ST_CONFLICT,
                        "the state of a peer ends at offset %llu, "
                        "which is too old; ask another one",
                        (unsigned long long)covers);
     }
     replica->ops->reset(replica->arg);
-    Se_Reset(replica->seen);
+    Se_Reset(replica->sequences);
     load_entries(replica, state);
-    begin_valid(replica);
+    mark_valid(replica);
     replay(replica, covers);
     Fo_Restart(replica->follower, covers + 1);
     return ST_OK;
 }
 
-/* What the replica knows about its state. */
 enum sn_phase
 Sn_Phase(const struct sn_replica *replica)
 {
-    if (replica->reached) {
+    if (replica->tail_reached) {
         return SN_READY;
     }
-    return replica->tail_empty ? SN_HOLE : SN_LOADING;
+    return replica->no_snapshot ? SN_GAP : SN_LOADING;
 }
 
-/* The offset that will be applied next. */
+/* Returns the offset of the next record to apply. */
 uint64_t
 Sn_Next(const struct sn_replica *replica)
 {
     return Fo_Next(replica->follower);
 }
 
-/* As Fo_AtTail(), for a known state. */
+/* Like Fo_AtTail(), but false while the state is not known. */
 bool
-Sn_AtTail(const struct sn_replica *replica, int64_t *asked)
+Sn_AtTail(const struct sn_replica *replica, int64_t *sent_at)
 {
-    return Fo_AtTail(replica->follower, asked) && replica->reached;
+    return Fo_AtTail(replica->follower, sent_at) && replica->tail_reached;
 }
 
-/* The state for a peer's Sn_Import(); NULL while it is not known. */
+/*
+ * Returns the state for a peer's Sn_Import(), or NULL while it is not known.
+ */
 json_t *
 Sn_Export(const struct sn_replica *replica)
 {
     if (!replica->valid) {
         return NULL;
     }
-    return json_pack(
-        "{s:I, s:o, s:o}", "covers", (json_int_t)(Sn_Next(replica) - 1),
-        "seen", Se_Save(replica->seen), "e", replica->ops->save(replica->arg));
+    return json_pack("{s:I, s:o, s:o}", "covers",
+                     (json_int_t)(Sn_Next(replica) - 1), "seen",
+                     Se_Save(replica->sequences), "e",
+                     replica->ops->save(replica->arg));
 }
--- a/packages/state/snapshot_write.c
+++ b/packages/state/snapshot_write.c
@@ -1,74 +1,76 @@
 /*
- * Writing snapshots.  A part's entries are turned into text as soon as the
- * part is full: as objects a state takes several times the memory.
+ * Writes snapshots.  The entries of a part are converted to text as soon as
+ * the part is full, since a state held as JSON objects takes several times the
+ * memory.
  */
 #include <stdlib.h>
 
 #include "state/snapshot_internal.h"
 
 /*
- * A part's entries and writers.  With the last entry added whole (a claim
- * with its kept body has less than 12 KiB), quotes escaped and the longest
- * names, a part stays below 60 KiB.
+ * Size limits of a part: its entries and its writers.  The entry that exceeds
+ * the limit is still added (a claim with its kept body has less than 12 KiB).
+ * With quotes escaped and the longest names, a part stays below 60 KiB.
  */
 #define Sn_PART_BYTES ((size_t)24 << 10)
 #define Sn_PART_WRITERS ((size_t)100)
 
-struct cutter {
-    json_t *part; /* entries of the part being filled */
+struct builder {
+    json_t *part; /* entries of the part that is being filled */
     size_t bytes;
     size_t count;
-    char *texts[Sn_PARTS_MAX]; /* parts that are full */
+    char *texts[Sn_PARTS_MAX]; /* complete parts */
 };
 
 static void
-cut(struct cutter *cutter)
+finish_part(struct builder *builder)
 {
-    if (cutter->count < Sn_PARTS_MAX) {
-        cutter->texts[cutter->count] = json_dumps(cutter->part, JSON_COMPACT);
-        cutter->count++;
+    if (builder->count < Sn_PARTS_MAX) {
+        builder->texts[builder->count] =
+            json_dumps(builder->part, JSON_COMPACT);
+        builder->count++;
     }
-    json_array_clear(cutter->part);
-    cutter->bytes = 0;
+    json_array_clear(builder->part);
+    builder->bytes = 0;
 }
 
 static void
 add_entry(void *arg, json_t *entry)
 {
-    struct cutter *cutter = arg;
-    cutter->bytes += json_dumpb(entry, NULL, 0, JSON_COMPACT) + 1;
-    json_array_append_new(cutter->part, entry);
-    if (cutter->bytes >= Sn_PART_BYTES) {
-        cut(cutter);
+    struct builder *builder = arg;
+    builder->bytes += json_dumpb(entry, NULL, 0, JSON_COMPACT) + 1;
+    json_array_append_new(builder->part, entry);
+    if (builder->bytes >= Sn_PART_BYTES) {
+        finish_part(builder);
     }
 }
 
 static void
-cut_state(const struct sn_replica *replica, struct cutter *cutter)
+build_parts(const struct sn_replica *replica, struct builder *builder)
 {
     if (replica->ops->each != NULL) {
-        replica->ops->each(replica->arg, add_entry, cutter);
+        replica->ops->each(replica->arg, add_entry, builder);
     }
     else {
         json_t *entries = replica->ops->save(replica->arg);
         size_t i;
         json_t *entry;
         json_array_foreach (entries, i, entry) {
-            add_entry(cutter, json_incref(entry));
+            add_entry(builder, json_incref(entry));
         }
         json_decref(entries);
     }
-    cut(cutter);
+    finish_part(builder);
 }
 
 static void
 part_written(void *arg, enum wr_result result, uint64_t sequence)
 {
     struct sn_replica *replica = arg;
-    replica->unwritten--;
+    replica->parts_unwritten--;
 }
 
-/* Queues one part; takes "seen" over. */
+/* Queues one part; takes ownership of "seen". */
 static void
 put_part(struct sn_replica *replica, json_t *seen, const char *entries,
          size_t part, size_t parts)
@@ -78,16 +80,16 @@
         json_pack("{s:I, s:I, s:I, s:I, s:o, s:s}", "id", covers, "part",
                   (json_int_t)part, "parts", (json_int_t)parts, "covers",
                   covers, "seen", seen, "z", entries);
-    replica->unwritten++;
+    replica->parts_unwritten++;
     if (Wr_Put(replica->writer, BG_EVIDENCE, Sn_KIND, body, 0, part_written,
                replica) != ST_OK) {
-        replica->unwritten--;
+        replica->parts_unwritten--;
     }
 }
 
-/* At most "count" of the writers in a list, from "from" on. */
+/* Returns up to "count" writers of a list, starting at index "from". */
 static json_t *
-slice(const json_t *list, size_t from, size_t count)
+slice_writers(const json_t *list, size_t from, size_t count)
 {
     json_t *part = json_array();
     for (size_t i = from; i < from + count && i < json_array_size(list); i++) {
@@ -97,76 +99,77 @@
 }
 
 static void
-put_parts(struct sn_replica *replica, const struct cutter *cutter)
+put_parts(struct sn_replica *replica, const struct builder *builder)
 {
-    json_t *seen = Se_Save(replica->seen);
+    json_t *seen = Se_Save(replica->sequences);
     size_t parts =
         (json_array_size(seen) + Sn_PART_WRITERS - 1) / Sn_PART_WRITERS;
-    if (parts < cutter->count) {
-        parts = cutter->count;
+    if (parts < builder->count) {
+        parts = builder->count;
     }
     for (size_t i = 0; i < parts; i++) {
-        put_part(replica, slice(seen, i * Sn_PART_WRITERS, Sn_PART_WRITERS),
-                 i < cutter->count ? cutter->texts[i] : "[]", i, parts);
+        put_part(replica,
+                 slice_writers(seen, i * Sn_PART_WRITERS, Sn_PART_WRITERS),
+                 i < builder->count ? builder->texts[i] : "[]", i, parts);
     }
     json_decref(seen);
 }
 
-/* Whether everything was cut. */
+/* Whether the parts hold the complete state. */
 static bool
-whole(const struct cutter *cutter)
+is_complete(const struct builder *builder)
 {
-    for (size_t i = 0; i < cutter->count; i++) {
-        if (cutter->texts[i] == NULL) {
+    for (size_t i = 0; i < builder->count; i++) {
+        if (builder->texts[i] == NULL) {
             return false;
         }
     }
-    return cutter->count < Sn_PARTS_MAX;
+    return builder->count < Sn_PARTS_MAX;
 }
 
 /*
- * Writes a snapshot of the present state through the replica's writer.
- * ST_UNAVAILABLE while the state is not known or the last one is still being
- * written; ST_OVERLOAD for a state beyond 4096 parts, since one that was cut
- * short would lose the rest.
+ * Writes a snapshot of the current state through the replica's writer.
+ * Returns ST_UNAVAILABLE while the state is not known or the previous snapshot
+ * is still being written, and ST_OVERLOAD for a state of more than 4096 parts,
+ * since a truncated snapshot would lose the remaining entries.
  */
 enum st_status
 Sn_Write(struct sn_replica *replica)
 {
-    if (!replica->reached || replica->unwritten > 0) {
+    if (!replica->tail_reached || replica->parts_unwritten > 0) {
         return St_Fail(ST_UNAVAILABLE, "no snapshot now; try again later");
     }
-    struct cutter *cutter = calloc(1, sizeof(*cutter));
-    if (cutter == NULL) {
+    struct builder *builder = calloc(1, sizeof(*builder));
+    if (builder == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a snapshot");
     }
     enum st_status status = ST_OK;
-    cutter->part = json_array();
-    cut_state(replica, cutter);
-    if (whole(cutter)) {
-        put_parts(replica, cutter);
+    builder->part = json_array();
+    build_parts(replica, builder);
+    if (is_complete(builder)) {
+        put_parts(replica, builder);
     }
     else {
         status = St_Fail(ST_OVERLOAD, "the state is too large for a "
                                       "snapshot; lower its bounds");
     }
-    for (size_t i = 0; i < cutter->count; i++) {
-        free(cutter->texts[i]);
+    for (size_t i = 0; i < builder->count; i++) {
+        free(builder->texts[i]);
     }
-    json_decref(cutter->part);
-    free(cutter);
-    replica->last_at = Ck_Now(replica->clock);
+    json_decref(builder->part);
+    free(builder);
+    replica->snapshot_at = Ck_Now(replica->clock);
     return status;
 }
 
-/* Whether it is time for a snapshot. */
 bool
 Sn_Due(const struct sn_replica *replica)
 {
-    if (!replica->writing || !replica->reached || replica->unwritten > 0 ||
-        Sn_Next(replica) == Pl_FIRST_OFFSET) {
+    if (!replica->writing || !replica->tail_reached ||
+        replica->parts_unwritten > 0 || Sn_Next(replica) == Pl_FIRST_OFFSET) {
         return false;
     }
-    return replica->applied >= replica->snapshot_records ||
-           Ck_Now(replica->clock) - replica->last_at >= replica->snapshot_usec;
+    return replica->applied_records >= replica->snapshot_records ||
+           Ck_Now(replica->clock) - replica->snapshot_at >=
+               replica->snapshot_usec;
 }
--- a/packages/state/test/claim_search_test.cc
+++ b/packages/state/test/claim_search_test.cc
@@ -1,4 +1,4 @@
-/* Every interleaving of two keepers of one key, over the claim table. */
+/* Bounded search of the interleavings of two keepers that claim one key. */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -12,20 +12,23 @@
 
 namespace {
 
-enum class Flaw {
+enum class Fault {
     kNone,
-    kWonByAnswer,       /* the append's own answer is the verdict */
-    kReleaseDispatched, /* an owner releases what it has dispatched */
-    kKeepReleased,      /* an owner dispatches what it has released */
-    kReleaseUnread,     /* a claim given up is released before it is read,
-                           and dispatched when it turns out to have won */
+    kWonByAnswer,       /* the append's own answer is taken as the verdict */
+    kReleaseDispatched, /* a dispatched attempt is released */
+    kDispatchReleased,  /* a released attempt is dispatched */
+    /*
+     * An abandoned claim is released before it is read back, and dispatched if
+     * it turns out to have won.
+     */
+    kReleaseUnread,
 };
 
 enum Op { OP_NONE, OP_CLAIM, OP_RESULT, OP_RELEASE };
-enum Phase { IDLE, WAITING, GIVEN_UP, WON, RUNNING };
+enum Phase { IDLE, WAITING, ABANDONED, WON, RUNNING };
 
 const int kHosts = 2;
-const int kAttempts = 2; /* of each host */
+const int kAttempts = 2; /* per host */
 const int kRecords = 4;
 
 struct Record {
@@ -37,9 +40,9 @@
 };
 
 struct Host {
-    Record flight; /* op OP_NONE: none; repeated unchanged until settled */
-    Record orphan; /* what a dead run of this host left on its way */
-    bool landed;   /* the flight may be in the log */
+    Record in_flight;   /* OP_NONE: none; resent unchanged until settled */
+    Record orphan;      /* record in flight when this host crashed */
+    bool maybe_written; /* "in_flight" may be in the log */
     int incarnation;
     int sequence;
     int attempts;
@@ -48,7 +51,7 @@
     int read;
 };
 
-/* Compared by its bytes, so it is cleared before use. */
+/* Compared by its bytes, so it must be zeroed before use. */
 struct Model {
     Host hosts[kHosts];
     Record log[kRecords];
@@ -57,18 +60,18 @@
 };
 
 struct Verdict {
-    bool fresh; /* not a repeat */
+    bool accepted; /* the record is not a duplicate */
     enum cl_verdict verdict;
 };
 
 struct Search {
-    Flaw flaw;
+    Fault fault;
     bool failed = false;
     int most_runs = 0;
-    std::unordered_set<uint64_t> seen;
+    std::unordered_set<uint64_t> visited;
     std::unordered_map<uint64_t, Verdict> verdicts;
 
-    explicit Search(Flaw f) : flaw(f)
+    explicit Search(Fault f) : fault(f)
     {
     }
 
@@ -102,7 +105,7 @@
                           : Cl_ReleaseBody(&claim.key, &claim.attempt);
         struct cl_outcome out = {};
         Verdict verdict = {Se_Accept(writers, &record), CL_NONE};
-        if (verdict.fresh) {
+        if (verdict.accepted) {
             Cl_Apply(table, &record, &out);
             verdict.verdict = out.verdict;
         }
@@ -110,14 +113,14 @@
         return verdict;
     }
 
-    /* What the last of the first "count" records is judged to be. */
+    /* Returns the verdict on the last of the first "count" records. */
     Verdict
-    Judge(const Model &m, int count)
+    LastVerdict(const Model &m, int count)
     {
         uint64_t id = Hash_Bytes(m.log, sizeof(Record) * (size_t)count, 1);
-        auto known = verdicts.find(id);
-        if (known != verdicts.end()) {
-            return known->second;
+        auto cached = verdicts.find(id);
+        if (cached != verdicts.end()) {
+            return cached->second;
         }
         struct cl_options options = {};
         struct cl_table *table = Cl_Create(&options);
@@ -137,14 +140,14 @@
     {
         most_runs = m.runs > most_runs ? m.runs : most_runs;
         failed = failed || m.runs > 1;
-        if (failed || !seen.insert(Hash_Bytes(&m, sizeof(m), 0)).second) {
+        if (failed || !visited.insert(Hash_Bytes(&m, sizeof(m), 0)).second) {
             return;
         }
         for (int i = 0; i < kHosts; i++) {
-            Act(m, i);
-            Land(m, i, true);
-            Land(m, i, false);
-            LandOrphan(m, i);
+            OwnerStep(m, i);
+            Write(m, i, true);
+            Write(m, i, false);
+            WriteOrphan(m, i);
             Refuse(m, i);
             Read(m, i);
             Crash(m, i);
@@ -154,18 +157,18 @@
     static void
     Send(Host &host, int i, int op, int attempt)
     {
-        host.flight = {i, host.incarnation, ++host.sequence, op, attempt};
-        host.landed = false;
+        host.in_flight = {i, host.incarnation, ++host.sequence, op, attempt};
+        host.maybe_written = false;
     }
 
-    /* What an owner may do of its own accord. */
+    /* Takes the steps that an owner may take without an event from the log. */
     void
-    Act(Model m, int i)
+    OwnerStep(Model m, int i)
     {
         Host &host = m.hosts[i];
-        bool free = host.flight.op == OP_NONE;
+        bool free = host.in_flight.op == OP_NONE;
         if (host.phase == WAITING) {
-            host.phase = GIVEN_UP;
+            host.phase = ABANDONED;
             Visit(m);
         }
         else if (host.phase == IDLE && free && host.attempts < kAttempts) {
@@ -180,7 +183,7 @@
             run.hosts[i].phase = RUNNING;
             Visit(run);
             if (free) {
-                host.phase = flaw == Flaw::kKeepReleased ? WON : IDLE;
+                host.phase = fault == Fault::kDispatchReleased ? WON : IDLE;
                 Send(host, i, OP_RELEASE, host.attempt);
                 Visit(m);
             }
@@ -190,35 +193,35 @@
             Model released = m;
             Send(host, i, OP_RESULT, host.attempt);
             Visit(m);
-            if (flaw == Flaw::kReleaseDispatched) {
+            if (fault == Fault::kReleaseDispatched) {
                 Send(released.hosts[i], i, OP_RELEASE, host.attempt);
                 Visit(released);
             }
         }
     }
 
-    /* The append takes effect, and is answered or may be repeated. */
+    /* The append takes effect and is either answered or may be sent again. */
     void
-    Land(Model m, int i, bool answered)
+    Write(Model m, int i, bool answered)
     {
         Host &host = m.hosts[i];
-        if (host.flight.op == OP_NONE || m.records == kRecords) {
+        if (host.in_flight.op == OP_NONE || m.records == kRecords) {
             return;
         }
-        m.log[m.records++] = host.flight;
-        host.landed = true;
+        m.log[m.records++] = host.in_flight;
+        host.maybe_written = true;
         if (answered) {
-            if (flaw == Flaw::kWonByAnswer && host.flight.op == OP_CLAIM &&
-                host.phase == WAITING) {
+            if (fault == Fault::kWonByAnswer &&
+                host.in_flight.op == OP_CLAIM && host.phase == WAITING) {
                 host.phase = WON;
             }
-            host.flight = {};
+            host.in_flight = {};
         }
         Visit(m);
     }
 
     void
-    LandOrphan(Model m, int i)
+    WriteOrphan(Model m, int i)
     {
         Host &host = m.hosts[i];
         if (host.orphan.op != OP_NONE && m.records < kRecords) {
@@ -228,15 +231,18 @@
         }
     }
 
-    /* A refusal proves something only of an append that never landed. */
+    /*
+     * A refusal proves that the record was not written only if no earlier try
+     * of the same append may have been written.
+     */
     void
     Refuse(Model m, int i)
     {
         Host &host = m.hosts[i];
-        if (host.flight.op != OP_CLAIM || host.landed) {
+        if (host.in_flight.op != OP_CLAIM || host.maybe_written) {
             return;
         }
-        host.flight = {};
+        host.in_flight = {};
         host.sequence--;
         host.phase = IDLE;
         Visit(m);
@@ -250,12 +256,12 @@
             return;
         }
         Record record = m.log[host.read++];
-        Verdict verdict = Judge(m, host.read);
+        Verdict verdict = LastVerdict(m, host.read);
         bool own = record.host == i && record.incarnation == host.incarnation;
-        if (own && record.sequence == host.flight.sequence) {
-            host.flight = {};
+        if (own && record.sequence == host.in_flight.sequence) {
+            host.in_flight = {};
         }
-        if (own && verdict.fresh && record.op == OP_CLAIM &&
+        if (own && verdict.accepted && record.op == OP_CLAIM &&
             record.attempt == host.attempt) {
             Settle(host, i, verdict.verdict == CL_WON);
         }
@@ -268,10 +274,10 @@
         if (host.phase == WAITING) {
             host.phase = won ? WON : IDLE;
         }
-        else if (host.phase == GIVEN_UP) {
+        else if (host.phase == ABANDONED) {
             host.phase = IDLE;
             if (won) {
-                host.phase = flaw == Flaw::kReleaseUnread ? WON : IDLE;
+                host.phase = fault == Fault::kReleaseUnread ? WON : IDLE;
                 Send(host, i, OP_RELEASE, host.attempt);
             }
         }
@@ -284,9 +290,9 @@
         if (host.incarnation > 0) {
             return;
         }
-        host.orphan = host.flight;
-        host.flight = {};
-        host.landed = false;
+        host.orphan = host.in_flight;
+        host.in_flight = {};
+        host.maybe_written = false;
         host.incarnation++;
         host.sequence = 0;
         host.phase = IDLE;
@@ -296,30 +302,31 @@
 };
 
 /*
- * A seat is charged twice: two hosts claim the same key, appends land, are
- * refused, repeated or left behind by a dead run, owners give up, release,
- * dispatch, answer or die, in every order within the bound.
+ * Two hosts claim the same key.  Appends are written, refused, resent or left
+ * in flight by a crash; owners abandon, release, dispatch, answer or crash.
+ * All sequences within the bound are searched; the request must run at most
+ * once, since otherwise a seat would be charged twice.
  */
 TEST(ClaimSearch, AKeyRunsAtMostOnce)
 {
-    Search search(Flaw::kNone);
+    Search search(Fault::kNone);
     Model m;
     memset(&m, 0, sizeof(m));
     search.Visit(m);
     EXPECT_FALSE(search.failed);
     EXPECT_EQ(1, search.most_runs);
-    printf("states searched: %zu\n", search.seen.size());
+    printf("states searched: %zu\n", search.visited.size());
 }
 
-TEST(ClaimSearch, FindsEveryFlawPutIn)
+TEST(ClaimSearch, DetectsEveryInjectedFault)
 {
-    for (Flaw flaw : {Flaw::kWonByAnswer, Flaw::kReleaseDispatched,
-                      Flaw::kKeepReleased, Flaw::kReleaseUnread}) {
-        Search search(flaw);
+    for (Fault fault : {Fault::kWonByAnswer, Fault::kReleaseDispatched,
+                        Fault::kDispatchReleased, Fault::kReleaseUnread}) {
+        Search search(fault);
         Model m;
         memset(&m, 0, sizeof(m));
         search.Visit(m);
-        EXPECT_TRUE(search.failed) << (int)flaw;
+        EXPECT_TRUE(search.failed) << (int)fault;
     }
 }
 
--- a/packages/state/test/claim_test.cc
+++ b/packages/state/test/claim_test.cc
@@ -1,4 +1,4 @@
-/* The claim table alone: records in, verdicts out. */
+/* The claim table alone: applies records and checks the verdicts. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -122,7 +122,7 @@
     }
 };
 
-TEST(Claim, TheFirstInLogOrderWinsAndRepeatsGetItsAnswer)
+TEST(Claim, TheFirstInLogOrderWinsAndRetriesGetItsAnswer)
 {
     Table t;
     EXPECT_EQ(CL_WON, t.Claim("k", "a", 1));
@@ -140,11 +140,11 @@
 }
 
 /*
- * A seat is charged twice: the first request was refused before dispatch and
- * its key released; the repeat wins the key; then a late release or result
- * of the first request arrives and frees or ends the claim of the repeat.
+ * The first request is refused before dispatch and its key is released; a
+ * retry wins the key.  A late release or result of the first request must not
+ * release or complete the retry's claim: a seat would be charged twice.
  */
-TEST(Claim, OnlyTheHolderReleasesOrEndsAClaim)
+TEST(Claim, OnlyTheHolderReleasesOrCompletesAClaim)
 {
     Table t;
     EXPECT_EQ(CL_WON, t.Claim("k", "a", 1));
@@ -161,7 +161,7 @@
     EXPECT_EQ("first", t.Body("k"));
 }
 
-TEST(Claim, KeepsSmallBodiesWithinTheirBoundAndSaysWhenCut)
+TEST(Claim, KeepsSmallBodiesWithinTheLimitAndMarksTruncatedOnes)
 {
     Table t({0, 0, 100});
     t.Claim("a", "o", 1);
@@ -177,7 +177,7 @@
     EXPECT_TRUE(t.Lookup("c").answer.truncated);
 }
 
-TEST(Claim, AFullTableRefusesAndForgetsNothing)
+TEST(Claim, AFullTableRefusesClaimsAndEvictsNothing)
 {
     Table t({0, 2, 0});
     EXPECT_EQ(CL_WON, t.Claim("a", "o", 1));
@@ -189,10 +189,10 @@
 }
 
 /*
- * A repeat within the day runs again, because one host's clock was set days
- * ahead and its records ended the window of every key.
+ * One host's clock is set days ahead.  Its records must not end the window of
+ * every key, since a retry within the day would run again.
  */
-TEST(Claim, OneClockAheadEndsNoWindow)
+TEST(Claim, OneClockAheadDoesNotEndTheWindow)
 {
     Table t;
     t.keeper = "b";
@@ -206,9 +206,9 @@
 }
 
 /*
- * A repeat within minutes runs again after a quiet weekend: record time had
- * stood still since Friday, so the key seemed days old once the next records
- * moved it.
+ * The stream is idle over a weekend, so record time stays at Friday.  A key
+ * claimed after the weekend must not look days old once the next records
+ * advance record time: a retry within minutes would run again.
  */
 TEST(Claim, AnIdleStreamDoesNotShortenTheWindow)
 {
@@ -239,19 +239,22 @@
     }
 }
 
-/* Any prefix saved and loaded goes on as if nothing had happened. */
+/*
+ * A table that is saved and loaded after any number of records must give the
+ * same verdicts as the original.
+ */
 TEST(Claim, ASavedTableGivesTheSameVerdicts)
 {
     for (uint64_t seed = 1; seed <= 200; seed++) {
         struct rn_random random;
         Rn_Seed(&random, seed);
         struct cl_options options = {kHour, 5, 30};
-        Table whole(options);
+        Table original(options);
         Table loaded(options);
-        int cut = (int)Rn_Below(&random, 100);
+        int split = (int)Rn_Below(&random, 100);
         for (int i = 0; i < 100; i++) {
-            if (i == cut) {
-                json_t *saved = Cl_Save(whole.table);
+            if (i == split) {
+                json_t *saved = Cl_Save(original.table);
                 Cl_Reset(loaded.table);
                 size_t j;
                 json_t *entry;
@@ -265,8 +268,8 @@
             uint64_t number = Rn_Below(&random, 2);
             uint32_t what = Rn_Below(&random, 4);
             int64_t wall = kNow + i * kHour / 20;
-            for (Table *t : {&whole, &loaded}) {
-                if (t == &loaded && i < cut) {
+            for (Table *t : {&original, &loaded}) {
+                if (t == &loaded && i < split) {
                     continue;
                 }
                 if (what < 2) {
@@ -279,8 +282,8 @@
                     t->Release(key, owner, number);
                 }
             }
-            if (i >= cut) {
-                ASSERT_EQ(whole.Dump(), loaded.Dump()) << seed << " " << i;
+            if (i >= split) {
+                ASSERT_EQ(original.Dump(), loaded.Dump()) << seed << " " << i;
             }
         }
     }
--- a/packages/state/test/keeper_test.cc
+++ b/packages/state/test/keeper_test.cc
@@ -1,4 +1,4 @@
-/* Keepers of the same slots over one log with faults. */
+/* Keepers of the same slots over one log with injected faults. */
 #include <gtest/gtest.h>
 
 #include <map>
@@ -16,7 +16,7 @@
 struct World {
     FakeLog log;
     FakeClock clock;
-    std::map<std::string, int> runs; /* by key */
+    std::map<std::string, int> runs; /* runs of each key */
     std::map<std::string, std::string> first_answer;
     std::set<std::string> dead;
     uint64_t attempts = 0;
@@ -42,9 +42,9 @@
     struct kp_keeper *keeper = nullptr;
     struct rc_writer self = {};
     std::vector<std::unique_ptr<Request>> requests;
-    std::vector<Request *> won;     /* not dispatched yet */
-    std::vector<Request *> running; /* dispatched, no result yet */
-    std::vector<Request *> moved;   /* asked of a second keeper as well */
+    std::vector<Request *> won;      /* won, not dispatched yet */
+    std::vector<Request *> running;  /* dispatched, no result yet */
+    std::vector<Request *> rerouted; /* claimed at a second keeper */
 
     Node(World &w, std::string n)
         : world(w), name(std::move(n)), budget(Bg_Create(&w.clock.clock))
@@ -83,7 +83,10 @@
         ASSERT_EQ(ST_OK, Kp_Create(&options, &keeper));
     }
 
-    /* The process dies: nothing it knew is left, and it is told nothing. */
+    /*
+     * Simulates a crash: the keeper's state is lost and its owners get no
+     * answers.
+     */
     void
     Restart()
     {
@@ -94,7 +97,7 @@
         world.dead.insert(name + std::to_string(self.incarnation));
         won.clear();
         running.clear();
-        moved.clear();
+        rerouted.clear();
         Start();
     }
 
@@ -122,11 +125,11 @@
     }
 
     /*
-     * The first keeper's answer does not come (its link is cut), so the same
-     * attempt is claimed through another keeper.
+     * Claims the latest attempt through another keeper, as if the connection
+     * to the first keeper had been lost before it answered.
      */
     void
-    Move(Node &keeper_node)
+    Reroute(Node &keeper_node)
     {
         Request *first = requests.empty() ? nullptr : requests.back().get();
         if (first == nullptr || first->answered) {
@@ -138,16 +141,18 @@
         second->claim = first->claim;
         Request *raw = second.get();
         requests.push_back(std::move(second));
-        moved.push_back(raw);
+        rerouted.push_back(raw);
         EXPECT_EQ(ST_OK,
                   Kp_Claim(keeper_node.keeper, &raw->claim,
                            world.clock.boot + Ck_USEC_PER_SEC, OnAnswer, raw));
     }
 
-    /* An attempt that will not be dispatched is released: it may have won at
-     * the keeper whose answer was lost. */
+    /*
+     * Releases an attempt that will not be dispatched: it may have won at the
+     * keeper whose answer was lost.
+     */
     void
-    ReleaseMoved(Request *r)
+    ReleaseRerouted(Request *r)
     {
         if (r->answered && r->verdict != KP_WON) {
             Release(r);
@@ -218,9 +223,9 @@
 }
 
 /*
- * Both parents' taps reach two hosts in the same millisecond, and each host
- * believes it keeps the slot: two tickets are charged.  The order of the two
- * claims in the log decides, whatever each append's own answer said.
+ * Requests with the same key reach two hosts in the same millisecond, and both
+ * hosts keep the slot.  The order of the two claims in the log decides, not
+ * the answers to the appends; otherwise two tickets would be charged.
  */
 TEST(Keeper, TwoKeepersOfOneSlotGiveOneWinner)
 {
@@ -249,9 +254,11 @@
     }
 }
 
-/* A host dies after it dispatched a charge and before the result: a repeat
- * must be told that the outcome is unknown, on every host and for ever. */
-TEST(Keeper, ADeadOwnersClaimIsUnknownAndNeverRunsAgain)
+/*
+ * A host crashes after it dispatched a charge and before the result.  A retry
+ * on any host must be answered "unknown", at any later time.
+ */
+TEST(Keeper, ACrashedOwnersClaimIsUnknownAndNeverRunsAgain)
 {
     World world;
     Node a(world, "a");
@@ -277,9 +284,9 @@
 }
 
 /*
- * The log is down for a while.  New claims are refused as not run, and truly
- * so: the same key can be won afterwards.  The result of a charge that was
- * dispatched before is not lost.
+ * The log is down for a while.  New claims are answered "not run", and the
+ * same key can be won afterwards.  The result of a charge that was dispatched
+ * before the outage is not lost.
  */
 TEST(Keeper, AnOutageRefusesClaimsAndKeepsResults)
 {
@@ -307,11 +314,12 @@
 }
 
 /*
- * A parent is told "in progress" for hours, because the claim of an earlier
- * try, refused to its caller as not run after a lost answer, stood in the
- * log after all and nobody will ever run it.
+ * The answer to the append of a claim is lost, so its owner is answered "not
+ * run", but the record is written later.  The claim must be released;
+ * otherwise every retry would be answered "in progress" for hours although
+ * nobody runs the request.
  */
-TEST(Keeper, AClaimThatLandsAfterItsRefusalIsReleased)
+TEST(Keeper, AClaimWrittenAfterItsRefusalIsReleased)
 {
     World world;
     Node a(world, "a");
@@ -330,8 +338,11 @@
     EXPECT_EQ(KP_WON, repeat->verdict);
 }
 
-/* A slot closed and opened again must go on with its sequence: readers drop
- * one that begins again as repeats, and every claim would time out. */
+/*
+ * A slot that is closed and opened again must continue its sequence numbers.
+ * If they restarted, readers would drop its records as duplicates and every
+ * claim would time out.
+ */
 TEST(Keeper, AReopenedSlotIsReadyAgain)
 {
     World world;
@@ -351,8 +362,8 @@
     EXPECT_EQ(KP_WON, second->verdict);
 }
 
-/* A slot's new keeper starts after its first records have expired. */
-TEST(Keeper, TakesASlotOverFromItsSnapshot)
+/* A new keeper opens a slot whose first records have expired. */
+TEST(Keeper, OpensASlotFromItsSnapshot)
 {
     World world;
     Node a(world, "a");
@@ -382,9 +393,11 @@
     EXPECT_EQ(world.first_answer["k"], repeat->body);
 }
 
-/* Records are gone and no snapshot covers them: claims are refused, since a
- * key that is not in the table may have run. */
-TEST(Keeper, NeverAnswersFromAHole)
+/*
+ * Records have expired and no snapshot covers them.  Claims must be refused,
+ * since a key that is not in the table may have run.
+ */
+TEST(Keeper, RefusesClaimsOverAGap)
 {
     World world;
     Node a(world, "a");
@@ -404,9 +417,12 @@
     EXPECT_EQ(KP_NOT_RUN, refused->verdict);
 }
 
-/* One random step of a node's callers and its own life. */
+/*
+ * Takes one random step of a node: a caller's action or a restart, then a
+ * tick.
+ */
 void
-Act(World &world, Node &node, Node &other)
+RandomStep(World &world, Node &node, Node &other)
 {
     struct rn_random *random = &world.log.random;
     uint32_t what = Rn_Below(random, 100);
@@ -433,10 +449,10 @@
         node.Restart();
     }
     else if (what < 70) {
-        node.Move(other);
+        node.Reroute(other);
     }
-    else if (what < 74 && !node.moved.empty()) {
-        node.ReleaseMoved(node.moved.back());
+    else if (what < 74 && !node.rerouted.empty()) {
+        node.ReleaseRerouted(node.rerouted.back());
     }
     for (auto &[name, stream] : world.log.streams) {
         if (stream.records.size() > 60) {
@@ -472,13 +488,13 @@
 }
 
 /*
- * A seat is charged twice in a bad hour: both hosts keep the slot, answers
- * of the log are lost, appends arrive late, hosts die at any moment, keys
- * are released and claimed again, an attempt is claimed through a second
- * keeper, records expire behind snapshots.  Whatever comes, a key runs at most
- * once, and afterwards every key has an answer.
+ * Two hosts keep the same slot while answers of the log are lost, appends are
+ * written late, hosts crash, keys are released and claimed again, attempts are
+ * claimed through a second keeper and records expire behind snapshots.  Every
+ * key must run at most once (a seat must not be charged twice), and afterwards
+ * a claim of each key must get a final verdict.
  */
-TEST(Keeper, AKeyRunsAtMostOnceWhateverFails)
+TEST(Keeper, AKeyRunsAtMostOnceUnderFaults)
 {
     World total;
     for (uint64_t seed = 1; seed <= 3000; seed++) {
@@ -493,7 +509,7 @@
         world.log.overlap_rate = 0.1;
         for (int step = 0; step < 300; step++) {
             size_t i = Rn_Below(&world.log.random, 2);
-            Act(world, *nodes[i], *nodes[1 - i]);
+            RandomStep(world, *nodes[i], *nodes[1 - i]);
             for (const auto &[key, runs] : world.runs) {
                 ASSERT_LE(runs, 1) << key << " seed " << seed;
             }
@@ -507,8 +523,8 @@
             for (Request *r : node->won) {
                 node->Release(r);
             }
-            for (Request *r : node->moved) {
-                node->ReleaseMoved(r);
+            for (Request *r : node->rerouted) {
+                node->ReleaseRerouted(r);
             }
             for (Request *r : node->running) {
                 node->Finish(r);
--- a/packages/state/test/snapshot_test.cc
+++ b/packages/state/test/snapshot_test.cc
@@ -13,7 +13,7 @@
 
 const char *const kStream = "control";
 
-/* The state is the list of values applied. */
+/* A replica whose state is the list of the values applied. */
 struct Replica {
     FakeLog &log;
     FakeClock &clock;
@@ -21,7 +21,7 @@
     struct wr_writer *writer = nullptr;
     struct sn_replica *replica = nullptr;
     std::vector<std::string> state;
-    size_t padding = 0; /* bytes of an entry of the snapshot */
+    size_t padding = 0; /* bytes added to each snapshot entry */
 
     Replica(FakeLog &l, FakeClock &c, const char *node, uint64_t records = 0)
         : log(l), clock(c), budget(Bg_Create(&c.clock))
@@ -132,7 +132,7 @@
     writer.Settle();
 }
 
-TEST(Snapshot, ANewReplicaGoesOnFromIt)
+TEST(Snapshot, ANewReplicaContinuesFromIt)
 {
     FakeLog log;
     FakeClock clock;
@@ -150,26 +150,30 @@
 }
 
 /*
- * A daemon that starts after records have expired judges by a state with a
- * hole in it: the only snapshot left ends below the oldest record.  It must
- * know that its state is not known, until a later snapshot covers the gap.
+ * A daemon starts after records have expired, and the only snapshot left
+ * covers offsets that end before the oldest record.  The replica must report
+ * that its state is not known until a later snapshot covers the gap; otherwise
+ * it would decide on a state that lacks records.
  */
-TEST(Snapshot, NeverStartsOverAGap)
+TEST(Snapshot, NeverStartsAcrossAGap)
 {
     FakeLog log;
     FakeClock clock;
     Replica a(log, clock, "a");
     PutMany(a, 1, 5);
-    ASSERT_EQ(ST_OK, Sn_Write(a.replica)); /* covers 5 */
+    ASSERT_EQ(ST_OK, Sn_Write(a.replica)); /* covers up to offset 5 */
     a.Settle();
     PutMany(a, 6, 8);
     std::vector<std::string> texts = log.streams[kStream].records;
     log.Expire(kStream, 8);
-    /* The snapshot's record is still there, as if expiry left a gap. */
+    /*
+     * Append the snapshot's record again, as if only the records between had
+     * expired.
+     */
     log.streams[kStream].records.push_back(texts[5]);
     Replica b(log, clock, "b");
     b.Settle();
-    EXPECT_EQ(SN_HOLE, Sn_Phase(b.replica));
+    EXPECT_EQ(SN_GAP, Sn_Phase(b.replica));
     EXPECT_TRUE(b.state.empty());
     EXPECT_EQ(nullptr, Sn_Export(b.replica));
     a.Settle();
@@ -180,7 +184,7 @@
     EXPECT_EQ(a.state, b.state);
 }
 
-/* A snapshot whose writer died half-way must not be taken for a state. */
+/* A snapshot whose writer crashed before the last part must not be loaded. */
 TEST(Snapshot, AnUnfinishedOneIsIgnored)
 {
     FakeLog log;
@@ -196,13 +200,14 @@
     log.Expire(kStream, 20);
     Replica b(log, clock, "b");
     b.Settle();
-    EXPECT_EQ(SN_HOLE, Sn_Phase(b.replica));
+    EXPECT_EQ(SN_GAP, Sn_Phase(b.replica));
 }
 
 /*
- * A lost answer's second copy comes after the snapshot that covers the first
- * one.  A replica that started from the snapshot would count it again, unlike
- * the others, if the snapshot did not carry the writers' sequences.
+ * The second copy of a record whose answer was lost comes after the snapshot
+ * that covers the first copy.  The snapshot must carry the writers' sequence
+ * numbers; otherwise a replica that started from it would apply the copy
+ * again, unlike the other replicas.
  */
 TEST(Snapshot, CarriesTheSequencesOfWriters)
 {
@@ -226,7 +231,10 @@
     EXPECT_EQ(a.state, b.state);
 }
 
-/* An idle stream's last snapshot would expire, and the state with it. */
+/*
+ * A snapshot must be written again on an idle stream before the last one
+ * expires; otherwise the state would be lost.
+ */
 TEST(Snapshot, IsWrittenAgainOnAnIdleStream)
 {
     FakeLog log;
@@ -246,7 +254,7 @@
     EXPECT_EQ(a.state, b.state);
 }
 
-TEST(Snapshot, AReplicaThatFellBehindStartsAgain)
+TEST(Snapshot, AReplicaThatFellBehindReloads)
 {
     FakeLog log;
     FakeClock clock;
@@ -262,9 +270,11 @@
     EXPECT_EQ(a.state, b.state);
 }
 
-/* The log is down when a daemon starts: it takes a peer's state and goes on
- * from there once the log is back. */
-TEST(Snapshot, APeersStateStandsInWhileTheLogIsDown)
+/*
+ * The log is down when a daemon starts.  The daemon loads a peer's state and
+ * continues from there after the outage.
+ */
+TEST(Snapshot, APeersStateIsUsedWhileTheLogIsDown)
 {
     FakeLog log;
     FakeClock clock;
@@ -288,10 +298,10 @@
 }
 
 /*
- * Hosts disagree about leases and claims for hours after one was replaced:
- * its state, from a snapshot, differs from that of the others.  Replicas that
- * start at any moment, under faults and rolling expiry, end up equal to one
- * that saw everything.
+ * Replicas start at random times, under faults and while records expire.
+ * Their states must equal that of a replica that read every record; otherwise
+ * a replaced host would disagree with the others about leases and claims for
+ * hours.
  */
 TEST(Snapshot, ReplicasThatStartAnywhereAgree)
 {
@@ -305,17 +315,17 @@
         log.overlap_rate = 0.1;
         Replica a(log, clock, "a", 15);
         Replica b(log, clock, "b", 20);
-        std::unique_ptr<Replica> young;
+        std::unique_ptr<Replica> newcomer;
         for (int step = 0; step < 300; step++) {
             Replica &one = Rn_Below(&log.random, 2) == 0 ? a : b;
             if (Rn_Below(&log.random, 4) == 0) {
                 one.Put(std::to_string(step));
             }
             if (Rn_Below(&log.random, 60) == 0) {
-                young = std::make_unique<Replica>(log, clock, "young");
+                newcomer = std::make_unique<Replica>(log, clock, "young");
             }
-            if (young != nullptr) {
-                young->Tick();
+            if (newcomer != nullptr) {
+                newcomer->Tick();
             }
             one.Tick();
             log.Run((int)Rn_Below(&log.random, 5));
@@ -338,16 +348,16 @@
             a.Settle(1);
             b.Settle(1);
             last.Settle(1);
-            if (young != nullptr) {
-                young->Settle(1);
+            if (newcomer != nullptr) {
+                newcomer->Settle(1);
             }
         }
         ASSERT_EQ(SN_READY, Sn_Phase(last.replica)) << seed;
         ASSERT_GT(a.state.size(), 10u);
         ASSERT_EQ(a.state, b.state) << seed;
         ASSERT_EQ(a.state, last.state) << seed;
-        if (young != nullptr) {
-            ASSERT_EQ(a.state, young->state) << seed;
+        if (newcomer != nullptr) {
+            ASSERT_EQ(a.state, newcomer->state) << seed;
         }
     }
 }
