--- a/packages/state/leases.c
+++ b/packages/state/leases.c
@@ -36,51 +36,51 @@
 enum st_status
 Le_Create(const struct le_options *options, struct le_book **out)
 {
-    struct le_book *book = calloc(1, sizeof(*book));
-    if (book == NULL) {
+    struct le_book *table = calloc(1, sizeof(*table));
+    if (table == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for leases");
     }
-    RB_INIT(&book->jobs);
-    book->clock = options->clock;
-    book->self = options->self;
-    book->writer = options->writer;
-    book->terms.term_usec =
+    RB_INIT(&table->jobs);
+    table->clock = options->clock;
+    table->self = options->self;
+    table->writer = options->writer;
+    table->terms.term_usec =
         options->term_usec > 0 ? options->term_usec : Le_TERM_USEC;
-    book->terms.margin_usec =
+    table->terms.margin_usec =
         options->margin_usec > 0 ? options->margin_usec : Le_MARGIN_USEC;
-    *out = book;
+    *out = table;
     return ST_OK;
 }
 
 /* Frees the leases; their writer must be destroyed before. */
 void
-Le_Destroy(struct le_book *book)
+Le_Destroy(struct le_book *table)
 {
-    if (book == NULL) {
+    if (table == NULL) {
         return;
     }
     struct le_job *job;
     struct le_job *next;
-    RB_FOREACH_SAFE (job, le_tree, &book->jobs, next) {
-        RB_REMOVE(le_tree, &book->jobs, job);
+    RB_FOREACH_SAFE (job, le_tree, &table->jobs, next) {
+        RB_REMOVE(le_tree, &table->jobs, job);
         free(job);
     }
-    free(book);
+    free(table);
 }
 
 static struct le_job *
-find(const struct le_book *book, const char *name)
+find(const struct le_book *table, const char *name)
 {
     struct le_job probe;
     strlcpy(probe.name, name, sizeof(probe.name));
     /* RB_FIND() does not modify the tree but takes no const pointer. */
-    return RB_FIND(le_tree, (struct le_tree *)&book->jobs, &probe);
+    return RB_FIND(le_tree, (struct le_tree *)&table->jobs, &probe);
 }
 
 static struct le_job *
-find_or_add(struct le_book *book, const char *name)
+find_or_add(struct le_book *table, const char *name)
 {
-    struct le_job *job = find(book, name);
+    struct le_job *job = find(table, name);
     if (job != NULL) {
         return job;
     }
@@ -89,8 +89,8 @@
         abort(); /* replicas would diverge without this job */
     }
     strlcpy(job->name, name, sizeof(job->name));
-    Ls_Init(&job->agent, &book->self, &book->terms);
-    RB_INSERT(le_tree, &book->jobs, job);
+    Ls_Init(&job->agent, &table->self, &table->terms);
+    RB_INSERT(le_tree, &table->jobs, job);
     return job;
 }
 
@@ -100,14 +100,14 @@
  * all endpoints check them; every host must pass the same value.
  */
 enum st_status
-Le_Want(struct le_book *book, const char *name, bool wanted,
+Le_Want(struct le_book *table, const char *name, bool wanted,
         int64_t order_usec)
 {
     if (name[0] == '\0' || strlen(name) >= Ls_JOB_MAX) {
         return St_Fail(ST_INVALID, "job name of %zu bytes; use 1 to %d",
                        strlen(name), Ls_JOB_MAX - 1);
     }
-    struct le_job *job = find_or_add(book, name);
+    struct le_job *job = find_or_add(table, name);
     job->agent.terms.order_usec = order_usec;
     Ls_Want(&job->agent, wanted);
     return ST_OK;
@@ -123,13 +123,13 @@
 }
 
 static void
-append(struct le_book *book, struct le_job *job, enum ls_op op, int64_t now)
+append(struct le_book *table, struct le_job *job, enum ls_op op, int64_t now)
 {
     struct ls_change change = {.op = op, .base = job->agent.lease.last};
     strlcpy(change.job, job->name, sizeof(change.job));
     Ls_BeforeSend(&job->agent, op, now);
-    if (Wr_Put(book->writer, BG_LEASE, Ls_KIND, Ls_Body(&change),
-               now + book->terms.term_usec, change_written, job) != ST_OK) {
+    if (Wr_Put(table->writer, BG_LEASE, Ls_KIND, Ls_Body(&change),
+               now + table->terms.term_usec, change_written, job) != ST_OK) {
         Ls_NotWritten(&job->agent);
     }
 }
@@ -140,17 +140,17 @@
  * while the replica's state is not known.
  */
 void
-Le_Tick(struct le_book *book, bool ready, int64_t tail_read_at)
+Le_Tick(struct le_book *table, bool ready, int64_t tail_read_at)
 {
     if (!ready) {
         return;
     }
-    int64_t now = Ck_Now(book->clock);
+    int64_t now = Ck_Now(table->clock);
     struct le_job *job;
-    RB_FOREACH (job, le_tree, &book->jobs) {
+    RB_FOREACH (job, le_tree, &table->jobs) {
         enum ls_op op = Ls_Due(&job->agent, now, tail_read_at);
         if (op != LS_NOTHING) {
-            append(book, job, op, now);
+            append(table, job, op, now);
         }
     }
 }
@@ -160,33 +160,33 @@
  * stay.
  */
 void
-Le_Reset(struct le_book *book)
+Le_Reset(struct le_book *table)
 {
     struct ls_lease none = {.last = 0};
     struct le_job *job;
-    RB_FOREACH (job, le_tree, &book->jobs) {
-        Ls_Loaded(&job->agent, &none, Ck_Now(book->clock));
+    RB_FOREACH (job, le_tree, &table->jobs) {
+        Ls_Loaded(&job->agent, &none, Ck_Now(table->clock));
     }
 }
 
 /* Applies the next record of the stream. */
 void
-Le_Apply(struct le_book *book, const struct rc_record *record)
+Le_Apply(struct le_book *table, const struct rc_record *record)
 {
     struct ls_change change;
     if (!Rc_Is(record, Ls_KIND) || !Ls_Read(record->body, &change)) {
         return;
     }
-    struct le_job *job = find_or_add(book, change.job);
+    struct le_job *job = find_or_add(table, change.job);
     Ls_Applied(&job->agent, &record->writer, record->offset, &change,
-               Ck_Now(book->clock));
+               Ck_Now(table->clock));
 }
 
 /*
  * Loads the snapshot entry of one job; entries of other modules are ignored.
  */
 void
-Le_Load(struct le_book *book, const json_t *entry)
+Le_Load(struct le_book *table, const json_t *entry)
 {
     const char *name = Rc_Text(entry, "lease");
     if (name[0] == '\0') {
@@ -198,14 +198,14 @@
         .fence = (uint64_t)Rc_Number(entry, "fence"),
     };
     strlcpy(lease.holder.node, Rc_Text(entry, "n"), sizeof(lease.holder.node));
-    Ls_Loaded(&find_or_add(book, name)->agent, &lease, Ck_Now(book->clock));
+    Ls_Loaded(&find_or_add(table, name)->agent, &lease, Ck_Now(table->clock));
 }
 
 /* Appends the snapshot entries of all jobs to a list. */
 void
-Le_Save(const struct le_book *book, json_t *list)
+Le_Save(const struct le_book *table, json_t *list)
 {
-    struct le_tree *jobs = (struct le_tree *)&book->jobs;
+    struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
     RB_FOREACH (job, le_tree, jobs) {
         const struct ls_lease *lease = &job->agent.lease;
@@ -226,25 +226,25 @@
  * order is sent.
  */
 bool
-Le_MayAct(const struct le_book *book, const char *name, struct ls_permit *out)
+Le_MayAct(const struct le_book *table, const char *name, struct ls_permit *out)
 {
-    const struct le_job *job = find(book, name);
-    return job != NULL && Ls_MayAct(&job->agent, Ck_Now(book->clock), out);
+    const struct le_job *job = find(table, name);
+    return job != NULL && Ls_MayAct(&job->agent, Ck_Now(table->clock), out);
 }
 
 /* Whether this host holds the job's lease according to the log. */
 bool
-Le_Holds(const struct le_book *book, const char *name)
+Le_Holds(const struct le_book *table, const char *name)
 {
-    const struct le_job *job = find(book, name);
+    const struct le_job *job = find(table, name);
     return job != NULL && Ls_Holds(&job->agent);
 }
 
 /* Gets a job's lease; returns false if the log has no record of it. */
 bool
-Le_Get(const struct le_book *book, const char *name, struct ls_lease *out)
+Le_Get(const struct le_book *table, const char *name, struct ls_lease *out)
 {
-    const struct le_job *job = find(book, name);
+    const struct le_job *job = find(table, name);
     if (job == NULL || job->agent.lease.last == 0) {
         return false;
     }
@@ -254,9 +254,9 @@
 
 /* Number of leases that this host holds. */
 size_t
-Le_Held(const struct le_book *book)
+Le_Held(const struct le_book *table)
 {
-    struct le_tree *jobs = (struct le_tree *)&book->jobs;
+    struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
     size_t count = 0;
     RB_FOREACH (job, le_tree, jobs) {
--- a/packages/state/leases.h
+++ b/packages/state/leases.h
@@ -29,22 +29,23 @@
 
 enum st_status Le_Create(const struct le_options *options,
                          struct le_book **out);
-void Le_Destroy(struct le_book *book);
-enum st_status Le_Want(struct le_book *book, const char *job, bool wanted,
+void Le_Destroy(struct le_book *table);
+enum st_status Le_Want(struct le_book *table, const char *job, bool wanted,
                        int64_t order_usec);
-void Le_Tick(struct le_book *book, bool ready, int64_t tail_read_at);
+void Le_Tick(struct le_book *table, bool ready, int64_t tail_read_at);
 
 /* Callbacks for struct sn_ops; Le_Apply() ignores other kinds of record. */
-void Le_Reset(struct le_book *book);
-void Le_Apply(struct le_book *book, const struct rc_record *record);
-void Le_Load(struct le_book *book, const json_t *entry);
-void Le_Save(const struct le_book *book, json_t *list);
+void Le_Reset(struct le_book *table);
+void Le_Apply(struct le_book *table, const struct rc_record *record);
+void Le_Load(struct le_book *table, const json_t *entry);
+void Le_Save(const struct le_book *table, json_t *list);
 
-bool Le_MayAct(const struct le_book *book, const char *job,
+bool Le_MayAct(const struct le_book *table, const char *job,
                struct ls_permit *out);
-bool Le_Holds(const struct le_book *book, const char *job);
-bool Le_Get(const struct le_book *book, const char *job, struct ls_lease *out);
-size_t Le_Held(const struct le_book *book);
+bool Le_Holds(const struct le_book *table, const char *job);
+bool Le_Get(const struct le_book *table, const char *job,
+            struct ls_lease *out);
+size_t Le_Held(const struct le_book *table);
 
 #ifdef __cplusplus
 }
--- a/packages/state/test/keeper_test.cc
+++ b/packages/state/test/keeper_test.cc
@@ -245,11 +245,11 @@
     winner->node->Finish(winner);
     Settle(world, both);
     for (Node *node : both) {
-        Request *repeat = node->Claim("k");
+        Request *retry = node->Claim("k");
         Request *other = node->Claim("k", "other body");
         Settle(world, both);
-        EXPECT_EQ(KP_DONE, repeat->verdict);
-        EXPECT_EQ(world.first_answer["k"], repeat->body);
+        EXPECT_EQ(KP_DONE, retry->verdict);
+        EXPECT_EQ(world.first_answer["k"], retry->body);
         EXPECT_EQ(KP_REUSED, other->verdict);
     }
 }
@@ -270,17 +270,17 @@
     a.Dispatch(first);
     a.Restart();
     for (Node *node : both) {
-        Request *repeat = node->Claim("k");
+        Request *retry = node->Claim("k");
         Settle(world, both);
-        EXPECT_EQ(KP_UNKNOWN, repeat->verdict);
+        EXPECT_EQ(KP_UNKNOWN, retry->verdict);
     }
     Request *stuck = b.Claim("late");
     Settle(world, both);
     ASSERT_EQ(KP_WON, stuck->verdict);
     world.clock.Advance(7200 * Ck_USEC_PER_SEC);
-    Request *repeat = a.Claim("late");
+    Request *retry = a.Claim("late");
     Settle(world, both);
-    EXPECT_EQ(KP_UNKNOWN, repeat->verdict);
+    EXPECT_EQ(KP_UNKNOWN, retry->verdict);
 }
 
 /*
@@ -305,11 +305,11 @@
     EXPECT_NE("", refused->reason);
     world.log.outage = false;
     Settle(world, all, 500);
-    Request *repeat = a.Claim("before");
+    Request *retry = a.Claim("before");
     Request *again = a.Claim("during");
     Settle(world, all);
-    EXPECT_EQ(KP_DONE, repeat->verdict);
-    EXPECT_EQ(world.first_answer["before"], repeat->body);
+    EXPECT_EQ(KP_DONE, retry->verdict);
+    EXPECT_EQ(world.first_answer["before"], retry->body);
     EXPECT_EQ(KP_WON, again->verdict);
 }
 
@@ -333,9 +333,9 @@
     world.log.refused_rate = 0;
     world.log.DeliverLate();
     Settle(world, all, 500);
-    Request *repeat = a.Claim("k");
+    Request *retry = a.Claim("k");
     Settle(world, all);
-    EXPECT_EQ(KP_WON, repeat->verdict);
+    EXPECT_EQ(KP_WON, retry->verdict);
 }
 
 /*
@@ -386,11 +386,11 @@
     world.log.Expire(stream, s.Next() - 3);
     ASSERT_GT(s.oldest, 2u);
     Node b(world, "b");
-    Request *repeat = b.Claim("k");
+    Request *retry = b.Claim("k");
     std::vector<Node *> both = {&a, &b};
     Settle(world, both);
-    EXPECT_EQ(KP_DONE, repeat->verdict);
-    EXPECT_EQ(world.first_answer["k"], repeat->body);
+    EXPECT_EQ(KP_DONE, retry->verdict);
+    EXPECT_EQ(world.first_answer["k"], retry->body);
 }
 
 /*
--- a/packages/state/test/leases_test.cc
+++ b/packages/state/test/leases_test.cc
@@ -34,7 +34,7 @@
     struct bg_budget *budget;
     struct wr_writer *writer = nullptr;
     struct sn_replica *replica = nullptr;
-    struct le_book *book = nullptr;
+    struct le_book *table = nullptr;
     std::string name;
 
     Host(FakeLog &l, FakeClock &c, const char *n)
@@ -58,7 +58,7 @@
         options.writer = writer;
         options.term_usec = kTerm;
         options.margin_usec = kTerm / 10;
-        EXPECT_EQ(ST_OK, Le_Create(&options, &book));
+        EXPECT_EQ(ST_OK, Le_Create(&options, &table));
         struct sn_options replicate = {};
         replicate.log = &l.log;
         replicate.stream = "control";
@@ -70,14 +70,14 @@
         replicate.arg = this;
         EXPECT_EQ(ST_OK, Sn_Create(&replicate, &replica));
         Sn_SetWriting(replica, true);
-        EXPECT_EQ(ST_OK, Le_Want(book, "fenced", true, 0));
-        EXPECT_EQ(ST_OK, Le_Want(book, "plain", true, kOrder));
+        EXPECT_EQ(ST_OK, Le_Want(table, "fenced", true, 0));
+        EXPECT_EQ(ST_OK, Le_Want(table, "plain", true, kOrder));
     }
 
     ~Host()
     {
         Wr_Destroy(writer);
-        Le_Destroy(book);
+        Le_Destroy(table);
         Sn_Destroy(replica);
         Bg_Destroy(budget);
     }
@@ -87,7 +87,7 @@
     {
         int64_t sent_at = 0;
         bool ready = Sn_AtTail(replica, &sent_at);
-        Le_Tick(book, ready, sent_at);
+        Le_Tick(table, ready, sent_at);
         Wr_Tick(writer);
         Sn_Tick(replica);
     }
@@ -95,27 +95,27 @@
     static void
     Reset(void *arg)
     {
-        Le_Reset(static_cast<Host *>(arg)->book);
+        Le_Reset(static_cast<Host *>(arg)->table);
     }
 
     static void
     Apply(void *arg, const struct rc_record *record)
     {
-        Le_Apply(static_cast<Host *>(arg)->book, record);
+        Le_Apply(static_cast<Host *>(arg)->table, record);
     }
 
     static json_t *
     Save(void *arg)
     {
         json_t *list = json_array();
-        Le_Save(static_cast<Host *>(arg)->book, list);
+        Le_Save(static_cast<Host *>(arg)->table, list);
         return list;
     }
 
     static void
     Load(void *arg, const json_t *entry)
     {
-        Le_Load(static_cast<Host *>(arg)->book, entry);
+        Le_Load(static_cast<Host *>(arg)->table, entry);
     }
 
     static const struct sn_ops kOps;
@@ -131,7 +131,7 @@
 SendOrder(Host &host, const char *job, Endpoint &endpoint)
 {
     struct ls_permit permit;
-    if (!Le_MayAct(host.book, job, &permit)) {
+    if (!Le_MayAct(host.table, job, &permit)) {
         return;
     }
     ASSERT_GE(permit.fence, endpoint.fence) << job;
@@ -225,20 +225,20 @@
         }
     };
     settle(a);
-    EXPECT_EQ(2u, Le_Held(a.book));
+    EXPECT_EQ(2u, Le_Held(a.table));
     Host b(log, clock, "b");
     settle(b);
-    EXPECT_EQ(0u, Le_Held(b.book));
-    Le_Want(a.book, "fenced", false, 0);
+    EXPECT_EQ(0u, Le_Held(b.table));
+    Le_Want(a.table, "fenced", false, 0);
     settle(a);
     settle(b);
     struct ls_permit permit;
     struct ls_lease lease;
-    EXPECT_FALSE(Le_MayAct(a.book, "fenced", &permit));
-    EXPECT_TRUE(Le_MayAct(b.book, "fenced", &permit));
-    EXPECT_TRUE(Le_Get(a.book, "plain", &lease));
+    EXPECT_FALSE(Le_MayAct(a.table, "fenced", &permit));
+    EXPECT_TRUE(Le_MayAct(b.table, "fenced", &permit));
+    EXPECT_TRUE(Le_Get(a.table, "plain", &lease));
     EXPECT_STREQ("a", lease.holder.node);
-    EXPECT_EQ(ST_INVALID, Le_Want(a.book, "", true, 0));
+    EXPECT_EQ(ST_INVALID, Le_Want(a.table, "", true, 0));
 }
 
 } // namespace
