--- a/packages/state/follower.h
+++ b/packages/state/follower.h
@@ -11,7 +11,7 @@
 #include "base/clock.h"
 #include "platform/plog.h"
 #include "state/record.h"
-#include "state/seen.h"
+#include "state/sequences.h"
 
 #ifdef __cplusplus
 extern "C" {
--- a/packages/state/seen.c
+++ b/packages/state/sequences.c
@@ -1,4 +1,4 @@
-#include "state/seen.h"
+#include "state/sequences.h"
 
 #include <bsd/string.h>
 #include <bsd/sys/queue.h>
--- a/packages/state/seen.h
+++ b/packages/state/sequences.h
@@ -4,8 +4,8 @@
  * So a record whose sequence number is not above the highest one read is a
  * duplicate, or arrived after later records of its writer, and is dropped.
  */
-#ifndef STATE_SEEN_H
-#define STATE_SEEN_H
+#ifndef STATE_SEQUENCES_H
+#define STATE_SEQUENCES_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/packages/state/snapshot_internal.h
+++ b/packages/state/snapshot_internal.h
@@ -5,7 +5,7 @@
 #include <bsd/sys/queue.h>
 
 #include "state/follower.h"
-#include "state/seen.h"
+#include "state/sequences.h"
 #include "state/snapshot.h"
 
 #define Sn_PARTS_MAX 4096
--- a/packages/state/test/claim_search_test.cc
+++ b/packages/state/test/claim_search_test.cc
@@ -8,7 +8,7 @@
 
 #include "base/hash.h"
 #include "state/claim.h"
-#include "state/seen.h"
+#include "state/sequences.h"
 
 namespace {
 
--- a/packages/state/test/stream_test.cc
+++ b/packages/state/test/stream_test.cc
@@ -12,7 +12,7 @@
 #include "platform/test/fake_log.h"
 #include "state/follower.h"
 #include "state/record.h"
-#include "state/seen.h"
+#include "state/sequences.h"
 #include "state/test/fake_clock.h"
 #include "state/writer.h"
 
