--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -63,8 +63,8 @@
         .clock = options->gate->clock,
         .self = options->self,
         .budget = options->budget,
-        .dead = options->ops->has_ended,
-        .dead_arg = options->arg,
+        .owner_ended = options->ops->has_ended,
+        .owner_ended_arg = options->arg,
     };
     enum st_status status = Kp_Create(&keeper, &claims->keeper);
     if (status != ST_OK) {
--- a/packages/gate/confstream.c
+++ b/packages/gate/confstream.c
@@ -211,7 +211,7 @@
 void
 Cs_Kick(struct cs_stream *stream)
 {
-    Sn_Kick(stream->replica);
+    Sn_ReadNow(stream->replica);
 }
 
 /* Polls the stream at once, as a peer has read it up to this offset. */
@@ -247,7 +247,7 @@
 void
 Cs_SetSnapshotWriter(struct cs_stream *stream, bool writing)
 {
-    Sn_SetWriting(stream->replica, writing);
+    Sn_EnableSnapshots(stream->replica, writing);
 }
 
 /*
--- a/packages/gate/control.c
+++ b/packages/gate/control.c
@@ -7,7 +7,7 @@
 struct ct_control {
     struct ct_options options;
     struct wr_writer *writer;
-    struct le_book *leases;
+    struct le_table *leases;
     struct sn_replica *replica;
 };
 
@@ -129,7 +129,7 @@
 void
 Ct_SetSnapshotWriter(struct ct_control *control, bool snapshot_writer)
 {
-    Sn_SetWriting(control->replica, snapshot_writer);
+    Sn_EnableSnapshots(control->replica, snapshot_writer);
 }
 
 /* Appends a record; the reference to "body" is taken, also on failure. */
@@ -140,12 +140,12 @@
     enum st_status status =
         Wr_Put(control->writer, BG_LEASE, kind, body, deadline, done, arg);
     if (status == ST_OK) {
-        Sn_Kick(control->replica);
+        Sn_ReadNow(control->replica);
     }
     return status;
 }
 
-struct le_book *
+struct le_table *
 Ct_Leases(struct ct_control *control)
 {
     return control->leases;
--- a/packages/gate/control.h
+++ b/packages/gate/control.h
@@ -44,7 +44,7 @@
 enum st_status Ct_Append(struct ct_control *control, const char *kind,
                          json_t *body, int64_t deadline, wr_done_fn done,
                          void *arg);
-struct le_book *Ct_Leases(struct ct_control *control);
+struct le_table *Ct_Leases(struct ct_control *control);
 bool Ct_Ready(const struct ct_control *control);
 
 #ifdef __cplusplus
--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -383,12 +383,12 @@
     if (daemon->budget == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the append budget");
     }
-    Bg_Set(daemon->budget, BG_CONFIG, Dm_CONFIG_APPENDS_PER_SEC,
-           Dm_APPEND_BURST);
-    Bg_Set(daemon->budget, BG_LEASE, Dm_LEASE_APPENDS_PER_SEC,
-           Dm_APPEND_BURST);
-    Bg_Set(daemon->budget, BG_EVIDENCE, Dm_EVIDENCE_APPENDS_PER_SEC,
-           Dm_APPEND_BURST);
+    Bg_SetRate(daemon->budget, BG_CONFIG, Dm_CONFIG_APPENDS_PER_SEC,
+               Dm_APPEND_BURST);
+    Bg_SetRate(daemon->budget, BG_LEASE, Dm_LEASE_APPENDS_PER_SEC,
+               Dm_APPEND_BURST);
+    Bg_SetRate(daemon->budget, BG_SNAPSHOT, Dm_EVIDENCE_APPENDS_PER_SEC,
+               Dm_APPEND_BURST);
     struct cs_options config = {
         .gate = &daemon->gate,
         .log = daemon->log,
--- a/packages/gate/moves.c
+++ b/packages/gate/moves.c
@@ -141,7 +141,7 @@
     struct mo_moves *moves = arg;
     struct mw_record move;
     struct ls_lease lease;
-    if (!Rc_Is(record, Mw_KIND) || !Mw_ReadRecord(record->body, &move)) {
+    if (!Rc_IsKind(record, Mw_KIND) || !Mw_ReadRecord(record->body, &move)) {
         return;
     }
     struct mo_service *service = find_or_add(moves, move.move.plan.service);
--- a/packages/gate/moves_holder.c
+++ b/packages/gate/moves_holder.c
@@ -157,7 +157,7 @@
 void
 Mo_HolderTick(struct mo_moves *moves, struct mo_service *service)
 {
-    struct le_book *leases = Ct_Leases(moves->control);
+    struct le_table *leases = Ct_Leases(moves->control);
     bool wanted = Mo_NeedsHolder(service) &&
                   moves->ops->should_hold(moves->arg, service->job);
     if (!wanted && !service->holding && !Le_Holds(leases, service->job)) {
--- a/packages/gate/test/confstream_test.cc
+++ b/packages/gate/test/confstream_test.cc
@@ -154,7 +154,7 @@
             if (scenario_.notice_at >= 0 && !notified &&
                 Now() >= scenario_.notice_at) {
                 notified = true;
-                Fo_Kick(follower);
+                Fo_ReadNow(follower);
             }
             Answer();
             Fo_Tick(follower);
--- a/packages/state/budget.c
+++ b/packages/state/budget.c
@@ -31,8 +31,8 @@
     budget->clock = clock;
     budget->refilled_at = Ck_Now(clock);
     for (int i = 0; i < BG_PURPOSES; i++) {
-        Bg_Set(budget, (enum bg_purpose)i, Bg_DEFAULT_PER_SEC,
-               Bg_DEFAULT_BURST);
+        Bg_SetRate(budget, (enum bg_purpose)i, Bg_DEFAULT_PER_SEC,
+                   Bg_DEFAULT_BURST);
     }
     return budget;
 }
@@ -46,8 +46,8 @@
 
 /* Sets the rate and the burst of a purpose and fills its bucket. */
 void
-Bg_Set(struct bg_budget *budget, enum bg_purpose purpose, double per_sec,
-       double burst)
+Bg_SetRate(struct bg_budget *budget, enum bg_purpose purpose, double per_sec,
+           double burst)
 {
     struct bucket *bucket = &budget->buckets[purpose];
     bucket->per_sec = per_sec;
--- a/packages/state/budget.h
+++ b/packages/state/budget.h
@@ -19,7 +19,7 @@
     BG_CONFIG,
     BG_LEASE,
     BG_CLAIM,
-    BG_EVIDENCE,
+    BG_SNAPSHOT,
     BG_PURPOSES,
 };
 
@@ -27,8 +27,8 @@
 
 struct bg_budget *Bg_Create(const struct ck_clock *clock);
 void Bg_Destroy(struct bg_budget *budget);
-void Bg_Set(struct bg_budget *budget, enum bg_purpose purpose, double per_sec,
-            double burst);
+void Bg_SetRate(struct bg_budget *budget, enum bg_purpose purpose,
+                double per_sec, double burst);
 bool Bg_Take(struct bg_budget *budget, enum bg_purpose purpose);
 
 #ifdef __cplusplus
--- a/packages/state/claim.c
+++ b/packages/state/claim.c
@@ -278,12 +278,12 @@
          struct cl_outcome *out)
 {
     memset(out, 0, sizeof(*out));
-    if (Rc_Is(record, Cl_CLAIM)) {
+    if (Rc_IsKind(record, Cl_CLAIM)) {
         apply_claim(table, record, out);
         return;
     }
-    bool result = Rc_Is(record, Cl_RESULT);
-    if (!result && !Rc_Is(record, Cl_RELEASE)) {
+    bool result = Rc_IsKind(record, Cl_RESULT);
+    if (!result && !Rc_IsKind(record, Cl_RELEASE)) {
         return;
     }
     struct cl_entry *entry = find_in_progress(table, record->body);
--- a/packages/state/follower.c
+++ b/packages/state/follower.c
@@ -235,7 +235,7 @@
 
 /* Reads at once, or right after the read in flight. */
 void
-Fo_Kick(struct fo_follower *follower)
+Fo_ReadNow(struct fo_follower *follower)
 {
     follower->read_requested = true;
     Fo_Tick(follower);
--- a/packages/state/follower.h
+++ b/packages/state/follower.h
@@ -45,7 +45,7 @@
 enum st_status Fo_Create(const struct fo_options *options,
                          struct fo_follower **out);
 void Fo_Destroy(struct fo_follower *follower);
-void Fo_Kick(struct fo_follower *follower);
+void Fo_ReadNow(struct fo_follower *follower);
 void Fo_SetPoll(struct fo_follower *follower, int64_t poll_usec);
 void Fo_Restart(struct fo_follower *follower, uint64_t from);
 void Fo_Tick(struct fo_follower *follower);
--- a/packages/state/keeper.c
+++ b/packages/state/keeper.c
@@ -44,8 +44,9 @@
     for (int i = 0; i < Cl_SLOTS; i++) {
         open += keeper->slots[i].open ? 1 : 0;
     }
-    Bg_Set(keeper->options.budget, BG_CLAIM,
-           open * keeper->options.appends_per_slot, open * Kp_BURST_PER_SLOT);
+    Bg_SetRate(keeper->options.budget, BG_CLAIM,
+               open * keeper->options.appends_per_slot,
+               open * Kp_BURST_PER_SLOT);
 }
 
 /*
--- a/packages/state/keeper.h
+++ b/packages/state/keeper.h
@@ -61,8 +61,8 @@
     uint64_t snapshot_records;
     struct cl_options table;
     /* Whether a daemon's process is known to have ended.  May be NULL. */
-    bool (*dead)(void *arg, const struct rc_writer *owner);
-    void *dead_arg;
+    bool (*owner_ended)(void *arg, const struct rc_writer *owner);
+    void *owner_ended_arg;
 };
 
 struct kp_keeper;
--- a/packages/state/keeper_slot.c
+++ b/packages/state/keeper_slot.c
@@ -20,7 +20,8 @@
 owner_dead(const struct kp_keeper *keeper, const struct rc_writer *owner)
 {
     const struct kp_options *options = &keeper->options;
-    return options->dead != NULL && options->dead(options->dead_arg, owner);
+    return options->owner_ended != NULL &&
+           options->owner_ended(options->owner_ended_arg, owner);
 }
 
 /*
@@ -155,7 +156,7 @@
     struct cl_outcome out;
     Cl_Apply(slot->table, record, &out);
     const struct rc_writer *self = &slot->keeper->options.self;
-    if (Rc_Is(record, Cl_CLAIM) &&
+    if (Rc_IsKind(record, Cl_CLAIM) &&
         Rc_CompareWriters(&record->writer, self) == 0) {
         settle_claim(slot, record, &out);
     }
@@ -249,7 +250,7 @@
     };
     status = Sn_Create(&replicate, &slot->replica);
     if (status == ST_OK) {
-        Sn_SetWriting(slot->replica, true);
+        Sn_EnableSnapshots(slot->replica, true);
     }
     return status;
 }
@@ -260,7 +261,7 @@
     struct kp_update update = *(struct kp_update *)arg;
     free(arg);
     if (update.slot->replica != NULL) {
-        Sn_Kick(update.slot->replica);
+        Sn_ReadNow(update.slot->replica);
     }
     if (update.done != NULL) {
         update.done(update.arg, result == WR_WRITTEN);
@@ -300,7 +301,7 @@
                           "request again later");
     }
     else if (!pending->settled && pending->slot->replica != NULL) {
-        Sn_Kick(pending->slot->replica);
+        Sn_ReadNow(pending->slot->replica);
     }
     free_if_finished(pending);
 }
@@ -365,7 +366,7 @@
     }
     if (awaiting_read && now >= slot->next_read_at) {
         slot->next_read_at = now + Kp_READ_INTERVAL_USEC;
-        Sn_Kick(slot->replica);
+        Sn_ReadNow(slot->replica);
     }
     Sn_Tick(slot->replica);
     Wr_Tick(slot->writer);
--- a/packages/state/leases.c
+++ b/packages/state/leases.c
@@ -24,7 +24,7 @@
 RB_GENERATE_INTERNAL(le_tree, le_job, node, compare,
                      static __attribute__((unused)))
 
-struct le_book {
+struct le_table {
     struct le_tree jobs;
     const struct ck_clock *clock;
     struct rc_writer self;
@@ -34,9 +34,9 @@
 
 /* Creates an empty set of leases; it must outlive its writer. */
 enum st_status
-Le_Create(const struct le_options *options, struct le_book **out)
+Le_Create(const struct le_options *options, struct le_table **out)
 {
-    struct le_book *table = calloc(1, sizeof(*table));
+    struct le_table *table = calloc(1, sizeof(*table));
     if (table == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for leases");
     }
@@ -54,7 +54,7 @@
 
 /* Frees the leases; their writer must be destroyed before. */
 void
-Le_Destroy(struct le_book *table)
+Le_Destroy(struct le_table *table)
 {
     if (table == NULL) {
         return;
@@ -69,7 +69,7 @@
 }
 
 static struct le_job *
-find(const struct le_book *table, const char *name)
+find(const struct le_table *table, const char *name)
 {
     struct le_job probe;
     strlcpy(probe.name, name, sizeof(probe.name));
@@ -78,7 +78,7 @@
 }
 
 static struct le_job *
-find_or_add(struct le_book *table, const char *name)
+find_or_add(struct le_table *table, const char *name)
 {
     struct le_job *job = find(table, name);
     if (job != NULL) {
@@ -100,7 +100,7 @@
  * all endpoints check them; every host must pass the same value.
  */
 enum st_status
-Le_Want(struct le_book *table, const char *name, bool wanted,
+Le_Want(struct le_table *table, const char *name, bool wanted,
         int64_t order_usec)
 {
     if (name[0] == '\0' || strlen(name) >= Ls_JOB_MAX) {
@@ -123,7 +123,7 @@
 }
 
 static void
-append(struct le_book *table, struct le_job *job, enum ls_op op, int64_t now)
+append(struct le_table *table, struct le_job *job, enum ls_op op, int64_t now)
 {
     struct ls_change change = {.op = op, .base = job->agent.lease.last};
     strlcpy(change.job, job->name, sizeof(change.job));
@@ -140,7 +140,7 @@
  * while the replica's state is not known.
  */
 void
-Le_Tick(struct le_book *table, bool ready, int64_t tail_read_at)
+Le_Tick(struct le_table *table, bool ready, int64_t tail_read_at)
 {
     if (!ready) {
         return;
@@ -160,7 +160,7 @@
  * stay.
  */
 void
-Le_Reset(struct le_book *table)
+Le_Reset(struct le_table *table)
 {
     struct ls_lease none = {.last = 0};
     struct le_job *job;
@@ -171,10 +171,10 @@
 
 /* Applies the next record of the stream. */
 void
-Le_Apply(struct le_book *table, const struct rc_record *record)
+Le_Apply(struct le_table *table, const struct rc_record *record)
 {
     struct ls_change change;
-    if (!Rc_Is(record, Ls_KIND) || !Ls_Read(record->body, &change)) {
+    if (!Rc_IsKind(record, Ls_KIND) || !Ls_Read(record->body, &change)) {
         return;
     }
     struct le_job *job = find_or_add(table, change.job);
@@ -186,7 +186,7 @@
  * Loads the snapshot entry of one job; entries of other modules are ignored.
  */
 void
-Le_Load(struct le_book *table, const json_t *entry)
+Le_Load(struct le_table *table, const json_t *entry)
 {
     const char *name = Rc_Text(entry, "lease");
     if (name[0] == '\0') {
@@ -203,7 +203,7 @@
 
 /* Appends the snapshot entries of all jobs to a list. */
 void
-Le_Save(const struct le_book *table, json_t *list)
+Le_Save(const struct le_table *table, json_t *list)
 {
     struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
@@ -226,7 +226,8 @@
  * order is sent.
  */
 bool
-Le_MayAct(const struct le_book *table, const char *name, struct ls_permit *out)
+Le_MayAct(const struct le_table *table, const char *name,
+          struct ls_permit *out)
 {
     const struct le_job *job = find(table, name);
     return job != NULL && Ls_MayAct(&job->agent, Ck_Now(table->clock), out);
@@ -234,7 +235,7 @@
 
 /* Whether this host holds the job's lease according to the log. */
 bool
-Le_Holds(const struct le_book *table, const char *name)
+Le_Holds(const struct le_table *table, const char *name)
 {
     const struct le_job *job = find(table, name);
     return job != NULL && Ls_Holds(&job->agent);
@@ -242,7 +243,7 @@
 
 /* Gets a job's lease; returns false if the log has no record of it. */
 bool
-Le_Get(const struct le_book *table, const char *name, struct ls_lease *out)
+Le_Get(const struct le_table *table, const char *name, struct ls_lease *out)
 {
     const struct le_job *job = find(table, name);
     if (job == NULL || job->agent.lease.last == 0) {
@@ -254,7 +255,7 @@
 
 /* Number of leases that this host holds. */
 size_t
-Le_Held(const struct le_book *table)
+Le_Held(const struct le_table *table)
 {
     struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
--- a/packages/state/leases.h
+++ b/packages/state/leases.h
@@ -25,27 +25,27 @@
     int64_t margin_usec;      /* 0: 1 s */
 };
 
-struct le_book;
+struct le_table;
 
 enum st_status Le_Create(const struct le_options *options,
-                         struct le_book **out);
-void Le_Destroy(struct le_book *table);
-enum st_status Le_Want(struct le_book *table, const char *job, bool wanted,
+                         struct le_table **out);
+void Le_Destroy(struct le_table *table);
+enum st_status Le_Want(struct le_table *table, const char *job, bool wanted,
                        int64_t order_usec);
-void Le_Tick(struct le_book *table, bool ready, int64_t tail_read_at);
+void Le_Tick(struct le_table *table, bool ready, int64_t tail_read_at);
 
 /* Callbacks for struct sn_ops; Le_Apply() ignores other kinds of record. */
-void Le_Reset(struct le_book *table);
-void Le_Apply(struct le_book *table, const struct rc_record *record);
-void Le_Load(struct le_book *table, const json_t *entry);
-void Le_Save(const struct le_book *table, json_t *list);
+void Le_Reset(struct le_table *table);
+void Le_Apply(struct le_table *table, const struct rc_record *record);
+void Le_Load(struct le_table *table, const json_t *entry);
+void Le_Save(const struct le_table *table, json_t *list);
 
-bool Le_MayAct(const struct le_book *table, const char *job,
+bool Le_MayAct(const struct le_table *table, const char *job,
                struct ls_permit *out);
-bool Le_Holds(const struct le_book *table, const char *job);
-bool Le_Get(const struct le_book *table, const char *job,
+bool Le_Holds(const struct le_table *table, const char *job);
+bool Le_Get(const struct le_table *table, const char *job,
             struct ls_lease *out);
-size_t Le_Held(const struct le_book *table);
+size_t Le_Held(const struct le_table *table);
 
 #ifdef __cplusplus
 }
--- a/packages/state/record.c
+++ b/packages/state/record.c
@@ -67,7 +67,7 @@
 }
 
 bool
-Rc_Is(const struct rc_record *record, const char *kind)
+Rc_IsKind(const struct rc_record *record, const char *kind)
 {
     return strcmp(record->kind, kind) == 0;
 }
--- a/packages/state/record.h
+++ b/packages/state/record.h
@@ -40,7 +40,7 @@
 enum st_status Rc_Parse(const char *text, uint64_t offset,
                         struct rc_record *out);
 void Rc_Clear(struct rc_record *record);
-bool Rc_Is(const struct rc_record *record, const char *kind);
+bool Rc_IsKind(const struct rc_record *record, const char *kind);
 int Rc_CompareWriters(const struct rc_writer *a, const struct rc_writer *b);
 
 /* Return a field of a body, or "" and 0 if it is absent or of another type. */
--- a/packages/state/snapshot.c
+++ b/packages/state/snapshot.c
@@ -126,7 +126,7 @@
 static void
 apply(struct sn_replica *replica, const struct rc_record *record)
 {
-    if (Se_Accept(replica->sequences, record) && !Rc_Is(record, Sn_KIND)) {
+    if (Se_Accept(replica->sequences, record) && !Rc_IsKind(record, Sn_KIND)) {
         replica->applied_records++;
         replica->ops->apply(replica->arg, record);
     }
@@ -232,7 +232,7 @@
     else {
         buffer_record(replica, record);
     }
-    if (Rc_Is(record, Sn_KIND)) {
+    if (Rc_IsKind(record, Sn_KIND)) {
         if (replica->valid) {
             note_part(replica, record);
         }
@@ -355,9 +355,9 @@
 }
 
 void
-Sn_Kick(struct sn_replica *replica)
+Sn_ReadNow(struct sn_replica *replica)
 {
-    Fo_Kick(replica->follower);
+    Fo_ReadNow(replica->follower);
 }
 
 /* Changes the interval of reads at the tail, in microseconds. */
@@ -371,7 +371,7 @@
  * Sets whether this replica writes snapshots; one replica of a stream should.
  */
 void
-Sn_SetWriting(struct sn_replica *replica, bool writing)
+Sn_EnableSnapshots(struct sn_replica *replica, bool writing)
 {
     replica->writing = writing;
 }
--- a/packages/state/snapshot.h
+++ b/packages/state/snapshot.h
@@ -63,9 +63,9 @@
                          struct sn_replica **out);
 void Sn_Destroy(struct sn_replica *replica);
 void Sn_Tick(struct sn_replica *replica);
-void Sn_Kick(struct sn_replica *replica);
+void Sn_ReadNow(struct sn_replica *replica);
 void Sn_SetPoll(struct sn_replica *replica, int64_t poll_usec);
-void Sn_SetWriting(struct sn_replica *replica, bool writing);
+void Sn_EnableSnapshots(struct sn_replica *replica, bool writing);
 enum st_status Sn_Write(struct sn_replica *replica);
 enum st_status Sn_Import(struct sn_replica *replica, const json_t *state);
 
--- a/packages/state/snapshot_write.c
+++ b/packages/state/snapshot_write.c
@@ -81,7 +81,7 @@
                   (json_int_t)part, "parts", (json_int_t)parts, "covers",
                   covers, "seen", seen, "z", entries);
     replica->parts_unwritten++;
-    if (Wr_Put(replica->writer, BG_EVIDENCE, Sn_KIND, body, 0, part_written,
+    if (Wr_Put(replica->writer, BG_SNAPSHOT, Sn_KIND, body, 0, part_written,
                replica) != ST_OK) {
         replica->parts_unwritten--;
     }
--- a/packages/state/test/keeper_test.cc
+++ b/packages/state/test/keeper_test.cc
@@ -78,8 +78,8 @@
         options.budget = budget;
         options.appends_per_slot = 1000;
         options.snapshot_records = 10;
-        options.dead = Dead;
-        options.dead_arg = &world;
+        options.owner_ended = Dead;
+        options.owner_ended_arg = &world;
         ASSERT_EQ(ST_OK, Kp_Create(&options, &keeper));
     }
 
--- a/packages/state/test/leases_test.cc
+++ b/packages/state/test/leases_test.cc
@@ -34,7 +34,7 @@
     struct bg_budget *budget;
     struct wr_writer *writer = nullptr;
     struct sn_replica *replica = nullptr;
-    struct le_book *table = nullptr;
+    struct le_table *table = nullptr;
     std::string name;
 
     Host(FakeLog &l, FakeClock &c, const char *n)
@@ -49,7 +49,7 @@
         write.clock = &c.clock;
         write.budget = budget;
         for (int i = 0; i < BG_PURPOSES; i++) {
-            Bg_Set(budget, (enum bg_purpose)i, 1000, 1000);
+            Bg_SetRate(budget, (enum bg_purpose)i, 1000, 1000);
         }
         EXPECT_EQ(ST_OK, Wr_Create(&write, &writer));
         struct le_options options = {};
@@ -69,7 +69,7 @@
         replicate.ops = &kOps;
         replicate.arg = this;
         EXPECT_EQ(ST_OK, Sn_Create(&replicate, &replica));
-        Sn_SetWriting(replica, true);
+        Sn_EnableSnapshots(replica, true);
         EXPECT_EQ(ST_OK, Le_Want(table, "fenced", true, 0));
         EXPECT_EQ(ST_OK, Le_Want(table, "plain", true, kOrder));
     }
@@ -220,7 +220,7 @@
             host.Tick();
             log.Run();
             clock.Advance(20 * Ck_USEC_PER_MSEC);
-            Sn_Kick(host.replica);
+            Sn_ReadNow(host.replica);
             log.Run();
         }
     };
--- a/packages/state/test/snapshot_test.cc
+++ b/packages/state/test/snapshot_test.cc
@@ -27,7 +27,7 @@
         : log(l), clock(c), budget(Bg_Create(&c.clock))
     {
         for (int i = 0; i < BG_PURPOSES; i++) {
-            Bg_Set(budget, (enum bg_purpose)i, 10000, 10000);
+            Bg_SetRate(budget, (enum bg_purpose)i, 10000, 10000);
         }
         struct wr_options write = {};
         write.log = &l.log;
@@ -47,7 +47,7 @@
         options.ops = &kOps;
         options.arg = this;
         EXPECT_EQ(ST_OK, Sn_Create(&options, &replica));
-        Sn_SetWriting(replica, records > 0);
+        Sn_EnableSnapshots(replica, records > 0);
     }
 
     ~Replica()
@@ -78,7 +78,7 @@
         for (int i = 0; i < steps; i++) {
             Tick();
             log.Run();
-            Sn_Kick(replica);
+            Sn_ReadNow(replica);
             log.Run();
             clock.Advance(100 * Ck_USEC_PER_MSEC);
         }
--- a/packages/state/test/stream_test.cc
+++ b/packages/state/test/stream_test.cc
@@ -41,7 +41,7 @@
     EXPECT_EQ(0, Rc_CompareWriters(&record.writer, &read.writer));
     EXPECT_EQ(12u, read.sequence);
     EXPECT_EQ(1234, read.wall_ms);
-    EXPECT_TRUE(Rc_Is(&read, "lease"));
+    EXPECT_TRUE(Rc_IsKind(&read, "lease"));
     EXPECT_STREQ("o\"ne", Rc_Text(read.body, "name"));
     EXPECT_EQ(3, Rc_Number(read.body, "count"));
     Rc_Clear(&read);
@@ -119,12 +119,12 @@
 {
     FakeClock clock;
     struct bg_budget *budget = Bg_Create(&clock.clock);
-    Bg_Set(budget, BG_CONFIG, 1, 1);
-    Bg_Set(budget, BG_LEASE, 1, 1);
-    Bg_Set(budget, BG_CLAIM, 10, 2);
-    Bg_Set(budget, BG_EVIDENCE, 1, 1);
-    EXPECT_TRUE(Bg_Take(budget, BG_EVIDENCE));
-    EXPECT_FALSE(Bg_Take(budget, BG_EVIDENCE));
+    Bg_SetRate(budget, BG_CONFIG, 1, 1);
+    Bg_SetRate(budget, BG_LEASE, 1, 1);
+    Bg_SetRate(budget, BG_CLAIM, 10, 2);
+    Bg_SetRate(budget, BG_SNAPSHOT, 1, 1);
+    EXPECT_TRUE(Bg_Take(budget, BG_SNAPSHOT));
+    EXPECT_FALSE(Bg_Take(budget, BG_SNAPSHOT));
     EXPECT_TRUE(Bg_Take(budget, BG_CONFIG));
     EXPECT_TRUE(Bg_Take(budget, BG_CONFIG)); /* takes a token of BG_CLAIM */
     EXPECT_TRUE(Bg_Take(budget, BG_CLAIM));
@@ -217,7 +217,7 @@
     FakeLog behind;
     log.streams.swap(behind.streams);
     log.Put("control", Text("a", 1));
-    Fo_Kick(reader.follower);
+    Fo_ReadNow(reader.follower);
     log.Run();
     EXPECT_EQ(4u, Fo_Next(reader.follower));
     EXPECT_EQ(1, reader.tails);
@@ -294,7 +294,7 @@
     Fo_Tick(reader.follower);
     log.Run();
     EXPECT_EQ(1u, reader.offsets.size());
-    Fo_Kick(reader.follower);
+    Fo_ReadNow(reader.follower);
     log.Run();
     EXPECT_EQ(2u, reader.offsets.size());
 }
@@ -336,7 +336,7 @@
         options.self.incarnation = 7;
         options.clock = &c.clock;
         options.budget = budget;
-        Bg_Set(budget, BG_LEASE, 1000, 1000);
+        Bg_SetRate(budget, BG_LEASE, 1000, 1000);
         EXPECT_EQ(ST_OK, Wr_Create(&options, &writer));
     }
 
