--- a/packages/member/fact.c
+++ b/packages/member/fact.c
@@ -8,8 +8,8 @@
 #include "member/fact_internal.h"
 
 #define Fc_FACTS_MAX 16384
-#define Fc_SPREAD 6
-#define Fc_FORGET_MIN_USEC (60 * Ck_USEC_PER_SEC)
+#define Fc_TRANSMISSIONS 6
+#define Fc_TOMBSTONE_MIN_USEC (60 * Ck_USEC_PER_SEC)
 #define Fc_SETTLED_USEC (2 * Ck_USEC_PER_SEC)
 
 RB_GENERATE(fc_tree, fc_entry, node, fc_compare);
@@ -44,7 +44,7 @@
     for (int scope = 0; scope < Fc_SCOPES; scope++) {
         TAILQ_INIT(&facts->queues[scope]);
         TAILQ_INIT(&facts->sent[scope]);
-        facts->spread[scope] = Fc_SPREAD;
+        facts->spread[scope] = Fc_TRANSMISSIONS;
     }
     *out = facts;
     return ST_OK;
@@ -53,10 +53,10 @@
 static void
 unqueue(struct fc_table *facts, struct fc_entry *entry)
 {
-    Fc_TakeBegin(facts);
-    if (entry->left > 0) {
+    Fc_BeginDatagram(facts);
+    if (entry->sends_left > 0) {
         TAILQ_REMOVE(&facts->queues[entry->scope], entry, queued);
-        entry->left = 0;
+        entry->sends_left = 0;
     }
 }
 
@@ -77,7 +77,7 @@
     if (facts == NULL) {
         return;
     }
-    Fc_TakeBegin(facts);
+    Fc_BeginDatagram(facts);
     struct fc_entry *entry;
     while ((entry = RB_MIN(fc_tree, &facts->entries)) != NULL) {
         drop(facts, entry);
@@ -110,7 +110,7 @@
 }
 
 static void
-tell(struct fc_table *facts, const struct fc_entry *entry)
+notify(struct fc_table *facts, const struct fc_entry *entry)
 {
     struct fc_fact fact;
     fc_view(facts, entry, &fact);
@@ -129,10 +129,10 @@
 enqueue(struct fc_table *facts, struct fc_entry *entry, int left)
 {
     unqueue(facts, entry);
-    if (facts->quiet) {
+    if (facts->no_spread) {
         return;
     }
-    entry->left = left;
+    entry->sends_left = left;
     if (left > 0) {
         TAILQ_INSERT_HEAD(&facts->queues[entry->scope], entry, queued);
     }
@@ -176,12 +176,13 @@
     entry->version = fact->version;
     entry->scope = fact->scope;
     entry->expired = false;
-    entry->taken_usec = Ck_Now(facts->clock);
+    entry->updated_usec = Ck_Now(facts->clock);
     entry->expires_usec =
-        fact->ttl_usec != 0 ? entry->taken_usec + fact->ttl_usec : 0;
-    int64_t kept = fact->ttl_usec > Fc_FORGET_MIN_USEC ? fact->ttl_usec
-                                                       : Fc_FORGET_MIN_USEC;
-    entry->forget_usec = entry->expires_usec + kept;
+        fact->ttl_usec != 0 ? entry->updated_usec + fact->ttl_usec : 0;
+    int64_t kept = fact->ttl_usec > Fc_TOMBSTONE_MIN_USEC
+                       ? fact->ttl_usec
+                       : Fc_TOMBSTONE_MIN_USEC;
+    entry->purge_usec = entry->expires_usec + kept;
     enqueue(facts, entry, facts->spread[entry->scope]);
     return true;
 }
@@ -197,7 +198,7 @@
 }
 
 static bool
-is_news(const struct fc_entry *entry, const struct fc_fact *fact)
+supersedes(const struct fc_entry *entry, const struct fc_fact *fact)
 {
     if (fact->version != entry->version) {
         return fact->version > entry->version;
@@ -240,24 +241,24 @@
     }
     const char *owner = post->owned ? facts->node : "";
     struct fc_entry *entry = fc_find(facts, owner, post->key);
-    uint64_t known = entry != NULL ? entry->version : 0;
+    uint64_t current = entry != NULL ? entry->version : 0;
     struct fc_fact fact = {
         .owner = owner,
         .key = post->key,
-        .version = post->version != 0 ? post->version : known + 1,
+        .version = post->version != 0 ? post->version : current + 1,
         .scope = post->scope,
         .ttl_usec = post->ttl_usec,
         .value = post->value,
         .len = post->len,
     };
-    if (entry != NULL && fact.version == known && !entry->expired &&
+    if (entry != NULL && fact.version == current && !entry->expired &&
         compare_values(entry, &fact) == 0) {
         return ST_OK;
     }
-    if (entry != NULL && !is_news(entry, &fact)) {
+    if (entry != NULL && !supersedes(entry, &fact)) {
         return St_Fail(ST_CONFLICT,
                        "fact %s is known at version %llu; publish a later one",
-                       post->key, (unsigned long long)known);
+                       post->key, (unsigned long long)current);
     }
     if (entry == NULL) {
         entry = add_entry(facts, owner, post->key);
@@ -272,7 +273,7 @@
         return St_Fail(ST_NO_MEMORY, "no memory for fact %s", post->key);
     }
     entry->published = true;
-    tell(facts, entry);
+    notify(facts, entry);
     return ST_OK;
 }
 
@@ -281,23 +282,23 @@
  * version is on its way that happens anyhow.
  */
 static void
-heard_older(struct fc_table *facts, struct fc_entry *entry)
+on_older_version(struct fc_table *facts, struct fc_entry *entry)
 {
-    int64_t age = Ck_Now(facts->clock) - entry->taken_usec;
-    if (entry->left == 0 && !entry->expired && age > Fc_SETTLED_USEC) {
+    int64_t age = Ck_Now(facts->clock) - entry->updated_usec;
+    if (entry->sends_left == 0 && !entry->expired && age > Fc_SETTLED_USEC) {
         enqueue(facts, entry, 1);
     }
 }
 
 /* A copy heard counts as a copy sent: what all know is not repeated. */
 static void
-heard_again(struct fc_table *facts, struct fc_entry *entry)
+on_duplicate(struct fc_table *facts, struct fc_entry *entry)
 {
-    if (entry->left == 1) {
+    if (entry->sends_left == 1) {
         unqueue(facts, entry);
     }
-    else if (entry->left > 1) {
-        entry->left--;
+    else if (entry->sends_left > 1) {
+        entry->sends_left--;
     }
 }
 
@@ -306,8 +307,8 @@
  * former life.  What it publishes now must override that.
  */
 static bool
-outbid(struct fc_table *facts, struct fc_entry *entry,
-       const struct fc_fact *fact)
+override_stale(struct fc_table *facts, struct fc_entry *entry,
+               const struct fc_fact *fact)
 {
     bool own = strcmp(entry->owner, facts->node) == 0;
     if (!own || !entry->published || entry->expired) {
@@ -340,23 +341,23 @@
             return false;
         }
     }
-    else if (!is_news(entry, fact)) {
+    else if (!supersedes(entry, fact)) {
         if (fact->version < entry->version) {
-            heard_older(facts, entry);
+            on_older_version(facts, entry);
         }
         else {
-            heard_again(facts, entry);
+            on_duplicate(facts, entry);
         }
         return false;
     }
-    if (outbid(facts, entry, fact)) {
+    if (override_stale(facts, entry, fact)) {
         return false;
     }
     if (!replace(facts, entry, fact)) {
         drop(facts, entry);
         return false;
     }
-    tell(facts, entry);
+    notify(facts, entry);
     return true;
 }
 
@@ -365,11 +366,11 @@
  * first full state is news to that node alone.
  */
 bool
-Fc_Learn(struct fc_table *facts, const struct fc_fact *fact)
+Fc_ApplyLocally(struct fc_table *facts, const struct fc_fact *fact)
 {
-    facts->quiet = true;
+    facts->no_spread = true;
     bool news = Fc_Apply(facts, fact);
-    facts->quiet = false;
+    facts->no_spread = false;
     return news;
 }
 
@@ -394,7 +395,7 @@
             entry->value = NULL;
             entry->len = 0;
         }
-        if (now >= entry->forget_usec) {
+        if (now >= entry->purge_usec) {
             drop(facts, entry);
         }
     }
@@ -412,7 +413,7 @@
 
 /* Begins a datagram: every queued fact may be taken once. */
 void
-Fc_TakeBegin(struct fc_table *facts)
+Fc_BeginDatagram(struct fc_table *facts)
 {
     for (int scope = 0; scope < Fc_SCOPES; scope++) {
         TAILQ_CONCAT(&facts->queues[scope], &facts->sent[scope], queued);
@@ -425,8 +426,8 @@
  * scopes go first: their facts are few, and it is them that nobody may miss.
  */
 bool
-Fc_Take(struct fc_table *facts, enum fc_scope narrowest, size_t room,
-        fc_size_fn size, struct fc_fact *out)
+Fc_NextUpdate(struct fc_table *facts, enum fc_scope narrowest, size_t room,
+              fc_size_fn size, struct fc_fact *out)
 {
     for (int scope = FC_CLUSTER; scope <= (int)narrowest; scope++) {
         struct fc_entry *entry = TAILQ_FIRST(&facts->queues[scope]);
@@ -438,8 +439,8 @@
             continue;
         }
         TAILQ_REMOVE(&facts->queues[scope], entry, queued);
-        entry->left--;
-        if (entry->left > 0) {
+        entry->sends_left--;
+        if (entry->sends_left > 0) {
             TAILQ_INSERT_TAIL(&facts->sent[scope], entry, queued);
         }
         return true;
--- a/packages/member/fact.h
+++ b/packages/member/fact.h
@@ -85,12 +85,12 @@
 enum st_status Fc_Watch(struct fc_table *facts, const char *key_prefix,
                         fc_changed_fn changed, void *arg);
 bool Fc_Apply(struct fc_table *facts, const struct fc_fact *fact);
-bool Fc_Learn(struct fc_table *facts, const struct fc_fact *fact);
+bool Fc_ApplyLocally(struct fc_table *facts, const struct fc_fact *fact);
 void Fc_Expire(struct fc_table *facts);
 void Fc_SetSpread(struct fc_table *facts, enum fc_scope scope, int count);
-void Fc_TakeBegin(struct fc_table *facts);
-bool Fc_Take(struct fc_table *facts, enum fc_scope narrowest, size_t room,
-             fc_size_fn size, struct fc_fact *out);
+void Fc_BeginDatagram(struct fc_table *facts);
+bool Fc_NextUpdate(struct fc_table *facts, enum fc_scope narrowest,
+                   size_t room, fc_size_fn size, struct fc_fact *out);
 
 /* Queries. */
 bool Fc_Get(const struct fc_table *facts, const char *owner, const char *key,
--- a/packages/member/fact_internal.h
+++ b/packages/member/fact_internal.h
@@ -16,11 +16,11 @@
     uint64_t version;
     enum fc_scope scope;
     int64_t expires_usec; /* 0: never */
-    int64_t taken_usec;   /* when this version was taken in */
-    int64_t forget_usec;  /* when even the version may be dropped */
+    int64_t updated_usec; /* when this version was taken in */
+    int64_t purge_usec;   /* when even the version may be dropped */
     bool expired;         /* only the version is kept, against old copies */
     bool published;       /* by this node in this life */
-    int left;             /* transmissions left; queued while above 0 */
+    int sends_left;       /* transmissions left; queued while above 0 */
     void *value;
     size_t len;
 };
@@ -47,7 +47,7 @@
     struct fc_queue queues[Fc_SCOPES];
     struct fc_queue sent[Fc_SCOPES]; /* already in the present datagram */
     int spread[Fc_SCOPES];
-    bool quiet; /* nothing is queued for spreading */
+    bool no_spread; /* nothing is queued for spreading */
     struct fc_watches watches;
 };
 
--- a/packages/member/link.c
+++ b/packages/member/link.c
@@ -13,7 +13,7 @@
 #define Lk_IDLE_SWEEP_USEC Ck_USEC_PER_SEC
 
 static void on_timer(void *arg);
-static void free_dead(struct lk_links *links);
+static void free_closed(struct lk_links *links);
 
 /*
  * Creates the links and listens.  They must be destroyed before the loop.
@@ -37,7 +37,7 @@
     strlcpy(links->node, options->node, sizeof(links->node));
     Wr_DeriveKey(options->cluster_key, "frame", links->key);
     TAILQ_INIT(&links->connections);
-    TAILQ_INIT(&links->dead);
+    TAILQ_INIT(&links->closed);
     TAILQ_INIT(&links->calls);
     TAILQ_INIT(&links->requests);
     SLIST_INIT(&links->handlers);
@@ -75,7 +75,7 @@
                         next_connection) {
         lk_close(connection);
     }
-    free_dead(links);
+    free_closed(links);
     struct lk_request *request;
     struct lk_request *next_request;
     TAILQ_FOREACH_SAFE (request, &links->requests, link, next_request) {
@@ -145,7 +145,7 @@
 lk_arm(struct lk_links *links)
 {
     int64_t delay = 0;
-    if (!TAILQ_EMPTY(&links->calls) || !TAILQ_EMPTY(&links->dead)) {
+    if (!TAILQ_EMPTY(&links->calls) || !TAILQ_EMPTY(&links->closed)) {
         delay = Lk_CALL_SWEEP_USEC;
     }
     else if (!TAILQ_EMPTY(&links->connections)) {
@@ -173,7 +173,7 @@
 
 /* Hands a request to its handler. */
 void
-lk_take_request(struct lk_connection *connection, const struct wr_frame *frame)
+lk_on_request(struct lk_connection *connection, const struct wr_frame *frame)
 {
     struct lk_links *links = connection->links;
     struct lk_request *request = calloc(1, sizeof(*request) + frame->len);
@@ -190,7 +190,7 @@
         memcpy(request->payload, frame->payload, frame->len);
     }
     TAILQ_INSERT_TAIL(&links->requests, request, link);
-    connection->open++;
+    connection->in_flight++;
     struct lk_handler *handler = find_handler(links, frame->name);
     if (handler == NULL) {
         Lk_Reply(request, ST_NOT_FOUND, NULL, 0);
@@ -231,7 +231,7 @@
                                  .status = status,
                                  .payload = payload,
                                  .len = len};
-        connection->open--;
+        connection->in_flight--;
         if (lk_queue(connection, &frame, NULL) == ST_OK) {
             Lp_WatchWritable(connection->watch);
         }
@@ -253,18 +253,18 @@
     struct lk_call *call;
     while ((call = lk_call_on(connection)) != NULL) {
         struct lk_result result = {.status = ST_UNAVAILABLE,
-                                   .may_have_left = call->may_have_left};
+                                   .maybe_sent = call->maybe_sent};
         lk_finish(call, &result);
     }
 }
 
 static void
-end_late_calls(struct lk_links *links, int64_t now)
+expire_calls(struct lk_links *links, int64_t now)
 {
     struct lk_call *call;
-    while ((call = lk_late_call(links, now)) != NULL) {
+    while ((call = lk_expired_call(links, now)) != NULL) {
         struct lk_result result = {.status = ST_TIMEOUT,
-                                   .may_have_left = call->may_have_left};
+                                   .maybe_sent = call->maybe_sent};
         lk_finish(call, &result);
     }
 }
@@ -273,9 +273,9 @@
 is_idle(const struct lk_connection *connection, int64_t now)
 {
     if (!connection->ready) {
-        return now - connection->made_usec > Lk_HELLO_USEC;
+        return now - connection->created_usec > Lk_HELLO_USEC;
     }
-    return connection->open == 0 && TAILQ_EMPTY(&connection->frames) &&
+    return connection->in_flight == 0 && TAILQ_EMPTY(&connection->frames) &&
            now - connection->used_usec > connection->links->idle_usec;
 }
 
@@ -303,15 +303,15 @@
 
 /* Frees closed connections, now that none of their handlers runs. */
 static void
-free_dead(struct lk_links *links)
+free_closed(struct lk_links *links)
 {
     struct lk_connection *connection;
     struct lk_connection *next;
-    TAILQ_FOREACH_SAFE (connection, &links->dead, link, next) {
+    TAILQ_FOREACH_SAFE (connection, &links->closed, link, next) {
         free(connection->in);
         free(connection);
     }
-    TAILQ_INIT(&links->dead);
+    TAILQ_INIT(&links->closed);
 }
 
 static void
@@ -320,8 +320,8 @@
     struct lk_links *links = arg;
     int64_t now = Ck_Now(links->clock);
     links->timer_usec = 0;
-    free_dead(links);
-    end_late_calls(links, now);
+    free_closed(links);
+    expire_calls(links, now);
     close_idle(links, now);
     lk_arm(links);
 }
--- a/packages/member/link.h
+++ b/packages/member/link.h
@@ -43,7 +43,7 @@
      */
     enum st_status status;
     bool answered;
-    bool may_have_left; /* false: the other side never saw the request */
+    bool maybe_sent; /* false: the other side never saw the request */
     const void *payload;
     size_t len;
 };
--- a/packages/member/link_call.c
+++ b/packages/member/link_call.c
@@ -11,7 +11,7 @@
 {
     struct lk_connection *connection = call->connection;
     if (connection != NULL) {
-        connection->open--;
+        connection->in_flight--;
         connection->used_usec = Ck_Now(connection->links->clock);
     }
     free(call);
@@ -66,7 +66,7 @@
         return status;
     }
     call->connection = connection;
-    connection->open++;
+    connection->in_flight++;
     call->deadline_usec = Ck_Now(links->clock) + timeout_usec;
     call->done = done;
     call->arg = arg;
@@ -81,7 +81,7 @@
 }
 
 static void
-take_back(struct lk_call *call)
+withdraw_frame(struct lk_call *call)
 {
     struct lk_frame *frame = call->frame;
     if (frame == NULL) {
@@ -102,7 +102,7 @@
 {
     struct lk_links *links = call->connection->links;
     TAILQ_REMOVE(&links->calls, call, link);
-    take_back(call);
+    withdraw_frame(call);
     free_call(call);
 }
 
@@ -114,14 +114,14 @@
     lk_done_fn done = call->done;
     void *arg = call->arg;
     TAILQ_REMOVE(&links->calls, call, link);
-    take_back(call);
+    withdraw_frame(call);
     free_call(call);
     done(arg, result);
 }
 
 /* Gives an answer to the call that waits for it; late ones are dropped. */
 void
-lk_take_answer(struct lk_connection *connection, const struct wr_frame *frame)
+lk_on_answer(struct lk_connection *connection, const struct wr_frame *frame)
 {
     struct lk_links *links = connection->links;
     struct lk_call *call;
@@ -135,7 +135,7 @@
     }
     struct lk_result result = {.status = frame->status,
                                .answered = true,
-                               .may_have_left = true,
+                               .maybe_sent = true,
                                .payload = frame->payload,
                                .len = frame->len};
     lk_finish(call, &result);
@@ -156,7 +156,7 @@
 
 /* A call whose time is over; NULL when there is none. */
 struct lk_call *
-lk_late_call(const struct lk_links *links, int64_t now)
+lk_expired_call(const struct lk_links *links, int64_t now)
 {
     struct lk_call *call;
     TAILQ_FOREACH (call, &links->calls, link) {
--- a/packages/member/link_connection.c
+++ b/packages/member/link_connection.c
@@ -34,13 +34,13 @@
 void
 lk_close(struct lk_connection *connection)
 {
-    if (connection->dead) {
+    if (connection->closed) {
         return;
     }
     struct lk_links *links = connection->links;
-    connection->dead = true;
+    connection->closed = true;
     TAILQ_REMOVE(&links->connections, connection, link);
-    TAILQ_INSERT_TAIL(&links->dead, connection, link);
+    TAILQ_INSERT_TAIL(&links->closed, connection, link);
     links->connection_count--;
     Lp_WatchDestroy(connection->watch);
     connection->watch = NULL;
@@ -78,7 +78,7 @@
 lk_flush(struct lk_connection *connection)
 {
     struct lk_frame *frame;
-    if (connection->dead || !connection->connected) {
+    if (connection->closed || !connection->connected) {
         return;
     }
     while ((frame = lk_next_frame(connection)) != NULL) {
@@ -98,7 +98,7 @@
             return;
         }
         if (frame->call != NULL) {
-            frame->call->may_have_left = true;
+            frame->call->maybe_sent = true;
         }
         frame->sent += (size_t)sent;
         connection->links->counters.bytes_out += (size_t)sent;
@@ -125,7 +125,7 @@
  * other's.
  */
 static void
-take_hello(struct lk_connection *connection, const struct wr_frame *frame)
+on_hello(struct lk_connection *connection, const struct wr_frame *frame)
 {
     if (frame->kind != WR_HELLO || frame->len != Wr_NONCE_BYTES ||
         memcmp(frame->payload, connection->nonce, Wr_NONCE_BYTES) == 0) {
@@ -139,7 +139,7 @@
 }
 
 static void
-take_frame(struct lk_connection *connection, const uint8_t *body, size_t len)
+on_frame(struct lk_connection *connection, const uint8_t *body, size_t len)
 {
     struct wr_frame frame;
     if (!lk_check_mac(connection, body, len) ||
@@ -150,13 +150,13 @@
     connection->links->counters.frames_in++;
     connection->used_usec = Ck_Now(connection->links->clock);
     if (!connection->ready) {
-        take_hello(connection, &frame);
+        on_hello(connection, &frame);
     }
     else if (frame.kind == WR_ANSWER && connection->outgoing) {
-        lk_take_answer(connection, &frame);
+        lk_on_answer(connection, &frame);
     }
     else if (frame.kind == WR_REQUEST && !connection->outgoing) {
-        lk_take_request(connection, &frame);
+        lk_on_request(connection, &frame);
     }
     else {
         deny(connection);
@@ -165,10 +165,10 @@
 
 /* Takes every whole frame that has come. */
 static void
-take_frames(struct lk_connection *connection)
+process_input(struct lk_connection *connection)
 {
     size_t at = 0;
-    while (!connection->dead && connection->in_len - at >= Wr_FRAME_HEAD) {
+    while (!connection->closed && connection->in_len - at >= Wr_FRAME_HEAD) {
         size_t len = read_length(connection->in + at);
         size_t most = connection->ready ? Wr_FRAME_MAX : Lk_HELLO_MAX;
         if (len > most) {
@@ -179,17 +179,17 @@
         if (connection->in_len - at < whole) {
             break;
         }
-        take_frame(connection, connection->in + at + Wr_FRAME_HEAD, len);
+        on_frame(connection, connection->in + at + Wr_FRAME_HEAD, len);
         at += whole;
     }
-    if (!connection->dead && at > 0) {
+    if (!connection->closed && at > 0) {
         memmove(connection->in, connection->in + at, connection->in_len - at);
         connection->in_len -= at;
     }
 }
 
 static bool
-make_room(struct lk_connection *connection)
+reserve_input(struct lk_connection *connection)
 {
     size_t wanted = connection->in_len + Lk_READ_BYTES;
     if (wanted <= connection->in_max) {
@@ -205,9 +205,9 @@
 }
 
 static void
-release_room(struct lk_connection *connection)
+release_input(struct lk_connection *connection)
 {
-    if (!connection->dead && connection->in_len == 0) {
+    if (!connection->closed && connection->in_len == 0) {
         free(connection->in);
         connection->in = NULL;
         connection->in_max = 0;
@@ -218,7 +218,7 @@
 on_readable(void *arg)
 {
     struct lk_connection *connection = arg;
-    if (!make_room(connection)) {
+    if (!reserve_input(connection)) {
         lk_close(connection);
         return;
     }
@@ -233,8 +233,8 @@
     }
     connection->in_len += (size_t)got;
     connection->links->counters.bytes_in += (size_t)got;
-    take_frames(connection);
-    release_room(connection);
+    process_input(connection);
+    release_input(connection);
 }
 
 static void
@@ -266,8 +266,8 @@
 
 /* Makes a connection of a socket; takes the socket in any case. */
 static enum st_status
-adopt(struct lk_links *links, int fd, bool outgoing,
-      struct lk_connection **out)
+add_connection(struct lk_links *links, int fd, bool outgoing,
+               struct lk_connection **out)
 {
     int on = 1;
     struct lk_connection *connection = calloc(1, sizeof(*connection));
@@ -281,8 +281,8 @@
     connection->fd = fd;
     connection->outgoing = outgoing;
     connection->connected = !outgoing;
-    connection->made_usec = Ck_Now(links->clock);
-    connection->used_usec = connection->made_usec;
+    connection->created_usec = Ck_Now(links->clock);
+    connection->used_usec = connection->created_usec;
     TAILQ_INIT(&connection->frames);
     connection->watch =
         Lp_WatchCreate(links->loop, fd, &connection_ops, connection);
@@ -324,7 +324,7 @@
         return St_Fail(ST_UNAVAILABLE, "connect to %s port %d: %s",
                        to->address, to->port, strerror(errno));
     }
-    enum st_status status = adopt(links, fd, true, out);
+    enum st_status status = add_connection(links, fd, true, out);
     if (status == ST_OK) {
         (*out)->peer = *to;
     }
@@ -342,7 +342,7 @@
             return;
         }
         struct lk_connection *connection;
-        if (adopt(links, fd, false, &connection) == ST_OK) {
+        if (add_connection(links, fd, false, &connection) == ST_OK) {
             lk_arm(links);
         }
     }
--- a/packages/member/link_internal.h
+++ b/packages/member/link_internal.h
@@ -31,7 +31,7 @@
     bool outgoing;
     bool connected; /* the TCP connection stands */
     bool ready;     /* the hello of the other side has come */
-    bool dead;
+    bool closed;
     struct mb_endpoint peer;
     char node[Mb_ID_MAX];
     uint8_t nonce[Wr_NONCE_BYTES];
@@ -44,8 +44,8 @@
     uint8_t *in;
     size_t in_len;
     size_t in_max;
-    size_t open; /* calls and requests under way on it */
-    int64_t made_usec;
+    size_t in_flight; /* calls and requests under way on it */
+    int64_t created_usec;
     int64_t used_usec;
 };
 
@@ -54,7 +54,7 @@
     struct lk_connection *connection;
     uint64_t id;
     int64_t deadline_usec;
-    bool may_have_left;
+    bool maybe_sent;
     struct lk_frame *frame; /* until it was sent whole */
     lk_done_fn done;
     void *arg;
@@ -94,7 +94,7 @@
     struct lp_timer *timer;
     int64_t timer_usec; /* when it fires; 0: not set */
     struct lk_connections connections;
-    struct lk_connections dead; /* closed; freed by the timer */
+    struct lk_connections closed; /* closed; freed by the timer */
     size_t connection_count;
     struct lk_calls calls;
     uint64_t next_id;
@@ -104,15 +104,15 @@
 };
 
 /* link_call.c */
-void lk_take_answer(struct lk_connection *connection,
-                    const struct wr_frame *frame);
+void lk_on_answer(struct lk_connection *connection,
+                  const struct wr_frame *frame);
 void lk_finish(struct lk_call *call, const struct lk_result *result);
 struct lk_call *lk_call_on(const struct lk_connection *connection);
-struct lk_call *lk_late_call(const struct lk_links *links, int64_t now);
+struct lk_call *lk_expired_call(const struct lk_links *links, int64_t now);
 
 /* link.c */
-void lk_take_request(struct lk_connection *connection,
-                     const struct wr_frame *frame);
+void lk_on_request(struct lk_connection *connection,
+                   const struct wr_frame *frame);
 void lk_connection_lost(struct lk_connection *connection);
 void lk_arm(struct lk_links *links);
 
--- a/packages/member/node.c
+++ b/packages/member/node.c
@@ -19,8 +19,8 @@
 #define Nd_REACH_PREFIX "reach/"
 #define Nd_REACH_TTL_USEC (180 * Ck_USEC_PER_SEC)
 #define Nd_REACH_REPEAT_USEC (60 * Ck_USEC_PER_SEC)
-#define Nd_SPREAD_EXTRA 2 /* sendings of a fact beyond the logarithm */
-#define Nd_SPREAD_LESS 2  /* fewer of one of the data centre only */
+#define Nd_SPREAD_EXTRA 2     /* sendings of a fact beyond the logarithm */
+#define Nd_SPREAD_REDUCTION 2 /* fewer of one of the data centre only */
 #define Nd_SPREAD_MIN 2
 
 static void
@@ -57,7 +57,7 @@
     struct nd_node *node = arg;
     Ev_Log(&MEMBER_REACH, "data_centre=%s reachable=%d", data_centre,
            reachable);
-    if (!node->told_reach) {
+    if (!node->reach_from_peer) {
         publish_reach(node, data_centre, reachable);
         if (reachable) {
             node->sync_far = true; /* much may have changed over there */
@@ -85,9 +85,9 @@
         Mb_IsBridge(node->members, data_centre)) {
         return;
     }
-    node->told_reach = true;
+    node->reach_from_peer = true;
     Mb_SetReach(node->members, data_centre, *(const char *)fact->value == '1');
-    node->told_reach = false;
+    node->reach_from_peer = false;
 }
 
 /* The binary logarithm of the hearers and "extra" more, at least two. */
@@ -130,7 +130,7 @@
                  copies_for(counts[FC_REGION], Nd_SPREAD_EXTRA));
     /* Load samples: frequent and soon replaced, so fewer copies will do. */
     Fc_SetSpread(node->facts, FC_DATA_CENTRE,
-                 copies_for(counts[FC_DATA_CENTRE], -Nd_SPREAD_LESS));
+                 copies_for(counts[FC_DATA_CENTRE], -Nd_SPREAD_REDUCTION));
 }
 
 /* A verdict that stands is repeated before it ends, for new members. */
@@ -142,14 +142,14 @@
     }
     node->next_reach_usec = now + Nd_REACH_REPEAT_USEC;
     const struct mb_record *record;
-    const char *told = "";
+    const char *last = "";
     for (record = Mb_First(node->members); record != NULL;
          record = Mb_Next(record)) {
-        const char *place = record->data_centre;
-        if (strcmp(place, told) != 0 && Mb_IsBridge(node->members, place) &&
-            !Mb_Reachable(node->members, place)) {
-            told = place;
-            publish_reach(node, place, false);
+        const char *dc = record->data_centre;
+        if (strcmp(dc, last) != 0 && Mb_IsBridge(node->members, dc) &&
+            !Mb_Reachable(node->members, dc)) {
+            last = dc;
+            publish_reach(node, dc, false);
         }
     }
 }
--- a/packages/member/node_datagram.c
+++ b/packages/member/node_datagram.c
@@ -17,7 +17,7 @@
 #define Nd_READS 64 /* datagrams taken in one turn of the loop */
 #define Nd_SENDERS_MAX 8192
 #define Nd_SENDER_KEEP_USEC (3600 * Ck_USEC_PER_SEC)
-#define Nd_TELL_USEC Ck_USEC_PER_SEC
+#define Nd_CORRECTION_USEC Ck_USEC_PER_SEC
 #define Nd_DENIED_LOG_USEC (60 * Ck_USEC_PER_SEC)
 #define Nd_RECEIVE_BUFFER (1024 * 1024)
 
@@ -122,15 +122,15 @@
  * what is known of it, once a second at most, and takes a later one.
  */
 static void
-tell_incarnation(struct nd_node *node, struct nd_sender *sender,
-                 const struct mb_endpoint *from)
+send_correction(struct nd_node *node, struct nd_sender *sender,
+                const struct mb_endpoint *from)
 {
     int64_t now = Ck_Now(node->clock);
     const struct mb_record *self = Mb_Self(node->members);
-    if (now - sender->told_usec < Nd_TELL_USEC) {
+    if (now - sender->corrected_usec < Nd_CORRECTION_USEC) {
         return;
     }
-    sender->told_usec = now;
+    sender->corrected_usec = now;
     struct mb_message message = {.type = MB_GOSSIP,
                                  .incarnation = self->incarnation,
                                  .update_count = 1};
@@ -156,8 +156,8 @@
     case WR_FRESH:
         sender->heard_usec = Ck_Now(node->clock);
         return true;
-    case WR_FORMER_LIFE:
-        tell_incarnation(node, sender, from);
+    case WR_OLD_INCARNATION:
+        send_correction(node, sender, from);
         break;
     case WR_REPLAYED:
         break;
@@ -180,8 +180,8 @@
 }
 
 static void
-take_datagram(struct nd_node *node, const struct mb_endpoint *from,
-              const uint8_t *bytes, size_t len)
+on_datagram(struct nd_node *node, const struct mb_endpoint *from,
+            const uint8_t *bytes, size_t len)
 {
     struct wr_datagram datagram;
     enum st_status status =
@@ -223,7 +223,7 @@
         Ad_FromSocket(&address, &from);
         node->counters.datagrams_in++;
         node->counters.bytes_in += (size_t)len;
-        take_datagram(node, &from, bytes, (size_t)len);
+        on_datagram(node, &from, bytes, (size_t)len);
     }
 }
 
--- a/packages/member/node_internal.h
+++ b/packages/member/node_internal.h
@@ -14,7 +14,7 @@
     char id[Mb_ID_MAX];
     struct wr_window window;
     int64_t heard_usec;
-    int64_t told_usec; /* that it uses an incarnation gone by */
+    int64_t corrected_usec; /* that it uses an incarnation gone by */
 };
 
 RB_HEAD(nd_senders, nd_sender);
@@ -49,7 +49,7 @@
     bool syncing;  /* an exchange is under way */
     bool sync_far; /* the next one goes beyond the region */
     char sync_peer[Mb_ID_MAX];
-    bool told_reach; /* a verdict on reach came from another bridge */
+    bool reach_from_peer; /* a verdict on reach came from another bridge */
     int64_t next_reach_usec;
 };
 
--- a/packages/member/node_sync.c
+++ b/packages/member/node_sync.c
@@ -62,7 +62,7 @@
 }
 
 static const msgpack_object *
-parts(const msgpack_object *object, size_t least)
+array_items(const msgpack_object *object, size_t least)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
         object->via.array.size < least) {
@@ -96,19 +96,20 @@
 }
 
 static bool
-take_records(struct nd_node *node, const msgpack_object *object, bool learn)
+apply_records(struct nd_node *node, const msgpack_object *object,
+              bool local_only)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct mb_record record;
-        if (!Wr_ReadRecord(&part[i], &record)) {
+        if (!Wr_ReadRecord(&item[i], &record)) {
             return false;
         }
-        if (learn) {
-            Mb_Learn(node->members, &record);
+        if (local_only) {
+            Mb_ApplyLocally(node->members, &record);
         }
         else {
             Mb_Apply(node->members, &record);
@@ -118,19 +119,20 @@
 }
 
 static bool
-take_facts(struct nd_node *node, const msgpack_object *object, bool learn)
+apply_facts(struct nd_node *node, const msgpack_object *object,
+            bool local_only)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct wr_fact fact;
-        if (!Wr_ReadFact(&part[i], &fact)) {
+        if (!Wr_ReadFact(&item[i], &fact)) {
             return false;
         }
-        if (learn) {
-            Fc_Learn(node->facts, &fact.fact);
+        if (local_only) {
+            Fc_ApplyLocally(node->facts, &fact.fact);
         }
         else {
             Fc_Apply(node->facts, &fact.fact);
@@ -170,18 +172,18 @@
 static bool
 read_stamp(const msgpack_object *object, struct fc_stamp *out)
 {
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL) {
         return false;
     }
     for (int i = 0; i < 3; i++) {
-        if (part[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+        if (item[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
             return false;
         }
     }
-    out->name_hash = part[0].via.u64;
-    out->version = part[1].via.u64;
-    out->value_hash = (uint32_t)part[2].via.u64;
+    out->name_hash = item[0].via.u64;
+    out->version = item[1].via.u64;
+    out->value_hash = (uint32_t)item[2].via.u64;
     return true;
 }
 
@@ -195,10 +197,10 @@
 
 /* Unpacks the payload of a request or an answer and hands it on. */
 static bool
-with_payload(struct nd_node *node, const void *payload, size_t len,
-             bool (*take)(struct nd_node *node, const msgpack_object *object,
-                          void *arg),
-             void *arg)
+decode_payload(struct nd_node *node, const void *payload, size_t len,
+               bool (*decode)(struct nd_node *node,
+                              const msgpack_object *object, void *arg),
+               void *arg)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -206,7 +208,7 @@
     bool good = Mp_CountsFit(payload, len) &&
                 msgpack_unpack_next(&unpacked, payload, len, &offset) ==
                     MSGPACK_UNPACK_SUCCESS &&
-                take(node, &unpacked.data, arg);
+                decode(node, &unpacked.data, arg);
     msgpack_unpacked_destroy(&unpacked);
     return good;
 }
@@ -222,11 +224,11 @@
 answer_digest(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_reply *reply = arg;
-    const msgpack_object *part = parts(object, 2);
+    const msgpack_object *item = array_items(object, 2);
     uint64_t theirs[Nd_BUCKETS];
     uint64_t ours[Nd_BUCKETS];
-    if (part == NULL || !read_buckets(&part[0], theirs, Nd_BUCKETS) ||
-        parts(&part[1], 0) == NULL) {
+    if (item == NULL || !read_buckets(&item[0], theirs, Nd_BUCKETS) ||
+        array_items(&item[1], 0) == NULL) {
         return false;
     }
     msgpack_packer packer;
@@ -237,12 +239,12 @@
     msgpack_pack_uint64(&packer, bits);
     pack_records(node, &packer, bits);
     size_t scopes = reply->narrowest + 1U;
-    if (part[1].via.array.size < scopes) {
-        scopes = part[1].via.array.size;
+    if (item[1].via.array.size < scopes) {
+        scopes = item[1].via.array.size;
     }
     msgpack_pack_array(&packer, scopes);
     for (size_t scope = 0; scope < scopes; scope++) {
-        if (!read_buckets(&part[1].via.array.ptr[scope], theirs, Fc_BUCKETS)) {
+        if (!read_buckets(&item[1].via.array.ptr[scope], theirs, Fc_BUCKETS)) {
             return false;
         }
         Fc_Digest(node->facts, (enum fc_scope)scope, ours);
@@ -256,19 +258,19 @@
 answer_merge(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_reply *reply = arg;
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL || !take_records(node, &part[0], false) ||
-        !take_facts(node, &part[1], false)) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL || !apply_records(node, &item[0], false) ||
+        !apply_facts(node, &item[1], false)) {
         return false;
     }
-    const msgpack_object *wanted = parts(&part[2], 0);
+    const msgpack_object *wanted = array_items(&item[2], 0);
     if (wanted == NULL) {
         return false;
     }
     msgpack_packer packer;
     msgpack_packer_init(&packer, &reply->buffer, msgpack_sbuffer_write);
     size_t given = 0;
-    size_t count = part[2].via.array.size;
+    size_t count = item[2].via.array.size;
     msgpack_pack_array(&packer, count);
     for (; given < count; given++) {
         struct fc_fact fact = {.owner = "", .key = ""};
@@ -288,15 +290,15 @@
 
 static void
 reply_with(struct nd_node *node, struct lk_request *request,
-           bool (*take)(struct nd_node *node, const msgpack_object *object,
-                        void *arg))
+           bool (*decode)(struct nd_node *node, const msgpack_object *object,
+                          void *arg))
 {
     size_t len;
     const void *payload = Lk_Payload(request, &len);
     struct nd_reply reply = {.narrowest =
                                  scope_of_peer(node, Lk_From(request))};
     msgpack_sbuffer_init(&reply.buffer);
-    bool good = with_payload(node, payload, len, take, &reply);
+    bool good = decode_payload(node, payload, len, decode, &reply);
     Lk_Reply(request, good ? ST_OK : ST_INVALID, reply.buffer.data,
              good ? reply.buffer.size : 0);
     msgpack_sbuffer_destroy(&reply.buffer);
@@ -317,7 +319,7 @@
 /* The asking side. */
 
 static void
-ended(struct nd_node *node, bool good)
+end_sync(struct nd_node *node, bool good)
 {
     node->syncing = false;
     if (good) {
@@ -327,25 +329,25 @@
 }
 
 static bool
-take_merged(struct nd_node *node, const msgpack_object *object, void *arg)
+apply_merged(struct nd_node *node, const msgpack_object *object, void *arg)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct wr_fact fact;
-        if (part[i].type == MSGPACK_OBJECT_NIL) {
+        if (item[i].type == MSGPACK_OBJECT_NIL) {
             continue;
         }
-        if (!Wr_ReadFact(&part[i], &fact)) {
+        if (!Wr_ReadFact(&item[i], &fact)) {
             return false;
         }
         if (node->synced) {
             Fc_Apply(node->facts, &fact.fact);
         }
         else {
-            Fc_Learn(node->facts, &fact.fact);
+            Fc_ApplyLocally(node->facts, &fact.fact);
         }
     }
     return true;
@@ -355,9 +357,9 @@
 on_merged(void *arg, const struct lk_result *result)
 {
     struct nd_node *node = arg;
-    ended(node, result->status == ST_OK &&
-                    with_payload(node, result->payload, result->len,
-                                 take_merged, NULL));
+    end_sync(node, result->status == ST_OK &&
+                       decode_payload(node, result->payload, result->len,
+                                      apply_merged, NULL));
 }
 
 /* What to send and what to ask for, after comparing stamps. */
@@ -370,7 +372,7 @@
 };
 
 static void
-want(struct nd_difference *difference, uint64_t name_hash)
+request_fact(struct nd_difference *difference, uint64_t name_hash)
 {
     msgpack_packer packer;
     msgpack_packer_init(&packer, &difference->wanted, msgpack_sbuffer_write);
@@ -379,7 +381,7 @@
 }
 
 static void
-give(struct nd_difference *difference, const struct fc_fact *fact)
+send_fact(struct nd_difference *difference, const struct fc_fact *fact)
 {
     msgpack_packer packer;
     if (difference->facts.size > Nd_BYTES_MAX / 2) {
@@ -414,16 +416,16 @@
         if (!read_stamp(&stamps->via.array.ptr[i], &theirs)) {
             return false;
         }
-        bool known = Fc_ByHash(node->facts, theirs.name_hash, &ours);
-        if (!known || theirs.version > ours.version) {
-            want(difference, theirs.name_hash);
+        bool found = Fc_ByHash(node->facts, theirs.name_hash, &ours);
+        if (!found || theirs.version > ours.version) {
+            request_fact(difference, theirs.name_hash);
         }
         else if (theirs.version < ours.version) {
-            give(difference, &ours);
+            send_fact(difference, &ours);
         }
         else if (theirs.value_hash != Fc_ValueHash(&ours)) {
-            want(difference, theirs.name_hash);
-            give(difference, &ours);
+            request_fact(difference, theirs.name_hash);
+            send_fact(difference, &ours);
         }
     }
     return true;
@@ -444,7 +446,7 @@
             struct fc_fact ours;
             if (!holds_stamp(theirs, stamps[j].name_hash) &&
                 Fc_ByHash(node->facts, stamps[j].name_hash, &ours)) {
-                give(difference, &ours);
+                send_fact(difference, &ours);
             }
         }
     }
@@ -454,33 +456,34 @@
 compare_scope(struct nd_node *node, enum fc_scope scope,
               const msgpack_object *object, struct nd_difference *difference)
 {
-    const msgpack_object *part = parts(object, 2);
-    if (part == NULL || part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        parts(&part[1], 0) == NULL ||
-        !compare_theirs(node, &part[1], difference)) {
+    const msgpack_object *item = array_items(object, 2);
+    if (item == NULL || item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        array_items(&item[1], 0) == NULL ||
+        !compare_theirs(node, &item[1], difference)) {
         return false;
     }
-    compare_ours(node, scope, part[0].via.u64, &part[1], difference);
+    compare_ours(node, scope, item[0].via.u64, &item[1], difference);
     return true;
 }
 
 static bool
-take_digest(struct nd_node *node, const msgpack_object *object, void *arg)
+apply_digest(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_difference *difference = arg;
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL || part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        parts(&part[2], 0) == NULL || part[2].via.array.size > Fc_SCOPES) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL || item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        array_items(&item[2], 0) == NULL ||
+        item[2].via.array.size > Fc_SCOPES) {
         return false;
     }
-    difference->member_bits = part[0].via.u64;
-    for (size_t scope = 0; scope < part[2].via.array.size; scope++) {
+    difference->member_bits = item[0].via.u64;
+    for (size_t scope = 0; scope < item[2].via.array.size; scope++) {
         if (!compare_scope(node, (enum fc_scope)scope,
-                           &part[2].via.array.ptr[scope], difference)) {
+                           &item[2].via.array.ptr[scope], difference)) {
             return false;
         }
     }
-    return take_records(node, &part[1], !node->synced);
+    return apply_records(node, &item[1], !node->synced);
 }
 
 static bool
@@ -525,11 +528,11 @@
     msgpack_sbuffer_init(&difference.facts);
     msgpack_sbuffer_init(&difference.wanted);
     bool good = result->status == ST_OK &&
-                with_payload(node, result->payload, result->len, take_digest,
-                             &difference);
+                decode_payload(node, result->payload, result->len,
+                               apply_digest, &difference);
     if (!good || is_equal(&difference) ||
         send_merge(node, node->sync_peer, &difference) != ST_OK) {
-        ended(node, good && is_equal(&difference));
+        end_sync(node, good && is_equal(&difference));
     }
     msgpack_sbuffer_destroy(&difference.facts);
     msgpack_sbuffer_destroy(&difference.wanted);
--- a/packages/member/table.c
+++ b/packages/member/table.c
@@ -12,7 +12,7 @@
 #define Mb_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Mb_GROUP_MIN 8
 #define Mb_SUSPICION_PERIODS 4 /* times the decimal logarithm of the group */
-#define Mb_SUSPICION_ALONE 5   /* times longer with a single accuser */
+#define Mb_SUSPICION_ALONE_FACTOR 5 /* times longer with a single accuser */
 #define Mb_ISOLATED_PERIODS 3
 #define Mb_ISOLATED_MIN 3 /* others in the group before silence means us */
 #define Mb_SPREAD_EXTRA 2 /* transmissions beyond the binary logarithm */
@@ -31,13 +31,13 @@
 void
 mb_enqueue(struct mb_table *table, struct mb_entry *entry)
 {
-    if (table->quiet && entry != table->self) {
+    if (table->no_spread && entry != table->self) {
         return;
     }
-    if (entry->left > 0) {
+    if (entry->sends_left > 0) {
         TAILQ_REMOVE(&table->queue, entry, queued);
     }
-    entry->left = spread_count(table);
+    entry->sends_left = spread_count(table);
     TAILQ_INSERT_HEAD(&table->queue, entry, queued);
 }
 
@@ -50,9 +50,9 @@
     entry->record.state = state;
     entry->since_usec = Ck_Now(table->clock);
     entry->deadline_usec = 0;
-    entry->accuser_count = 0;
+    entry->suspector_count = 0;
     entry->record.by[0] = '\0';
-    entry->local = false;
+    entry->local_suspicion = false;
     entry->wait_usec = 0;
     entry->next_usec = 0;
     if (state == MB_LEAVING) {
@@ -61,11 +61,11 @@
     else if (state == MB_ALIVE) {
         entry->departed = false;
     }
-    if (mb_is_living(before) && !mb_is_living(state)) {
-        entry->place->living--;
+    if (mb_is_live(before) && !mb_is_live(state)) {
+        entry->dc->live_count--;
     }
-    else if (!mb_is_living(before) && mb_is_living(state)) {
-        entry->place->living++;
+    else if (!mb_is_live(before) && mb_is_live(state)) {
+        entry->dc->live_count++;
     }
     table->generation++;
     if (entry != table->self && before != state &&
@@ -78,12 +78,12 @@
 bool
 mb_in_group(const struct mb_table *table, const struct mb_entry *entry)
 {
-    const struct mb_place *own = table->self->place;
-    if (entry->place == own) {
+    const struct mb_dc *own = table->self->dc;
+    if (entry->dc == own) {
         return true;
     }
-    return own->living < table->group_min &&
-           strcmp(entry->place->region, own->region) == 0;
+    return own->live_count < table->group_min &&
+           strcmp(entry->dc->region, own->region) == 0;
 }
 
 static size_t
@@ -128,11 +128,12 @@
     int64_t least =
         Mb_SUSPICION_PERIODS * table->period_usec * thousandths / 1000;
     /* Without the two concerned and the first accuser few may be left. */
-    size_t wanted = size < 2 + Mb_ACCUSERS_MAX ? 1 : Mb_ACCUSERS_MAX;
-    if (entry->accuser_count >= wanted) {
+    size_t wanted = size < 2 + Mb_SUSPECTORS_MAX ? 1 : Mb_SUSPECTORS_MAX;
+    if (entry->suspector_count >= wanted) {
         return least;
     }
-    return least * Mb_SUSPICION_ALONE / (int64_t)(entry->accuser_count + 1);
+    return least * Mb_SUSPICION_ALONE_FACTOR /
+           (int64_t)(entry->suspector_count + 1);
 }
 
 /*
@@ -141,18 +142,18 @@
  * to refute: the fault may lie with the accuser or on the path between.
  */
 static bool
-add_accuser(struct mb_table *table, struct mb_entry *entry, const char *id)
+add_suspector(struct mb_table *table, struct mb_entry *entry, const char *id)
 {
     uint64_t hash = Hash_String(id, 0);
-    for (size_t i = 0; i < entry->accuser_count; i++) {
-        if (entry->accusers[i] == hash) {
+    for (size_t i = 0; i < entry->suspector_count; i++) {
+        if (entry->suspectors[i] == hash) {
             return false;
         }
     }
-    if (entry->accuser_count == Mb_ACCUSERS_MAX) {
+    if (entry->suspector_count == Mb_SUSPECTORS_MAX) {
         return false;
     }
-    entry->accusers[entry->accuser_count++] = hash;
+    entry->suspectors[entry->suspector_count++] = hash;
     strlcpy(entry->record.by, id, sizeof(entry->record.by));
     if (mb_in_group(table, entry)) {
         entry->deadline_usec =
@@ -168,7 +169,7 @@
  * verdict; see mb_isolated().
  */
 void
-mb_accuse(struct mb_table *table, struct mb_entry *entry)
+mb_suspect(struct mb_table *table, struct mb_entry *entry)
 {
     if (entry->record.state == MB_DEAD) {
         return;
@@ -176,10 +177,10 @@
     bool isolated = mb_isolated(table, Ck_Now(table->clock));
     if (entry->record.state != MB_SUSPECT) {
         mb_set_state(table, entry, MB_SUSPECT);
-        entry->local = isolated;
+        entry->local_suspicion = isolated;
     }
-    if (!entry->local) {
-        add_accuser(table, entry, table->self->record.id);
+    if (!entry->local_suspicion) {
+        add_suspector(table, entry, table->self->record.id);
     }
 }
 
@@ -205,18 +206,18 @@
 }
 
 static void
-take_places(struct mb_table *table, struct mb_entry *entry,
-            const struct mb_record *record)
+apply_location(struct mb_table *table, struct mb_entry *entry,
+               const struct mb_record *record)
 {
-    struct mb_place *place = mb_place_of(table, record);
-    if (place == NULL) {
+    struct mb_dc *dc = mb_dc_of(table, record);
+    if (dc == NULL) {
         return;
     }
-    if (mb_is_living(entry->record.state)) {
-        entry->place->living--;
-        place->living++;
+    if (mb_is_live(entry->record.state)) {
+        entry->dc->live_count--;
+        dc->live_count++;
     }
-    entry->place = place;
+    entry->dc = dc;
     enum mb_state state = entry->record.state;
     entry->record = *record;
     entry->record.state = state;
@@ -229,7 +230,7 @@
  * tells.
  */
 static bool
-is_news(const struct mb_entry *entry, const struct mb_record *record)
+supersedes(const struct mb_entry *entry, const struct mb_record *record)
 {
     if (record->incarnation < entry->record.incarnation) {
         return false;
@@ -237,20 +238,20 @@
     if (record->incarnation > entry->record.incarnation) {
         return record->full || record->state == MB_DEAD;
     }
-    return record->state > entry->record.state || entry->local;
+    return record->state > entry->record.state || entry->local_suspicion;
 }
 
 static void
-take_news(struct mb_table *table, struct mb_entry *entry,
-          const struct mb_record *record)
+apply_record(struct mb_table *table, struct mb_entry *entry,
+             const struct mb_record *record)
 {
     if (record->full) {
-        take_places(table, entry, record);
+        apply_location(table, entry, record);
     }
     entry->record.incarnation = record->incarnation;
     mb_set_state(table, entry, record->state);
     if (record->state == MB_SUSPECT) {
-        add_accuser(table, entry, record->by);
+        add_suspector(table, entry, record->by);
     }
     mb_enqueue(table, entry);
 }
@@ -270,17 +271,17 @@
         }
         entry = mb_add(table, record);
         if (entry != NULL) {
-            take_news(table, entry, record);
+            apply_record(table, entry, record);
         }
         return;
     }
-    if (is_news(entry, record)) {
-        take_news(table, entry, record);
+    if (supersedes(entry, record)) {
+        apply_record(table, entry, record);
     }
     else if (record->incarnation == entry->record.incarnation &&
              record->state == MB_SUSPECT &&
              entry->record.state == MB_SUSPECT) {
-        add_accuser(table, entry, record->by);
+        add_suspector(table, entry, record->by);
     }
 }
 
@@ -289,11 +290,11 @@
  * first full state that a new node takes is news to that node alone.
  */
 void
-Mb_Learn(struct mb_table *table, const struct mb_record *record)
+Mb_ApplyLocally(struct mb_table *table, const struct mb_record *record)
 {
-    table->quiet = true;
+    table->no_spread = true;
     Mb_Apply(table, record);
-    table->quiet = false;
+    table->no_spread = false;
 }
 
 static enum st_status
@@ -332,7 +333,7 @@
         options->group_min != 0 ? options->group_min : Mb_GROUP_MIN;
     RB_INIT(&table->members);
     TAILQ_INIT(&table->queue);
-    TAILQ_INIT(&table->places);
+    TAILQ_INIT(&table->dcs);
     table->last_tick_usec = Ck_Now(table->clock);
     table->last_heard_usec = table->last_tick_usec;
     table->next_probe_usec =
@@ -363,10 +364,10 @@
         RB_REMOVE(mb_tree, &table->members, entry);
         free(entry);
     }
-    struct mb_place *place;
-    while ((place = TAILQ_FIRST(&table->places)) != NULL) {
-        TAILQ_REMOVE(&table->places, place, link);
-        free(place);
+    struct mb_dc *dc;
+    while ((dc = TAILQ_FIRST(&table->dcs)) != NULL) {
+        TAILQ_REMOVE(&table->dcs, dc, link);
+        free(dc);
     }
     free(table->order);
     free(table);
@@ -385,7 +386,7 @@
 
 /* Takes back what was suspected since then, while this node was cut off. */
 static void
-acquit(struct mb_table *table, int64_t since_usec)
+revert_suspicions(struct mb_table *table, int64_t since_usec)
 {
     struct mb_entry *entry;
     RB_FOREACH (entry, mb_tree, &table->members) {
@@ -398,26 +399,26 @@
 }
 
 static void
-heard(struct mb_table *table, const struct mb_entry *sender)
+note_sender(struct mb_table *table, const struct mb_entry *sender)
 {
     int64_t now = Ck_Now(table->clock);
     if (sender == NULL) {
         return;
     }
-    if (sender->place->out_of_reach) {
-        sender->place->next_usec = now; /* no need to wait for the backoff */
+    if (sender->dc->out_of_reach) {
+        sender->dc->next_usec = now; /* no need to wait for the backoff */
     }
     if (!mb_in_group(table, sender)) {
         return;
     }
     if (mb_isolated(table, now)) {
-        acquit(table, table->last_heard_usec);
+        revert_suspicions(table, table->last_heard_usec);
     }
     table->last_heard_usec = now;
 }
 
 static bool
-speaks_of(const struct mb_message *message, const char *id)
+has_update_for(const struct mb_message *message, const char *id)
 {
     for (size_t i = 0; i < message->update_count; i++) {
         if (strcmp(message->updates[i].id, id) == 0) {
@@ -434,14 +435,14 @@
     struct mb_message ack =
         mb_message_new(table, MB_ACK, ping->sequence, ping->from);
     const struct mb_entry *sender = mb_find(table, ping->from);
-    bool doubted = sender != NULL && (sender->record.state == MB_SUSPECT ||
-                                      sender->record.state == MB_DEAD);
-    if (doubted ||
+    bool suspected = sender != NULL && (sender->record.state == MB_SUSPECT ||
+                                        sender->record.state == MB_DEAD);
+    if (suspected ||
         (sender != NULL && sender->record.incarnation > ping->incarnation)) {
         mb_message_add(&ack, &sender->record);
     }
     if (ping->subject[0] == '\0' || sender == NULL ||
-        speaks_of(ping, table->self->record.id)) {
+        has_update_for(ping, table->self->record.id)) {
         mb_message_add(&ack, &table->self->record);
     }
     mb_message_fill(table, &ack);
@@ -466,7 +467,7 @@
     for (size_t i = 0; i < message->update_count; i++) {
         Mb_Apply(table, &message->updates[i]);
     }
-    heard(table, mb_find(table, message->from));
+    note_sender(table, mb_find(table, message->from));
     switch (message->type) {
     case MB_PING:
         if (message->subject[0] == '\0' ||
@@ -489,11 +490,10 @@
 void
 Mb_SetReach(struct mb_table *table, const char *data_centre, bool reachable)
 {
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (strcmp(place->name, data_centre) == 0 &&
-            place != table->self->place) {
-            mb_set_reach(table, place, reachable);
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (strcmp(dc->name, data_centre) == 0 && dc != table->self->dc) {
+            mb_set_reach(table, dc, reachable);
         }
     }
 }
--- a/packages/member/table.h
+++ b/packages/member/table.h
@@ -119,7 +119,7 @@
 void Mb_Receive(struct mb_table *table, const struct mb_endpoint *from,
                 const struct mb_message *message);
 void Mb_Apply(struct mb_table *table, const struct mb_record *record);
-void Mb_Learn(struct mb_table *table, const struct mb_record *record);
+void Mb_ApplyLocally(struct mb_table *table, const struct mb_record *record);
 void Mb_Gossip(struct mb_table *table);
 void Mb_Leave(struct mb_table *table);
 void Mb_SetReach(struct mb_table *table, const char *data_centre,
--- a/packages/member/table_entry.c
+++ b/packages/member/table_entry.c
@@ -25,32 +25,32 @@
 }
 
 /* The data centre of a record, made when new; NULL without room. */
-struct mb_place *
-mb_place_of(struct mb_table *table, const struct mb_record *record)
+struct mb_dc *
+mb_dc_of(struct mb_table *table, const struct mb_record *record)
 {
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (strcmp(place->name, record->data_centre) == 0) {
-            return place;
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (strcmp(dc->name, record->data_centre) == 0) {
+            return dc;
         }
     }
-    if (table->place_count >= Mb_DATA_CENTRES_MAX) {
+    if (table->dc_count >= Mb_DATA_CENTRES_MAX) {
         return NULL;
     }
-    place = calloc(1, sizeof(*place));
-    if (place == NULL) {
+    dc = calloc(1, sizeof(*dc));
+    if (dc == NULL) {
         return NULL;
     }
-    strlcpy(place->name, record->data_centre, sizeof(place->name));
-    strlcpy(place->region, record->region, sizeof(place->region));
-    TAILQ_INSERT_TAIL(&table->places, place, link);
-    table->place_count++;
-    return place;
+    strlcpy(dc->name, record->data_centre, sizeof(dc->name));
+    strlcpy(dc->region, record->region, sizeof(dc->region));
+    TAILQ_INSERT_TAIL(&table->dcs, dc, link);
+    table->dc_count++;
+    return dc;
 }
 
 /* Whether a member in this state may still answer. */
 bool
-mb_is_living(enum mb_state state)
+mb_is_live(enum mb_state state)
 {
     return state != MB_DEAD;
 }
@@ -68,8 +68,8 @@
     }
     entry->record = *record;
     entry->record.state = MB_DEAD;
-    entry->place = mb_place_of(table, record);
-    if (entry->place == NULL) {
+    entry->dc = mb_dc_of(table, record);
+    if (entry->dc == NULL) {
         free(entry);
         return NULL;
     }
@@ -81,12 +81,12 @@
 
 /* Drops a member and all that is remembered of it. */
 void
-mb_forget(struct mb_table *table, struct mb_entry *entry)
+mb_remove(struct mb_table *table, struct mb_entry *entry)
 {
-    if (mb_is_living(entry->record.state)) {
+    if (mb_is_live(entry->record.state)) {
         mb_set_state(table, entry, MB_DEAD);
     }
-    if (entry->left > 0) {
+    if (entry->sends_left > 0) {
         TAILQ_REMOVE(&table->queue, entry, queued);
     }
     for (size_t i = 0; i < table->order_len; i++) {
--- a/packages/member/table_internal.h
+++ b/packages/member/table_internal.h
@@ -12,14 +12,14 @@
 #define Mb_DATA_CENTRES_MAX 64
 #define Mb_MEMBERS_MAX 4096
 #define Mb_BRIDGES 2
-#define Mb_ACCUSERS_MAX 3
+#define Mb_SUSPECTORS_MAX 3
 
-struct mb_place {
-    TAILQ_ENTRY(mb_place) link;
+struct mb_dc {
+    TAILQ_ENTRY(mb_dc) link;
     char name[Mb_NAME_MAX];
     char region[Mb_NAME_MAX];
-    size_t living; /* members that are not dead */
-    bool bridged;  /* this node is a bridge to it */
+    size_t live_count; /* members that are not dead */
+    bool bridged;      /* this node is a bridge to it */
     bool out_of_reach;
     int64_t since_usec; /* of being out of reach */
     int failures;       /* bridge probes lost in a row */
@@ -31,14 +31,14 @@
     struct mb_record record;
     RB_ENTRY(mb_entry) node;
     TAILQ_ENTRY(mb_entry) queued;
-    struct mb_place *place;
-    int left;              /* transmissions left; queued while above 0 */
-    bool local;            /* suspected by this node alone, not spread */
+    struct mb_dc *dc;
+    int sends_left;        /* transmissions left; queued while above 0 */
+    bool local_suspicion;  /* suspected by this node alone, not spread */
     bool departed;         /* announced that it leaves */
     int64_t since_usec;    /* of the present state */
     int64_t deadline_usec; /* end of suspicion; 0: none */
-    uint64_t accusers[Mb_ACCUSERS_MAX]; /* hashes of who suspects it */
-    size_t accuser_count;
+    uint64_t suspectors[Mb_SUSPECTORS_MAX]; /* hashes of who suspects it */
+    size_t suspector_count;
     int64_t wait_usec; /* between probes of a dead member */
     int64_t next_usec;
 };
@@ -46,7 +46,7 @@
 enum mb_purpose {
     MB_FOR_GROUP,  /* the regular probe of a group member */
     MB_FOR_BRIDGE, /* is a data centre within reach? */
-    MB_FOR_RETURN, /* a dead member or a seed; no verdict follows */
+    MB_FOR_REJOIN, /* a dead member or a seed; no verdict follows */
     MB_FOR_OTHER,  /* on behalf of another member */
 };
 
@@ -58,13 +58,13 @@
     bool indirect; /* indirect probes were asked for */
     int64_t indirect_usec;
     int64_t deadline_usec;
-    char asker[Mb_ID_MAX]; /* MB_FOR_OTHER */
-    uint32_t asker_sequence;
+    char requester[Mb_ID_MAX]; /* MB_FOR_OTHER */
+    uint32_t requester_sequence;
 };
 
 RB_HEAD(mb_tree, mb_entry);
 TAILQ_HEAD(mb_queue, mb_entry);
-TAILQ_HEAD(mb_places, mb_place);
+TAILQ_HEAD(mb_dcs, mb_dc);
 
 struct mb_table {
     const struct ck_clock *clock;
@@ -78,10 +78,10 @@
     struct mb_entry *self;
     struct mb_tree members;
     size_t member_count;
-    bool quiet; /* nothing is queued for spreading */
+    bool no_spread; /* nothing is queued for spreading */
     struct mb_queue queue;
-    struct mb_places places;
-    size_t place_count;
+    struct mb_dcs dcs;
+    size_t dc_count;
     uint64_t generation;
     uint64_t bridges_generation;
 
@@ -98,7 +98,8 @@
     int64_t next_scan_usec;
     int64_t last_tick_usec;
     int64_t last_heard_usec; /* a group member was heard */
-    int health; /* 0: well; probes of this node fail often when higher */
+    int health_penalty; /* 0: well; probes of this node fail often when higher
+                         */
 };
 
 RB_PROTOTYPE(mb_tree, mb_entry, node, mb_compare);
@@ -109,10 +110,9 @@
 struct mb_entry *mb_find(const struct mb_table *table, const char *id);
 struct mb_entry *mb_add(struct mb_table *table,
                         const struct mb_record *record);
-void mb_forget(struct mb_table *table, struct mb_entry *entry);
-struct mb_place *mb_place_of(struct mb_table *table,
-                             const struct mb_record *record);
-bool mb_is_living(enum mb_state state);
+void mb_remove(struct mb_table *table, struct mb_entry *entry);
+struct mb_dc *mb_dc_of(struct mb_table *table, const struct mb_record *record);
+bool mb_is_live(enum mb_state state);
 
 /* table.c */
 void mb_set_state(struct mb_table *table, struct mb_entry *entry,
@@ -120,7 +120,7 @@
 void mb_enqueue(struct mb_table *table, struct mb_entry *entry);
 bool mb_in_group(const struct mb_table *table, const struct mb_entry *entry);
 bool mb_isolated(const struct mb_table *table, int64_t now);
-void mb_accuse(struct mb_table *table, struct mb_entry *entry);
+void mb_suspect(struct mb_table *table, struct mb_entry *entry);
 
 /* table_send.c */
 struct mb_message mb_message_new(struct mb_table *table, enum mb_type type,
@@ -134,8 +134,8 @@
              uint32_t sequence, bool introduce);
 typedef bool (*mb_accept_fn)(const struct mb_table *table,
                              const struct mb_entry *entry, const void *arg);
-struct mb_entry *mb_pick(struct mb_table *table, mb_accept_fn accept,
-                         const void *arg);
+struct mb_entry *mb_pick_random(struct mb_table *table, mb_accept_fn accept,
+                                const void *arg);
 
 /* table_probe.c */
 struct mb_probe *mb_probe_new(struct mb_table *table, enum mb_purpose purpose,
@@ -143,7 +143,6 @@
 void mb_acknowledged(struct mb_table *table, const struct mb_message *message);
 void mb_relay_probe(struct mb_table *table, const struct mb_message *message);
 void mb_update_bridges(struct mb_table *table);
-void mb_set_reach(struct mb_table *table, struct mb_place *place,
-                  bool reachable);
+void mb_set_reach(struct mb_table *table, struct mb_dc *place, bool reachable);
 
 #endif
--- a/packages/member/table_probe.c
+++ b/packages/member/table_probe.c
@@ -7,18 +7,18 @@
 #include "member/table.h"
 #include "member/table_internal.h"
 
-#define Mb_HELPERS 3
-#define Mb_HEALTH_MAX 4
-#define Mb_PAUSE_USEC (500 * Ck_USEC_PER_MSEC)
+#define Mb_INDIRECT_PROBES 3
+#define Mb_HEALTH_PENALTY_MAX 4
+#define Mb_PAUSE_MIN_USEC (500 * Ck_USEC_PER_MSEC)
 #define Mb_REACH_FAILURES 5
 #define Mb_REACH_WAIT_MAX_USEC (30 * Ck_USEC_PER_SEC)
-#define Mb_RETURN_WAIT_USEC (5 * Ck_USEC_PER_SEC)
-#define Mb_RETURN_WAIT_MAX_USEC (60 * Ck_USEC_PER_SEC)
+#define Mb_REJOIN_WAIT_USEC (5 * Ck_USEC_PER_SEC)
+#define Mb_REJOIN_WAIT_MAX_USEC (60 * Ck_USEC_PER_SEC)
 #define Mb_SEED_WAIT_USEC (30 * Ck_USEC_PER_SEC)
 #define Mb_HOUR_USEC (3600 * Ck_USEC_PER_SEC)
-#define Mb_FORGET_DEAD_USEC (4 * Mb_HOUR_USEC)
-#define Mb_FORGET_LEFT_USEC (600 * Ck_USEC_PER_SEC)
-#define Mb_FORGET_UNREACHED_USEC (24 * Mb_HOUR_USEC)
+#define Mb_PURGE_DEAD_USEC (4 * Mb_HOUR_USEC)
+#define Mb_PURGE_LEFT_USEC (600 * Ck_USEC_PER_SEC)
+#define Mb_PURGE_UNREACHED_USEC (24 * Mb_HOUR_USEC)
 
 /* Starts a probe; NULL when too many are open, and then it is left out. */
 struct mb_probe *
@@ -55,32 +55,32 @@
 
 /* Notes whether a data centre is within reach and tells the owner. */
 void
-mb_set_reach(struct mb_table *table, struct mb_place *place, bool reachable)
+mb_set_reach(struct mb_table *table, struct mb_dc *dc, bool reachable)
 {
-    place->failures = 0;
-    if (place->out_of_reach == !reachable) {
+    dc->failures = 0;
+    if (dc->out_of_reach == !reachable) {
         return;
     }
-    place->out_of_reach = !reachable;
-    place->since_usec = Ck_Now(table->clock);
-    place->wait_usec = table->period_usec;
+    dc->out_of_reach = !reachable;
+    dc->since_usec = Ck_Now(table->clock);
+    dc->wait_usec = table->period_usec;
     table->generation++;
     if (table->ops->reach != NULL) {
-        table->ops->reach(table->arg, place->name, reachable);
+        table->ops->reach(table->arg, dc->name, reachable);
     }
 }
 
 static void
 relay_ack(struct mb_table *table, const struct mb_probe *probe)
 {
-    const struct mb_entry *asker = mb_find(table, probe->asker);
-    if (asker == NULL) {
+    const struct mb_entry *requester = mb_find(table, probe->requester);
+    if (requester == NULL) {
         return;
     }
     struct mb_message ack =
-        mb_message_new(table, MB_ACK, probe->asker_sequence, "");
+        mb_message_new(table, MB_ACK, probe->requester_sequence, "");
     mb_message_fill(table, &ack);
-    mb_send_to(table, asker, &ack);
+    mb_send_to(table, requester, &ack);
 }
 
 /* Ends the probe that an acknowledgement answers. */
@@ -94,19 +94,19 @@
     struct mb_entry *target = mb_find(table, probe->target);
     switch (probe->purpose) {
     case MB_FOR_GROUP:
-        if (table->health > 0) {
-            table->health--;
+        if (table->health_penalty > 0) {
+            table->health_penalty--;
         }
         break;
     case MB_FOR_BRIDGE:
         if (target != NULL) {
-            mb_set_reach(table, target->place, true);
+            mb_set_reach(table, target->dc, true);
         }
         break;
     case MB_FOR_OTHER:
         relay_ack(table, probe);
         break;
-    case MB_FOR_RETURN:
+    case MB_FOR_REJOIN:
         break;
     }
     probe->used = false;
@@ -126,8 +126,8 @@
     if (probe == NULL) {
         return;
     }
-    strlcpy(probe->asker, message->from, sizeof(probe->asker));
-    probe->asker_sequence = message->sequence;
+    strlcpy(probe->requester, message->from, sizeof(probe->requester));
+    probe->requester_sequence = message->sequence;
     mb_ping(table, target, probe->sequence, false);
 }
 
@@ -141,12 +141,12 @@
 }
 
 static void
-ask_helpers(struct mb_table *table, struct mb_probe *probe)
+send_ping_reqs(struct mb_table *table, struct mb_probe *probe)
 {
     probe->indirect = true;
-    for (int i = 0; i < Mb_HELPERS; i++) {
+    for (int i = 0; i < Mb_INDIRECT_PROBES; i++) {
         const struct mb_entry *helper =
-            mb_pick(table, is_helper, probe->target);
+            mb_pick_random(table, is_helper, probe->target);
         if (helper == NULL) {
             break;
         }
@@ -158,17 +158,17 @@
 }
 
 static void
-bridge_failed(struct mb_table *table, struct mb_place *place)
+bridge_failed(struct mb_table *table, struct mb_dc *dc)
 {
-    place->failures++;
-    if (place->out_of_reach) {
-        place->wait_usec *= 2;
-        if (place->wait_usec > Mb_REACH_WAIT_MAX_USEC) {
-            place->wait_usec = Mb_REACH_WAIT_MAX_USEC;
+    dc->failures++;
+    if (dc->out_of_reach) {
+        dc->wait_usec *= 2;
+        if (dc->wait_usec > Mb_REACH_WAIT_MAX_USEC) {
+            dc->wait_usec = Mb_REACH_WAIT_MAX_USEC;
         }
     }
-    else if (place->failures >= Mb_REACH_FAILURES) {
-        mb_set_reach(table, place, false);
+    else if (dc->failures >= Mb_REACH_FAILURES) {
+        mb_set_reach(table, dc, false);
     }
 }
 
@@ -181,13 +181,13 @@
         return;
     }
     if (probe->purpose == MB_FOR_GROUP) {
-        if (table->health < Mb_HEALTH_MAX) {
-            table->health++;
+        if (table->health_penalty < Mb_HEALTH_PENALTY_MAX) {
+            table->health_penalty++;
         }
-        mb_accuse(table, target);
+        mb_suspect(table, target);
     }
     else if (probe->purpose == MB_FOR_BRIDGE) {
-        bridge_failed(table, target->place);
+        bridge_failed(table, target->dc);
     }
 }
 
@@ -204,7 +204,7 @@
         }
         else if (probe->purpose == MB_FOR_GROUP && !probe->indirect &&
                  now >= probe->indirect_usec) {
-            ask_helpers(table, probe);
+            send_ping_reqs(table, probe);
         }
     }
 }
@@ -229,7 +229,7 @@
  * which it refutes may miss this very node; its own answer cannot.
  */
 static void
-ask_suspects(struct mb_table *table)
+ping_suspects(struct mb_table *table)
 {
     struct mb_entry *entry;
     RB_FOREACH (entry, mb_tree, &table->members) {
@@ -291,7 +291,7 @@
 static void
 probe_next(struct mb_table *table, int64_t now)
 {
-    int64_t scale = 1 + table->health;
+    int64_t scale = 1 + table->health_penalty;
     table->next_probe_usec = now + table->period_usec * scale;
     struct mb_entry *entry = next_in_round(table);
     if (entry == NULL) {
@@ -318,51 +318,51 @@
         return;
     }
     table->bridges_generation = table->generation;
-    const struct mb_place *own = table->self->place;
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        place->bridged = false;
-        bool grouped = own->living < table->group_min &&
-                       strcmp(place->region, own->region) == 0;
-        if (place == own || grouped || place->living == 0) {
+    const struct mb_dc *own = table->self->dc;
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        dc->bridged = false;
+        bool grouped = own->live_count < table->group_min &&
+                       strcmp(dc->region, own->region) == 0;
+        if (dc == own || grouped || dc->live_count == 0) {
             continue;
         }
         char key[2 * Mb_NAME_MAX + sizeof("bridge//")];
         strlcpy(key, "bridge/", sizeof(key));
         strlcat(key, own->name, sizeof(key));
         strlcat(key, "/", sizeof(key));
-        strlcat(key, place->name, sizeof(key));
+        strlcat(key, dc->name, sizeof(key));
         const struct mb_record *top[Mb_BRIDGES];
         size_t count = Mb_Top(table, key, own->name, top, Mb_BRIDGES);
         for (size_t i = 0; i < count; i++) {
             if (top[i] == &table->self->record) {
-                place->bridged = true;
+                dc->bridged = true;
             }
         }
     }
 }
 
 static bool
-lives_in(const struct mb_table *table, const struct mb_entry *entry,
-         const void *arg)
+is_live_in(const struct mb_table *table, const struct mb_entry *entry,
+           const void *arg)
 {
-    return entry->place == arg && entry->record.state != MB_DEAD;
+    return entry->dc == arg && entry->record.state != MB_DEAD;
 }
 
 static void
-probe_beyond(struct mb_table *table, int64_t now)
+probe_data_centres(struct mb_table *table, int64_t now)
 {
     mb_update_bridges(table);
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (!place->bridged || now < place->next_usec) {
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (!dc->bridged || now < dc->next_usec) {
             continue;
         }
-        if (place->wait_usec < table->period_usec) {
-            place->wait_usec = table->period_usec;
+        if (dc->wait_usec < table->period_usec) {
+            dc->wait_usec = table->period_usec;
         }
-        place->next_usec = now + place->wait_usec;
-        const struct mb_entry *entry = mb_pick(table, lives_in, place);
+        dc->next_usec = now + dc->wait_usec;
+        const struct mb_entry *entry = mb_pick_random(table, is_live_in, dc);
         struct mb_probe *probe =
             entry == NULL
                 ? NULL
@@ -375,7 +375,7 @@
 }
 
 static bool
-may_return(const struct mb_table *table, const struct mb_entry *entry,
+may_rejoin(const struct mb_table *table, const struct mb_entry *entry,
            const void *arg)
 {
     const int64_t *now = arg;
@@ -391,23 +391,23 @@
 static void
 probe_dead(struct mb_table *table, int64_t now)
 {
-    struct mb_entry *entry = mb_pick(table, may_return, &now);
+    struct mb_entry *entry = mb_pick_random(table, may_rejoin, &now);
     if (entry == NULL) {
         return;
     }
     entry->wait_usec *= 2;
     if (entry->wait_usec == 0) {
-        entry->wait_usec = Mb_RETURN_WAIT_USEC;
+        entry->wait_usec = Mb_REJOIN_WAIT_USEC;
     }
-    if (entry->wait_usec > Mb_RETURN_WAIT_MAX_USEC) {
-        entry->wait_usec = Mb_RETURN_WAIT_MAX_USEC;
+    if (entry->wait_usec > Mb_REJOIN_WAIT_MAX_USEC) {
+        entry->wait_usec = Mb_REJOIN_WAIT_MAX_USEC;
     }
     entry->next_usec = now + entry->wait_usec;
     mb_ping(table, entry, ++table->sequence, true);
 }
 
 static bool
-is_known(const struct mb_table *table, const struct mb_endpoint *seed)
+is_member_address(const struct mb_table *table, const struct mb_endpoint *seed)
 {
     struct mb_entry *entry;
     RB_FOREACH (entry, mb_tree, (struct mb_tree *)&table->members) {
@@ -439,7 +439,7 @@
     for (size_t i = 0; i < table->seed_count; i++) {
         const struct mb_endpoint *seed =
             &table->seeds[(start + i) % table->seed_count];
-        if (is_known(table, seed)) {
+        if (is_member_address(table, seed)) {
             continue;
         }
         struct mb_message ping =
@@ -451,29 +451,29 @@
 }
 
 static int64_t
-keep_usec(const struct mb_entry *entry)
+retention_usec(const struct mb_entry *entry)
 {
-    return entry->departed ? Mb_FORGET_LEFT_USEC : Mb_FORGET_DEAD_USEC;
+    return entry->departed ? Mb_PURGE_LEFT_USEC : Mb_PURGE_DEAD_USEC;
 }
 
 static bool
-is_forgettable(const struct mb_entry *entry, int64_t now)
+is_purgeable(const struct mb_entry *entry, int64_t now)
 {
     if (entry->record.state == MB_DEAD) {
-        return now - entry->since_usec > keep_usec(entry);
+        return now - entry->since_usec > retention_usec(entry);
     }
-    return entry->place->out_of_reach &&
-           now - entry->place->since_usec > Mb_FORGET_UNREACHED_USEC;
+    return entry->dc->out_of_reach &&
+           now - entry->dc->since_usec > Mb_PURGE_UNREACHED_USEC;
 }
 
 static void
-forget_old(struct mb_table *table, int64_t now)
+purge_old(struct mb_table *table, int64_t now)
 {
     struct mb_entry *entry;
     struct mb_entry *next;
     RB_FOREACH_SAFE (entry, mb_tree, &table->members, next) {
-        if (entry != table->self && is_forgettable(entry, now)) {
-            mb_forget(table, entry);
+        if (entry != table->self && is_purgeable(entry, now)) {
+            mb_remove(table, entry);
         }
     }
 }
@@ -484,11 +484,11 @@
  * open probes are dropped and verdicts put off by the length of the pause.
  */
 static void
-forgive_pause(struct mb_table *table, int64_t now)
+compensate_pause(struct mb_table *table, int64_t now)
 {
     int64_t pause = now - table->last_tick_usec;
     table->last_tick_usec = now;
-    if (pause <= Mb_PAUSE_USEC) {
+    if (pause <= Mb_PAUSE_MIN_USEC) {
         return;
     }
     memset(table->probes, 0, sizeof(table->probes));
@@ -507,18 +507,18 @@
 Mb_Tick(struct mb_table *table)
 {
     int64_t now = Ck_Now(table->clock);
-    forgive_pause(table, now);
+    compensate_pause(table, now);
     check_probes(table, now);
     check_suspicions(table, now);
     if (now >= table->next_probe_usec) {
         probe_next(table, now);
     }
-    probe_beyond(table, now);
+    probe_data_centres(table, now);
     if (now >= table->next_scan_usec) {
         table->next_scan_usec = now + table->period_usec;
-        ask_suspects(table);
+        ping_suspects(table);
         probe_dead(table, now);
-        forget_old(table, now);
+        purge_old(table, now);
     }
     probe_seed(table, now);
 }
--- a/packages/member/table_query.c
+++ b/packages/member/table_query.c
@@ -66,13 +66,13 @@
     return !TAILQ_EMPTY(&table->queue);
 }
 
-static const struct mb_place *
-place_named(const struct mb_table *table, const char *name)
+static const struct mb_dc *
+find_dc(const struct mb_table *table, const char *name)
 {
-    const struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (strcmp(place->name, name) == 0) {
-            return place;
+    const struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (strcmp(dc->name, name) == 0) {
+            return dc;
         }
     }
     return NULL;
@@ -82,16 +82,16 @@
 bool
 Mb_Reachable(const struct mb_table *table, const char *data_centre)
 {
-    const struct mb_place *place = place_named(table, data_centre);
-    return place == NULL || !place->out_of_reach;
+    const struct mb_dc *dc = find_dc(table, data_centre);
+    return dc == NULL || !dc->out_of_reach;
 }
 
 /* True when this node watches that data centre for its own. */
 bool
 Mb_IsBridge(const struct mb_table *table, const char *data_centre)
 {
-    const struct mb_place *place = place_named(table, data_centre);
-    return place != NULL && place->bridged;
+    const struct mb_dc *dc = find_dc(table, data_centre);
+    return dc != NULL && dc->bridged;
 }
 
 /* True when this node itself seems to be cut off from its group. */
@@ -105,7 +105,7 @@
 bool
 Mb_Usable(const struct mb_table *table, const struct mb_record *record)
 {
-    return record->state == MB_ALIVE && !entry_of(record)->place->out_of_reach;
+    return record->state == MB_ALIVE && !entry_of(record)->dc->out_of_reach;
 }
 
 /* How far a member is: same data centre, same region, or beyond. */
--- a/packages/member/table_send.c
+++ b/packages/member/table_send.c
@@ -84,8 +84,8 @@
     while ((entry = TAILQ_FIRST(&table->queue)) != NULL &&
            mb_message_add(message, &entry->record)) {
         TAILQ_REMOVE(&table->queue, entry, queued);
-        entry->left--;
-        if (entry->left > 0) {
+        entry->sends_left--;
+        if (entry->sends_left > 0) {
             TAILQ_INSERT_TAIL(&sent, entry, queued);
         }
     }
@@ -115,9 +115,9 @@
 {
     struct mb_message ping =
         mb_message_new(table, MB_PING, sequence, entry->record.id);
-    bool doubted =
+    bool suspected =
         entry->record.state == MB_SUSPECT || entry->record.state == MB_DEAD;
-    if (doubted && !entry->local) {
+    if (suspected && !entry->local_suspicion) {
         mb_message_add(&ping, &entry->record);
     }
     if (introduce) {
@@ -129,7 +129,7 @@
 
 /* A random member among those accepted; NULL when there is none. */
 struct mb_entry *
-mb_pick(struct mb_table *table, mb_accept_fn accept, const void *arg)
+mb_pick_random(struct mb_table *table, mb_accept_fn accept, const void *arg)
 {
     struct mb_entry *picked = NULL;
     uint32_t seen = 0;
@@ -147,17 +147,17 @@
 }
 
 static bool
-in_living_group(const struct mb_table *table, const struct mb_entry *entry,
-                const void *arg)
+is_live_in_group(const struct mb_table *table, const struct mb_entry *entry,
+                 const void *arg)
 {
     return entry->record.state != MB_DEAD && mb_in_group(table, entry);
 }
 
 static bool
-in_place(const struct mb_table *table, const struct mb_entry *entry,
-         const void *arg)
+is_live_in(const struct mb_table *table, const struct mb_entry *entry,
+           const void *arg)
 {
-    return entry->record.state != MB_DEAD && entry->place == arg;
+    return entry->record.state != MB_DEAD && entry->dc == arg;
 }
 
 static void
@@ -179,12 +179,12 @@
 Mb_Gossip(struct mb_table *table)
 {
     mb_update_bridges(table);
-    gossip_to(table, mb_pick(table, in_place, table->self->place));
-    gossip_to(table, mb_pick(table, in_living_group, NULL));
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (place->bridged && !place->out_of_reach) {
-            gossip_to(table, mb_pick(table, in_place, place));
+    gossip_to(table, mb_pick_random(table, is_live_in, table->self->dc));
+    gossip_to(table, mb_pick_random(table, is_live_in_group, NULL));
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (dc->bridged && !dc->out_of_reach) {
+            gossip_to(table, mb_pick_random(table, is_live_in, dc));
         }
     }
 }
@@ -203,7 +203,8 @@
     mb_set_state(table, table->self, MB_LEAVING);
     mb_enqueue(table, table->self);
     for (int i = 0; i < Mb_LEAVE_PEERS; i++) {
-        const struct mb_entry *entry = mb_pick(table, in_living_group, NULL);
+        const struct mb_entry *entry =
+            mb_pick_random(table, is_live_in_group, NULL);
         if (entry == NULL) {
             break;
         }
@@ -222,7 +223,7 @@
             const void *arg)
 {
     const struct mb_near *near = arg;
-    return entry->record.state != MB_DEAD && !entry->place->out_of_reach &&
+    return entry->record.state != MB_DEAD && !entry->dc->out_of_reach &&
            Mb_Distance(table, &entry->record) == near->distance;
 }
 
@@ -231,6 +232,6 @@
 Mb_RandomPeer(struct mb_table *table, enum mb_distance distance)
 {
     struct mb_near near = {.distance = distance};
-    const struct mb_entry *entry = mb_pick(table, at_distance, &near);
+    const struct mb_entry *entry = mb_pick_random(table, at_distance, &near);
     return entry != NULL ? &entry->record : NULL;
 }
--- a/packages/member/test/fact_test.cc
+++ b/packages/member/test/fact_test.cc
@@ -78,8 +78,8 @@
     {
         int count = 0;
         struct fc_fact fact;
-        Fc_TakeBegin(from);
-        while (Fc_Take(from, narrowest, room, size_of, &fact)) {
+        Fc_BeginDatagram(from);
+        while (Fc_NextUpdate(from, narrowest, room, size_of, &fact)) {
             room -= size_of(&fact);
             Fc_Apply(to, &fact);
             count++;
--- a/packages/member/test/link_test.cc
+++ b/packages/member/test/link_test.cc
@@ -165,7 +165,7 @@
     ASSERT_EQ(ST_OK, Call(a, port, "echo", "charge", &outcome));
     ASSERT_TRUE(runner->Until([&] { return outcome.count == 1; }));
     EXPECT_EQ(ST_UNAVAILABLE, outcome.result.status);
-    EXPECT_FALSE(outcome.result.may_have_left);
+    EXPECT_FALSE(outcome.result.maybe_sent);
 }
 
 /*
@@ -181,12 +181,12 @@
     Call(a, Lk_Port(b), "hold", "charge", &late, 300 * kMsec);
     ASSERT_TRUE(runner->Until([&] { return late.count == 1; }));
     EXPECT_EQ(ST_TIMEOUT, late.result.status);
-    EXPECT_TRUE(late.result.may_have_left);
+    EXPECT_TRUE(late.result.maybe_sent);
     Lk_Destroy(b);
     b = nullptr;
     ASSERT_TRUE(runner->Until([&] { return outcome.count == 1; }));
     EXPECT_EQ(ST_UNAVAILABLE, outcome.result.status);
-    EXPECT_TRUE(outcome.result.may_have_left);
+    EXPECT_TRUE(outcome.result.maybe_sent);
 }
 
 /*
@@ -202,7 +202,7 @@
     ASSERT_EQ(ST_OK, Call(a, port, "echo", "charge", &outcome, 200 * kMsec));
     ASSERT_TRUE(runner->Until([&] { return outcome.count == 1; }));
     EXPECT_EQ(ST_TIMEOUT, outcome.result.status);
-    EXPECT_FALSE(outcome.result.may_have_left);
+    EXPECT_FALSE(outcome.result.maybe_sent);
     /* The stopped peer goes on: its bytes reach a real one now. */
     int accepted = -1;
     ASSERT_TRUE(runner->Until([&] {
@@ -245,7 +245,7 @@
     EXPECT_EQ(ST_OVERLOAD, status);
     close(listener);
     ASSERT_TRUE(runner->Until([&] { return outcome.count == queued - 1; }));
-    EXPECT_FALSE(outcome.result.may_have_left);
+    EXPECT_FALSE(outcome.result.maybe_sent);
 }
 
 TEST_F(Link, OtherKeyIsDenied)
@@ -255,7 +255,7 @@
     Call(stranger, Lk_Port(b), "echo", "x", &outcome);
     ASSERT_TRUE(runner->Until([&] { return outcome.count == 1; }));
     EXPECT_EQ(ST_UNAVAILABLE, outcome.result.status);
-    EXPECT_FALSE(outcome.result.may_have_left);
+    EXPECT_FALSE(outcome.result.maybe_sent);
     EXPECT_EQ(0, handled);
     /* Either side may find out first. */
     EXPECT_GE(Lk_Counters(b)->denied + Lk_Counters(stranger)->denied, 1U);
--- a/packages/member/test/wire_test.cc
+++ b/packages/member/test/wire_test.cc
@@ -211,9 +211,9 @@
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 937));
     EXPECT_EQ(WR_REPLAYED, Wr_Admit(&window, 5, 936)); /* below the window */
     EXPECT_EQ(WR_REPLAYED, Wr_Admit(&window, 5, 102));
-    EXPECT_EQ(WR_FORMER_LIFE, Wr_Admit(&window, 4, 2000));
+    EXPECT_EQ(WR_OLD_INCARNATION, Wr_Admit(&window, 4, 2000));
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 6, 1)); /* restarted */
-    EXPECT_EQ(WR_FORMER_LIFE, Wr_Admit(&window, 5, 1001));
+    EXPECT_EQ(WR_OLD_INCARNATION, Wr_Admit(&window, 5, 1001));
 }
 
 TEST(Wire, KeysOfPurposesDiffer)
--- a/packages/member/wire.c
+++ b/packages/member/wire.c
@@ -110,15 +110,15 @@
 }
 
 static bool
-read_places(const msgpack_object *part, struct mb_record *out)
+read_location(const msgpack_object *item, struct mb_record *out)
 {
     uint64_t peer_port;
     uint64_t admin_port;
-    if (!Wr_ReadString(&part[0], out->address, sizeof(out->address)) ||
-        !read_number(&part[1], UINT16_MAX, &peer_port) ||
-        !read_number(&part[2], UINT16_MAX, &admin_port) ||
-        !Wr_ReadString(&part[3], out->data_centre, sizeof(out->data_centre)) ||
-        !Wr_ReadString(&part[4], out->region, sizeof(out->region))) {
+    if (!Wr_ReadString(&item[0], out->address, sizeof(out->address)) ||
+        !read_number(&item[1], UINT16_MAX, &peer_port) ||
+        !read_number(&item[2], UINT16_MAX, &admin_port) ||
+        !Wr_ReadString(&item[3], out->data_centre, sizeof(out->data_centre)) ||
+        !Wr_ReadString(&item[4], out->region, sizeof(out->region))) {
         return false;
     }
     out->peer_port = (uint16_t)peer_port;
@@ -133,20 +133,20 @@
 Wr_ReadRecord(const msgpack_object *object, struct mb_record *out)
 {
     memset(out, 0, sizeof(*out));
-    const msgpack_object *part = read_array(object, Wr_RECORD_SHORT);
+    const msgpack_object *item = read_array(object, Wr_RECORD_SHORT);
     uint64_t state;
-    if (part == NULL || !Wr_ReadString(&part[0], out->id, sizeof(out->id)) ||
+    if (item == NULL || !Wr_ReadString(&item[0], out->id, sizeof(out->id)) ||
         out->id[0] == '\0' ||
-        !read_number(&part[1], UINT64_MAX - 1, &out->incarnation) ||
-        !read_number(&part[2], MB_DEAD, &state) ||
-        !Wr_ReadString(&part[3], out->by, sizeof(out->by))) {
+        !read_number(&item[1], UINT64_MAX - 1, &out->incarnation) ||
+        !read_number(&item[2], MB_DEAD, &state) ||
+        !Wr_ReadString(&item[3], out->by, sizeof(out->by))) {
         return false;
     }
     out->state = (enum mb_state)state;
     if (object->via.array.size < Wr_RECORD_FULL) {
         return true;
     }
-    return read_places(part + Wr_RECORD_SHORT, out);
+    return read_location(item + Wr_RECORD_SHORT, out);
 }
 
 static uint64_t
@@ -173,25 +173,25 @@
 bool
 Wr_ReadFact(const msgpack_object *object, struct wr_fact *out)
 {
-    const msgpack_object *part = read_array(object, Wr_FACT);
+    const msgpack_object *item = read_array(object, Wr_FACT);
     uint64_t scope;
     uint64_t ttl;
-    if (part == NULL ||
-        !Wr_ReadString(&part[0], out->owner, sizeof(out->owner)) ||
-        !Wr_ReadString(&part[1], out->key, sizeof(out->key)) ||
-        !read_number(&part[2], UINT64_MAX - 1, &out->fact.version) ||
-        !read_number(&part[3], FC_DATA_CENTRE, &scope) ||
-        !read_number(&part[4], Wr_TTL_MAX, &ttl) ||
-        part[5].type != MSGPACK_OBJECT_BIN ||
-        part[5].via.bin.size > Fc_VALUE_MAX || out->key[0] == '\0') {
+    if (item == NULL ||
+        !Wr_ReadString(&item[0], out->owner, sizeof(out->owner)) ||
+        !Wr_ReadString(&item[1], out->key, sizeof(out->key)) ||
+        !read_number(&item[2], UINT64_MAX - 1, &out->fact.version) ||
+        !read_number(&item[3], FC_DATA_CENTRE, &scope) ||
+        !read_number(&item[4], Wr_TTL_MAX, &ttl) ||
+        item[5].type != MSGPACK_OBJECT_BIN ||
+        item[5].via.bin.size > Fc_VALUE_MAX || out->key[0] == '\0') {
         return false;
     }
     out->fact.owner = out->owner;
     out->fact.key = out->key;
     out->fact.scope = (enum fc_scope)scope;
     out->fact.ttl_usec = (int64_t)ttl * Wr_TTL_UNIT_USEC;
-    out->fact.value = part[5].via.bin.ptr;
-    out->fact.len = part[5].via.bin.size;
+    out->fact.value = item[5].via.bin.ptr;
+    out->fact.len = item[5].via.bin.size;
     return true;
 }
 
@@ -231,22 +231,22 @@
 Wr_Admit(struct wr_window *window, uint64_t incarnation, uint64_t counter)
 {
     if (incarnation < window->incarnation) {
-        return WR_FORMER_LIFE;
+        return WR_OLD_INCARNATION;
     }
     if (incarnation > window->incarnation) {
         window->incarnation = incarnation;
-        window->top = counter;
+        window->highest = counter;
         window->seen = 1;
         return WR_FRESH;
     }
-    if (counter > window->top) {
-        uint64_t ahead = counter - window->top;
+    if (counter > window->highest) {
+        uint64_t ahead = counter - window->highest;
         window->seen = ahead < Wr_WINDOW ? window->seen << ahead : 0;
         window->seen |= 1;
-        window->top = counter;
+        window->highest = counter;
         return WR_FRESH;
     }
-    uint64_t behind = window->top - counter;
+    uint64_t behind = window->highest - counter;
     if (behind >= Wr_WINDOW || (window->seen >> behind & 1) != 0) {
         return WR_REPLAYED;
     }
--- a/packages/member/wire.h
+++ b/packages/member/wire.h
@@ -69,14 +69,14 @@
 /* What was seen of the datagrams of one sender. */
 struct wr_window {
     uint64_t incarnation;
-    uint64_t top;  /* highest counter seen */
-    uint64_t seen; /* bit n: counter top - n was seen */
+    uint64_t highest; /* highest counter seen */
+    uint64_t seen;    /* bit n: counter top - n was seen */
 };
 
 enum wr_admission {
     WR_FRESH,
     WR_REPLAYED,
-    WR_FORMER_LIFE, /* sent under an earlier incarnation */
+    WR_OLD_INCARNATION, /* sent under an earlier incarnation */
 };
 
 void Wr_DeriveKey(const char *cluster_key, const char *purpose,
--- a/packages/member/wire_datagram.c
+++ b/packages/member/wire_datagram.c
@@ -42,10 +42,10 @@
     size_t count = 0;
     struct fc_fact fact;
     if (facts != NULL) {
-        Fc_TakeBegin(facts);
+        Fc_BeginDatagram(facts);
         while (count < Wr_FACTS_MAX &&
-               Fc_Take(facts, narrowest, buffer->max - buffer->len,
-                       Wr_FactBytes, &fact)) {
+               Fc_NextUpdate(facts, narrowest, buffer->max - buffer->len,
+                             Wr_FactBytes, &fact)) {
             Wr_PackFact(packer, &fact);
             count++;
         }
@@ -78,25 +78,25 @@
 }
 
 static bool
-read_head(const msgpack_object *part, struct wr_datagram *out)
+read_head(const msgpack_object *item, struct wr_datagram *out)
 {
     struct mb_message *message = &out->message;
     for (int i = 0; i < 6; i++) {
-        if (i != 2 && part[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+        if (i != 2 && item[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
             return false;
         }
     }
-    if (part[0].via.u64 != Wr_VERSION || part[1].via.u64 > MB_GOSSIP ||
-        part[3].via.u64 == UINT64_MAX || part[5].via.u64 > UINT32_MAX) {
+    if (item[0].via.u64 != Wr_VERSION || item[1].via.u64 > MB_GOSSIP ||
+        item[3].via.u64 == UINT64_MAX || item[5].via.u64 > UINT32_MAX) {
         return false;
     }
-    message->type = (enum mb_type)part[1].via.u64;
-    message->incarnation = part[3].via.u64;
-    out->counter = part[4].via.u64;
-    message->sequence = (uint32_t)part[5].via.u64;
-    return Wr_ReadString(&part[2], message->from, sizeof(message->from)) &&
+    message->type = (enum mb_type)item[1].via.u64;
+    message->incarnation = item[3].via.u64;
+    out->counter = item[4].via.u64;
+    message->sequence = (uint32_t)item[5].via.u64;
+    return Wr_ReadString(&item[2], message->from, sizeof(message->from)) &&
            message->from[0] != '\0' &&
-           Wr_ReadString(&part[6], message->subject, sizeof(message->subject));
+           Wr_ReadString(&item[6], message->subject, sizeof(message->subject));
 }
 
 static bool
@@ -140,9 +140,9 @@
         object->via.array.size < Wr_DATAGRAM) {
         return false;
     }
-    const msgpack_object *part = object->via.array.ptr;
-    return read_head(part, out) && read_updates(&part[7], &out->message) &&
-           read_facts(&part[8], out);
+    const msgpack_object *item = object->via.array.ptr;
+    return read_head(item, out) && read_updates(&item[7], &out->message) &&
+           read_facts(&item[8], out);
 }
 
 /*
--- a/packages/member/wire_frame.c
+++ b/packages/member/wire_frame.c
@@ -36,20 +36,20 @@
         object->via.array.size < Wr_FRAME) {
         return false;
     }
-    const msgpack_object *part = object->via.array.ptr;
-    if (part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[0].via.u64 > WR_HELLO ||
-        part[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[3].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[3].via.u64 > ST_INTERNAL || part[4].type != MSGPACK_OBJECT_BIN) {
+    const msgpack_object *item = object->via.array.ptr;
+    if (item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[0].via.u64 > WR_HELLO ||
+        item[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[3].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[3].via.u64 > ST_INTERNAL || item[4].type != MSGPACK_OBJECT_BIN) {
         return false;
     }
-    out->kind = (enum wr_kind)part[0].via.u64;
-    out->id = part[1].via.u64;
-    out->status = (enum st_status)part[3].via.u64;
-    out->payload = part[4].via.bin.ptr;
-    out->len = part[4].via.bin.size;
-    return Wr_ReadString(&part[2], out->name, sizeof(out->name));
+    out->kind = (enum wr_kind)item[0].via.u64;
+    out->id = item[1].via.u64;
+    out->status = (enum st_status)item[3].via.u64;
+    out->payload = item[4].via.bin.ptr;
+    out->len = item[4].via.bin.size;
+    return Wr_ReadString(&item[2], out->name, sizeof(out->name));
 }
 
 /* Reads the body of a frame whose code was checked already. */
