--- a/packages/member/address.h
+++ b/packages/member/address.h
@@ -1,4 +1,4 @@
-/* IP numbers and ports as socket addresses and back. */
+/* Converts between IP address and port pairs and socket addresses. */
 #ifndef MEMBER_ADDRESS_H
 #define MEMBER_ADDRESS_H
 
--- a/packages/member/fact.c
+++ b/packages/member/fact.c
@@ -1,4 +1,4 @@
-/* Taking facts in, publishing them and handing them out for spreading. */
+/* Stores, publishes and expires facts and selects them for gossip. */
 #include "member/fact.h"
 
 #include <bsd/string.h>
@@ -8,13 +8,13 @@
 #include "member/fact_internal.h"
 
 #define Fc_FACTS_MAX 16384
-#define Fc_TRANSMISSIONS 6
+#define Fc_TRANSMISSIONS 6 /* of a new fact, until Fc_SetSpread() */
 #define Fc_TOMBSTONE_MIN_USEC (60 * Ck_USEC_PER_SEC)
-#define Fc_SETTLED_USEC (2 * Ck_USEC_PER_SEC)
+#define Fc_SETTLED_USEC (2 * Ck_USEC_PER_SEC) /* recent if younger */
 
 RB_GENERATE(fc_tree, fc_entry, node, fc_compare);
 
-/* Orders facts by owner, then key. */
+/* Orders facts by the hash of owner and key, then by owner, then by key. */
 int
 fc_compare(const struct fc_entry *a, const struct fc_entry *b)
 {
@@ -91,8 +91,8 @@
 }
 
 /*
- * Calls "changed" for facts whose key begins with the prefix, this node's
- * own included, from now on.
+ * Calls "changed" for every later update of a fact whose key begins with the
+ * prefix, including those that this node publishes.
  */
 enum st_status
 Fc_Watch(struct fc_table *facts, const char *key_prefix, fc_changed_fn changed,
@@ -157,7 +157,7 @@
     return entry;
 }
 
-/* Puts a version and its value in place of the former. */
+/* Stores a new version and value and queues the fact for gossip. */
 static bool
 replace(struct fc_table *facts, struct fc_entry *entry,
         const struct fc_fact *fact)
@@ -187,7 +187,11 @@
     return true;
 }
 
-/* Of equal versions the greater value wins, on every node alike. */
+/*
+ * Compares the values of equal versions: the longer value is greater, and
+ * bytes decide between equal lengths.  All nodes use this order and so
+ * converge.
+ */
 static int
 compare_values(const struct fc_entry *entry, const struct fc_fact *fact)
 {
@@ -228,9 +232,9 @@
 }
 
 /*
- * Publishes a fact.  ST_INVALID for a key or value out of bounds,
- * ST_CONFLICT when a version as late is known, ST_OVERLOAD when the table is
- * full.
+ * Publishes a fact.  Returns ST_INVALID for a key or value out of bounds,
+ * ST_CONFLICT when the same or a later version is already stored, and
+ * ST_OVERLOAD when the table is full.
  */
 enum st_status
 Fc_Publish(struct fc_table *facts, const struct fc_post *post)
@@ -256,9 +260,10 @@
         return ST_OK;
     }
     if (entry != NULL && !supersedes(entry, &fact)) {
-        return St_Fail(ST_CONFLICT,
-                       "fact %s is known at version %llu; publish a later one",
-                       post->key, (unsigned long long)current);
+        return St_Fail(
+            ST_CONFLICT,
+            "fact %s is stored at version %llu; publish a later one",
+            post->key, (unsigned long long)current);
     }
     if (entry == NULL) {
         entry = add_entry(facts, owner, post->key);
@@ -278,8 +283,8 @@
 }
 
 /*
- * A peer that still spreads an old version is told the new one; while a new
- * version is on its way that happens anyhow.
+ * Queues the current version once when a peer has sent an older one.  While
+ * the current version is recent, ordinary gossip still carries it.
  */
 static void
 on_older_version(struct fc_table *facts, struct fc_entry *entry)
@@ -290,7 +295,10 @@
     }
 }
 
-/* A copy heard counts as a copy sent: what all know is not repeated. */
+/*
+ * Counts a received copy as one of the transmissions of this node, so that
+ * nodes stop repeating a fact that their peers already have.
+ */
 static void
 on_duplicate(struct fc_table *facts, struct fc_entry *entry)
 {
@@ -303,8 +311,9 @@
 }
 
 /*
- * A fact of this very node with a version it never gave comes from its
- * former life.  What it publishes now must override that.
+ * Overrides a fact that this node published before it restarted.  Peers still
+ * hold it at a higher version than the restarted node uses, so the current
+ * value is published again under a version above theirs.
  */
 static bool
 override_stale(struct fc_table *facts, struct fc_entry *entry,
@@ -327,7 +336,7 @@
            fact->ttl_usec >= 0 && fact->scope <= FC_DATA_CENTRE;
 }
 
-/* Merges a fact heard from a peer; true when it was news. */
+/* Merges a fact received from a peer.  Returns true when the fact changed. */
 bool
 Fc_Apply(struct fc_table *facts, const struct fc_fact *fact)
 {
@@ -362,21 +371,22 @@
 }
 
 /*
- * Merges a fact without spreading it further: what a new node takes with its
- * first full state is news to that node alone.
+ * Merges a fact without queueing it for gossip.  A starting node uses this for
+ * the first full state that it receives, which its peers already have.
  */
 bool
 Fc_ApplyLocally(struct fc_table *facts, const struct fc_fact *fact)
 {
     facts->no_spread = true;
-    bool news = Fc_Apply(facts, fact);
+    bool updated = Fc_Apply(facts, fact);
     facts->no_spread = false;
-    return news;
+    return updated;
 }
 
 /*
- * Ends facts whose time is over.  The version is kept a while longer: a copy
- * that a slow peer still holds must not bring the fact back.
+ * Expires facts at the end of their time to live.  The version is kept as a
+ * tombstone for a while longer, so that a copy still held by a slow peer does
+ * not restore the fact.
  */
 void
 Fc_Expire(struct fc_table *facts)
@@ -402,8 +412,9 @@
 }
 
 /*
- * Sets how often a node sends on a new fact of a scope; 0 where there is
- * nobody to send it to, else it would wait in the queue for ever.
+ * Sets how many times this node transmits a new fact of a scope.  It must be 0
+ * when the scope has no other node; otherwise the fact would stay queued for
+ * ever.
  */
 void
 Fc_SetSpread(struct fc_table *facts, enum fc_scope scope, int count)
@@ -411,7 +422,7 @@
     facts->spread[scope] = count;
 }
 
-/* Begins a datagram: every queued fact may be taken once. */
+/* Begins a datagram: every queued fact may be selected once. */
 void
 Fc_BeginDatagram(struct fc_table *facts)
 {
@@ -421,9 +432,9 @@
 }
 
 /*
- * Takes the next fact for a datagram with "room" bytes left; false when none
- * fits.  "narrowest" is the narrowest scope that the receiver shares.  Wider
- * scopes go first: their facts are few, and it is them that nobody may miss.
+ * Selects the next fact for a datagram with "room" bytes left; false when none
+ * fits.  "narrowest" is the narrowest scope that includes the receiver.  Wider
+ * scopes go first: they have few facts, and every node needs them.
  */
 bool
 Fc_NextUpdate(struct fc_table *facts, enum fc_scope narrowest, size_t room,
--- a/packages/member/fact.h
+++ b/packages/member/fact.h
@@ -1,9 +1,10 @@
 /*
- * Facts: small pieces of shared state that live only in memory and are spread
- * by gossip.  A fact has an owner (a node) or none (a key of the whole
- * system), a version and an opaque value.  The later version wins and a fact
- * never goes back; of equal versions the greater value wins, so that all
- * nodes end with the same.  Pure: no input or output.
+ * Facts: small items of shared state that are held only in memory and
+ * distributed by gossip.  A fact belongs to a node (its owner) or to the whole
+ * cluster (empty owner), and has a version and an opaque value.  The higher
+ * version wins, so that a fact never returns to an older value; of equal
+ * versions the greater value wins, so that all nodes converge.  The module
+ * does no input or output.
  */
 #ifndef MEMBER_FACT_H
 #define MEMBER_FACT_H
@@ -20,12 +21,12 @@
 extern "C" {
 #endif
 
-#define Fc_KEY_MAX 64
-#define Fc_VALUE_MAX 256
-#define Fc_BUCKETS 32 /* of the digest of one scope */
+#define Fc_KEY_MAX 64    /* bytes with NUL */
+#define Fc_VALUE_MAX 256 /* bytes */
+#define Fc_BUCKETS 32    /* per scope, in a digest */
 #define Fc_SCOPES 3
 
-/* How far a fact spreads. */
+/* Which nodes a fact is sent to. */
 enum fc_scope {
     FC_CLUSTER,
     FC_REGION,
@@ -33,43 +34,46 @@
 };
 
 struct fc_fact {
-    const char *owner; /* node id; empty: of the whole system */
+    const char *owner; /* node id; empty: fact of the whole cluster */
     const char *key;
     uint64_t version;
     enum fc_scope scope;
-    int64_t ttl_usec; /* time left to live; 0: for ever */
+    int64_t ttl_usec; /* remaining time to live; 0: unlimited */
     const void *value;
     size_t len;
 };
 
 struct fc_table;
 
-/* Called after a fact was taken in; the pointers are valid during the call. */
+/*
+ * Called after a fact was added or updated; the pointers are valid only during
+ * the call.
+ */
 typedef void (*fc_changed_fn)(void *arg, const struct fc_fact *fact);
 
-/* The encoded size of a fact in bytes. */
+/* Returns the encoded size of a fact in bytes. */
 typedef size_t (*fc_size_fn)(const struct fc_fact *fact);
 
 struct fc_options {
     const char *node; /* id of this node */
     const struct ck_clock *clock;
-    fc_changed_fn changed; /* for every fact; may be NULL */
+    fc_changed_fn changed; /* called for every fact; may be NULL */
     void *arg;
     size_t facts_max; /* 0: 16384 */
 };
 
-/* What to publish. */
+/* A fact to publish. */
 struct fc_post {
     const char *key;
-    bool owned;       /* the fact is this node's own; else the system's */
-    uint64_t version; /* 0: one more than the version known */
+    bool owned;       /* this node owns the fact; else the cluster */
+    uint64_t version; /* 0: the current version plus 1 */
     enum fc_scope scope;
-    int64_t ttl_usec; /* 0: for ever */
+    int64_t ttl_usec; /* 0: unlimited */
     const void *value;
     size_t len;
 };
 
-/* One line of a digest comparison. */
+/* Identifies one version of a fact when two nodes compare their facts. */
 struct fc_stamp {
     uint64_t name_hash; /* of owner and key */
     uint64_t version;
--- a/packages/member/fact_internal.h
+++ b/packages/member/fact_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the fact table only. */
+/* Shared by the source files of the fact table only. */
 #ifndef MEMBER_FACT_INTERNAL_H
 #define MEMBER_FACT_INTERNAL_H
 
@@ -16,10 +16,10 @@
     uint64_t version;
     enum fc_scope scope;
     int64_t expires_usec; /* 0: never */
-    int64_t updated_usec; /* when this version was taken in */
-    int64_t purge_usec;   /* when even the version may be dropped */
-    bool expired;         /* only the version is kept, against old copies */
-    bool published;       /* by this node in this life */
+    int64_t updated_usec; /* when this version was stored */
+    int64_t purge_usec;   /* when the entry may be removed */
+    bool expired;         /* tombstone: only the version is kept */
+    bool published;       /* by this node since it started */
     int sends_left;       /* transmissions left; queued while above 0 */
     void *value;
     size_t len;
@@ -45,9 +45,9 @@
     size_t count;
     struct fc_tree entries;
     struct fc_queue queues[Fc_SCOPES];
-    struct fc_queue sent[Fc_SCOPES]; /* already in the present datagram */
+    struct fc_queue sent[Fc_SCOPES]; /* already in the current datagram */
     int spread[Fc_SCOPES];
-    bool no_spread; /* nothing is queued for spreading */
+    bool no_spread; /* updates are not queued for gossip */
     struct fc_watches watches;
 };
 
--- a/packages/member/fact_query.c
+++ b/packages/member/fact_query.c
@@ -1,4 +1,4 @@
-/* Questions to the fact table; nothing here changes it. */
+/* Read-only queries on the fact table. */
 #include <bsd/string.h>
 #include <string.h>
 
@@ -6,16 +6,16 @@
 #include "member/fact.h"
 #include "member/fact_internal.h"
 
-#define Fc_BUCKET_SHIFT 59 /* 64 less the bits of Fc_BUCKETS */
+#define Fc_BUCKET_SHIFT 59 /* 64 - log2(Fc_BUCKETS) */
 
-/* Hash of a fact's owner and key, as digests carry it. */
+/* Hashes the owner and key of a fact, as used in digests. */
 uint64_t
 fc_name_hash(const char *owner, const char *key)
 {
     return Hash_String(key, Hash_String(owner, 0));
 }
 
-/* The entry of an owner and key, or NULL. */
+/* Finds the entry of an owner and key; NULL when there is none. */
 struct fc_entry *
 fc_find(const struct fc_table *facts, const char *owner, const char *key)
 {
@@ -26,7 +26,7 @@
     return RB_FIND(fc_tree, (struct fc_tree *)&facts->entries, &wanted);
 }
 
-/* Shows an entry as a fact with the time it has left. */
+/* Fills a fact from an entry, with its remaining time to live. */
 void
 fc_view(const struct fc_table *facts, const struct fc_entry *entry,
         struct fc_fact *out)
@@ -52,8 +52,8 @@
 }
 
 /*
- * Finds a fact; owner "" for one of the whole system.  The pointers stay
- * valid until the fact changes.
+ * Finds a live fact; the owner "" stands for the whole cluster.  The pointers
+ * are valid until the fact changes.
  */
 bool
 Fc_Get(const struct fc_table *facts, const char *owner, const char *key,
@@ -69,7 +69,7 @@
 
 /*
  * Calls "fn" for every live fact whose key begins with the prefix, in no
- * particular order.  The table must not be changed meanwhile.
+ * particular order.  The table must not be changed during the calls.
  */
 void
 Fc_Each(const struct fc_table *facts, const char *key_prefix, fc_changed_fn fn,
@@ -87,14 +87,14 @@
     }
 }
 
-/* How many facts are held, those that ended lately included. */
+/* Returns the number of entries, including tombstones of expired facts. */
 size_t
 Fc_Count(const struct fc_table *facts)
 {
     return facts->count;
 }
 
-/* True while there are facts to spread. */
+/* Returns true while facts are queued for gossip. */
 bool
 Fc_HasUpdates(const struct fc_table *facts)
 {
@@ -107,14 +107,14 @@
     return false;
 }
 
-/* The bucket of a digest that a name falls into. */
+/* Returns the digest bucket of a name hash. */
 size_t
 Fc_Bucket(uint64_t name_hash)
 {
     return name_hash >> Fc_BUCKET_SHIFT;
 }
 
-/* Tells values of equal versions apart. */
+/* Hashes the value of a fact, to detect different values of one version. */
 uint32_t
 Fc_ValueHash(const struct fc_fact *fact)
 {
@@ -132,7 +132,10 @@
     return stamp;
 }
 
-/* One hash for each bucket; equal where both sides hold the same facts. */
+/*
+ * Computes a hash for each bucket of a scope.  Two nodes with the same facts
+ * in a bucket compute the same hash.
+ */
 void
 Fc_Digest(const struct fc_table *facts, enum fc_scope scope,
           uint64_t buckets[Fc_BUCKETS])
@@ -150,7 +153,10 @@
     }
 }
 
-/* The stamps of one bucket, at most "max"; returns how many. */
+/*
+ * Writes the stamps of at most "max" live facts of a bucket.  Returns their
+ * number.
+ */
 size_t
 Fc_Stamps(const struct fc_table *facts, enum fc_scope scope, size_t bucket,
           struct fc_stamp *out, size_t max)
@@ -169,7 +175,7 @@
     return count;
 }
 
-/* Finds a live fact by the hash of its name. */
+/* Finds a live fact by the hash of its owner and key. */
 bool
 Fc_ByHash(const struct fc_table *facts, uint64_t name_hash,
           struct fc_fact *out)
--- a/packages/member/fuzz/decode.c
+++ b/packages/member/fuzz/decode.c
@@ -53,23 +53,23 @@
 fuzz_decode(const uint8_t *data, size_t len)
 {
     static const char key[] = "fuzz";
-    uint8_t sealed[Wr_DATAGRAM_MAX];
+    uint8_t bytes[Wr_DATAGRAM_MAX];
     struct wr_datagram datagram;
     struct wr_frame frame;
-    int good = 0;
-    if (len <= sizeof(sealed) - Wr_MAC_BYTES) {
+    int decoded = 0;
+    if (len <= sizeof(bytes) - Wr_MAC_BYTES) {
         if (len > 0) {
-            memcpy(sealed, data, len);
+            memcpy(bytes, data, len);
         }
-        Hash_Mac(key, sealed, len, sealed + len);
-        if (Wr_UnpackDatagram(key, sealed, len + Wr_MAC_BYTES, &datagram) ==
+        Hash_Mac(key, bytes, len, bytes + len);
+        if (Wr_UnpackDatagram(key, bytes, len + Wr_MAC_BYTES, &datagram) ==
             ST_OK) {
             apply(&datagram);
-            good++;
+            decoded++;
         }
     }
     if (Wr_UnpackFrame(data, len, &frame) == ST_OK) {
-        good++;
+        decoded++;
     }
-    return good;
+    return decoded;
 }
--- a/packages/member/fuzz/decode.h
+++ b/packages/member/fuzz/decode.h
@@ -1,4 +1,4 @@
-/* What both the fuzzer and the regression test feed bytes to. */
+/* Decodes arbitrary bytes, for the fuzzer and the regression test. */
 #ifndef MEMBER_FUZZ_DECODE_H
 #define MEMBER_FUZZ_DECODE_H
 
@@ -10,9 +10,9 @@
 #endif
 
 /*
- * Decodes the bytes as the body of a datagram and as that of a frame, codes
- * aside, and applies what comes out to a table and facts.  Returns how many
- * of the two were well-formed.
+ * Decodes the bytes as the body of a datagram, with a valid MAC added, and as
+ * the body of a frame without a MAC. A decoded datagram is applied to a member
+ * table and a fact table.  Returns how many of the two decoded.
  */
 int fuzz_decode(const uint8_t *data, size_t len);
 
--- a/packages/member/fuzz/decode_fuzz.c
+++ b/packages/member/fuzz/decode_fuzz.c
@@ -1,4 +1,4 @@
-/* Entry point of libFuzzer; see docs/design/membership.md for the command. */
+/* libFuzzer entry point; see docs/design/membership.md for the command. */
 #include "member/fuzz/decode.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
--- a/packages/member/link.c
+++ b/packages/member/link.c
@@ -1,4 +1,7 @@
-/* The links of a node, requests and their handlers, time limits. */
+/*
+ * Creation of the links of a node, request handlers, timeouts and idle
+ * connections.
+ */
 #include "member/link.h"
 
 #include <bsd/string.h>
@@ -8,16 +11,14 @@
 #include "member/link_internal.h"
 
 #define Lk_IDLE_USEC (60 * Ck_USEC_PER_SEC)
-#define Lk_HELLO_USEC (5 * Ck_USEC_PER_SEC)
+#define Lk_HELLO_TIMEOUT_USEC (5 * Ck_USEC_PER_SEC)
 #define Lk_CALL_SWEEP_USEC (50 * Ck_USEC_PER_MSEC)
 #define Lk_IDLE_SWEEP_USEC Ck_USEC_PER_SEC
 
 static void on_timer(void *arg);
 static void free_closed(struct lk_links *links);
 
-/*
- * Creates the links and listens.  They must be destroyed before the loop.
- */
+/* Creates the links and listens.  They must be destroyed before the loop. */
 enum st_status
 Lk_Create(struct lp_loop *loop, const struct lk_options *options,
           struct lk_links **out)
@@ -55,8 +56,8 @@
 }
 
 /*
- * Closes all connections.  Calls under way end without a word, and requests
- * not yet answered must not be answered any more.
+ * Closes all connections.  Calls in flight end without a result, and
+ * Lk_Reply() must not be called for pending requests any more.
  */
 void
 Lk_Destroy(struct lk_links *links)
@@ -92,7 +93,6 @@
     free(links);
 }
 
-/* The port listened on. */
 uint16_t
 Lk_Port(const struct lk_links *links)
 {
@@ -106,14 +106,17 @@
     return &links->counters;
 }
 
-/* How many connections stand, in both directions. */
+/* Returns the number of open connections, in both directions. */
 size_t
 Lk_Connections(const struct lk_links *links)
 {
     return links->connection_count;
 }
 
-/* Sets the handler of a type of request; ST_CONFLICT when it has one. */
+/*
+ * Sets the handler of a request type.  Returns ST_CONFLICT when the type has
+ * one.
+ */
 enum st_status
 Lk_Handle(struct lk_links *links, const char *type, lk_handler_fn fn,
           void *arg)
@@ -140,7 +143,10 @@
     return ST_OK;
 }
 
-/* Sets the timer: often while calls have time limits, else for idleness. */
+/*
+ * Sets the timer: to the shorter interval while calls have deadlines or closed
+ * connections wait to be freed, else to the interval of the idle check.
+ */
 void
 lk_arm(struct lk_links *links)
 {
@@ -152,7 +158,10 @@
         delay = Lk_IDLE_SWEEP_USEC;
     }
     int64_t due = Ck_Now(links->clock) + delay;
-    /* Never later than set: frequent calls must not put it off for ever. */
+    /*
+     * Never postpone a timer that is set: with frequent calls it would never
+     * fire.
+     */
     if (delay != 0 && (links->timer_usec == 0 || due < links->timer_usec)) {
         links->timer_usec = due;
         Lp_TimerSet(links->timer, delay);
@@ -171,7 +180,7 @@
     return NULL;
 }
 
-/* Hands a request to its handler. */
+/* Passes a request to the handler of its type. */
 void
 lk_on_request(struct lk_connection *connection, const struct wr_frame *frame)
 {
@@ -199,7 +208,7 @@
     handler->fn(handler->arg, request);
 }
 
-/* The payload of a request, valid until it is answered. */
+/* Returns the payload of a request, valid until Lk_Reply(). */
 const void *
 Lk_Payload(const struct lk_request *request, size_t *len)
 {
@@ -207,7 +216,7 @@
     return request->payload;
 }
 
-/* The id of the node that sent a request. */
+/* Returns the id of the node that sent a request. */
 const char *
 Lk_From(const struct lk_request *request)
 {
@@ -216,8 +225,9 @@
 
 /*
  * Answers a request and frees it.  The answer is dropped when the connection
- * is gone or has too much to send: the caller then sees a lost connection or
- * a time limit, both of which say that the request may have had its effect.
+ * is closed or its send queue is full.  The caller then gets ST_UNAVAILABLE or
+ * ST_TIMEOUT with "maybe_sent" set, so that it knows that the request may have
+ * had its effect.
  */
 void
 Lk_Reply(struct lk_request *request, enum st_status status,
@@ -239,7 +249,7 @@
     free(request);
 }
 
-/* Ends the calls of a connection that is gone, and orphans its requests. */
+/* Ends the calls of a closed connection, and detaches its pending requests. */
 void
 lk_connection_lost(struct lk_connection *connection)
 {
@@ -273,7 +283,7 @@
 is_idle(const struct lk_connection *connection, int64_t now)
 {
     if (!connection->ready) {
-        return now - connection->created_usec > Lk_HELLO_USEC;
+        return now - connection->created_usec > Lk_HELLO_TIMEOUT_USEC;
     }
     return connection->in_flight == 0 && TAILQ_EMPTY(&connection->frames) &&
            now - connection->used_usec > connection->links->idle_usec;
@@ -291,7 +301,10 @@
     return NULL;
 }
 
-/* One that is closed may end calls, and these may change the list. */
+/*
+ * Searches again after each close: closing a connection may end calls, whose
+ * callbacks may change the list.
+ */
 static void
 close_idle(struct lk_links *links, int64_t now)
 {
@@ -301,7 +314,10 @@
     }
 }
 
-/* Frees closed connections, now that none of their handlers runs. */
+/*
+ * Frees closed connections.  The timer calls this, when none of their event
+ * handlers is running.
+ */
 static void
 free_closed(struct lk_links *links)
 {
--- a/packages/member/link.h
+++ b/packages/member/link.h
@@ -1,8 +1,8 @@
 /*
  * Requests between daemons over TCP frames.  One connection is kept to each
- * daemon that is called and closed when idle.  A call ends exactly once and
- * says whether its request may have left this process: only if not is it
- * certain that the other side never saw it.
+ * daemon that this daemon calls, and closed when idle.  A call ends exactly
+ * once.  Its result says whether the request may have been sent: only if not
+ * is it certain that the peer has not received it.
  */
 #ifndef MEMBER_LINK_H
 #define MEMBER_LINK_H
@@ -21,7 +21,7 @@
 extern "C" {
 #endif
 
-#define Lk_PAYLOAD_MAX (Wr_FRAME_MAX - 256)
+#define Lk_PAYLOAD_MAX (Wr_FRAME_MAX - 256) /* bytes */
 
 struct lk_links;
 struct lk_call;
@@ -29,28 +29,31 @@
 
 struct lk_options {
     const char *node;    /* id of this node */
-    const char *address; /* IP number to listen on */
-    uint16_t port;       /* 0 picks a free one; see Lk_Port() */
+    const char *address; /* IP address to listen on */
+    uint16_t port;       /* 0: any free port; see Lk_Port() */
     const char *cluster_key;
     const struct ck_clock *clock;
-    int64_t idle_usec; /* a connection unused so long is closed; 0: 60 s */
+    int64_t idle_usec; /* connections idle for longer are closed; 0: 60 s */
 };
 
 struct lk_result {
     /*
-     * ST_OK or the status of the handler when "answered"; else ST_TIMEOUT,
+     * The status that the handler returned when "answered"; else ST_TIMEOUT,
      * ST_UNAVAILABLE or ST_OVERLOAD.
      */
     enum st_status status;
     bool answered;
-    bool maybe_sent; /* false: the other side never saw the request */
+    bool maybe_sent; /* false: the peer has not received the request */
     const void *payload;
     size_t len;
 };
 
 typedef void (*lk_done_fn)(void *arg, const struct lk_result *result);
 
-/* A request from another node.  Lk_Reply() must follow, now or later. */
+/*
+ * Handles a request from another node.  The handler must call Lk_Reply(), at
+ * once or later.
+ */
 typedef void (*lk_handler_fn)(void *arg, struct lk_request *request);
 
 struct lk_counters {
@@ -58,7 +61,8 @@
     uint64_t bytes_out;
     uint64_t frames_in;
     uint64_t frames_out;
-    uint64_t denied; /* connections dropped for a wrong code or frame */
+    /* connections closed for a wrong MAC or an invalid frame */
+    uint64_t denied;
 };
 
 enum st_status Lk_Create(struct lp_loop *loop,
--- a/packages/member/link_call.c
+++ b/packages/member/link_call.c
@@ -1,4 +1,4 @@
-/* Calls: from the request to the one result that each of them gets. */
+/* Calls: sending requests and returning exactly one result for each. */
 #include <bsd/string.h>
 #include <stdlib.h>
 #include <string.h>
@@ -32,9 +32,10 @@
 
 /*
  * Sends a request.  "done" is called once, never from within this function,
- * and not at all when this fails or after Lk_Cancel() or Lk_Destroy().  A
- * request that waits for its connection is taken back when its time is over:
- * if the result says that it has not left, it never will.
+ * and not at all when this function fails or after Lk_Cancel() or
+ * Lk_Destroy().  A request still in the send queue at its deadline is removed:
+ * when the result says that the request was not sent, it will not be sent
+ * later.
  */
 enum st_status
 Lk_Call(struct lk_links *links, const struct mb_endpoint *to, const char *type,
@@ -71,7 +72,10 @@
     call->done = done;
     call->arg = arg;
     TAILQ_INSERT_TAIL(&links->calls, call, link);
-    /* From the loop, not from here: sending may fail and end the call. */
+    /*
+     * Send from the event loop, not from here: a send error would end the call
+     * before this function returns.
+     */
     Lp_WatchWritable(connection->watch);
     lk_arm(links);
     if (out != NULL) {
@@ -88,7 +92,7 @@
         return;
     }
     if (frame->sealed) {
-        frame->call = NULL; /* partly sent: the rest must follow */
+        frame->call = NULL; /* partly sent: must be sent in full */
         call->frame = NULL;
     }
     else {
@@ -96,7 +100,10 @@
     }
 }
 
-/* Ends a call without a word.  Its answer, should one come, is dropped. */
+/*
+ * Ends a call without calling "done".  An answer that arrives later is
+ * dropped.
+ */
 void
 Lk_Cancel(struct lk_call *call)
 {
@@ -106,7 +113,7 @@
     free_call(call);
 }
 
-/* Ends a call with its result.  "done" may begin and cancel others. */
+/* Ends a call with its result.  "done" may start and cancel other calls. */
 void
 lk_finish(struct lk_call *call, const struct lk_result *result)
 {
@@ -119,7 +126,7 @@
     done(arg, result);
 }
 
-/* Gives an answer to the call that waits for it; late ones are dropped. */
+/* Passes an answer to its call.  An answer whose call has ended is dropped. */
 void
 lk_on_answer(struct lk_connection *connection, const struct wr_frame *frame)
 {
@@ -141,7 +148,7 @@
     lk_finish(call, &result);
 }
 
-/* A call under way on a connection; NULL when there is none. */
+/* Returns a call in flight on a connection; NULL when there is none. */
 struct lk_call *
 lk_call_on(const struct lk_connection *connection)
 {
@@ -154,7 +161,7 @@
     return NULL;
 }
 
-/* A call whose time is over; NULL when there is none. */
+/* Returns a call whose deadline has passed; NULL when there is none. */
 struct lk_call *
 lk_expired_call(const struct lk_links *links, int64_t now)
 {
--- a/packages/member/link_connection.c
+++ b/packages/member/link_connection.c
@@ -1,4 +1,4 @@
-/* One TCP connection: hello, sending and reading of frames. */
+/* A TCP connection between daemons: hello, sending and receiving frames. */
 #include <arpa/inet.h>
 #include <bsd/stdlib.h>
 #include <bsd/string.h>
@@ -14,8 +14,8 @@
 #include "member/link_internal.h"
 
 #define Lk_BACKLOG 512
-#define Lk_READ_BYTES 16384
-#define Lk_ACCEPTS 64 /* taken in one turn of the loop */
+#define Lk_READ_BYTES 16384 /* free space for each read */
+#define Lk_ACCEPTS 64       /* connections accepted per loop iteration */
 
 static void
 free_frames(struct lk_connection *connection)
@@ -28,8 +28,8 @@
 }
 
 /*
- * Closes a connection and ends what was under way on it.  It is freed by the
- * timer: a handler of it may be running now.
+ * Closes a connection and ends its calls in flight.  The timer frees the
+ * connection later, since one of its event handlers may be running now.
  */
 void
 lk_close(struct lk_connection *connection)
@@ -60,7 +60,7 @@
 read_length(const uint8_t *bytes)
 {
     size_t len = 0;
-    for (int i = 0; i < Wr_FRAME_HEAD; i++) {
+    for (int i = 0; i < Wr_FRAME_HEAD_BYTES; i++) {
         len = len << 8 | bytes[i];
     }
     return len;
@@ -73,7 +73,9 @@
     lk_unqueue(connection, frame);
 }
 
-/* Sends what the socket takes.  May close the connection. */
+/*
+ * Sends queued frames until the socket would block.  May close the connection.
+ */
 void
 lk_flush(struct lk_connection *connection)
 {
@@ -120,9 +122,9 @@
 }
 
 /*
- * Takes the hello of the other side.  One that carries our own random number
- * is our hello sent back to us, by which our own frames would pass as the
- * other's.
+ * Handles the hello of the peer.  A hello with the nonce of this node is its
+ * own hello reflected by an attacker; accepting it would make the frames of
+ * this node pass as frames of the peer.
  */
 static void
 on_hello(struct lk_connection *connection, const struct wr_frame *frame)
@@ -163,28 +165,31 @@
     }
 }
 
-/* Takes every whole frame that has come. */
+/* Processes every complete frame in the input buffer. */
 static void
 process_input(struct lk_connection *connection)
 {
-    size_t at = 0;
-    while (!connection->closed && connection->in_len - at >= Wr_FRAME_HEAD) {
-        size_t len = read_length(connection->in + at);
-        size_t most = connection->ready ? Wr_FRAME_MAX : Lk_HELLO_MAX;
-        if (len > most) {
+    size_t offset = 0;
+    while (!connection->closed &&
+           connection->in_len - offset >= Wr_FRAME_HEAD_BYTES) {
+        size_t len = read_length(connection->in + offset);
+        size_t max_len = connection->ready ? Wr_FRAME_MAX : Lk_HELLO_MAX;
+        if (len > max_len) {
             deny(connection);
             return;
         }
-        size_t whole = Wr_FRAME_HEAD + len + Wr_MAC_BYTES;
-        if (connection->in_len - at < whole) {
+        size_t frame_len = Wr_FRAME_HEAD_BYTES + len + Wr_MAC_BYTES;
+        if (connection->in_len - offset < frame_len) {
             break;
         }
-        on_frame(connection, connection->in + at + Wr_FRAME_HEAD, len);
-        at += whole;
+        on_frame(connection, connection->in + offset + Wr_FRAME_HEAD_BYTES,
+                 len);
+        offset += frame_len;
     }
-    if (!connection->closed && at > 0) {
-        memmove(connection->in, connection->in + at, connection->in_len - at);
-        connection->in_len -= at;
+    if (!connection->closed && offset > 0) {
+        memmove(connection->in, connection->in + offset,
+                connection->in_len - offset);
+        connection->in_len -= offset;
     }
 }
 
@@ -222,17 +227,18 @@
         lk_close(connection);
         return;
     }
-    ssize_t got = recv(connection->fd, connection->in + connection->in_len,
-                       connection->in_max - connection->in_len, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    ssize_t received =
+        recv(connection->fd, connection->in + connection->in_len,
+             connection->in_max - connection->in_len, MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    if (got <= 0) {
+    if (received <= 0) {
         lk_close(connection);
         return;
     }
-    connection->in_len += (size_t)got;
-    connection->links->counters.bytes_in += (size_t)got;
+    connection->in_len += (size_t)received;
+    connection->links->counters.bytes_in += (size_t)received;
     process_input(connection);
     release_input(connection);
 }
@@ -264,7 +270,7 @@
 static const struct lp_watch_ops connection_ops = {on_readable, on_writable,
                                                    on_closed};
 
-/* Makes a connection of a socket; takes the socket in any case. */
+/* Creates a connection for a socket.  On failure the socket is closed. */
 static enum st_status
 add_connection(struct lk_links *links, int fd, bool outgoing,
                struct lk_connection **out)
@@ -303,7 +309,10 @@
     return ST_OK;
 }
 
-/* Begins a connection; failures show later, when it is closed. */
+/*
+ * Starts a connection.  A connection that fails later is closed, which ends
+ * its calls.
+ */
 enum st_status
 lk_connect(struct lk_links *links, const struct mb_endpoint *to,
            struct lk_connection **out)
@@ -359,25 +368,25 @@
 static const struct lp_watch_ops listener_ops = {on_acceptable, NULL,
                                                  on_listener_closed};
 
-/* Listens for other daemons; port 0 picks a free one. */
+/* Listens for other daemons; port 0 selects any free port. */
 enum st_status
 lk_listen(struct lk_links *links, const char *address, uint16_t port)
 {
     int on = 1;
-    struct sockaddr_storage where;
+    struct sockaddr_storage bind_address;
     struct mb_endpoint endpoint = {.port = port};
     strlcpy(endpoint.address, address, sizeof(endpoint.address));
-    socklen_t len = Ad_ToSocket(&endpoint, &where);
+    socklen_t len = Ad_ToSocket(&endpoint, &bind_address);
     if (len == 0) {
         return St_Fail(ST_INVALID, "%s is no IP number", address);
     }
-    int fd =
-        socket(where.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    int fd = socket(bind_address.ss_family,
+                    SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) {
         return St_Fail(ST_UNAVAILABLE, "socket: %s", strerror(errno));
     }
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-    if (bind(fd, (struct sockaddr *)&where, len) != 0 ||
+    if (bind(fd, (struct sockaddr *)&bind_address, len) != 0 ||
         listen(fd, Lk_BACKLOG) != 0) {
         close(fd);
         return St_Fail(ST_UNAVAILABLE,
--- a/packages/member/link_frame.c
+++ b/packages/member/link_frame.c
@@ -1,4 +1,4 @@
-/* The queue of frames of a connection, and their codes. */
+/* The send queue of a connection and the MACs of its frames. */
 #include <openssl/crypto.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,26 +11,26 @@
 static void
 write_length(uint8_t *bytes, size_t len)
 {
-    for (int i = 0; i < Wr_FRAME_HEAD; i++) {
-        bytes[i] = (uint8_t)(len >> 8 * (Wr_FRAME_HEAD - 1 - i));
+    for (int i = 0; i < Wr_FRAME_HEAD_BYTES; i++) {
+        bytes[i] = (uint8_t)(len >> 8 * (Wr_FRAME_HEAD_BYTES - 1 - i));
     }
 }
 
-/* The size of a frame with head and code. */
+/* Returns the size of a frame with its length field and MAC. */
 size_t
 lk_frame_bytes(const struct lk_frame *frame)
 {
-    return Wr_FRAME_HEAD + frame->body_len + Wr_MAC_BYTES;
+    return Wr_FRAME_HEAD_BYTES + frame->body_len + Wr_MAC_BYTES;
 }
 
 /*
- * Writes head and code at the last moment: a frame taken back before it was
- * sent leaves no gap in the numbers.
+ * Writes the length and the MAC just before a frame is sent, so that a frame
+ * removed from the queue leaves no gap in the sequence numbers.
  */
 bool
 lk_seal(struct lk_connection *connection, struct lk_frame *frame)
 {
-    uint8_t *body = frame->bytes + Wr_FRAME_HEAD;
+    uint8_t *body = frame->bytes + Wr_FRAME_HEAD_BYTES;
     const uint8_t *from = frame->hello ? no_nonce : connection->nonce;
     const uint8_t *to = frame->hello ? no_nonce : connection->peer_nonce;
     uint64_t sequence = frame->hello ? 0 : ++connection->sent_sequence;
@@ -40,7 +40,10 @@
                        frame->body_len, body + frame->body_len) == ST_OK;
 }
 
-/* The next frame that may be sent: before the other's hello only ours. */
+/*
+ * Returns the next frame that may be sent.  Until the hello of the peer has
+ * arrived, that is only the hello of this node.
+ */
 struct lk_frame *
 lk_next_frame(struct lk_connection *connection)
 {
@@ -51,7 +54,7 @@
     return frame;
 }
 
-/* Takes a frame out of the queue, sent or not. */
+/* Removes a frame from the queue and frees it. */
 void
 lk_unqueue(struct lk_connection *connection, struct lk_frame *frame)
 {
@@ -64,7 +67,7 @@
     free(frame);
 }
 
-/* Queues a frame: ST_OVERLOAD when the connection has too much to send. */
+/* Queues a frame.  Returns ST_OVERLOAD when the queue is full. */
 enum st_status
 lk_queue(struct lk_connection *connection, const struct wr_frame *frame,
          struct lk_call *call)
@@ -77,12 +80,13 @@
                        connection->queued_frames, connection->peer.address);
     }
     struct lk_frame *queued =
-        calloc(1, sizeof(*queued) + Wr_FRAME_HEAD + max + Wr_MAC_BYTES);
+        calloc(1, sizeof(*queued) + Wr_FRAME_HEAD_BYTES + max + Wr_MAC_BYTES);
     if (queued == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a frame of %zu bytes",
                        max);
     }
-    queued->body_len = Wr_PackFrame(frame, queued->bytes + Wr_FRAME_HEAD, max);
+    queued->body_len =
+        Wr_PackFrame(frame, queued->bytes + Wr_FRAME_HEAD_BYTES, max);
     if (queued->body_len == 0 || queued->body_len > Wr_FRAME_MAX) {
         free(queued);
         return St_Fail(ST_INVALID, "frame of %zu bytes; at most %d fit",
@@ -100,7 +104,7 @@
     return ST_OK;
 }
 
-/* Checks the code of a frame that came. */
+/* Verifies the MAC of a received frame. */
 bool
 lk_check_mac(struct lk_connection *connection, const uint8_t *body, size_t len)
 {
--- a/packages/member/link_internal.h
+++ b/packages/member/link_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the links only. */
+/* Shared by the source files of the links only. */
 #ifndef MEMBER_LINK_INTERNAL_H
 #define MEMBER_LINK_INTERNAL_H
 
@@ -7,18 +7,18 @@
 #include "member/link.h"
 
 #define Lk_CONNECTIONS_MAX 2048
-#define Lk_HELLO_MAX 256 /* no larger frame before the hello was checked */
-#define Lk_QUEUED_FRAMES_MAX 1024
-#define Lk_QUEUED_BYTES_MAX (4 * Wr_FRAME_MAX)
+#define Lk_HELLO_MAX 256 /* bytes; largest frame accepted before the hello */
+#define Lk_QUEUED_FRAMES_MAX 1024              /* per connection */
+#define Lk_QUEUED_BYTES_MAX (4 * Wr_FRAME_MAX) /* per connection */
 
 struct lk_frame {
     TAILQ_ENTRY(lk_frame) link;
-    struct lk_call *call; /* whose request this is; NULL for answers */
+    struct lk_call *call; /* call that sent this request; NULL for answers */
     bool hello;
-    bool sealed; /* head and code are written; it is being sent */
+    bool sealed; /* length and MAC are written; it is being sent */
     size_t body_len;
     size_t sent;
-    uint8_t bytes[]; /* length, body, code */
+    uint8_t bytes[]; /* length, body, MAC */
 };
 
 TAILQ_HEAD(lk_frames, lk_frame);
@@ -29,8 +29,8 @@
     struct lp_watch *watch;
     int fd;
     bool outgoing;
-    bool connected; /* the TCP connection stands */
-    bool ready;     /* the hello of the other side has come */
+    bool connected; /* the TCP connection is established */
+    bool ready;     /* the hello of the peer has been received */
     bool closed;
     struct mb_endpoint peer;
     char node[Mb_ID_MAX];
@@ -44,7 +44,7 @@
     uint8_t *in;
     size_t in_len;
     size_t in_max;
-    size_t in_flight; /* calls and requests under way on it */
+    size_t in_flight; /* calls and requests in flight */
     int64_t created_usec;
     int64_t used_usec;
 };
@@ -55,7 +55,7 @@
     uint64_t id;
     int64_t deadline_usec;
     bool maybe_sent;
-    struct lk_frame *frame; /* until it was sent whole */
+    struct lk_frame *frame; /* NULL once it is completely sent */
     lk_done_fn done;
     void *arg;
 };
@@ -63,7 +63,7 @@
 struct lk_request {
     TAILQ_ENTRY(lk_request) link;
     struct lk_links *links;
-    struct lk_connection *connection; /* NULL once that is gone */
+    struct lk_connection *connection; /* NULL once the connection is closed */
     uint64_t id;
     char from[Mb_ID_MAX];
     size_t len;
@@ -94,7 +94,7 @@
     struct lp_timer *timer;
     int64_t timer_usec; /* when it fires; 0: not set */
     struct lk_connections connections;
-    struct lk_connections closed; /* closed; freed by the timer */
+    struct lk_connections closed; /* waiting to be freed by the timer */
     size_t connection_count;
     struct lk_calls calls;
     uint64_t next_id;
--- a/packages/member/node.c
+++ b/packages/member/node.c
@@ -1,4 +1,7 @@
-/* Starting and stopping a node, its timers, and what it tells of reach. */
+/*
+ * Starts and stops a node, runs its timer and distributes whether data centres
+ * are reachable.
+ */
 #include "member/node.h"
 
 #include <bsd/stdlib.h>
@@ -19,8 +22,8 @@
 #define Nd_REACH_PREFIX "reach/"
 #define Nd_REACH_TTL_USEC (180 * Ck_USEC_PER_SEC)
 #define Nd_REACH_REPEAT_USEC (60 * Ck_USEC_PER_SEC)
-#define Nd_SPREAD_EXTRA 2     /* sendings of a fact beyond the logarithm */
-#define Nd_SPREAD_REDUCTION 2 /* fewer of one of the data centre only */
+#define Nd_SPREAD_EXTRA 2     /* transmissions beyond log2 of the nodes */
+#define Nd_SPREAD_REDUCTION 2 /* fewer for facts of data centre scope */
 #define Nd_SPREAD_MIN 2
 
 static void
@@ -60,7 +63,7 @@
     if (!node->reach_from_peer) {
         publish_reach(node, data_centre, reachable);
         if (reachable) {
-            node->sync_far = true; /* much may have changed over there */
+            node->sync_far = true; /* many records may have changed there */
             node->next_sync_usec = 0;
         }
     }
@@ -72,8 +75,9 @@
 static const struct mb_ops table_ops = {nd_send, on_changed, on_reach};
 
 /*
- * Takes the verdict of a bridge of the own data centre.  A node that is a
- * bridge to that place itself believes its own probes.
+ * Applies whether a data centre is reachable, as published by a bridge in the
+ * data centre of this node.  A node that is itself a bridge to that data
+ * centre uses its own probes.
  */
 static void
 on_reach_fact(void *arg, const struct fc_fact *fact)
@@ -90,7 +94,10 @@
     node->reach_from_peer = false;
 }
 
-/* The binary logarithm of the hearers and "extra" more, at least two. */
+/*
+ * Returns how many times a fact is transmitted: log2 of the number of
+ * receivers plus "extra", but at least two, and 0 when there is no receiver.
+ */
 static int
 copies_for(size_t members, int extra)
 {
@@ -104,7 +111,10 @@
     return copies > Nd_SPREAD_MIN ? copies : Nd_SPREAD_MIN;
 }
 
-/* Sends a fact on as often as the number of those who must hear it asks. */
+/*
+ * Sets the number of transmissions of each scope from the number of its
+ * members.
+ */
 static void
 update_spread(struct nd_node *node)
 {
@@ -128,12 +138,15 @@
                  copies_for(counts[FC_CLUSTER], Nd_SPREAD_EXTRA));
     Fc_SetSpread(node->facts, FC_REGION,
                  copies_for(counts[FC_REGION], Nd_SPREAD_EXTRA));
-    /* Load samples: frequent and soon replaced, so fewer copies will do. */
+    /* Load samples are frequent and soon replaced, so fewer copies suffice. */
     Fc_SetSpread(node->facts, FC_DATA_CENTRE,
                  copies_for(counts[FC_DATA_CENTRE], -Nd_SPREAD_REDUCTION));
 }
 
-/* A verdict that stands is repeated before it ends, for new members. */
+/*
+ * Publishes unreachable data centres again before the facts expire, also for
+ * new members.
+ */
 static void
 repeat_reach(struct nd_node *node, int64_t now)
 {
@@ -206,7 +219,7 @@
         .clock = options->clock,
     };
     enum st_status status = ST_CONFLICT;
-    /* A free TCP port may be taken for datagrams: then try another pair. */
+    /* The UDP port of a free TCP port may be in use: then try another port. */
     for (int i = 0; i < Nd_PORT_TRIES && status == ST_CONFLICT; i++) {
         status = Lk_Create(node->loop, &links, &node->links);
         if (status != ST_OK) {
@@ -294,9 +307,9 @@
 }
 
 /*
- * Starts a node.  ST_INVALID for options that cannot be, ST_CONFLICT or
- * ST_UNAVAILABLE when the port is taken.  It must be destroyed before the
- * loop.
+ * Starts a node.  Returns ST_INVALID for invalid options, ST_CONFLICT or
+ * ST_UNAVAILABLE when the port is in use.  The node must be destroyed before
+ * the loop.
  */
 enum st_status
 Nd_Create(struct lp_loop *loop, const struct nd_options *options,
@@ -337,7 +350,7 @@
     return ST_OK;
 }
 
-/* Stops a node without a word to the others; see Nd_Leave(). */
+/* Stops a node without announcing it to the others; see Nd_Leave(). */
 void
 Nd_Destroy(struct nd_node *node)
 {
@@ -352,7 +365,7 @@
     free(node);
 }
 
-/* Replaces the addresses asked when members are missing. */
+/* Replaces the seeds; see Mb_SetSeeds(). */
 void
 Nd_SetSeeds(struct nd_node *node, const struct mb_endpoint *seeds,
             size_t count)
@@ -361,8 +374,8 @@
 }
 
 /*
- * Tells the others that this node leaves: it gets no new work but is kept as
- * a member until it is destroyed.
+ * Announces that this node leaves: it gets no new work but stays a member
+ * until it is destroyed.
  */
 void
 Nd_Leave(struct nd_node *node)
@@ -380,7 +393,8 @@
 }
 
 /*
- * Calls a member by its id; ST_NOT_FOUND for one not known.  See Lk_Call().
+ * Calls a member by its id; see Lk_Call().  Returns ST_NOT_FOUND when the
+ * member is not in the table.
  */
 enum st_status
 Nd_Call(struct nd_node *node, const char *member, const char *type,
@@ -389,7 +403,7 @@
 {
     const struct mb_record *record = Mb_Find(node->members, member);
     if (record == NULL) {
-        return St_Fail(ST_NOT_FOUND, "no member %s; look at the member list",
+        return St_Fail(ST_NOT_FOUND, "unknown member %s; see the member list",
                        member);
     }
     struct mb_endpoint to = {.port = record->peer_port};
--- a/packages/member/node.h
+++ b/packages/member/node.h
@@ -1,6 +1,6 @@
 /*
- * A daemon among the others: membership, facts and links put on the loop.
- * Datagrams and frames use the same port number.
+ * A daemon in the cluster: connects membership, facts and links to the event
+ * loop.  Datagrams and frames use the same port number.
  */
 #ifndef MEMBER_NODE_H
 #define MEMBER_NODE_H
@@ -24,27 +24,27 @@
 
 struct nd_ops {
     /*
-     * A member became alive, leaving, suspect or dead; "before" is MB_DEAD
-     * for one not known before.  Not called for this node.  May be NULL.
+     * A member changed its state; "before" is MB_DEAD for a new member.  Not
+     * called for this node itself.  May be NULL.
      */
     void (*changed)(void *arg, const struct mb_record *member,
                     enum mb_state before);
-    /* A data centre came within reach or went out of it.  May be NULL. */
+    /* A data centre became reachable or unreachable.  May be NULL. */
     void (*reach)(void *arg, const char *data_centre, bool reachable);
 };
 
 struct nd_options {
     const char *id;
-    const char *address; /* IP number that other daemons reach */
-    uint16_t peer_port;  /* 0 picks a free one */
-    uint16_t admin_port; /* told to the others */
+    const char *address; /* IP address that other daemons connect to */
+    uint16_t peer_port;  /* 0: any free port */
+    uint16_t admin_port; /* announced to other daemons */
     const char *data_centre;
     const char *region;
     const char *cluster_key;
     const struct ck_clock *clock;
-    uint64_t seed;            /* of random choices; 0: a fresh one */
+    uint64_t seed;            /* of the random generator; 0: a random seed */
     int64_t period_usec;      /* between probes; 0: 1 s */
-    int64_t sync_period_usec; /* between exchanges of state; 0: 30 s */
+    int64_t sync_period_usec; /* between exchanges of full state; 0: 30 s */
     const struct nd_ops *ops; /* may be NULL */
     void *arg;
 };
@@ -56,10 +56,10 @@
     uint64_t bytes_out;
     uint64_t denied;   /* datagrams under another key */
     uint64_t invalid;  /* malformed datagrams */
-    uint64_t replayed; /* datagrams seen before */
-    uint64_t unsent;   /* datagrams the socket did not take */
-    uint64_t syncs;    /* exchanges of state that ended well */
-    uint64_t facts_in; /* copies of facts in datagrams */
+    uint64_t replayed; /* replayed datagrams */
+    uint64_t unsent;   /* datagrams that the socket did not accept */
+    uint64_t syncs;    /* completed exchanges of full state */
+    uint64_t facts_in; /* facts received in datagrams */
     uint64_t facts_news;
 };
 
--- a/packages/member/node_datagram.c
+++ b/packages/member/node_datagram.c
@@ -1,4 +1,4 @@
-/* The datagram socket of a node: sending, checking and handing on. */
+/* The UDP socket of a node: sends and receives datagrams, rejects replays. */
 #include <bsd/string.h>
 #include <errno.h>
 #include <stdlib.h>
@@ -14,23 +14,23 @@
 #define EV(number, name, level, meaning, todo) Ev_DEFINE(number, name, level)
 #include "member/events.def"
 
-#define Nd_READS 64 /* datagrams taken in one turn of the loop */
+#define Nd_READS 64 /* datagrams read per loop iteration */
 #define Nd_SENDERS_MAX 8192
 #define Nd_SENDER_KEEP_USEC (3600 * Ck_USEC_PER_SEC)
 #define Nd_CORRECTION_USEC Ck_USEC_PER_SEC
 #define Nd_DENIED_LOG_USEC (60 * Ck_USEC_PER_SEC)
-#define Nd_RECEIVE_BUFFER (1024 * 1024)
+#define Nd_RECEIVE_BUFFER_BYTES (1024 * 1024)
 
 RB_GENERATE(nd_senders, nd_sender, node, nd_compare_senders);
 
-/* Orders senders for their tree. */
+/* Orders senders by id. */
 int
 nd_compare_senders(const struct nd_sender *a, const struct nd_sender *b)
 {
     return strcmp(a->id, b->id);
 }
 
-/* The narrowest scope of facts that is shared with a peer. */
+/* Returns the narrowest scope that includes a peer at this distance. */
 enum fc_scope
 nd_scope(enum mb_distance distance)
 {
@@ -58,14 +58,14 @@
     ssize_t sent = sendto(node->fd, bytes, len, MSG_DONTWAIT | MSG_NOSIGNAL,
                           (struct sockaddr *)&address, address_len);
     if (sent < 0) {
-        node->counters.unsent++; /* lost, as the network may lose it */
+        node->counters.unsent++; /* treated as lost on the network */
         return;
     }
     node->counters.datagrams_out++;
     node->counters.bytes_out += len;
 }
 
-/* Sends a message with as many facts as fit. */
+/* Sends a message together with as many facts as fit. */
 void
 nd_send(void *arg, const struct mb_endpoint *to, enum mb_distance distance,
         const struct mb_message *message)
@@ -103,23 +103,24 @@
     free(sender);
 }
 
-/* Drops the windows of senders not heard for an hour. */
+/* Removes senders from which nothing was received for an hour. */
 void
 nd_drop_old_senders(struct nd_node *node, int64_t now)
 {
     struct nd_sender *sender;
     struct nd_sender *next;
     RB_FOREACH_SAFE (sender, nd_senders, &node->senders, next) {
-        if (now - sender->heard_usec > Nd_SENDER_KEEP_USEC) {
+        if (now - sender->received_usec > Nd_SENDER_KEEP_USEC) {
             drop_sender(node, sender);
         }
     }
 }
 
 /*
- * A host that was replaced, with a calendar behind that of its forerunner,
- * starts under an incarnation gone by and is taken for a replay.  It is told
- * what is known of it, once a second at most, and takes a later one.
+ * Corrects the incarnation of a sender.  The clock of a replacement host may
+ * be behind that of its predecessor; the host then starts with an earlier
+ * incarnation and its datagrams are rejected as replays.  This node sends it
+ * the last incarnation, at most once a second, and the host takes a later one.
  */
 static void
 send_correction(struct nd_node *node, struct nd_sender *sender,
@@ -154,7 +155,7 @@
     switch (
         Wr_Admit(&sender->window, message->incarnation, datagram->counter)) {
     case WR_FRESH:
-        sender->heard_usec = Ck_Now(node->clock);
+        sender->received_usec = Ck_Now(node->clock);
         return true;
     case WR_OLD_INCARNATION:
         send_correction(node, sender, from);
@@ -237,22 +238,22 @@
 
 static const struct lp_watch_ops socket_ops = {on_readable, NULL, on_closed};
 
-/* Opens the datagram socket; ST_CONFLICT when the port is taken. */
+/* Opens the UDP socket.  Returns ST_CONFLICT when the port is in use. */
 enum st_status
 nd_open_socket(struct nd_node *node, const char *address, uint16_t port)
 {
-    int size = Nd_RECEIVE_BUFFER;
-    struct sockaddr_storage where;
+    int size = Nd_RECEIVE_BUFFER_BYTES;
+    struct sockaddr_storage bind_address;
     struct mb_endpoint endpoint = {.port = port};
     strlcpy(endpoint.address, address, sizeof(endpoint.address));
-    socklen_t len = Ad_ToSocket(&endpoint, &where);
-    int fd =
-        socket(where.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    socklen_t len = Ad_ToSocket(&endpoint, &bind_address);
+    int fd = socket(bind_address.ss_family,
+                    SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) {
         return St_Fail(ST_UNAVAILABLE, "socket: %s", strerror(errno));
     }
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-    if (bind(fd, (struct sockaddr *)&where, len) != 0) {
+    if (bind(fd, (struct sockaddr *)&bind_address, len) != 0) {
         close(fd);
         return St_Fail(ST_CONFLICT,
                        "datagrams on %s port %d: %s; choose another peer port",
@@ -267,7 +268,7 @@
     return ST_OK;
 }
 
-/* Closes the socket and forgets all senders. */
+/* Closes the socket and removes all senders. */
 void
 nd_close_socket(struct nd_node *node)
 {
--- a/packages/member/node_internal.h
+++ b/packages/member/node_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the node only. */
+/* Shared by the source files of the node only. */
 #ifndef MEMBER_NODE_INTERNAL_H
 #define MEMBER_NODE_INTERNAL_H
 
@@ -8,13 +8,13 @@
 #include "member/node.h"
 #include "member/wire.h"
 
-/* What is known of a sender of datagrams. */
+/* A peer that datagrams were received from. */
 struct nd_sender {
     RB_ENTRY(nd_sender) node;
     char id[Mb_ID_MAX];
     struct wr_window window;
-    int64_t heard_usec;
-    int64_t corrected_usec; /* that it uses an incarnation gone by */
+    int64_t received_usec;
+    int64_t corrected_usec; /* last message about its outdated incarnation */
 };
 
 RB_HEAD(nd_senders, nd_sender);
@@ -25,7 +25,7 @@
     struct rn_random random;
     const struct nd_ops *ops;
     void *arg;
-    uint64_t incarnation; /* of this start */
+    uint64_t incarnation;
     char key[Wr_KEY_MAX];
     struct mb_table *members;
     struct fc_table *facts;
@@ -42,14 +42,14 @@
     int64_t next_second_usec;
     int64_t next_sync_usec;
     int64_t sync_period_usec;
-    int64_t sync_wait_usec; /* grows to the period after the start */
+    int64_t sync_wait_usec; /* grows to the period after start */
     int64_t denied_logged_usec;
     bool isolated;
-    bool synced;   /* a full state was taken since the start */
-    bool syncing;  /* an exchange is under way */
-    bool sync_far; /* the next one goes beyond the region */
+    bool synced;   /* a full state was received since start */
+    bool syncing;  /* an exchange is in progress */
+    bool sync_far; /* the next exchange is with another region */
     char sync_peer[Mb_ID_MAX];
-    bool reach_from_peer; /* a verdict on reach came from another bridge */
+    bool reach_from_peer; /* set while the fact of another bridge is applied */
     int64_t next_reach_usec;
 };
 
--- a/packages/member/node_query.c
+++ b/packages/member/node_query.c
@@ -1,10 +1,9 @@
-/* Questions to a node; nothing here changes it. */
+/* Read-only queries on a node. */
 #include <string.h>
 
 #include "member/node.h"
 #include "member/node_internal.h"
 
-/* Id of this node. */
 const char *
 Nd_Id(const struct nd_node *node)
 {
@@ -12,8 +11,8 @@
 }
 
 /*
- * The incarnation of this start: milliseconds of calendar time at which the
- * process began, unchanged while it runs.
+ * Returns the incarnation of this node: the wall-clock time in milliseconds at
+ * which the process started, constant while it runs.
  */
 uint64_t
 Nd_Incarnation(const struct nd_node *node)
@@ -21,28 +20,28 @@
     return node->incarnation;
 }
 
-/* Port in use, also when a free one was asked for. */
+/* Returns the port in use, also when the options asked for any free port. */
 uint16_t
 Nd_Port(const struct nd_node *node)
 {
     return Lk_Port(node->links);
 }
 
-/* The members, this node included. */
+/* Returns the membership table, which includes this node. */
 const struct mb_table *
 Nd_Members(const struct nd_node *node)
 {
     return node->members;
 }
 
-/* The facts; publish with Nd_Publish(). */
+/* Returns the fact table.  Publish with Nd_Publish(), not Fc_Publish(). */
 struct fc_table *
 Nd_Facts(struct nd_node *node)
 {
     return node->facts;
 }
 
-/* The links, for handlers of requests. */
+/* Returns the links, on which request handlers can be set. */
 struct lk_links *
 Nd_Links(struct nd_node *node)
 {
@@ -57,9 +56,9 @@
 }
 
 /*
- * The member that should do the job of a key, by rendezvous hashing over the
- * usable members (of one data centre unless that is NULL); NULL when there
- * is none.
+ * Returns the member responsible for a key, by rendezvous hashing over the
+ * usable members of one data centre or, when "data_centre" is NULL, of all;
+ * NULL when there is none.
  */
 const struct mb_record *
 Nd_Responsible(const struct nd_node *node, const char *key,
@@ -69,7 +68,7 @@
     return Nd_Top(node, key, data_centre, &first, 1) == 1 ? first : NULL;
 }
 
-/* True when this node should do the job of a key. */
+/* Returns true when this node is responsible for a key. */
 bool
 Nd_IsResponsible(const struct nd_node *node, const char *key,
                  const char *data_centre)
@@ -78,7 +77,7 @@
     return first != NULL && strcmp(first->id, Nd_Id(node)) == 0;
 }
 
-/* The members responsible for a key, best first; see Mb_Top(). */
+/* Selects the members responsible for a key, best first; see Mb_Top(). */
 size_t
 Nd_Top(const struct nd_node *node, const char *key, const char *data_centre,
        const struct mb_record **out, size_t max)
--- a/packages/member/node_sync.c
+++ b/packages/member/node_sync.c
@@ -1,11 +1,11 @@
 /*
- * Exchange of full states between two nodes (anti-entropy): digests first,
- * then only what differs.
+ * Exchange of full state between two nodes (anti-entropy): digests first, then
+ * only the differences.
  *
  * "sync/digest" carries [members, [facts of a scope...]], each a digest of
- * fixed-size buckets; the answer is [differing, [record...], [[differing,
- * [stamp...]]...]], with a bit for each bucket.  "sync/merge" carries
- * [[record...], [fact...], [wanted...]] and is answered by [fact...].
+ * fixed-size buckets.  The answer is [differing, [record...], [[differing,
+ * [stamp...]]...]], where "differing" has a bit for each bucket.  "sync/merge"
+ * carries [[record...], [fact...], [wanted...]] and is answered by [fact...].
  */
 #include <bsd/string.h>
 #include <string.h>
@@ -14,15 +14,15 @@
 #include "member/node.h"
 #include "member/node_internal.h"
 
-#define Nd_BUCKETS 64 /* of members; a bit each in a uint64_t */
+#define Nd_BUCKETS 64 /* of members; one bit each in a uint64_t */
 #define Nd_SYNC_TIMEOUT_USEC (5 * Ck_USEC_PER_SEC)
 #define Nd_SYNC_RETRY_USEC Ck_USEC_PER_SEC
 #define Nd_STAMPS_MAX 1024 /* in a bucket */
-#define Nd_FAR_OF_TEN 1    /* of ten exchanges, beyond the region */
+#define Nd_FAR_OF_TEN 1    /* of ten exchanges, with other regions */
 #define Nd_REGION_OF_TEN 2
 #define Nd_DIGEST "sync/digest"
 #define Nd_MERGE "sync/merge"
-#define Nd_BYTES_MAX (Lk_PAYLOAD_MAX - 4096) /* leaves room for one more */
+#define Nd_BYTES_MAX (Lk_PAYLOAD_MAX - 4096) /* a last fact fits */
 
 static void
 pack_buckets(msgpack_packer *packer, const uint64_t *buckets, size_t count)
@@ -50,7 +50,7 @@
 }
 
 static uint64_t
-differing(const uint64_t *a, const uint64_t *b, size_t count)
+differing_bits(const uint64_t *a, const uint64_t *b, size_t count)
 {
     uint64_t bits = 0;
     for (size_t i = 0; i < count; i++) {
@@ -62,17 +62,17 @@
 }
 
 static const msgpack_object *
-array_items(const msgpack_object *object, size_t least)
+array_items(const msgpack_object *object, size_t min_count)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < least) {
+        object->via.array.size < min_count) {
         return NULL;
     }
     return object->via.array.ptr;
 }
 
 static bool
-is_in(const struct mb_record *record, uint64_t bits)
+is_in_buckets(const struct mb_record *record, uint64_t bits)
 {
     return (bits >> Mb_Bucket(record, Nd_BUCKETS) & 1) != 0;
 }
@@ -84,12 +84,12 @@
     const struct mb_record *record;
     for (record = Mb_First(node->members); record != NULL;
          record = Mb_Next(record)) {
-        count += is_in(record, bits);
+        count += is_in_buckets(record, bits);
     }
     msgpack_pack_array(packer, count);
     for (record = Mb_First(node->members); record != NULL;
          record = Mb_Next(record)) {
-        if (is_in(record, bits)) {
+        if (is_in_buckets(record, bits)) {
             Wr_PackRecord(packer, record);
         }
     }
@@ -195,7 +195,7 @@
                                    : MB_FAR);
 }
 
-/* Unpacks the payload of a request or an answer and hands it on. */
+/* Unpacks the payload of a request or an answer and passes it to "decode". */
 static bool
 decode_payload(struct nd_node *node, const void *payload, size_t len,
                bool (*decode)(struct nd_node *node,
@@ -213,7 +213,7 @@
     return good;
 }
 
-/* The answering side. */
+/* The node that answers an exchange. */
 
 struct nd_reply {
     enum fc_scope narrowest;
@@ -235,7 +235,7 @@
     msgpack_packer_init(&packer, &reply->buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, 3);
     Mb_Digest(node->members, ours, Nd_BUCKETS);
-    uint64_t bits = differing(theirs, ours, Nd_BUCKETS);
+    uint64_t bits = differing_bits(theirs, ours, Nd_BUCKETS);
     msgpack_pack_uint64(&packer, bits);
     pack_records(node, &packer, bits);
     size_t scopes = reply->narrowest + 1U;
@@ -249,7 +249,7 @@
         }
         Fc_Digest(node->facts, (enum fc_scope)scope, ours);
         pack_stamps(node, &packer, (enum fc_scope)scope,
-                    differing(theirs, ours, Fc_BUCKETS));
+                    differing_bits(theirs, ours, Fc_BUCKETS));
     }
     return true;
 }
@@ -269,14 +269,17 @@
     }
     msgpack_packer packer;
     msgpack_packer_init(&packer, &reply->buffer, msgpack_sbuffer_write);
-    size_t given = 0;
+    size_t at = 0;
     size_t count = item[2].via.array.size;
     msgpack_pack_array(&packer, count);
-    for (; given < count; given++) {
+    for (; at < count; at++) {
         struct fc_fact fact = {.owner = "", .key = ""};
-        /* Every element wanted is answered, if only by nil. */
-        if (wanted[given].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-            !Fc_ByHash(node->facts, wanted[given].via.u64, &fact) ||
+        /*
+         * Every requested fact has an element in the answer: nil when there is
+         * none to send.
+         */
+        if (wanted[at].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+            !Fc_ByHash(node->facts, wanted[at].via.u64, &fact) ||
             fact.scope > reply->narrowest ||
             reply->buffer.size > Nd_BYTES_MAX) {
             msgpack_pack_nil(&packer);
@@ -316,7 +319,7 @@
     reply_with(arg, request, answer_merge);
 }
 
-/* The asking side. */
+/* The node that starts an exchange. */
 
 static void
 end_sync(struct nd_node *node, bool good)
@@ -362,7 +365,7 @@
                                       apply_merged, NULL));
 }
 
-/* What to send and what to ask for, after comparing stamps. */
+/* The records and facts to send and the facts to request. */
 struct nd_difference {
     uint64_t member_bits;
     msgpack_sbuffer facts;
@@ -385,7 +388,7 @@
 {
     msgpack_packer packer;
     if (difference->facts.size > Nd_BYTES_MAX / 2) {
-        return; /* the next exchange goes on */
+        return; /* the next exchange sends the rest */
     }
     msgpack_packer_init(&packer, &difference->facts, msgpack_sbuffer_write);
     Wr_PackFact(&packer, fact);
@@ -405,7 +408,11 @@
     return false;
 }
 
-/* What they hold: newer than ours is wanted, older is given ours. */
+/*
+ * Compares the facts of the peer with the local ones: requests newer versions
+ * and sends newer local versions.  Of equal versions with different values,
+ * each side sends its value.
+ */
 static bool
 compare_theirs(struct nd_node *node, const msgpack_object *stamps,
                struct nd_difference *difference)
@@ -431,7 +438,7 @@
     return true;
 }
 
-/* What only we hold in the buckets that differ is given. */
+/* Sends the facts that only this node has in the buckets that differ. */
 static void
 compare_ours(struct nd_node *node, enum fc_scope scope, uint64_t bits,
              const msgpack_object *theirs, struct nd_difference *difference)
@@ -541,12 +548,12 @@
 static const struct mb_record *
 choose_peer(struct nd_node *node)
 {
-    uint32_t chance = Rn_Below(&node->random, 10);
+    uint32_t draw = Rn_Below(&node->random, 10);
     enum mb_distance distance = MB_SAME_DATA_CENTRE;
-    if (chance < Nd_FAR_OF_TEN || node->sync_far) {
+    if (draw < Nd_FAR_OF_TEN || node->sync_far) {
         distance = MB_FAR;
     }
-    else if (chance < Nd_FAR_OF_TEN + Nd_REGION_OF_TEN) {
+    else if (draw < Nd_FAR_OF_TEN + Nd_REGION_OF_TEN) {
         distance = MB_SAME_REGION;
     }
     node->sync_far = false;
@@ -561,8 +568,9 @@
 }
 
 /*
- * Exchanges follow each other closely after the start: when many daemons
- * start at once, the first peer asked knows few of them.
+ * Sets the time of the next exchange.  The interval is short after start and
+ * doubles up to the period: when many daemons start at once, the first peers
+ * have few of the members yet.
  */
 static void
 plan_next(struct nd_node *node)
@@ -580,8 +588,8 @@
 }
 
 /*
- * Begins an exchange with a random member, mostly of the own data centre; at
- * once when a first member is known.
+ * Starts an exchange with a random member, usually of the same data centre.
+ * The first exchange starts as soon as there is a member.
  */
 void
 nd_sync_start(struct nd_node *node)
@@ -612,7 +620,7 @@
     msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Makes the node answer the exchanges of others. */
+/* Registers the handlers that answer the exchanges of other nodes. */
 enum st_status
 nd_sync_init(struct nd_node *node)
 {
--- a/packages/member/table.c
+++ b/packages/member/table.c
@@ -1,4 +1,4 @@
-/* What the table holds and how what is heard of a member is merged into it. */
+/* Holds the members of the cluster and merges received updates into them. */
 #include "member/table.h"
 
 #include <bsd/string.h>
@@ -11,11 +11,11 @@
 #define Mb_PERIOD_USEC Ck_USEC_PER_SEC
 #define Mb_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Mb_GROUP_MIN 8
-#define Mb_SUSPICION_PERIODS 4 /* times the decimal logarithm of the group */
-#define Mb_SUSPICION_ALONE_FACTOR 5 /* times longer with a single accuser */
+#define Mb_SUSPICION_PERIODS 4 /* times log10 of the group size */
+#define Mb_SUSPICION_FACTOR 5  /* times, divided by suspectors + 1 */
 #define Mb_ISOLATED_PERIODS 3
-#define Mb_ISOLATED_MIN 3 /* others in the group before silence means us */
-#define Mb_SPREAD_EXTRA 2 /* transmissions beyond the binary logarithm */
+#define Mb_ISOLATED_MIN 3 /* others in the group, else never isolated */
+#define Mb_SPREAD_EXTRA 2 /* transmissions beyond log2 of the members */
 
 static int
 spread_count(const struct mb_table *table)
@@ -27,7 +27,7 @@
     return count;
 }
 
-/* Queues what is known of a member for piggyback, ahead of older changes. */
+/* Queues the record of a member for gossip, ahead of older changes. */
 void
 mb_enqueue(struct mb_table *table, struct mb_entry *entry)
 {
@@ -41,7 +41,7 @@
     TAILQ_INSERT_HEAD(&table->queue, entry, queued);
 }
 
-/* Sets the state and tells the owner of the table. */
+/* Sets the state of a member and calls "changed". */
 void
 mb_set_state(struct mb_table *table, struct mb_entry *entry,
              enum mb_state state)
@@ -74,7 +74,10 @@
     }
 }
 
-/* True when this node may judge whether the member is alive. */
+/*
+ * Returns true for a member of the probe group, where this node detects
+ * failures.
+ */
 bool
 mb_in_group(const struct mb_table *table, const struct mb_entry *entry)
 {
@@ -100,23 +103,24 @@
 }
 
 /*
- * True when this node, not the others, is likely cut off: none of at least
- * three group members was heard for three periods.  Without this guard a
- * node whose switch failed would declare its whole group dead and, on its
- * return, spread that; every member would flap once.
+ * Returns true when this node itself is probably isolated: it has received
+ * nothing for three periods from any member of a group with at least three
+ * others.  Without this check, a node whose switch failed would declare its
+ * whole group dead and gossip that when it is connected again, so that every
+ * member would briefly be marked dead.
  */
 bool
 mb_isolated(const struct mb_table *table, int64_t now)
 {
-    int64_t silent = now - table->last_heard_usec;
-    return silent > Mb_ISOLATED_PERIODS * table->period_usec &&
+    int64_t silence_usec = now - table->last_received_usec;
+    return silence_usec > Mb_ISOLATED_PERIODS * table->period_usec &&
            group_size(table) > Mb_ISOLATED_MIN;
 }
 
 static int64_t
 suspicion_usec(const struct mb_table *table, const struct mb_entry *entry)
 {
-    /* log10 in thousandths is near enough: 301 for each binary digit. */
+    /* Approximate log10 in thousandths: 301 for each binary digit. */
     int64_t thousandths = 0;
     size_t size = group_size(table);
     for (size_t n = size; n > 1; n >>= 1) {
@@ -125,21 +129,25 @@
     if (thousandths < 1000) {
         thousandths = 1000;
     }
-    int64_t least =
+    int64_t min_usec =
         Mb_SUSPICION_PERIODS * table->period_usec * thousandths / 1000;
-    /* Without the two concerned and the first accuser few may be left. */
+    /*
+     * Apart from the suspected member, this node and the first suspector, a
+     * small group has few members that could confirm the suspicion.
+     */
     size_t wanted = size < 2 + Mb_SUSPECTORS_MAX ? 1 : Mb_SUSPECTORS_MAX;
     if (entry->suspector_count >= wanted) {
-        return least;
+        return min_usec;
     }
-    return least * Mb_SUSPICION_ALONE_FACTOR /
+    return min_usec * Mb_SUSPICION_FACTOR /
            (int64_t)(entry->suspector_count + 1);
 }
 
 /*
- * Counts an accuser; true for a new one.  A member that many find silent is
- * given up soon, one that a single node finds silent gets five times as long
- * to refute: the fault may lie with the accuser or on the path between.
+ * Records a suspector.  Returns true for a new one.  A member with several
+ * suspectors is declared dead early.  A member of a larger group with a single
+ * suspector gets 2.5 times as long to refute, since the fault may be at the
+ * suspector or on the path between the two.
  */
 static bool
 add_suspector(struct mb_table *table, struct mb_entry *entry, const char *id)
@@ -164,9 +172,9 @@
 }
 
 /*
- * Suspects a member that answered neither a probe nor the indirect ones.
- * While this node is cut off the suspicion stays its own and ends in no
- * verdict; see mb_isolated().
+ * Suspects a member that answered neither a direct nor an indirect probe.
+ * While this node is isolated, the suspicion is not gossiped and the member is
+ * not declared dead; see mb_isolated().
  */
 void
 mb_suspect(struct mb_table *table, struct mb_entry *entry)
@@ -185,9 +193,10 @@
 }
 
 /*
- * Hearing that this node is suspected, dead or known by a later incarnation
- * (its host was replaced and the calendar of the new one is behind) it takes
- * the next incarnation, which overrides all that was said before.
+ * Refutes a record that says that this node is suspected or dead, or that has
+ * a later incarnation (the host was replaced and the clock of the new one is
+ * behind).  This node takes the next incarnation, which overrides all earlier
+ * records.
  */
 static void
 refute(struct mb_table *table, const struct mb_record *record)
@@ -224,10 +233,11 @@
 }
 
 /*
- * A later incarnation wins; within one incarnation the later of alive,
- * leaving, suspect, dead wins.  A short record of a life not yet known is
- * left alone: the new life may have a new address, which only a full one
- * tells.
+ * Decides whether a record replaces the stored one.  The later incarnation
+ * wins; within one incarnation the later state in the order alive, leaving,
+ * suspect, dead wins.  A short record with a new incarnation is ignored unless
+ * it says that the member is dead: the restarted node may have a new address,
+ * which only a full record contains.
  */
 static bool
 supersedes(const struct mb_entry *entry, const struct mb_record *record)
@@ -256,7 +266,7 @@
     mb_enqueue(table, entry);
 }
 
-/* Merges what a peer says of a member. */
+/* Merges a received record of a member. */
 void
 Mb_Apply(struct mb_table *table, const struct mb_record *record)
 {
@@ -286,8 +296,9 @@
 }
 
 /*
- * Merges what a peer says of a member without spreading it further: the
- * first full state that a new node takes is news to that node alone.
+ * Merges a received record without queueing it for gossip.  A starting node
+ * uses this for the first full state that it receives, which its peers already
+ * have.
  */
 void
 Mb_ApplyLocally(struct mb_table *table, const struct mb_record *record)
@@ -309,7 +320,7 @@
     return ST_OK;
 }
 
-/* Creates a table that knows only the node itself. */
+/* Creates a table that contains only this node. */
 enum st_status
 Mb_Create(const struct mb_options *options, struct mb_table **out)
 {
@@ -335,7 +346,7 @@
     TAILQ_INIT(&table->queue);
     TAILQ_INIT(&table->dcs);
     table->last_tick_usec = Ck_Now(table->clock);
-    table->last_heard_usec = table->last_tick_usec;
+    table->last_received_usec = table->last_tick_usec;
     table->next_probe_usec =
         table->last_tick_usec +
         Rn_Below(table->random, (uint32_t)table->period_usec);
@@ -373,7 +384,7 @@
     free(table);
 }
 
-/* Replaces the addresses asked when members are missing. */
+/* Replaces the seeds: addresses to probe that belong to no live member. */
 void
 Mb_SetSeeds(struct mb_table *table, const struct mb_endpoint *seeds,
             size_t count)
@@ -384,7 +395,10 @@
     }
 }
 
-/* Takes back what was suspected since then, while this node was cut off. */
+/*
+ * Reverts the suspicions of group members since a time, when this node turns
+ * out to have been isolated.
+ */
 static void
 revert_suspicions(struct mb_table *table, int64_t since_usec)
 {
@@ -405,16 +419,16 @@
     if (sender == NULL) {
         return;
     }
-    if (sender->dc->out_of_reach) {
-        sender->dc->next_usec = now; /* no need to wait for the backoff */
+    if (sender->dc->unreachable) {
+        sender->dc->next_usec = now; /* end the backoff */
     }
     if (!mb_in_group(table, sender)) {
         return;
     }
     if (mb_isolated(table, now)) {
-        revert_suspicions(table, table->last_heard_usec);
+        revert_suspicions(table, table->last_received_usec);
     }
-    table->last_heard_usec = now;
+    table->last_received_usec = now;
 }
 
 static bool
@@ -452,9 +466,9 @@
 }
 
 /*
- * Takes a message that came from the given address.  A ping meant for
- * another node is dropped: a host that took over an address must not keep
- * its former user alive.
+ * Handles a message received from an address.  A ping for another node is
+ * dropped: a host that took over the address of a failed one must not keep
+ * that one alive in the table.
  */
 void
 Mb_Receive(struct mb_table *table, const struct mb_endpoint *from,
@@ -476,7 +490,7 @@
         }
         break;
     case MB_ACK:
-        mb_acknowledged(table, message);
+        mb_handle_ack(table, message);
         break;
     case MB_PING_REQ:
         mb_relay_probe(table, message);
@@ -486,7 +500,7 @@
     }
 }
 
-/* Takes the verdict of a bridge on whether a data centre is within reach. */
+/* Sets whether a data centre is reachable, as reported by a bridge. */
 void
 Mb_SetReach(struct mb_table *table, const char *data_centre, bool reachable)
 {
--- a/packages/member/table.h
+++ b/packages/member/table.h
@@ -1,15 +1,17 @@
 /*
- * Membership as a pure state machine in the manner of SWIM: probes, indirect
- * probes, suspicion, refutation by incarnation.  It does no input or output:
- * the clock, the random numbers and a send function are passed in.
+ * Membership as a state machine in the manner of SWIM: probes, indirect
+ * probes, suspicion and refutation by incarnation.  The module does no input
+ * or output: the clock, the random numbers and a send function are passed in.
  *
- * Membership is advice.  It says who should do a job, never whose action
- * counts; that is decided by the order of records in the platform's log.
+ * Membership is a hint.  It selects which node should do a job, but does not
+ * decide whose action is valid: the order of records in the platform's log
+ * decides that.
  *
- * Failures are judged inside a probe group: the own data centre when it has
- * at least "group_min" members, the own region otherwise.  Other data centres
- * are watched by a few bridges, which only judge whether a data centre is
- * within reach; its members are kept and probed with backoff when it is not.
+ * Failures are detected within a probe group: the data centre of this node
+ * when it has at least "group_min" members, its region otherwise.  Other data
+ * centres are probed by a few nodes, the bridges, which only decide whether a
+ * data centre is reachable.  The members of an unreachable data centre stay in
+ * the table, and the bridges probe them with backoff.
  */
 #ifndef MEMBER_TABLE_H
 #define MEMBER_TABLE_H
@@ -26,21 +28,21 @@
 extern "C" {
 #endif
 
-#define Mb_ID_MAX 48
-#define Mb_NAME_MAX 48
-#define Mb_ADDRESS_MAX 46
-#define Mb_UPDATES_MAX 16
-#define Mb_UPDATE_BYTES 700 /* encoded updates of one message, at most */
+#define Mb_ID_MAX 48        /* bytes with NUL */
+#define Mb_NAME_MAX 48      /* bytes with NUL */
+#define Mb_ADDRESS_MAX 46   /* bytes with NUL */
+#define Mb_UPDATES_MAX 16   /* in one message */
+#define Mb_UPDATE_BYTES 700 /* limit for the encoded updates of a message */
 
 enum mb_state {
     MB_ALIVE,
-    MB_LEAVING, /* announced by the member itself: no new work for it */
+    MB_LEAVING, /* announced by the member itself: it gets no new work */
     MB_SUSPECT,
     MB_DEAD,
 };
 
 struct mb_endpoint {
-    char address[Mb_ADDRESS_MAX]; /* IP number */
+    char address[Mb_ADDRESS_MAX]; /* IP address */
     uint16_t port;
 };
 
@@ -48,8 +50,8 @@
     char id[Mb_ID_MAX];
     uint64_t incarnation;
     enum mb_state state;
-    char by[Mb_ID_MAX]; /* MB_SUSPECT: who suspects it; may be empty */
-    bool full;          /* the fields below are filled */
+    char by[Mb_ID_MAX]; /* MB_SUSPECT: id of a suspector; may be empty */
+    bool full;          /* the fields below are set */
     char address[Mb_ADDRESS_MAX];
     uint16_t peer_port;
     uint16_t admin_port;
@@ -60,7 +62,7 @@
 enum mb_type {
     MB_PING,
     MB_ACK,
-    MB_PING_REQ, /* please probe "subject" for me */
+    MB_PING_REQ, /* request for an indirect probe of "subject" */
     MB_GOSSIP,   /* updates only */
 };
 
@@ -69,14 +71,14 @@
     char from[Mb_ID_MAX];
     uint64_t incarnation; /* of the sender */
     uint32_t sequence;
-    char subject[Mb_ID_MAX]; /* whom a ping is for; empty: whoever hears */
+    char subject[Mb_ID_MAX]; /* target of a ping or ping-req; empty: any */
     size_t update_count;
     struct mb_record updates[Mb_UPDATES_MAX];
 };
 
 struct mb_table;
 
-/* How far away a peer is; decides which facts it may be given. */
+/* Distance of a peer.  It limits which facts are sent to it. */
 enum mb_distance {
     MB_SAME_DATA_CENTRE,
     MB_SAME_REGION,
@@ -88,17 +90,17 @@
     void (*send)(void *arg, const struct mb_endpoint *to,
                  enum mb_distance distance, const struct mb_message *message);
     /*
-     * A member changed its state; "before" is MB_DEAD for one not known
-     * before.  Not called for the node itself.  May be NULL.
+     * A member changed its state; "before" is MB_DEAD for a new member.  Not
+     * called for this node itself.  May be NULL.
      */
     void (*changed)(void *arg, const struct mb_record *member,
                     enum mb_state before);
-    /* A data centre came within reach or went out of it.  May be NULL. */
+    /* A data centre became reachable or unreachable.  May be NULL. */
     void (*reach)(void *arg, const char *data_centre, bool reachable);
 };
 
 struct mb_options {
-    struct mb_record self; /* id, incarnation, address, ports, places */
+    struct mb_record self; /* state, by and full are ignored */
     const struct ck_clock *clock;
     struct rn_random *random;
     const struct mb_ops *ops;
--- a/packages/member/table_entry.c
+++ b/packages/member/table_entry.c
@@ -1,4 +1,4 @@
-/* Finding, adding and dropping members and data centres. */
+/* Finds, adds and removes members and data centres. */
 #include <bsd/string.h>
 #include <stdlib.h>
 #include <string.h>
@@ -15,7 +15,7 @@
     return strcmp(a->record.id, b->record.id);
 }
 
-/* The entry of a member, or NULL. */
+/* Finds a member by its id; NULL when there is none. */
 struct mb_entry *
 mb_find(const struct mb_table *table, const char *id)
 {
@@ -24,7 +24,10 @@
     return RB_FIND(mb_tree, (struct mb_tree *)&table->members, &wanted);
 }
 
-/* The data centre of a record, made when new; NULL without room. */
+/*
+ * Finds or creates the data centre of a record.  Returns NULL when the table
+ * is full or on lack of memory.
+ */
 struct mb_dc *
 mb_dc_of(struct mb_table *table, const struct mb_record *record)
 {
@@ -48,14 +51,17 @@
     return dc;
 }
 
-/* Whether a member in this state may still answer. */
+/* Returns true for a state in which a member may still answer. */
 bool
 mb_is_live(enum mb_state state)
 {
     return state != MB_DEAD;
 }
 
-/* Adds a member, dead until its state is set; NULL without room. */
+/*
+ * Adds a member as MB_DEAD; the caller sets its state.  Returns NULL when the
+ * table is full or on lack of memory.
+ */
 struct mb_entry *
 mb_add(struct mb_table *table, const struct mb_record *record)
 {
@@ -79,7 +85,7 @@
     return entry;
 }
 
-/* Drops a member and all that is remembered of it. */
+/* Removes a member from the table and frees it. */
 void
 mb_remove(struct mb_table *table, struct mb_entry *entry)
 {
--- a/packages/member/table_internal.h
+++ b/packages/member/table_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the membership table only. */
+/* Shared by the source files of the membership table only. */
 #ifndef MEMBER_TABLE_INTERNAL_H
 #define MEMBER_TABLE_INTERNAL_H
 
@@ -11,7 +11,7 @@
 #define Mb_PROBES_MAX 64
 #define Mb_DATA_CENTRES_MAX 64
 #define Mb_MEMBERS_MAX 4096
-#define Mb_BRIDGES 2
+#define Mb_BRIDGES 2 /* per pair of data centres, on each side */
 #define Mb_SUSPECTORS_MAX 3
 
 struct mb_dc {
@@ -20,9 +20,9 @@
     char region[Mb_NAME_MAX];
     size_t live_count; /* members that are not dead */
     bool bridged;      /* this node is a bridge to it */
-    bool out_of_reach;
-    int64_t since_usec; /* of being out of reach */
-    int failures;       /* bridge probes lost in a row */
+    bool unreachable;
+    int64_t since_usec; /* when it became unreachable */
+    int failures;       /* consecutive failed bridge probes */
     int64_t wait_usec;  /* between bridge probes */
     int64_t next_usec;
 };
@@ -32,21 +32,21 @@
     RB_ENTRY(mb_entry) node;
     TAILQ_ENTRY(mb_entry) queued;
     struct mb_dc *dc;
-    int sends_left;        /* transmissions left; queued while above 0 */
-    bool local_suspicion;  /* suspected by this node alone, not spread */
+    int sends_left;        /* remaining transmissions; queued while above 0 */
+    bool local_suspicion;  /* suspected while this node was isolated */
     bool departed;         /* announced that it leaves */
-    int64_t since_usec;    /* of the present state */
+    int64_t since_usec;    /* when it entered its state */
     int64_t deadline_usec; /* end of suspicion; 0: none */
-    uint64_t suspectors[Mb_SUSPECTORS_MAX]; /* hashes of who suspects it */
+    uint64_t suspectors[Mb_SUSPECTORS_MAX]; /* hashes of their ids */
     size_t suspector_count;
     int64_t wait_usec; /* between probes of a dead member */
     int64_t next_usec;
 };
 
 enum mb_purpose {
-    MB_FOR_GROUP,  /* the regular probe of a group member */
-    MB_FOR_BRIDGE, /* is a data centre within reach? */
-    MB_FOR_REJOIN, /* a dead member or a seed; no verdict follows */
+    MB_FOR_GROUP,  /* regular probe of a group member */
+    MB_FOR_BRIDGE, /* checks whether a data centre is reachable */
+    MB_FOR_REJOIN, /* a dead member or a seed; a failure has no effect */
     MB_FOR_OTHER,  /* on behalf of another member */
 };
 
@@ -55,7 +55,7 @@
     enum mb_purpose purpose;
     uint32_t sequence;
     char target[Mb_ID_MAX];
-    bool indirect; /* indirect probes were asked for */
+    bool indirect; /* indirect probes were requested */
     int64_t indirect_usec;
     int64_t deadline_usec;
     char requester[Mb_ID_MAX]; /* MB_FOR_OTHER */
@@ -78,7 +78,7 @@
     struct mb_entry *self;
     struct mb_tree members;
     size_t member_count;
-    bool no_spread; /* nothing is queued for spreading */
+    bool no_spread; /* updates are not queued for gossip */
     struct mb_queue queue;
     struct mb_dcs dcs;
     size_t dc_count;
@@ -97,9 +97,8 @@
     int64_t next_probe_usec;
     int64_t next_scan_usec;
     int64_t last_tick_usec;
-    int64_t last_heard_usec; /* a group member was heard */
-    int health_penalty; /* 0: well; probes of this node fail often when higher
-                         */
+    int64_t last_received_usec; /* last message from a group member */
+    int health_penalty; /* failed probes less successful ones; 0: healthy */
 };
 
 RB_PROTOTYPE(mb_tree, mb_entry, node, mb_compare);
@@ -140,9 +139,9 @@
 /* table_probe.c */
 struct mb_probe *mb_probe_new(struct mb_table *table, enum mb_purpose purpose,
                               const char *target, int64_t deadline_usec);
-void mb_acknowledged(struct mb_table *table, const struct mb_message *message);
+void mb_handle_ack(struct mb_table *table, const struct mb_message *message);
 void mb_relay_probe(struct mb_table *table, const struct mb_message *message);
 void mb_update_bridges(struct mb_table *table);
-void mb_set_reach(struct mb_table *table, struct mb_dc *place, bool reachable);
+void mb_set_reach(struct mb_table *table, struct mb_dc *dc, bool reachable);
 
 #endif
--- a/packages/member/table_probe.c
+++ b/packages/member/table_probe.c
@@ -1,4 +1,4 @@
-/* Probing: the regular probe of the group, bridges, and those out of sight. */
+/* Probes of group members, other data centres, dead members and seeds. */
 #include <bsd/string.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "member/table.h"
 #include "member/table_internal.h"
 
-#define Mb_INDIRECT_PROBES 3
+#define Mb_INDIRECT_PROBES 3 /* per probe without an ack */
 #define Mb_HEALTH_PENALTY_MAX 4
 #define Mb_PAUSE_MIN_USEC (500 * Ck_USEC_PER_MSEC)
-#define Mb_REACH_FAILURES 5
+#define Mb_REACH_FAILURES 5 /* consecutive failed bridge probes */
 #define Mb_REACH_WAIT_MAX_USEC (30 * Ck_USEC_PER_SEC)
 #define Mb_REJOIN_WAIT_USEC (5 * Ck_USEC_PER_SEC)
 #define Mb_REJOIN_WAIT_MAX_USEC (60 * Ck_USEC_PER_SEC)
@@ -20,7 +20,10 @@
 #define Mb_PURGE_LEFT_USEC (600 * Ck_USEC_PER_SEC)
 #define Mb_PURGE_UNREACHED_USEC (24 * Mb_HOUR_USEC)
 
-/* Starts a probe; NULL when too many are open, and then it is left out. */
+/*
+ * Allocates a probe.  Returns NULL when too many are open; the probe is then
+ * skipped.
+ */
 struct mb_probe *
 mb_probe_new(struct mb_table *table, enum mb_purpose purpose,
              const char *target, int64_t deadline_usec)
@@ -53,15 +56,15 @@
     return NULL;
 }
 
-/* Notes whether a data centre is within reach and tells the owner. */
+/* Records whether a data centre is reachable and calls "reach" on a change. */
 void
 mb_set_reach(struct mb_table *table, struct mb_dc *dc, bool reachable)
 {
     dc->failures = 0;
-    if (dc->out_of_reach == !reachable) {
+    if (dc->unreachable == !reachable) {
         return;
     }
-    dc->out_of_reach = !reachable;
+    dc->unreachable = !reachable;
     dc->since_usec = Ck_Now(table->clock);
     dc->wait_usec = table->period_usec;
     table->generation++;
@@ -83,9 +86,9 @@
     mb_send_to(table, requester, &ack);
 }
 
-/* Ends the probe that an acknowledgement answers. */
+/* Ends the probe that an ack belongs to. */
 void
-mb_acknowledged(struct mb_table *table, const struct mb_message *message)
+mb_handle_ack(struct mb_table *table, const struct mb_message *message)
 {
     struct mb_probe *probe = find_probe(table, message);
     if (probe == NULL) {
@@ -112,7 +115,10 @@
     probe->used = false;
 }
 
-/* Probes a member on behalf of another one that got no answer from it. */
+/*
+ * Probes a member on behalf of the sender of a ping-req, which got no answer
+ * from it.
+ */
 void
 mb_relay_probe(struct mb_table *table, const struct mb_message *message)
 {
@@ -161,7 +167,7 @@
 bridge_failed(struct mb_table *table, struct mb_dc *dc)
 {
     dc->failures++;
-    if (dc->out_of_reach) {
+    if (dc->unreachable) {
         dc->wait_usec *= 2;
         if (dc->wait_usec > Mb_REACH_WAIT_MAX_USEC) {
             dc->wait_usec = Mb_REACH_WAIT_MAX_USEC;
@@ -225,8 +231,9 @@
 }
 
 /*
- * Asks each suspect itself, every period until its time ends.  The rumour by
- * which it refutes may miss this very node; its own answer cannot.
+ * Pings every suspected member once a period until its suspicion ends.  The
+ * gossip that carries its refutation may miss this node, but an ack reaches it
+ * directly.
  */
 static void
 ping_suspects(struct mb_table *table)
@@ -246,7 +253,7 @@
            mb_in_group(table, entry);
 }
 
-/* Lists the group in random order: each is probed once a round. */
+/* Shuffles the group: every member is probed once per round. */
 static void
 new_round(struct mb_table *table)
 {
@@ -285,8 +292,8 @@
 }
 
 /*
- * Probes the next member.  A node whose own probes fail often waits longer
- * before it doubts others, since the fault may be its own.
+ * Probes the next member.  A node whose probes often fail uses longer
+ * timeouts, since the fault may be its own.
  */
 static void
 probe_next(struct mb_table *table, int64_t now)
@@ -310,7 +317,7 @@
     }
 }
 
-/* Renews which data centres this node is a bridge to. */
+/* Updates which data centres this node is a bridge to. */
 void
 mb_update_bridges(struct mb_table *table)
 {
@@ -384,9 +391,9 @@
 }
 
 /*
- * Probes one dead member with backoff.  Without this the two sides of a cut
- * inside a region, each taking the other for dead, would never find each
- * other again.
+ * Probes one dead member with backoff.  Without this, the two sides of a
+ * network partition inside a region, each of which has declared the other
+ * dead, would stay separate after the partition has healed.
  */
 static void
 probe_dead(struct mb_table *table, int64_t now)
@@ -426,7 +433,10 @@
     return Mb_Count(table, MB_ALIVE) <= 1;
 }
 
-/* Asks a seed that is no known member, often while none is known. */
+/*
+ * Pings a random seed that is not the address of a live member: once a period
+ * while this node has no alive peer, else every Mb_SEED_WAIT_USEC.
+ */
 static void
 probe_seed(struct mb_table *table, int64_t now)
 {
@@ -462,7 +472,7 @@
     if (entry->record.state == MB_DEAD) {
         return now - entry->since_usec > retention_usec(entry);
     }
-    return entry->dc->out_of_reach &&
+    return entry->dc->unreachable &&
            now - entry->dc->since_usec > Mb_PURGE_UNREACHED_USEC;
 }
 
@@ -479,30 +489,34 @@
 }
 
 /*
- * A process that was paused finds every time limit passed while the answers
- * wait unread in its socket.  It would suspect and bury healthy members; so
- * open probes are dropped and verdicts put off by the length of the pause.
+ * Compensates for a pause of this process.  After a pause all deadlines have
+ * passed while the acks wait unread in the socket, and the node would suspect
+ * healthy members and declare them dead.  Therefore open probes are dropped
+ * and suspicions extended by the length of the pause.
  */
 static void
 compensate_pause(struct mb_table *table, int64_t now)
 {
-    int64_t pause = now - table->last_tick_usec;
+    int64_t pause_usec = now - table->last_tick_usec;
     table->last_tick_usec = now;
-    if (pause <= Mb_PAUSE_MIN_USEC) {
+    if (pause_usec <= Mb_PAUSE_MIN_USEC) {
         return;
     }
     memset(table->probes, 0, sizeof(table->probes));
-    table->last_heard_usec += pause;
+    table->last_received_usec += pause_usec;
     struct mb_entry *entry;
     RB_FOREACH (entry, mb_tree, &table->members) {
         if (entry->deadline_usec != 0) {
-            entry->since_usec += pause;
-            entry->deadline_usec += pause;
+            entry->since_usec += pause_usec;
+            entry->deadline_usec += pause_usec;
         }
     }
 }
 
-/* Does what is due.  To be called about ten times in a period. */
+/*
+ * Runs the probes and timeouts that are due.  Must be called about ten times
+ * per period.
+ */
 void
 Mb_Tick(struct mb_table *table)
 {
--- a/packages/member/table_query.c
+++ b/packages/member/table_query.c
@@ -1,4 +1,4 @@
-/* Questions to the membership table; nothing here changes it. */
+/* Read-only queries on the membership table. */
 #include <string.h>
 
 #include "base/hash.h"
@@ -12,14 +12,13 @@
                                      offsetof(struct mb_entry, record));
 }
 
-/* The record of this node itself. */
 const struct mb_record *
 Mb_Self(const struct mb_table *table)
 {
     return &table->self->record;
 }
 
-/* The member of that id, whatever its state; NULL when not known. */
+/* Finds a member by its id, in any state; NULL when there is none. */
 const struct mb_record *
 Mb_Find(const struct mb_table *table, const char *id)
 {
@@ -27,7 +26,10 @@
     return entry != NULL ? &entry->record : NULL;
 }
 
-/* The first member in order of ids, this node and dead ones included. */
+/*
+ * Returns the first member in order of ids.  The order includes this node and
+ * dead members.
+ */
 const struct mb_record *
 Mb_First(const struct mb_table *table)
 {
@@ -36,7 +38,7 @@
     return entry != NULL ? &entry->record : NULL;
 }
 
-/* The member after this one, NULL after the last. */
+/* Returns the next member in order of ids; NULL after the last one. */
 const struct mb_record *
 Mb_Next(const struct mb_record *record)
 {
@@ -45,7 +47,7 @@
     return next != NULL ? &next->record : NULL;
 }
 
-/* How many members are in a state; this node counts. */
+/* Returns the number of members in a state, including this node. */
 size_t
 Mb_Count(const struct mb_table *table, enum mb_state state)
 {
@@ -59,7 +61,7 @@
     return count;
 }
 
-/* True while there are changes to spread. */
+/* Returns true while updates are queued for gossip. */
 bool
 Mb_HasUpdates(const struct mb_table *table)
 {
@@ -78,15 +80,15 @@
     return NULL;
 }
 
-/* False when the bridges get no answer from the data centre. */
+/* Returns false when the bridges get no answer from the data centre. */
 bool
 Mb_Reachable(const struct mb_table *table, const char *data_centre)
 {
     const struct mb_dc *dc = find_dc(table, data_centre);
-    return dc == NULL || !dc->out_of_reach;
+    return dc == NULL || !dc->unreachable;
 }
 
-/* True when this node watches that data centre for its own. */
+/* Returns true when this node probes that data centre on behalf of its own. */
 bool
 Mb_IsBridge(const struct mb_table *table, const char *data_centre)
 {
@@ -94,21 +96,23 @@
     return dc != NULL && dc->bridged;
 }
 
-/* True when this node itself seems to be cut off from its group. */
+/* Returns true when this node itself is probably isolated from its group. */
 bool
 Mb_Isolated(const struct mb_table *table)
 {
     return mb_isolated(table, Ck_Now(table->clock));
 }
 
-/* True for a member that may be given new work: alive and within reach. */
+/*
+ * Returns true for a member that may get new work: it is alive and its data
+ * centre reachable.
+ */
 bool
 Mb_Usable(const struct mb_table *table, const struct mb_record *record)
 {
-    return record->state == MB_ALIVE && !entry_of(record)->dc->out_of_reach;
+    return record->state == MB_ALIVE && !entry_of(record)->dc->unreachable;
 }
 
-/* How far a member is: same data centre, same region, or beyond. */
 enum mb_distance
 Mb_Distance(const struct mb_table *table, const struct mb_record *record)
 {
@@ -122,14 +126,14 @@
     return MB_FAR;
 }
 
-/* Grows with every change of what the table says. */
+/* Returns a number that grows with every change of the table. */
 uint64_t
 Mb_Generation(const struct mb_table *table)
 {
     return table->generation;
 }
 
-/* The bucket of a digest that a member falls into. */
+/* Returns the digest bucket of a member. */
 size_t
 Mb_Bucket(const struct mb_record *record, size_t count)
 {
@@ -137,8 +141,9 @@
 }
 
 /*
- * One hash for each bucket of members (by hash of their ids) that are not
- * dead; equal where both sides know the same.
+ * Computes a hash for each bucket of members that are not dead; the hash of
+ * the id selects the bucket.  Two nodes with the same records in a bucket
+ * compute the same hash.
  */
 void
 Mb_Digest(const struct mb_table *table, uint64_t *buckets, size_t count)
@@ -186,9 +191,9 @@
 }
 
 /*
- * The up to "max" (at most 16) usable members responsible for a key, best
- * first, by rendezvous hashing; of one data centre unless that is NULL.
- * Returns how many.
+ * Selects up to "max" (at most 16) usable members responsible for a key by
+ * rendezvous hashing, best first, from one data centre or, when "data_centre"
+ * is NULL, from all.  Returns their number.
  */
 size_t
 Mb_Top(const struct mb_table *table, const char *key, const char *data_centre,
@@ -210,7 +215,7 @@
     return ranking.count;
 }
 
-/* The name of a state as shown to operators. */
+/* Returns the name of a state as shown to operators. */
 const char *
 Mb_StateName(enum mb_state state)
 {
--- a/packages/member/table_send.c
+++ b/packages/member/table_send.c
@@ -1,4 +1,4 @@
-/* Composing the messages of the table and choosing whom they go to. */
+/* Composes the messages of the table and selects their receivers. */
 #include <bsd/string.h>
 #include <string.h>
 
@@ -7,9 +7,9 @@
 
 #define Mb_SHORT_BYTES 16 /* array, incarnation, state, lengths */
 #define Mb_FULL_BYTES 30
-#define Mb_LEAVE_PEERS 8
+#define Mb_LEAVE_PEERS 8 /* members notified directly */
 
-/* Upper bound of the encoded size of an update in bytes. */
+/* Returns an upper bound of the encoded size of an update in bytes. */
 size_t
 Mb_RecordBytes(const struct mb_record *record)
 {
@@ -21,7 +21,7 @@
     return bytes;
 }
 
-/* An empty message of a type, from this node. */
+/* Creates a message from this node without updates. */
 struct mb_message
 mb_message_new(struct mb_table *table, enum mb_type type, uint32_t sequence,
                const char *subject)
@@ -57,7 +57,7 @@
     return false;
 }
 
-/* Adds an update; false when the message has no room for it. */
+/* Adds an update.  Returns false when it does not fit. */
 bool
 mb_message_add(struct mb_message *message, const struct mb_record *record)
 {
@@ -65,7 +65,10 @@
         return true;
     }
     struct mb_record update = *record;
-    /* Who hears that a member failed knows its address already. */
+    /*
+     * A receiver that has no address of a member ignores its failure, so the
+     * address is left out.
+     */
     update.full = record->state == MB_ALIVE || record->state == MB_LEAVING;
     if (message->update_count == Mb_UPDATES_MAX ||
         update_bytes(message) + Mb_RecordBytes(&update) > Mb_UPDATE_BYTES) {
@@ -92,7 +95,6 @@
     TAILQ_CONCAT(&table->queue, &sent, queued);
 }
 
-/* Sends a message, with the updates that fit, to a member. */
 void
 mb_send_to(struct mb_table *table, const struct mb_entry *entry,
            const struct mb_message *message)
@@ -105,9 +107,9 @@
 }
 
 /*
- * Probes a member.  One that is doubted is told so, that it may refute
- * before the suspicion ends.  "introduce" adds the record of this node for
- * a member that may not know it.
+ * Pings a member.  The ping to a suspected or dead member contains that
+ * record, so that the member can refute it in time.  "introduce" adds the
+ * record of this node, for a member that may not have it.
  */
 void
 mb_ping(struct mb_table *table, const struct mb_entry *entry,
@@ -127,7 +129,10 @@
     mb_send_to(table, entry, &ping);
 }
 
-/* A random member among those accepted; NULL when there is none. */
+/*
+ * Returns a random member that "accept" returns true for; NULL when there is
+ * none.
+ */
 struct mb_entry *
 mb_pick_random(struct mb_table *table, mb_accept_fn accept, const void *arg)
 {
@@ -172,8 +177,9 @@
 }
 
 /*
- * Sends one round of gossip: to one member of the own data centre, one of
- * the probe group and, where this node is a bridge, one member beyond it.
+ * Sends one round of gossip: to one member of the same data centre, one member
+ * of the probe group and, where this node is a bridge, one member of each
+ * reachable data centre that it probes.
  */
 void
 Mb_Gossip(struct mb_table *table)
@@ -183,15 +189,15 @@
     gossip_to(table, mb_pick_random(table, is_live_in_group, NULL));
     struct mb_dc *dc;
     TAILQ_FOREACH (dc, &table->dcs, link) {
-        if (dc->bridged && !dc->out_of_reach) {
+        if (dc->bridged && !dc->unreachable) {
             gossip_to(table, mb_pick_random(table, is_live_in, dc));
         }
     }
 }
 
 /*
- * Announces that this node leaves, to several members at once and then by
- * the usual spread.
+ * Announces that this node leaves: to several members directly and to the rest
+ * by gossip.
  */
 void
 Mb_Leave(struct mb_table *table)
@@ -223,11 +229,14 @@
             const void *arg)
 {
     const struct mb_near *near = arg;
-    return entry->record.state != MB_DEAD && !entry->dc->out_of_reach &&
+    return entry->record.state != MB_DEAD && !entry->dc->unreachable &&
            Mb_Distance(table, &entry->record) == near->distance;
 }
 
-/* A random living member at the given distance; NULL when there is none. */
+/*
+ * Returns a random member at the given distance that is not dead and whose
+ * data centre is reachable; NULL when there is none.
+ */
 const struct mb_record *
 Mb_RandomPeer(struct mb_table *table, enum mb_distance distance)
 {
--- a/packages/member/test/fact_test.cc
+++ b/packages/member/test/fact_test.cc
@@ -71,10 +71,10 @@
         return Fc_Publish(facts, &post);
     }
 
-    /* One datagram from one table to the other; returns how many facts. */
+    /* Sends one datagram between tables and returns its number of facts. */
     static int
-    Pass(struct fc_table *from, struct fc_table *to,
-         enum fc_scope narrowest = FC_DATA_CENTRE, size_t room = 1000)
+    SendDatagram(struct fc_table *from, struct fc_table *to,
+                 enum fc_scope narrowest = FC_DATA_CENTRE, size_t room = 1000)
     {
         int count = 0;
         struct fc_fact fact;
@@ -104,50 +104,51 @@
 TEST_F(Fact, SpreadsAndIsReplacedByALaterVersion)
 {
     EXPECT_EQ(ST_OK, Publish(a, "config", "7", 7));
-    EXPECT_EQ(1, Pass(a, b));
+    EXPECT_EQ(1, SendDatagram(a, b));
     EXPECT_EQ("7", Value(b, "config"));
     EXPECT_EQ(ST_OK, Publish(b, "config", "9", 9));
-    Pass(b, a);
+    SendDatagram(b, a);
     EXPECT_EQ("9", Value(a, "config"));
 }
 
 /*
- * A node turns back to an older configuration.  A peer that restarted with
- * old state spreads a lower offset than the one already known.
+ * Guards against a node returning to an older configuration: a peer that
+ * restarted with old state gossips a lower offset than the node already has.
  */
-TEST_F(Fact, NeverGoesBack)
+TEST_F(Fact, OlderVersionIsIgnored)
 {
     Publish(a, "config", "9", 9);
     Publish(b, "config", "7", 7);
-    Pass(b, a);
+    SendDatagram(b, a);
     EXPECT_EQ("9", Value(a, "config"));
     EXPECT_EQ(ST_CONFLICT, Publish(a, "config", "8", 8));
     EXPECT_EQ(ST_OK, Publish(a, "config", "9", 9));
     now_usec += 10 * kSec;
     for (int i = 0; i < 20; i++) {
-        Pass(a, b);
+        SendDatagram(a, b);
     }
     EXPECT_EQ("9", Value(b, "config"));
 }
 
-TEST_F(Fact, EqualVersionsEndAlike)
+TEST_F(Fact, EqualVersionsConverge)
 {
     Publish(a, "limit", "aa", 3);
     Publish(b, "limit", "bb", 3);
-    Pass(a, b);
-    Pass(b, a);
+    SendDatagram(a, b);
+    SendDatagram(b, a);
     EXPECT_EQ("bb", Value(a, "limit"));
     EXPECT_EQ("bb", Value(b, "limit"));
 }
 
 /*
- * An endpoint that is long gone keeps getting requests.  Its load fact ended
- * on most nodes, but a slow peer still held a copy and brought it back.
+ * Guards against requests being sent to an endpoint that has been removed: its
+ * load fact expired on most nodes, but a slow peer still held a copy and
+ * restored it.
  */
-TEST_F(Fact, EndedFactIsNotBroughtBack)
+TEST_F(Fact, ExpiredFactIsNotRestored)
 {
     Publish(a, "load/e1", "x", 0, false, 5 * kSec);
-    Pass(a, b);
+    SendDatagram(a, b);
     struct fc_fact copy;
     ASSERT_TRUE(Fc_Get(b, "", "load/e1", &copy));
     std::string value(static_cast<const char *>(copy.value), copy.len);
@@ -165,53 +166,54 @@
     EXPECT_EQ(0U, Fc_Count(a));
 }
 
-TEST_F(Fact, TimeToLiveShrinksOnTheWay)
+TEST_F(Fact, TimeToLiveIsReducedByAge)
 {
     Publish(a, "k", "x", 0, false, 10 * kSec);
     now_usec += 4 * kSec;
-    Pass(a, b);
+    SendDatagram(a, b);
     struct fc_fact fact;
     ASSERT_TRUE(Fc_Get(b, "", "k", &fact));
     EXPECT_EQ(6 * kSec, fact.ttl_usec);
 }
 
 /*
- * A drained daemon that was restarted stays out of use.  Its peers hold the
- * fact of its former life at a higher version than it starts with.
+ * Guards against a restarted daemon still being treated as draining: its peers
+ * hold the fact published before the restart at a higher version than the
+ * daemon starts with.
  */
-TEST_F(Fact, RestartedOwnerOverridesItsFormerLife)
+TEST_F(Fact, RestartedOwnerOverridesItsOldFact)
 {
     for (int i = 0; i < 5; i++) {
         Publish(a, "draining", "1", 0, true, 60 * kSec);
-        Pass(a, b);
+        SendDatagram(a, b);
     }
     Fc_Destroy(a);
     a = Make("a");
     Publish(a, "draining", "0", 0, true, 60 * kSec);
-    Pass(a, b);
+    SendDatagram(a, b);
     EXPECT_EQ("1", Value(b, "draining", "a"));
     now_usec += 5 * kSec;
     Publish(a, "draining", "", 0, true, 60 * kSec);
-    Pass(a, b);
-    Pass(b, a);
-    Pass(a, b);
+    SendDatagram(a, b);
+    SendDatagram(b, a);
+    SendDatagram(a, b);
     EXPECT_EQ("", Value(b, "draining", "a"));
 }
 
-TEST_F(Fact, ScopeBoundsTheSpread)
+TEST_F(Fact, FactIsSentOnlyWithinItsScope)
 {
     Publish(a, "wide", "1");
     Publish(a, "mid", "2", 0, false, 0, FC_REGION);
     Publish(a, "near", "3", 0, false, 0, FC_DATA_CENTRE);
-    EXPECT_EQ(1, Pass(a, b, FC_CLUSTER));
+    EXPECT_EQ(1, SendDatagram(a, b, FC_CLUSTER));
     EXPECT_EQ("none", Value(b, "mid"));
-    EXPECT_EQ(2, Pass(a, b, FC_REGION));
+    EXPECT_EQ(2, SendDatagram(a, b, FC_REGION));
     EXPECT_EQ("none", Value(b, "near"));
-    EXPECT_EQ(3, Pass(a, b, FC_DATA_CENTRE));
+    EXPECT_EQ(3, SendDatagram(a, b, FC_DATA_CENTRE));
     EXPECT_EQ("3", Value(b, "near"));
 }
 
-TEST_F(Fact, SpreadEnds)
+TEST_F(Fact, FactIsSentALimitedNumberOfTimes)
 {
     Fc_SetSpread(a, FC_CLUSTER, 4);
     for (int i = 0; i < 100; i++) {
@@ -220,7 +222,7 @@
     int sent = 0;
     int rounds = 0;
     while (Fc_HasUpdates(a) && rounds++ < 1000) {
-        sent += Pass(a, b, FC_DATA_CENTRE, 300);
+        sent += SendDatagram(a, b, FC_DATA_CENTRE, 300);
     }
     EXPECT_EQ(400, sent);
     EXPECT_EQ(100U, Fc_Count(b));
@@ -232,7 +234,7 @@
         Publish(a, ("k" + std::to_string(i)).c_str(), "v");
     }
     while (Fc_HasUpdates(a)) {
-        Pass(a, b);
+        SendDatagram(a, b);
     }
     uint64_t one[Fc_BUCKETS];
     uint64_t other[Fc_BUCKETS];
@@ -260,7 +262,7 @@
     EXPECT_EQ(1, differ);
 }
 
-TEST_F(Fact, OutOfBoundsIsRefused)
+TEST_F(Fact, InvalidFactIsRejected)
 {
     EXPECT_EQ(ST_INVALID, Publish(a, "k", std::string(257, 'x')));
     EXPECT_EQ(ST_INVALID, Publish(a, "", "x"));
@@ -268,18 +270,18 @@
     EXPECT_EQ(ST_INVALID, Publish(a, "k", "x", 0, true, 0));
 }
 
-TEST_F(Fact, WatchersHearOfTheirPrefix)
+TEST_F(Fact, WatchersAreCalledForTheirPrefix)
 {
-    std::vector<std::string> heard;
+    std::vector<std::string> keys;
     auto fn = [](void *arg, const struct fc_fact *fact) {
         static_cast<std::vector<std::string> *>(arg)->push_back(fact->key);
     };
-    Fc_Watch(b, "load/", fn, &heard);
+    Fc_Watch(b, "load/", fn, &keys);
     Publish(a, "load/e1", "x");
     Publish(a, "other", "x");
-    Pass(a, b);
-    Pass(a, b);
-    EXPECT_EQ(std::vector<std::string>{"load/e1"}, heard);
+    SendDatagram(a, b);
+    SendDatagram(a, b);
+    EXPECT_EQ(std::vector<std::string>{"load/e1"}, keys);
 }
 
 } // namespace
--- a/packages/member/test/link_test.cc
+++ b/packages/member/test/link_test.cc
@@ -156,7 +156,7 @@
     EXPECT_TRUE(outcome.result.answered);
 }
 
-TEST_F(Link, RefusedConnectionNeverLeft)
+TEST_F(Link, RefusedConnectionMeansNotSent)
 {
     Outcome outcome;
     uint16_t port;
@@ -169,11 +169,11 @@
 }
 
 /*
- * A caller is told "not run" and tries again, and the charge is made twice.
- * The peer had the request when it failed; the connection's end looks the
- * same as that of one that was never used.
+ * Guards against a charge being made twice: the caller gets "not run" and
+ * retries, although the peer received the request before it failed.  The end
+ * of that connection looks the same as that of one on which nothing was sent.
  */
-TEST_F(Link, LostAnswerMayHaveLeft)
+TEST_F(Link, LostAnswerMeansMaybeSent)
 {
     Outcome outcome;
     Outcome late;
@@ -190,9 +190,9 @@
 }
 
 /*
- * A caller is told "not run", yet the request runs a minute later.  The peer
- * took the connection but was stopped; the call's time ended while its frame
- * waited, and the frame was sent when the peer came back.
+ * Guards against a request running a minute after the caller got "not run":
+ * the kernel accepted the connection of a stopped peer, the call timed out
+ * with its frame still queued, and the frame was sent when the peer continued.
  */
 TEST_F(Link, FrameThatTimedOutUnsentIsNeverSent)
 {
@@ -203,22 +203,22 @@
     ASSERT_TRUE(runner->Until([&] { return outcome.count == 1; }));
     EXPECT_EQ(ST_TIMEOUT, outcome.result.status);
     EXPECT_FALSE(outcome.result.maybe_sent);
-    /* The stopped peer goes on: its bytes reach a real one now. */
+    /* The stopped peer continues: its bytes are forwarded to a real node. */
     int accepted = -1;
     ASSERT_TRUE(runner->Until([&] {
         accepted = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK);
         return accepted >= 0;
     }));
-    int onward = raw_connect(Lk_Port(b));
+    int forward_fd = raw_connect(Lk_Port(b));
     Outcome other;
     Call(a, port, "echo", "other", &other);
     ASSERT_TRUE(runner->Until([&] {
         char bytes[4096];
         ssize_t len = recv(accepted, bytes, sizeof(bytes), MSG_DONTWAIT);
         if (len > 0) {
-            send(onward, bytes, len, 0);
+            send(forward_fd, bytes, len, 0);
         }
-        len = recv(onward, bytes, sizeof(bytes), MSG_DONTWAIT);
+        len = recv(forward_fd, bytes, sizeof(bytes), MSG_DONTWAIT);
         if (len > 0) {
             send(accepted, bytes, len, 0);
         }
@@ -227,14 +227,14 @@
     EXPECT_EQ("other", other.payload);
     EXPECT_EQ(1, handled);
     close(accepted);
-    close(onward);
+    close(forward_fd);
     close(listener);
 }
 
-TEST_F(Link, FullQueueIsRefusedAtOnce)
+TEST_F(Link, FullQueueRejectsCalls)
 {
     uint16_t port;
-    int listener = raw_socket(SOCK_STREAM, &port); /* never says hello */
+    int listener = raw_socket(SOCK_STREAM, &port); /* never sends a hello */
     Outcome outcome;
     enum st_status status = ST_OK;
     int queued = 0;
@@ -248,7 +248,7 @@
     EXPECT_FALSE(outcome.result.maybe_sent);
 }
 
-TEST_F(Link, OtherKeyIsDenied)
+TEST_F(Link, WrongKeyIsDenied)
 {
     struct lk_links *stranger = Make("stranger", "guess");
     Outcome outcome;
@@ -257,20 +257,20 @@
     EXPECT_EQ(ST_UNAVAILABLE, outcome.result.status);
     EXPECT_FALSE(outcome.result.maybe_sent);
     EXPECT_EQ(0, handled);
-    /* Either side may find out first. */
+    /* Either side may detect the mismatch first. */
     EXPECT_GE(Lk_Counters(b)->denied + Lk_Counters(stranger)->denied, 1U);
     Lk_Destroy(stranger);
 }
 
 /*
- * An order is carried out a second time.  Somebody on the network recorded
- * the bytes of a connection and sends them again on a new one.
+ * Guards against an order being executed twice: an attacker on the network
+ * records the bytes of a connection and replays them on a new one.
  */
-TEST_F(Link, RecordedConnectionIsDenied)
+TEST_F(Link, ReplayedConnectionIsDenied)
 {
     uint16_t port;
     int listener = raw_socket(SOCK_STREAM, &port);
-    int onward = raw_connect(Lk_Port(b));
+    int forward_fd = raw_connect(Lk_Port(b));
     int accepted = -1;
     std::string recorded;
     Outcome outcome;
@@ -283,25 +283,25 @@
         ssize_t len = recv(accepted, bytes, sizeof(bytes), MSG_DONTWAIT);
         if (len > 0) {
             recorded.append(bytes, len);
-            send(onward, bytes, len, 0);
+            send(forward_fd, bytes, len, 0);
         }
-        len = recv(onward, bytes, sizeof(bytes), MSG_DONTWAIT);
+        len = recv(forward_fd, bytes, sizeof(bytes), MSG_DONTWAIT);
         if (len > 0) {
             send(accepted, bytes, len, 0);
         }
         return outcome.count == 1;
     }));
     ASSERT_EQ(1, handled);
-    int again = raw_connect(Lk_Port(b));
-    send(again, recorded.data(), recorded.size(), 0);
+    int replay = raw_connect(Lk_Port(b));
+    send(replay, recorded.data(), recorded.size(), 0);
     char byte[4096];
     EXPECT_TRUE(runner->Until([&] {
-        return recv(again, byte, sizeof(byte), MSG_DONTWAIT) == 0 ||
+        return recv(replay, byte, sizeof(byte), MSG_DONTWAIT) == 0 ||
                errno == ECONNRESET;
     }));
     EXPECT_EQ(1, handled);
     EXPECT_EQ(1U, Lk_Counters(b)->denied);
-    for (int fd : {listener, onward, accepted, again}) {
+    for (int fd : {listener, forward_fd, accepted, replay}) {
         close(fd);
     }
 }
@@ -342,7 +342,7 @@
     Lk_Destroy(brief);
 }
 
-TEST_F(Link, CancelledCallIsSilent)
+TEST_F(Link, CancelledCallHasNoResult)
 {
     Outcome outcome;
     struct mb_endpoint to = {"127.0.0.1", Lk_Port(b)};
--- a/packages/member/test/loop_util.h
+++ b/packages/member/test/loop_util.h
@@ -1,4 +1,4 @@
-/* Running the loop in tests until a condition holds. */
+/* Runs the event loop in tests until a condition holds. */
 #ifndef MEMBER_TEST_LOOP_UTIL_H
 #define MEMBER_TEST_LOOP_UTIL_H
 
@@ -13,7 +13,7 @@
 #include "base/clock.h"
 #include "web/loop.h"
 
-const int64_t kGenerousUsec = 120 * Ck_USEC_PER_SEC;
+const int64_t kTimeoutUsec = 120 * Ck_USEC_PER_SEC;
 
 class Runner {
   public:
@@ -29,8 +29,7 @@
     }
 
     bool
-    Until(const std::function<bool()> &done,
-          int64_t limit_usec = kGenerousUsec)
+    Until(const std::function<bool()> &done, int64_t limit_usec = kTimeoutUsec)
     {
         int64_t end = Ck_Now(Ck_System()) + limit_usec;
         while (!done()) {
@@ -60,7 +59,7 @@
     struct lp_timer *timer_;
 };
 
-/* A bare socket on loopback; port 0 picks one. */
+/* Opens a plain socket on any free loopback port and stores the port. */
 inline int
 raw_socket(int type, uint16_t *port)
 {
@@ -88,7 +87,7 @@
     return address;
 }
 
-/* A bare connection on loopback. */
+/* Opens a plain TCP connection to a loopback port. */
 inline int
 raw_connect(uint16_t port)
 {
--- a/packages/member/test/node_test.cc
+++ b/packages/member/test/node_test.cc
@@ -57,7 +57,7 @@
         return node;
     }
 
-    /* Seven nodes in four data centres, as at the users' today. */
+    /* Seven nodes in four data centres, the size of current deployments. */
     void
     MakeSeven()
     {
@@ -123,7 +123,7 @@
     std::vector<struct nd_node *> nodes;
 };
 
-TEST_F(Node, SevenAgreeOnMembersFactsAndJobs)
+TEST_F(Node, SevenNodesAgreeOnMembersFactsAndKeys)
 {
     MakeSeven();
     Publish(nodes[3], "config", "41", 41);
@@ -132,7 +132,7 @@
     EXPECT_TRUE(runner->Until([&] { return Holders("config", "42") == 7; }));
     Publish(nodes[1], "load/e1", "x", 0, FC_DATA_CENTRE);
     EXPECT_TRUE(runner->Until([&] { return Holders("load/e1", "x") == 2; }));
-    /* The only node of its data centre has nobody to tell. */
+    /* The only node of a data centre has no receiver for its facts. */
     Publish(nodes[3], "load/e2", "x", 0, FC_DATA_CENTRE);
     EXPECT_TRUE(runner->Until([&] {
         for (auto *node : nodes) {
@@ -146,13 +146,14 @@
     for (int i = 0; i < 20; i++) {
         std::string key = "slot" + std::to_string(i);
         const auto *first = Nd_Responsible(nodes[0], key.c_str(), nullptr);
-        int takers = 0;
+        int responsible = 0;
         for (auto *node : nodes) {
             EXPECT_STREQ(first->id,
                          Nd_Responsible(node, key.c_str(), nullptr)->id);
-            takers += Nd_IsResponsible(node, key.c_str(), nullptr) ? 1 : 0;
+            responsible +=
+                Nd_IsResponsible(node, key.c_str(), nullptr) ? 1 : 0;
         }
-        EXPECT_EQ(1, takers);
+        EXPECT_EQ(1, responsible);
     }
     runner->For(500 * kMsec);
     EXPECT_EQ(2U, Holders("load/e1", "x"));
@@ -183,12 +184,12 @@
 }
 
 /*
- * Work goes on being given to a region that is cut off, or the region is
- * forgotten and never found again.  Only two nodes of a data centre probe
- * another one; the rest must hear of the verdict, keep the members, and hear
- * again when the region is back.
+ * Guards against work being given to an unreachable region, and against such a
+ * region being removed from the table for good.  Only two nodes of a data
+ * centre probe another one.  The others must learn from them that it is
+ * unreachable, keep its members, and learn when it is reachable again.
  */
-TEST_F(Node, RegionOutOfReachIsToldKeptAndFoundAgain)
+TEST_F(Node, UnreachableRegionIsKeptAndFoundAgain)
 {
     for (int i = 0; i < 4; i++) {
         Make("n" + std::to_string(i), "dc0");
@@ -216,11 +217,11 @@
 }
 
 /*
- * A new daemon serves callers under an old configuration.  The facts it
- * needs were spread before it came and nobody repeats them; only the
- * exchange of full states can tell it.
+ * Guards against a new daemon serving callers under an old configuration: the
+ * facts that it needs were gossiped before it started and are not repeated, so
+ * only the exchange of full state can provide them.
  */
-TEST_F(Node, NewcomerLearnsWhatWasSpreadBefore)
+TEST_F(Node, NewNodeGetsEarlierFacts)
 {
     MakeSeven();
     Publish(nodes[3], "config", "41", 41);
@@ -237,14 +238,14 @@
         }
         return true;
     }));
-    struct nd_node *newcomer = Make("n7", "dc3");
+    struct nd_node *new_node = Make("n7", "dc3");
     EXPECT_TRUE(
-        runner->Until([&] { return Fc_Count(Nd_Facts(newcomer)) == 301; }));
-    EXPECT_EQ("41", Value(newcomer, "config"));
+        runner->Until([&] { return Fc_Count(Nd_Facts(new_node)) == 301; }));
+    EXPECT_EQ("41", Value(new_node, "config"));
     EXPECT_TRUE(runner->Until([&] { return AllSee(8); }));
 }
 
-TEST_F(Node, StrangerIsNotLetIn)
+TEST_F(Node, WrongKeyIsNotAdmitted)
 {
     MakeSeven();
     struct nd_node *stranger = Make("stranger", "dc0", "guess");
@@ -255,11 +256,12 @@
 }
 
 /*
- * Requests go to a host that is not there, or a living one is dropped.  On
- * the network somebody sends recorded datagrams again, changes bits in them
- * or makes up some; none may change what a node believes.
+ * Guards against forged datagrams that make nodes send requests to a host that
+ * does not exist, or drop a live one.  An attacker on the network replays
+ * recorded datagrams, flips bits in them or makes them up; none may change the
+ * state of a node.
  */
-TEST_F(Node, ForgedGarbledAndReplayedDatagramsAreRefused)
+TEST_F(Node, ForgedGarbledAndReplayedDatagramsAreRejected)
 {
     struct nd_node *target = Make("target", "dc0");
     uint16_t port;
@@ -275,7 +277,7 @@
     }));
     Kill(1);
     struct sockaddr_in to = loopback(Nd_Port(target));
-    auto throw_at = [&](const void *data, size_t size) {
+    auto send_raw = [&](const void *data, size_t size) {
         uint64_t before = Nd_Counters(target)->datagrams_in;
         sendto(fd, data, size, 0, (struct sockaddr *)&to, sizeof(to));
         EXPECT_TRUE(runner->Until(
@@ -285,18 +287,18 @@
     for (ssize_t i = 0; i < len; i++) {
         std::string garbled(bytes, len);
         garbled[i] = (char)(garbled[i] ^ 1);
-        throw_at(garbled.data(), garbled.size());
+        send_raw(garbled.data(), garbled.size());
     }
     EXPECT_EQ((uint64_t)len, seen->denied);
-    throw_at(bytes, len - 1);
-    throw_at("x", 1);
-    throw_at(std::string(1400, '\0').data(), 1400);
+    send_raw(bytes, len - 1);
+    send_raw("x", 1);
+    send_raw(std::string(1400, '\0').data(), 1400);
     EXPECT_EQ(nullptr, Mb_Find(Nd_Members(target), "sender"));
-    throw_at(bytes, len);
+    send_raw(bytes, len);
     EXPECT_NE(nullptr, Mb_Find(Nd_Members(target), "sender"));
     EXPECT_EQ(0U, seen->replayed);
-    throw_at(bytes, len);
-    throw_at(bytes, len);
+    send_raw(bytes, len);
+    send_raw(bytes, len);
     EXPECT_EQ(2U, seen->replayed);
     close(fd);
 }
@@ -318,8 +320,8 @@
         ++*static_cast<int *>(arg);
     };
     EXPECT_EQ(ST_NOT_FOUND, Nd_Call(nodes[0], "nobody", "ping", nullptr, 0,
-                                    kGenerousUsec, on_done, &done, nullptr));
-    ASSERT_EQ(ST_OK, Nd_Call(nodes[0], "n4", "ping", nullptr, 0, kGenerousUsec,
+                                    kTimeoutUsec, on_done, &done, nullptr));
+    ASSERT_EQ(ST_OK, Nd_Call(nodes[0], "n4", "ping", nullptr, 0, kTimeoutUsec,
                              on_done, &done, nullptr));
     EXPECT_TRUE(runner->Until([&] { return done == 1; }));
     EXPECT_EQ("n0", from);
--- a/packages/member/test/table_test.cc
+++ b/packages/member/test/table_test.cc
@@ -37,29 +37,33 @@
     std::string region;
     struct mb_table *table = nullptr;
     int64_t paused_until = 0;
-    std::map<std::string, int> deaths; /* verdicts seen, by member */
+    /* times each member was declared dead */
+    std::map<std::string, int> deaths;
     int suspicions = 0;
 };
 
-struct Flight {
+struct Packet {
     int from;
     int to;
     struct mb_message message;
 };
 
-/* Members in one process on a network that can lose, delay and cut. */
+/*
+ * Members in one process on a simulated network with loss, delay and
+ * partitions.
+ */
 struct Net {
     std::vector<std::unique_ptr<Node>> nodes;
-    std::multimap<int64_t, Flight> flights;
-    std::function<bool(const Node &, const Node &)> cut;
+    std::multimap<int64_t, Packet> packets;
+    std::function<bool(const Node &, const Node &)> partition;
     struct rn_random random;
     uint32_t loss_percent = 0;
     int64_t delay = kMsec;
     int64_t jitter = kMsec;
-    size_t largest = 0;
+    size_t max_update_bytes = 0;
     bool exchanges = true;
 
-    /* CG_SEED in the environment gives other runs. */
+    /* CG_SEED in the environment selects other random runs. */
     explicit Net(uint64_t seed)
     {
         const char *more = getenv("CG_SEED");
@@ -76,7 +80,7 @@
     bool
     Blocked(const Node &from, const Node &to)
     {
-        return cut && cut(from, to);
+        return partition && partition(from, to);
     }
 
     static void
@@ -89,7 +93,7 @@
         for (size_t i = 0; i < message->update_count; i++) {
             bytes += Mb_RecordBytes(&message->updates[i]);
         }
-        net->largest = std::max(net->largest, bytes);
+        net->max_update_bytes = std::max(net->max_update_bytes, bytes);
         size_t target = to->port - 1000U;
         if (target >= net->nodes.size() ||
             net->Blocked(*node, *net->nodes[target]) ||
@@ -98,7 +102,7 @@
         }
         int64_t at = now_usec + net->delay +
                      Rn_Below(&net->random, (uint32_t)net->jitter + 1);
-        net->flights.insert({at, {node->number, (int)target, *message}});
+        net->packets.insert({at, {node->number, (int)target, *message}});
     }
 
     static void
@@ -111,7 +115,7 @@
         node->suspicions += member->state == MB_SUSPECT ? 1 : 0;
     }
 
-    /* Stands for the fact by which bridges tell their data centre. */
+    /* Stands for the fact that bridges publish in their data centre. */
     static void
     Reach(void *arg, const char *data_centre, bool reachable)
     {
@@ -179,21 +183,21 @@
     }
 
     bool
-    Awake(const Node &node) const
+    IsRunning(const Node &node) const
     {
         return node.table != nullptr && now_usec >= node.paused_until;
     }
 
-    /* What the exchange of full states over TCP does. */
+    /* Simulates the exchange of full state over TCP. */
     void
     Exchange(Node &a, Node &b)
     {
-        const struct mb_record *known =
-            Awake(a) ? Mb_Find(a.table, b.id.c_str()) : nullptr;
-        if (known == nullptr || known->state == MB_DEAD) {
+        const struct mb_record *peer =
+            IsRunning(a) ? Mb_Find(a.table, b.id.c_str()) : nullptr;
+        if (peer == nullptr || peer->state == MB_DEAD) {
             return;
         }
-        if (&a == &b || !Awake(a) || !Awake(b) || Blocked(a, b) ||
+        if (&a == &b || !IsRunning(a) || !IsRunning(b) || Blocked(a, b) ||
             Blocked(b, a)) {
             return;
         }
@@ -213,20 +217,20 @@
     void
     Deliver()
     {
-        for (auto it = flights.begin();
-             it != flights.end() && it->first <= now_usec;) {
+        for (auto it = packets.begin();
+             it != packets.end() && it->first <= now_usec;) {
             Node &to = *nodes[it->second.to];
-            if (to.table != nullptr && !Awake(to)) {
+            if (to.table != nullptr && !IsRunning(to)) {
                 ++it; /* waits in the socket of the paused process */
                 continue;
             }
-            Flight flight = it->second;
-            it = flights.erase(it);
+            Packet packet = it->second;
+            it = packets.erase(it);
             if (to.table != nullptr) {
                 struct mb_endpoint from = {};
                 snprintf(from.address, sizeof(from.address), "10.0.0.1");
-                from.port = (uint16_t)(1000 + flight.from);
-                Mb_Receive(to.table, &from, &flight.message);
+                from.port = (uint16_t)(1000 + packet.from);
+                Mb_Receive(to.table, &from, &packet.message);
             }
         }
     }
@@ -239,9 +243,10 @@
             Deliver();
             for (auto &node : nodes) {
                 int64_t phase = now_usec + node->number % 10 * step;
-                /* A process that wakes finds its timers first. */
-                bool woke = node->paused_until == now_usec;
-                if (!Awake(*node) || (!woke && phase % (100 * kMsec) != 0)) {
+                /* After a pause, a process runs its timers before it reads. */
+                bool resumed = node->paused_until == now_usec;
+                if (!IsRunning(*node) ||
+                    (!resumed && phase % (100 * kMsec) != 0)) {
                     continue;
                 }
                 Mb_Tick(node->table);
@@ -280,9 +285,9 @@
     }
 
     bool
-    RunUntil(int64_t limit, const std::function<bool()> &done)
+    RunUntil(int64_t limit_usec, const std::function<bool()> &done)
     {
-        for (int64_t end = now_usec + limit; now_usec < end;) {
+        for (int64_t end = now_usec + limit_usec; now_usec < end;) {
             if (done()) {
                 return true;
             }
@@ -327,8 +332,8 @@
 }
 
 /*
- * Callers see requests fail for minutes: a host fails and its peers go on
- * giving it work.  Every node must drop it within seconds, also those of
+ * Guards against requests failing for minutes because peers keep sending work
+ * to a failed host.  Every node must drop it within seconds, also those of
  * another region, which do not probe it themselves.
  */
 TEST(Table, DeadNodeIsDroppedEverywhere)
@@ -340,10 +345,10 @@
     EXPECT_TRUE(net.RunUntil(20 * kSec, [&] { return net.AllSee(59); }));
     net.Run(60 * kSec);
     EXPECT_EQ(59, net.Deaths());
-    EXPECT_LE(net.largest, (size_t)Mb_UPDATE_BYTES);
+    EXPECT_LE(net.max_update_bytes, (size_t)Mb_UPDATE_BYTES);
 }
 
-TEST(Table, LossAndDelayKillNobody)
+TEST(Table, LossAndDelayCauseNoDeaths)
 {
     Net net(3);
     net.AddMany(40, 4, 2);
@@ -355,16 +360,16 @@
 }
 
 /*
- * After an hour's cut between two regions each holds the other for gone and
- * is a system of its own.  The cause: members that cannot be reached are
- * taken for dead and forgotten, and nobody asks for them again.
+ * Guards against two regions staying separate clusters after an hour's network
+ * partition: unreachable members were declared dead and removed, and were not
+ * probed again.
  */
-TEST(Table, RegionCutForAnHourIsKeptAndComesBack)
+TEST(Table, RegionPartitionedForAnHourIsKeptAndRejoins)
 {
     Net net(4);
     net.AddMany(24, 4, 2);
     net.Join();
-    net.cut = [](const Node &a, const Node &b) {
+    net.partition = [](const Node &a, const Node &b) {
         return a.region != b.region;
     };
     net.Run(3600 * kSec);
@@ -374,43 +379,45 @@
     }
     EXPECT_TRUE(net.AllSee(12));
     EXPECT_FALSE(Mb_Reachable(net.nodes[0]->table, "dc1"));
-    net.cut = nullptr;
+    net.partition = nullptr;
     EXPECT_TRUE(net.RunUntil(120 * kSec, [&] { return net.AllSee(24); }));
 }
 
 /*
- * Two data centres of one region lose each other for ten minutes.  With few
- * nodes each side judges the other dead; both must find each other again
+ * Two data centres of one region are partitioned for ten minutes.  With few
+ * nodes each side declares the other dead.  Both must find each other again
  * although neither is in the other's probe order any more.
  */
-TEST(Table, DataCentreCutHealsInASmallCluster)
+TEST(Table, PartitionHealsInASmallCluster)
 {
     Net net(5);
     net.AddMany(7, 2, 1);
     net.Join();
-    net.cut = [](const Node &a, const Node &b) {
+    net.partition = [](const Node &a, const Node &b) {
         return a.data_centre != b.data_centre;
     };
     net.Run(600 * kSec);
     EXPECT_LT(net.Usable(*net.nodes[0]), 7U);
     for (auto &node : net.nodes) {
-        Mb_SetSeeds(node->table, nullptr, 0); /* the host list is down too */
+        /* the host list is unavailable too */
+        Mb_SetSeeds(node->table, nullptr, 0);
     }
-    net.cut = nullptr;
+    net.partition = nullptr;
     EXPECT_TRUE(net.RunUntil(120 * kSec, [&] { return net.AllSee(7); }));
 }
 
 /*
- * A healthy node loses all its work.  One path is broken in one direction:
- * n1 hears n2 but n2 does not hear n1, so each probe of the pair fails; the
- * indirect probes must save both.
+ * Guards against a healthy node losing all its work because one path fails in
+ * one direction: n1 receives from n2, but n2 does not receive from n1, so that
+ * every direct probe between them fails.  The indirect probes must keep both
+ * alive.
  */
-TEST(Table, AsymmetricCutKillsNobody)
+TEST(Table, AsymmetricPartitionCausesNoDeaths)
 {
     Net net(6);
     net.AddMany(7, 2, 1);
     net.Join();
-    net.cut = [](const Node &a, const Node &b) {
+    net.partition = [](const Node &a, const Node &b) {
         return a.id == "n1" && b.id == "n2";
     };
     net.Run(300 * kSec);
@@ -421,11 +428,11 @@
 }
 
 /*
- * A daemon starved of processor time for two seconds is declared dead, or
- * declares others dead on waking, since all its time limits have passed
- * while their answers wait unread.
+ * Guards against a daemon that gets no processor time for two seconds being
+ * declared dead, or declaring others dead when it runs again: all its
+ * deadlines have passed while the acks wait unread.
  */
-TEST(Table, SlowNodeNeitherDiesNorKills)
+TEST(Table, SlowNodeCausesNoDeaths)
 {
     Net net(7);
     net.AddMany(20, 2, 1);
@@ -440,11 +447,11 @@
 }
 
 /*
- * A daemon that was stopped for five seconds suspects whomever it had just
- * probed: it looks at its timers before it reads the answer that has come
- * meanwhile.
+ * Guards against a daemon that was stopped for five seconds suspecting the
+ * member that it had just probed: its timers run before it reads the ack that
+ * has arrived meanwhile.
  */
-TEST(Table, WakingNodeDropsItsOpenProbes)
+TEST(Table, ResumedNodeDropsItsOpenProbes)
 {
     Net net(15);
     Node &node = *net.Add("dc0", "region0");
@@ -453,21 +460,22 @@
         snprintf(silent.id, sizeof(silent.id), "silent%d", i);
         Mb_Apply(node.table, &silent);
     }
-    net.Run(kSec); /* the first probe leaves in here */
+    net.Run(kSec); /* the first probe is sent in this time */
     for (int i = 0; i < 5; i++) {
         now_usec += 5 * kSec;
         Mb_Tick(node.table);
         EXPECT_EQ(0, node.suspicions);
     }
-    net.Run(3 * kSec); /* awake, it does suspect the silent */
+    net.Run(3 * kSec); /* running again, it suspects the silent members */
     EXPECT_GT(node.suspicions, 0);
 }
 
 /*
- * A node paused for half a minute is rightly given up, but on waking it must
- * take nobody else down and must come back by a new incarnation.
+ * A node paused for half a minute is correctly declared dead.  When it runs
+ * again, it must not declare others dead and must rejoin with a new
+ * incarnation.
  */
-TEST(Table, LongPausedNodeReturnsAndKillsNobody)
+TEST(Table, LongPausedNodeRejoinsAndDeclaresNobodyDead)
 {
     Net net(8);
     net.AddMany(20, 2, 1);
@@ -481,34 +489,34 @@
 }
 
 /*
- * The switch port of one host fails for two minutes.  The host hears nobody,
- * declares all others dead and spreads that on its return, so that every
- * node flaps once.  It must see that the silence is its own.
+ * Guards against a host whose switch port fails for two minutes declaring all
+ * others dead and gossiping that when it is connected again, so that every
+ * node is briefly marked dead.  It must detect that it is isolated.
  */
-TEST(Table, CutOffNodeBuriesNobody)
+TEST(Table, IsolatedNodeDeclaresNobodyDead)
 {
     Net net(9);
     net.AddMany(20, 2, 1);
     net.Join();
-    Node &lone = *net.nodes[4];
-    net.cut = [](const Node &a, const Node &b) {
+    Node &isolated = *net.nodes[4];
+    net.partition = [](const Node &a, const Node &b) {
         return a.id == "n4" || b.id == "n4";
     };
     net.Run(120 * kSec);
-    EXPECT_TRUE(Mb_Isolated(lone.table));
-    EXPECT_TRUE(lone.deaths.empty());
-    EXPECT_LT(net.Usable(lone), 20U);
-    net.cut = nullptr;
+    EXPECT_TRUE(Mb_Isolated(isolated.table));
+    EXPECT_TRUE(isolated.deaths.empty());
+    EXPECT_LT(net.Usable(isolated), 20U);
+    net.partition = nullptr;
     EXPECT_TRUE(net.RunUntil(120 * kSec, [&] { return net.AllSee(20); }));
-    EXPECT_EQ(19, net.Deaths()); /* each other node gave up n4 once */
+    EXPECT_EQ(19, net.Deaths()); /* each other node declared n4 dead once */
 }
 
 /*
- * A replaced host comes back under its old id.  Its peers hold it for dead,
- * or its calendar is behind that of the former host; either way it must be
- * taken back, by an incarnation later than any heard of.
+ * A replaced host starts with its old id.  Its peers have declared it dead, or
+ * its clock is behind that of the former host.  In both cases it must be
+ * accepted again, with an incarnation later than any that the peers have.
  */
-TEST(Table, RestartIsTakenBackWhateverItsIncarnation)
+TEST(Table, RestartedNodeRejoinsWithAnyIncarnation)
 {
     for (uint64_t incarnation : {UINT64_C(100), UINT64_C(0)}) {
         Net net(10 + incarnation);
@@ -523,11 +531,11 @@
 }
 
 /*
- * Callers meet a host that is shutting down.  Leaving must reach all nodes
- * in seconds, must not be undone by a late "alive" and must end in being
- * forgotten.
+ * Guards against requests being sent to a host that is shutting down.  The
+ * announcement must reach all nodes in seconds, must not be reverted by a late
+ * "alive" record, and the member must be removed in the end.
  */
-TEST(Table, LeavingSpreadsAtOnce)
+TEST(Table, LeavingReachesAllNodesInSeconds)
 {
     Net net(12);
     net.AddMany(60, 4, 2);
@@ -546,10 +554,10 @@
 }
 
 /*
- * Work goes on being sent to a host that was replaced by another one at the
- * same address: the newcomer answers the probes meant for its predecessor.
+ * Guards against work being sent to a host that was replaced by another one at
+ * the same address: the new host answers the probes meant for the old one.
  */
-TEST(Table, NewcomerDoesNotKeepItsPredecessorAlive)
+TEST(Table, ReplacementDoesNotKeepOldHostAlive)
 {
     Net net(13);
     net.AddMany(10, 2, 1);
@@ -595,7 +603,7 @@
     EXPECT_LT(moved, 50);
 }
 
-TEST(Table, MissingPlaceIsRefused)
+TEST(Table, MissingDataCentreIsRejected)
 {
     struct mb_options options = {};
     snprintf(options.self.id, Mb_ID_MAX, "n1");
--- a/packages/member/test/wire_test.cc
+++ b/packages/member/test/wire_test.cc
@@ -27,7 +27,7 @@
         out.admin_port = 9000;
     }
     else {
-        snprintf(out.by, sizeof(out.by), "accuser");
+        snprintf(out.by, sizeof(out.by), "suspector");
     }
     return out;
 }
@@ -94,7 +94,7 @@
                        bytes.size());
 }
 
-TEST(Wire, DatagramComesBackWhole)
+TEST(Wire, DatagramRoundTrip)
 {
     std::string bytes = packed(3, 10);
     static struct wr_datagram out;
@@ -118,7 +118,7 @@
     EXPECT_LE(out.facts[0].fact.ttl_usec, 1000 * Ck_USEC_PER_SEC);
 }
 
-TEST(Wire, NoDatagramIsTooLarge)
+TEST(Wire, DatagramsFitTheSizeLimit)
 {
     static struct wr_datagram out;
     for (size_t value_len = 0; value_len <= Fc_VALUE_MAX; value_len += 7) {
@@ -129,7 +129,7 @@
     }
 }
 
-TEST(Wire, CutAndGarbledDatagramsAreRefused)
+TEST(Wire, TruncatedAndGarbledDatagramsAreRejected)
 {
     static struct wr_datagram out;
     std::string bytes = packed(3, 10);
@@ -144,9 +144,9 @@
 }
 
 /*
- * A daemon ends on a datagram of another version of itself, or one made up
- * by somebody who has the key.  Here the code fits and the content is cut
- * or changed byte by byte; nothing may be read out of bounds.
+ * Guards against a daemon crashing on a datagram of another version, or one
+ * made up by an attacker who has the key: the MAC is valid, and the content is
+ * truncated or changed byte by byte.  Nothing may be read out of bounds.
  */
 TEST(Wire, MalformedContentIsHarmless)
 {
@@ -165,7 +165,7 @@
     }
 }
 
-TEST(Wire, CorpusIsRefused)
+TEST(Wire, MalformedCorpusIsRejected)
 {
     const std::string corpus[] = {
         "",
@@ -174,14 +174,14 @@
         std::string("\xdd\xff\xff\xff\xff", 5), /* array of 4 billion */
         std::string("\xdf\xff\xff\xff\xff", 5), /* map of 4 billion */
         std::string("\xc6\xff\xff\xff\xff", 5), /* bytes beyond the end */
-        std::string(1000, '\x91'),              /* nested a thousand deep */
+        std::string(1000, '\x91'),              /* nested 1000 deep */
         std::string(1000, '\x81'),
-        "\x99\x01\x00\xa2n1\x01\x01\x01\xa0\x90",         /* one too few */
-        "\x99\x02\x00\xa2n1\x01\x01\x01\xa0\x90\x90",     /* version 2 */
-        "\x99\x01\x09\xa2n1\x01\x01\x01\xa0\x90\x90",     /* no such type */
-        "\x99\x01\x03\xa0\x01\x01\x01\xa0\x90\x90",       /* no sender */
-        "\x99\x01\x03\xa2n1\xff\x01\x01\xa0\x90\x90",     /* negative */
-        "\x99\x01\x03\xa2n1\x01\x01\x01\xa0\xc0\x90",     /* nil for updates */
+        "\x99\x01\x00\xa2n1\x01\x01\x01\xa0\x90",     /* one element too few */
+        "\x99\x02\x00\xa2n1\x01\x01\x01\xa0\x90\x90", /* version 2 */
+        "\x99\x01\x09\xa2n1\x01\x01\x01\xa0\x90\x90", /* no such type */
+        "\x99\x01\x03\xa0\x01\x01\x01\xa0\x90\x90",   /* no sender */
+        "\x99\x01\x03\xa2n1\xff\x01\x01\xa0\x90\x90", /* negative */
+        "\x99\x01\x03\xa2n1\x01\x01\x01\xa0\xc0\x90", /* nil for updates */
         "\x99\x01\x03\xa2n1\x01\x01\x01\xa0\x91\x90\x90", /* empty record */
         "\x95\x09\x01\xa0\x00\xc4\x00",                   /* no such kind */
     };
@@ -205,7 +205,8 @@
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 100));
     EXPECT_EQ(WR_REPLAYED, Wr_Admit(&window, 5, 100));
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 103));
-    EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 101)); /* overtaken on the way */
+    /* reordered on the network */
+    EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 101));
     EXPECT_EQ(WR_REPLAYED, Wr_Admit(&window, 5, 101));
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 1000));
     EXPECT_EQ(WR_FRESH, Wr_Admit(&window, 5, 937));
--- a/packages/member/wire.c
+++ b/packages/member/wire.c
@@ -1,4 +1,7 @@
-/* Records and facts as msgpack, keys, and the window against replay. */
+/*
+ * Encodes and decodes records and facts, derives keys, and keeps the replay
+ * window.
+ */
 #include "member/wire.h"
 
 #include <bsd/string.h>
@@ -7,14 +10,17 @@
 
 #include "base/hash.h"
 
-#define Wr_RECORD_SHORT 4 /* elements */
-#define Wr_RECORD_FULL 9
-#define Wr_FACT 6
+#define Wr_SHORT_RECORD_ITEMS 4
+#define Wr_FULL_RECORD_ITEMS 9
+#define Wr_FACT_ITEMS 6
 #define Wr_TTL_UNIT_USEC (100 * Ck_USEC_PER_MSEC)
 #define Wr_TTL_MAX (INT64_MAX / Wr_TTL_UNIT_USEC)
-#define Wr_WINDOW 64
+#define Wr_WINDOW_BITS 64
 
-/* A key for one purpose, so that no byte string of one passes as another. */
+/*
+ * Derives a key for one purpose.  Datagrams and frames use different keys, so
+ * that neither is accepted as the other.
+ */
 void
 Wr_DeriveKey(const char *cluster_key, const char *purpose,
              char out[Wr_KEY_MAX])
@@ -41,7 +47,10 @@
     return 0;
 }
 
-/* Makes msgpack pack into a buffer; look at "overflow" in the end. */
+/*
+ * Makes msgpack pack into a buffer.  The caller checks "overflow" when all is
+ * packed.
+ */
 void
 Wr_PackerInit(msgpack_packer *packer, struct wr_buffer *buffer)
 {
@@ -54,12 +63,11 @@
     msgpack_pack_str_with_body(packer, text, strlen(text));
 }
 
-/* Packs a member's record. */
 void
 Wr_PackRecord(msgpack_packer *packer, const struct mb_record *record)
 {
-    msgpack_pack_array(packer,
-                       record->full ? Wr_RECORD_FULL : Wr_RECORD_SHORT);
+    msgpack_pack_array(packer, record->full ? Wr_FULL_RECORD_ITEMS
+                                            : Wr_SHORT_RECORD_ITEMS);
     pack_string(packer, record->id);
     msgpack_pack_uint64(packer, record->incarnation);
     msgpack_pack_uint8(packer, record->state);
@@ -73,7 +81,10 @@
     }
 }
 
-/* Copies a string; false when it is none, too long or holds a NUL. */
+/*
+ * Copies a string.  Returns false when the object is not a string, is too long
+ * or contains a NUL.
+ */
 bool
 Wr_ReadString(const msgpack_object *object, char *out, size_t size)
 {
@@ -81,7 +92,7 @@
         return false;
     }
     size_t len = object->via.str.size;
-    if (len > 0) { /* the pointer of an empty one may be NULL */
+    if (len > 0) { /* the pointer to an empty string may be NULL */
         memcpy(out, object->via.str.ptr, len);
     }
     out[len] = '\0';
@@ -100,10 +111,10 @@
 }
 
 static const msgpack_object *
-read_array(const msgpack_object *object, size_t least)
+read_array(const msgpack_object *object, size_t min_count)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < least) {
+        object->via.array.size < min_count) {
         return NULL;
     }
     return object->via.array.ptr;
@@ -128,12 +139,12 @@
            out->region[0] != '\0';
 }
 
-/* Reads a record; elements beyond those known are skipped. */
+/* Reads a record.  Elements after the last expected one are ignored. */
 bool
 Wr_ReadRecord(const msgpack_object *object, struct mb_record *out)
 {
     memset(out, 0, sizeof(*out));
-    const msgpack_object *item = read_array(object, Wr_RECORD_SHORT);
+    const msgpack_object *item = read_array(object, Wr_SHORT_RECORD_ITEMS);
     uint64_t state;
     if (item == NULL || !Wr_ReadString(&item[0], out->id, sizeof(out->id)) ||
         out->id[0] == '\0' ||
@@ -143,10 +154,10 @@
         return false;
     }
     out->state = (enum mb_state)state;
-    if (object->via.array.size < Wr_RECORD_FULL) {
+    if (object->via.array.size < Wr_FULL_RECORD_ITEMS) {
         return true;
     }
-    return read_location(item + Wr_RECORD_SHORT, out);
+    return read_location(item + Wr_SHORT_RECORD_ITEMS, out);
 }
 
 static uint64_t
@@ -156,11 +167,11 @@
                       Wr_TTL_UNIT_USEC);
 }
 
-/* Packs a fact with the time it has left to live. */
+/* Packs a fact with its remaining time to live. */
 void
 Wr_PackFact(msgpack_packer *packer, const struct fc_fact *fact)
 {
-    msgpack_pack_array(packer, Wr_FACT);
+    msgpack_pack_array(packer, Wr_FACT_ITEMS);
     pack_string(packer, fact->owner);
     pack_string(packer, fact->key);
     msgpack_pack_uint64(packer, fact->version);
@@ -169,11 +180,11 @@
     msgpack_pack_bin_with_body(packer, fact->value, fact->len);
 }
 
-/* Reads a fact; its value leads into the bytes unpacked. */
+/* Reads a fact.  Its value points into the unpacked bytes. */
 bool
 Wr_ReadFact(const msgpack_object *object, struct wr_fact *out)
 {
-    const msgpack_object *item = read_array(object, Wr_FACT);
+    const msgpack_object *item = read_array(object, Wr_FACT_ITEMS);
     uint64_t scope;
     uint64_t ttl;
     if (item == NULL ||
@@ -210,7 +221,10 @@
     return number <= UINT32_MAX ? 5 : 9;
 }
 
-/* The encoded size of a fact in bytes, at most two more than it takes. */
+/*
+ * Returns an upper bound of the encoded size of a fact, at most 2 bytes above
+ * the actual size.
+ */
 size_t
 Wr_FactBytes(const struct fc_fact *fact)
 {
@@ -220,12 +234,12 @@
 }
 
 /*
- * Says whether a datagram of this incarnation and counter was seen before,
- * and notes it.  Failure guarded against: somebody on the network repeats a
- * recorded datagram, so that, say, a host that left is taken for living.
- * The counter grows with each datagram of a life and the incarnation with
- * each life, and the code covers both, so a repeat falls below the window or
- * on a bit already set.
+ * Checks a datagram's incarnation and counter against the replay window of its
+ * sender and records them.  Without the check, an attacker on the network
+ * could resend a recorded datagram and make, for example, a host that left
+ * appear alive.  The counter grows with each datagram and the incarnation with
+ * each restart of the sender, and the MAC covers both, so a replayed datagram
+ * falls below the window or on a bit that is already set.
  */
 enum wr_admission
 Wr_Admit(struct wr_window *window, uint64_t incarnation, uint64_t counter)
@@ -241,13 +255,13 @@
     }
     if (counter > window->highest) {
         uint64_t ahead = counter - window->highest;
-        window->seen = ahead < Wr_WINDOW ? window->seen << ahead : 0;
+        window->seen = ahead < Wr_WINDOW_BITS ? window->seen << ahead : 0;
         window->seen |= 1;
         window->highest = counter;
         return WR_FRESH;
     }
     uint64_t behind = window->highest - counter;
-    if (behind >= Wr_WINDOW || (window->seen >> behind & 1) != 0) {
+    if (behind >= Wr_WINDOW_BITS || (window->seen >> behind & 1) != 0) {
         return WR_REPLAYED;
     }
     window->seen |= UINT64_C(1) << behind;
--- a/packages/member/wire.h
+++ b/packages/member/wire.h
@@ -1,6 +1,6 @@
 /*
- * The bytes of datagrams and frames between daemons: msgpack with a message
- * authentication code, and the window that refuses replayed datagrams.  See
+ * Encodes datagrams and frames between daemons as msgpack with a message
+ * authentication code (MAC), and rejects replayed datagrams.  See
  * docs/design/membership.md for the exact layout.
  */
 #ifndef MEMBER_WIRE_H
@@ -20,16 +20,16 @@
 #endif
 
 #define Wr_VERSION 1
-#define Wr_DATAGRAM_MAX 1400
+#define Wr_DATAGRAM_MAX 1400 /* bytes */
 #define Wr_MAC_BYTES 16
 #define Wr_FACTS_MAX 96 /* in one datagram */
 #define Wr_KEY_MAX 33   /* a derived key: 32 hex digits and the NUL */
-#define Wr_FRAME_MAX (1024 * 1024)
-#define Wr_FRAME_HEAD 4
+#define Wr_FRAME_MAX (1024 * 1024) /* bytes of the body */
+#define Wr_FRAME_HEAD_BYTES 4
 #define Wr_NONCE_BYTES 16
-#define Wr_TYPE_MAX 32
+#define Wr_TYPE_MAX 32 /* bytes with NUL */
 
-/* A buffer of fixed size that msgpack packs into. */
+/* A buffer of fixed size for the msgpack packer. */
 struct wr_buffer {
     uint8_t *data;
     size_t len;
@@ -56,21 +56,21 @@
     WR_HELLO,
 };
 
-/* The body of a frame.  Pointers lead into the bytes it was read from. */
+/* The body of a frame.  "payload" points into the decoded bytes. */
 struct wr_frame {
     enum wr_kind kind;
     uint64_t id;
-    char name[Mb_ID_MAX];  /* type of a request, node id of a hello */
+    char name[Mb_ID_MAX];  /* request type, or node id in a hello */
     enum st_status status; /* of an answer */
-    const void *payload;   /* or the nonce of a hello */
+    const void *payload;   /* the nonce in a hello */
     size_t len;
 };
 
-/* What was seen of the datagrams of one sender. */
+/* The sliding replay window of one sender. */
 struct wr_window {
     uint64_t incarnation;
-    uint64_t highest; /* highest counter seen */
-    uint64_t seen;    /* bit n: counter top - n was seen */
+    uint64_t highest; /* highest counter received */
+    uint64_t seen;    /* bit n: "highest" - n was received */
 };
 
 enum wr_admission {
@@ -98,7 +98,7 @@
                            const uint8_t *body, size_t len,
                            uint8_t out[Wr_MAC_BYTES]);
 
-/* Pieces shared with the exchange of full states. */
+/* Also used by the exchange of full states. */
 void Wr_PackerInit(msgpack_packer *packer, struct wr_buffer *buffer);
 void Wr_PackRecord(msgpack_packer *packer, const struct mb_record *record);
 bool Wr_ReadRecord(const msgpack_object *object, struct mb_record *out);
--- a/packages/member/wire_datagram.c
+++ b/packages/member/wire_datagram.c
@@ -1,6 +1,6 @@
 /*
  * Datagrams: [version, type, from, incarnation, counter, sequence, subject,
- * [record...], [fact...]] in msgpack, then the code over these bytes.
+ * [record...], [fact...]] in msgpack, followed by the MAC of these bytes.
  */
 #include <openssl/crypto.h>
 #include <string.h>
@@ -9,15 +9,15 @@
 #include "base/packscan.h"
 #include "member/wire.h"
 
-#define Wr_DATAGRAM 9      /* elements */
-#define Wr_ARRAY16 0x10000 /* makes msgpack write a count of two bytes */
+#define Wr_DATAGRAM_ITEMS 9
+#define Wr_ARRAY16_LIMIT 0x10000 /* one less has a 2-byte length */
 #define Wr_COUNT_BYTES 2
 
 static void
-pack_head(msgpack_packer *packer, const struct mb_message *message,
-          uint64_t counter)
+pack_header(msgpack_packer *packer, const struct mb_message *message,
+            uint64_t counter)
 {
-    msgpack_pack_array(packer, Wr_DATAGRAM);
+    msgpack_pack_array(packer, Wr_DATAGRAM_ITEMS);
     msgpack_pack_uint8(packer, Wr_VERSION);
     msgpack_pack_uint8(packer, message->type);
     msgpack_pack_str_with_body(packer, message->from, strlen(message->from));
@@ -36,8 +36,11 @@
 pack_facts(msgpack_packer *packer, struct wr_buffer *buffer,
            struct fc_table *facts, enum fc_scope narrowest)
 {
-    /* How many facts fit shows only in the end: patch a fixed count. */
-    msgpack_pack_array(packer, Wr_ARRAY16 - 1);
+    /*
+     * The number of facts that fit is known only after packing: reserve a
+     * 2-byte count and overwrite it afterwards.
+     */
+    msgpack_pack_array(packer, Wr_ARRAY16_LIMIT - 1);
     size_t count_at = buffer->len - Wr_COUNT_BYTES;
     size_t count = 0;
     struct fc_fact fact;
@@ -55,8 +58,8 @@
 }
 
 /*
- * Packs a message and fills the room left with queued facts that the
- * receiver may be given ("facts" may be NULL).  Returns the length, 0 when
+ * Packs a message and fills the remaining space with queued facts whose scope
+ * includes the receiver ("facts" may be NULL).  Returns the length, or 0 when
  * the message does not fit.
  */
 size_t
@@ -68,7 +71,7 @@
                                .max = Wr_DATAGRAM_MAX - Wr_MAC_BYTES};
     msgpack_packer packer;
     Wr_PackerInit(&packer, &buffer);
-    pack_head(&packer, message, counter);
+    pack_header(&packer, message, counter);
     pack_facts(&packer, &buffer, facts, narrowest);
     if (buffer.overflow) {
         return 0;
@@ -78,7 +81,7 @@
 }
 
 static bool
-read_head(const msgpack_object *item, struct wr_datagram *out)
+read_header(const msgpack_object *item, struct wr_datagram *out)
 {
     struct mb_message *message = &out->message;
     for (int i = 0; i < 6; i++) {
@@ -137,18 +140,18 @@
 read_datagram(const msgpack_object *object, struct wr_datagram *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < Wr_DATAGRAM) {
+        object->via.array.size < Wr_DATAGRAM_ITEMS) {
         return false;
     }
     const msgpack_object *item = object->via.array.ptr;
-    return read_head(item, out) && read_updates(&item[7], &out->message) &&
+    return read_header(item, out) && read_updates(&item[7], &out->message) &&
            read_facts(&item[8], out);
 }
 
 /*
- * Checks and reads a datagram: ST_DENIED when its code does not fit the key,
- * ST_INVALID when its content is malformed.  Nothing is parsed before the
- * code was checked.  The values of facts lead into "data".
+ * Verifies and decodes a datagram.  Returns ST_DENIED when the MAC does not
+ * match the key, ST_INVALID when the content is malformed.  The MAC is
+ * verified before anything is parsed.  The values of facts point into "data".
  */
 enum st_status
 Wr_UnpackDatagram(const char *key, const uint8_t *data, size_t len,
@@ -156,13 +159,15 @@
 {
     uint8_t mac[Wr_MAC_BYTES];
     if (len <= Wr_MAC_BYTES || len > Wr_DATAGRAM_MAX) {
-        return St_Fail(ST_INVALID, "datagram of %zu bytes", len);
+        return St_Fail(ST_INVALID,
+                       "datagram of %zu bytes is too short or too long", len);
     }
     len -= Wr_MAC_BYTES;
     Hash_Mac(key, data, len, mac);
     if (CRYPTO_memcmp(mac, data + len, Wr_MAC_BYTES) != 0) {
-        return St_Fail(ST_DENIED, "datagram under another cluster key; give "
-                                  "all daemons the same one");
+        return St_Fail(ST_DENIED,
+                       "datagram has the MAC of another cluster key; "
+                       "give all daemons the same key");
     }
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -174,7 +179,7 @@
     msgpack_unpacked_destroy(&unpacked);
     if (!good) {
         return St_Fail(ST_INVALID, "malformed datagram; check that the "
-                                   "daemons' versions go together");
+                                   "daemons' versions are compatible");
     }
     return ST_OK;
 }
--- a/packages/member/wire_frame.c
+++ b/packages/member/wire_frame.c
@@ -1,6 +1,6 @@
 /*
- * Frames: a length of four bytes, the body in msgpack, the code.  The body
- * is [kind, id, name, status, payload].
+ * Frames: a 4-byte big-endian length, the body in msgpack, and the MAC. The
+ * body is [kind, id, name, status, payload].
  */
 #include <openssl/crypto.h>
 #include <stdlib.h>
@@ -10,17 +10,19 @@
 #include "base/packscan.h"
 #include "member/wire.h"
 
-#define Wr_FRAME 5 /* elements */
+#define Wr_FRAME_ITEMS 5
 #define Wr_SEQUENCE_BYTES 8
 
-/* Packs the body of a frame; returns its length, 0 when it does not fit. */
+/*
+ * Packs the body of a frame.  Returns its length, or 0 when it does not fit.
+ */
 size_t
 Wr_PackFrame(const struct wr_frame *frame, uint8_t *out, size_t max)
 {
     struct wr_buffer buffer = {.data = out, .max = max};
     msgpack_packer packer;
     Wr_PackerInit(&packer, &buffer);
-    msgpack_pack_array(&packer, Wr_FRAME);
+    msgpack_pack_array(&packer, Wr_FRAME_ITEMS);
     msgpack_pack_uint8(&packer, frame->kind);
     msgpack_pack_uint64(&packer, frame->id);
     msgpack_pack_str_with_body(&packer, frame->name, strlen(frame->name));
@@ -33,7 +35,7 @@
 read_frame(const msgpack_object *object, struct wr_frame *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < Wr_FRAME) {
+        object->via.array.size < Wr_FRAME_ITEMS) {
         return false;
     }
     const msgpack_object *item = object->via.array.ptr;
@@ -52,7 +54,7 @@
     return Wr_ReadString(&item[2], out->name, sizeof(out->name));
 }
 
-/* Reads the body of a frame whose code was checked already. */
+/* Decodes the body of a frame whose MAC has been verified. */
 enum st_status
 Wr_UnpackFrame(const uint8_t *body, size_t len, struct wr_frame *out)
 {
@@ -66,15 +68,15 @@
     msgpack_unpacked_destroy(&unpacked);
     if (!good) {
         return St_Fail(ST_INVALID, "malformed frame; check that the daemons' "
-                                   "versions go together");
+                                   "versions are compatible");
     }
     return ST_OK;
 }
 
 /*
- * The code of a frame.  It covers the random numbers that both sides chose
- * for this connection and the number of the frame, so that a frame recorded
- * on another connection, or earlier on this one, does not pass.
+ * Computes the MAC of a frame.  It covers the nonces that both sides chose for
+ * this connection and the sequence number of the frame, so that a frame
+ * recorded on another connection, or earlier on this one, is rejected.
  */
 enum st_status
 Wr_FrameMac(const char *key, const uint8_t *from_nonce,
