--- a/packages/member/node.c
+++ b/packages/member/node.c
@@ -90,7 +90,8 @@
         return;
     }
     node->reach_from_peer = true;
-    Mb_SetReach(node->members, data_centre, *(const char *)fact->value == '1');
+    Mb_SetReachable(node->members, data_centre,
+                    *(const char *)fact->value == '1');
     node->reach_from_peer = false;
 }
 
--- a/packages/member/table.c
+++ b/packages/member/table.c
@@ -51,7 +51,7 @@
     entry->since_usec = Ck_Now(table->clock);
     entry->deadline_usec = 0;
     entry->suspector_count = 0;
-    entry->record.by[0] = '\0';
+    entry->record.suspected_by[0] = '\0';
     entry->local_suspicion = false;
     entry->wait_usec = 0;
     entry->next_usec = 0;
@@ -162,7 +162,8 @@
         return false;
     }
     entry->suspectors[entry->suspector_count++] = hash;
-    strlcpy(entry->record.by, id, sizeof(entry->record.by));
+    strlcpy(entry->record.suspected_by, id,
+            sizeof(entry->record.suspected_by));
     if (mb_in_group(table, entry)) {
         entry->deadline_usec =
             entry->since_usec + suspicion_usec(table, entry);
@@ -261,7 +262,7 @@
     entry->record.incarnation = record->incarnation;
     mb_set_state(table, entry, record->state);
     if (record->state == MB_SUSPECT) {
-        add_suspector(table, entry, record->by);
+        add_suspector(table, entry, record->suspected_by);
     }
     mb_enqueue(table, entry);
 }
@@ -291,7 +292,7 @@
     else if (record->incarnation == entry->record.incarnation &&
              record->state == MB_SUSPECT &&
              entry->record.state == MB_SUSPECT) {
-        add_suspector(table, entry, record->by);
+        add_suspector(table, entry, record->suspected_by);
     }
 }
 
@@ -502,12 +503,13 @@
 
 /* Sets whether a data centre is reachable, as reported by a bridge. */
 void
-Mb_SetReach(struct mb_table *table, const char *data_centre, bool reachable)
+Mb_SetReachable(struct mb_table *table, const char *data_centre,
+                bool reachable)
 {
     struct mb_dc *dc;
     TAILQ_FOREACH (dc, &table->dcs, link) {
         if (strcmp(dc->name, data_centre) == 0 && dc != table->self->dc) {
-            mb_set_reach(table, dc, reachable);
+            mb_set_reachable(table, dc, reachable);
         }
     }
 }
--- a/packages/member/table.h
+++ b/packages/member/table.h
@@ -50,8 +50,8 @@
     char id[Mb_ID_MAX];
     uint64_t incarnation;
     enum mb_state state;
-    char by[Mb_ID_MAX]; /* MB_SUSPECT: id of a suspector; may be empty */
-    bool full;          /* the fields below are set */
+    char suspected_by[Mb_ID_MAX]; /* MB_SUSPECT: suspector, or empty */
+    bool full;                    /* the fields below are set */
     char address[Mb_ADDRESS_MAX];
     uint16_t peer_port;
     uint16_t admin_port;
@@ -96,11 +96,11 @@
     void (*changed)(void *arg, const struct mb_record *member,
                     enum mb_state before);
     /* A data centre became reachable or unreachable.  May be NULL. */
-    void (*reach)(void *arg, const char *data_centre, bool reachable);
+    void (*reach_changed)(void *arg, const char *data_centre, bool reachable);
 };
 
 struct mb_options {
-    struct mb_record self; /* state, by and full are ignored */
+    struct mb_record self; /* state, suspected_by, full: ignored */
     const struct ck_clock *clock;
     struct rn_random *random;
     const struct mb_ops *ops;
@@ -124,8 +124,8 @@
 void Mb_ApplyLocally(struct mb_table *table, const struct mb_record *record);
 void Mb_Gossip(struct mb_table *table);
 void Mb_Leave(struct mb_table *table);
-void Mb_SetReach(struct mb_table *table, const char *data_centre,
-                 bool reachable);
+void Mb_SetReachable(struct mb_table *table, const char *data_centre,
+                     bool reachable);
 
 /* Queries. */
 const struct mb_record *Mb_Self(const struct mb_table *table);
@@ -141,9 +141,9 @@
 enum mb_distance Mb_Distance(const struct mb_table *table,
                              const struct mb_record *record);
 uint64_t Mb_Generation(const struct mb_table *table);
-size_t Mb_Top(const struct mb_table *table, const char *key,
-              const char *data_centre, const struct mb_record **out,
-              size_t max);
+size_t Mb_RankByKey(const struct mb_table *table, const char *key,
+                    const char *data_centre, const struct mb_record **out,
+                    size_t max);
 const struct mb_record *Mb_RandomPeer(struct mb_table *table,
                                       enum mb_distance distance);
 void Mb_Digest(const struct mb_table *table, uint64_t *buckets, size_t count);
--- a/packages/member/table_internal.h
+++ b/packages/member/table_internal.h
@@ -142,6 +142,7 @@
 void mb_handle_ack(struct mb_table *table, const struct mb_message *message);
 void mb_relay_probe(struct mb_table *table, const struct mb_message *message);
 void mb_update_bridges(struct mb_table *table);
-void mb_set_reach(struct mb_table *table, struct mb_dc *dc, bool reachable);
+void mb_set_reachable(struct mb_table *table, struct mb_dc *dc,
+                      bool reachable);
 
 #endif
--- a/packages/member/table_probe.c
+++ b/packages/member/table_probe.c
@@ -56,9 +56,12 @@
     return NULL;
 }
 
-/* Records whether a data centre is reachable and calls "reach" on a change. */
+/*
+ * Records whether a data centre is reachable and calls "reach_changed" on a
+ * change.
+ */
 void
-mb_set_reach(struct mb_table *table, struct mb_dc *dc, bool reachable)
+mb_set_reachable(struct mb_table *table, struct mb_dc *dc, bool reachable)
 {
     dc->failures = 0;
     if (dc->unreachable == !reachable) {
@@ -68,8 +71,8 @@
     dc->since_usec = Ck_Now(table->clock);
     dc->wait_usec = table->period_usec;
     table->generation++;
-    if (table->ops->reach != NULL) {
-        table->ops->reach(table->arg, dc->name, reachable);
+    if (table->ops->reach_changed != NULL) {
+        table->ops->reach_changed(table->arg, dc->name, reachable);
     }
 }
 
@@ -103,7 +106,7 @@
         break;
     case MB_FOR_BRIDGE:
         if (target != NULL) {
-            mb_set_reach(table, target->dc, true);
+            mb_set_reachable(table, target->dc, true);
         }
         break;
     case MB_FOR_OTHER:
@@ -174,7 +177,7 @@
         }
     }
     else if (dc->failures >= Mb_REACH_FAILURES) {
-        mb_set_reach(table, dc, false);
+        mb_set_reachable(table, dc, false);
     }
 }
 
@@ -340,7 +343,7 @@
         strlcat(key, "/", sizeof(key));
         strlcat(key, dc->name, sizeof(key));
         const struct mb_record *top[Mb_BRIDGES];
-        size_t count = Mb_Top(table, key, own->name, top, Mb_BRIDGES);
+        size_t count = Mb_RankByKey(table, key, own->name, top, Mb_BRIDGES);
         for (size_t i = 0; i < count; i++) {
             if (top[i] == &table->self->record) {
                 dc->bridged = true;
--- a/packages/member/table_query.c
+++ b/packages/member/table_query.c
@@ -196,8 +196,8 @@
  * is NULL, from all.  Returns their number.
  */
 size_t
-Mb_Top(const struct mb_table *table, const char *key, const char *data_centre,
-       const struct mb_record **out, size_t max)
+Mb_RankByKey(const struct mb_table *table, const char *key,
+             const char *data_centre, const struct mb_record **out, size_t max)
 {
     uint64_t weights[16];
     struct mb_ranking ranking = {.records = out, .weights = weights};
--- a/packages/member/table_send.c
+++ b/packages/member/table_send.c
@@ -13,7 +13,8 @@
 size_t
 Mb_RecordBytes(const struct mb_record *record)
 {
-    size_t bytes = Mb_SHORT_BYTES + strlen(record->id) + strlen(record->by);
+    size_t bytes =
+        Mb_SHORT_BYTES + strlen(record->id) + strlen(record->suspected_by);
     if (record->full) {
         bytes += Mb_FULL_BYTES + strlen(record->address) +
                  strlen(record->data_centre) + strlen(record->region);
--- a/packages/member/test/table_test.cc
+++ b/packages/member/test/table_test.cc
@@ -123,7 +123,7 @@
         for (auto &other : node->net->nodes) {
             if (other->table != nullptr &&
                 other->data_centre == node->data_centre) {
-                Mb_SetReach(other->table, data_centre, reachable);
+                Mb_SetReachable(other->table, data_centre, reachable);
             }
         }
     }
@@ -581,17 +581,19 @@
     const struct mb_record *top[3];
     for (int i = 0; i < 200; i++) {
         std::string key = "slot" + std::to_string(i);
-        ASSERT_EQ(3U,
-                  Mb_Top(net.nodes[0]->table, key.c_str(), nullptr, top, 3));
+        ASSERT_EQ(3U, Mb_RankByKey(net.nodes[0]->table, key.c_str(), nullptr,
+                                   top, 3));
         before[key] = top[0]->id;
-        ASSERT_EQ(1U, Mb_Top(net.nodes[1]->table, key.c_str(), "dc1", top, 1));
+        ASSERT_EQ(
+            1U, Mb_RankByKey(net.nodes[1]->table, key.c_str(), "dc1", top, 1));
         EXPECT_STREQ("dc1", top[0]->data_centre);
     }
     net.Kill(net.nodes[7].get());
     ASSERT_TRUE(net.RunUntil(30 * kSec, [&] { return net.AllSee(9); }));
     int moved = 0;
     for (const auto &entry : before) {
-        Mb_Top(net.nodes[3]->table, entry.first.c_str(), nullptr, top, 1);
+        Mb_RankByKey(net.nodes[3]->table, entry.first.c_str(), nullptr, top,
+                     1);
         if (entry.second == "n7") {
             moved++;
         }
--- a/packages/member/test/wire_test.cc
+++ b/packages/member/test/wire_test.cc
@@ -27,7 +27,7 @@
         out.admin_port = 9000;
     }
     else {
-        snprintf(out.by, sizeof(out.by), "suspector");
+        snprintf(out.suspected_by, sizeof(out.suspected_by), "suspector");
     }
     return out;
 }
--- a/packages/member/wire.c
+++ b/packages/member/wire.c
@@ -71,7 +71,7 @@
     pack_string(packer, record->id);
     msgpack_pack_uint64(packer, record->incarnation);
     msgpack_pack_uint8(packer, record->state);
-    pack_string(packer, record->by);
+    pack_string(packer, record->suspected_by);
     if (record->full) {
         pack_string(packer, record->address);
         msgpack_pack_uint16(packer, record->peer_port);
@@ -150,7 +150,8 @@
         out->id[0] == '\0' ||
         !read_number(&item[1], UINT64_MAX - 1, &out->incarnation) ||
         !read_number(&item[2], MB_DEAD, &state) ||
-        !Wr_ReadString(&item[3], out->by, sizeof(out->by))) {
+        !Wr_ReadString(&item[3], out->suspected_by,
+                       sizeof(out->suspected_by))) {
         return false;
     }
     out->state = (enum mb_state)state;
