--- a/packages/member/node_query.c
+++ b/packages/member/node_query.c
@@ -77,8 +77,7 @@
     return first != NULL && strcmp(first->id, Nd_Id(node)) == 0;
 }
 
-/* Selects the members responsible for a key, best first; see Mb_RankByKey().
- */
+/* Selects the members responsible for a key; see Mb_RankByKey(). */
 size_t
 Nd_Top(const struct nd_node *node, const char *key, const char *data_centre,
        const struct mb_record **out, size_t max)
--- a/packages/member/table.c
+++ b/packages/member/table.c
@@ -145,9 +145,9 @@
 
 /*
  * Records a suspector.  Returns true for a new one.  A member with several
- * suspectors is declared dead early.  A member of a larger group with a single
- * suspector gets 2.5 times as long to refute, since the fault may be at the
- * suspector or on the path between the two.
+ * suspectors is declared dead early.  In a group of five or more, a member
+ * with a single suspector gets 2.5 times as long to refute, since the fault
+ * may be at the suspector or on the path between the two.
  */
 static bool
 add_suspector(struct mb_table *table, struct mb_entry *entry, const char *id)
