--- a/packages/member/wire_datagram.c
+++ b/packages/member/wire_datagram.c
@@ -166,7 +166,7 @@
     Hash_Mac(key, data, len, mac);
     if (CRYPTO_memcmp(mac, data + len, Wr_MAC_BYTES) != 0) {
         return St_Fail(ST_DENIED,
-                       "datagram has the MAC of another cluster key; "
+                       "datagram MAC does not match the cluster key; "
                        "give all daemons the same key");
     }
     msgpack_unpacked unpacked;
