--- a/packages/member/link_call.c
+++ b/packages/member/link_call.c
@@ -1,4 +1,4 @@
-/* Calls: from the request to the one result that each of them gets. */
+/* Calls: sending requests and returning exactly one result for each. */
 #include <bsd/string.h>
 #include <stdlib.h>
 #include <string.h>
@@ -11,7 +11,7 @@
 {
     struct lk_connection *connection = call->connection;
     if (connection != NULL) {
-        connection->open--;
+        connection->in_flight--;
         connection->used_usec = Ck_Now(connection->links->clock);
     }
     free(call);
@@ -32,9 +32,10 @@
 
 /*
  * Sends a request.  "done" is called once, never from within this function,
- * and not at all when this fails or after Lk_Cancel() or Lk_Destroy().  A
- * request that waits for its connection is taken back when its time is over:
- * if the result says that it has not left, it never will.
+ * and not at all when this function fails or after Lk_Cancel() or
+ * Lk_Destroy().  A request still in the send queue at its deadline is removed:
+ * when the result says that the request was not sent, it will not be sent
+ * later.
  */
 enum st_status
 Lk_Call(struct lk_links *links, const struct mb_endpoint *to, const char *type,
@@ -66,12 +67,15 @@
         return status;
     }
     call->connection = connection;
-    connection->open++;
+    connection->in_flight++;
     call->deadline_usec = Ck_Now(links->clock) + timeout_usec;
     call->done = done;
     call->arg = arg;
     TAILQ_INSERT_TAIL(&links->calls, call, link);
-    /* From the loop, not from here: sending may fail and end the call. */
+    /*
+     * Send from the event loop, not from here: a send error would end the call
+     * before this function returns.
+     */
     Lp_WatchWritable(connection->watch);
     lk_arm(links);
     if (out != NULL) {
@@ -81,14 +85,14 @@
 }
 
 static void
-take_back(struct lk_call *call)
+withdraw_frame(struct lk_call *call)
 {
     struct lk_frame *frame = call->frame;
     if (frame == NULL) {
         return;
     }
     if (frame->sealed) {
-        frame->call = NULL; /* partly sent: the rest must follow */
+        frame->call = NULL; /* partly sent: must be sent in full */
         call->frame = NULL;
     }
     else {
@@ -96,17 +100,20 @@
     }
 }
 
-/* Ends a call without a word.  Its answer, should one come, is dropped. */
+/*
+ * Ends a call without calling "done".  An answer that arrives later is
+ * dropped.
+ */
 void
 Lk_Cancel(struct lk_call *call)
 {
     struct lk_links *links = call->connection->links;
     TAILQ_REMOVE(&links->calls, call, link);
-    take_back(call);
+    withdraw_frame(call);
     free_call(call);
 }
 
-/* Ends a call with its result.  "done" may begin and cancel others. */
+/* Ends a call with its result.  "done" may start and cancel other calls. */
 void
 lk_finish(struct lk_call *call, const struct lk_result *result)
 {
@@ -114,14 +121,14 @@
     lk_done_fn done = call->done;
     void *arg = call->arg;
     TAILQ_REMOVE(&links->calls, call, link);
-    take_back(call);
+    withdraw_frame(call);
     free_call(call);
     done(arg, result);
 }
 
-/* Gives an answer to the call that waits for it; late ones are dropped. */
+/* Passes an answer to its call.  An answer whose call has ended is dropped. */
 void
-lk_take_answer(struct lk_connection *connection, const struct wr_frame *frame)
+lk_on_answer(struct lk_connection *connection, const struct wr_frame *frame)
 {
     struct lk_links *links = connection->links;
     struct lk_call *call;
@@ -135,13 +142,13 @@
     }
     struct lk_result result = {.status = frame->status,
                                .answered = true,
-                               .may_have_left = true,
+                               .maybe_sent = true,
                                .payload = frame->payload,
                                .len = frame->len};
     lk_finish(call, &result);
 }
 
-/* A call under way on a connection; NULL when there is none. */
+/* Returns a call in flight on a connection; NULL when there is none. */
 struct lk_call *
 lk_call_on(const struct lk_connection *connection)
 {
@@ -154,9 +161,9 @@
     return NULL;
 }
 
-/* A call whose time is over; NULL when there is none. */
+/* Returns a call whose deadline has passed; NULL when there is none. */
 struct lk_call *
-lk_late_call(const struct lk_links *links, int64_t now)
+lk_expired_call(const struct lk_links *links, int64_t now)
 {
     struct lk_call *call;
     TAILQ_FOREACH (call, &links->calls, link) {
--- a/packages/member/node_sync.c
+++ b/packages/member/node_sync.c
@@ -1,11 +1,11 @@
 /*
- * Exchange of full states between two nodes (anti-entropy): digests first,
- * then only what differs.
+ * Exchange of full state between two nodes (anti-entropy): digests first, then
+ * only the differences.
  *
  * "sync/digest" carries [members, [facts of a scope...]], each a digest of
- * fixed-size buckets; the answer is [differing, [record...], [[differing,
- * [stamp...]]...]], with a bit for each bucket.  "sync/merge" carries
- * [[record...], [fact...], [wanted...]] and is answered by [fact...].
+ * fixed-size buckets.  The answer is [differing, [record...], [[differing,
+ * [stamp...]]...]], where "differing" has a bit for each bucket.  "sync/merge"
+ * carries [[record...], [fact...], [wanted...]] and is answered by [fact...].
  */
 #include <bsd/string.h>
 #include <string.h>
@@ -14,15 +14,15 @@
 #include "member/node.h"
 #include "member/node_internal.h"
 
-#define Nd_BUCKETS 64 /* of members; a bit each in a uint64_t */
+#define Nd_BUCKETS 64 /* of members; one bit each in a uint64_t */
 #define Nd_SYNC_TIMEOUT_USEC (5 * Ck_USEC_PER_SEC)
 #define Nd_SYNC_RETRY_USEC Ck_USEC_PER_SEC
 #define Nd_STAMPS_MAX 1024 /* in a bucket */
-#define Nd_FAR_OF_TEN 1    /* of ten exchanges, beyond the region */
+#define Nd_FAR_OF_TEN 1    /* of ten exchanges, with other regions */
 #define Nd_REGION_OF_TEN 2
 #define Nd_DIGEST "sync/digest"
 #define Nd_MERGE "sync/merge"
-#define Nd_BYTES_MAX (Lk_PAYLOAD_MAX - 4096) /* leaves room for one more */
+#define Nd_BYTES_MAX (Lk_PAYLOAD_MAX - 4096) /* a last fact fits */
 
 static void
 pack_buckets(msgpack_packer *packer, const uint64_t *buckets, size_t count)
@@ -50,7 +50,7 @@
 }
 
 static uint64_t
-differing(const uint64_t *a, const uint64_t *b, size_t count)
+differing_bits(const uint64_t *a, const uint64_t *b, size_t count)
 {
     uint64_t bits = 0;
     for (size_t i = 0; i < count; i++) {
@@ -62,17 +62,17 @@
 }
 
 static const msgpack_object *
-parts(const msgpack_object *object, size_t least)
+array_items(const msgpack_object *object, size_t min_count)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < least) {
+        object->via.array.size < min_count) {
         return NULL;
     }
     return object->via.array.ptr;
 }
 
 static bool
-is_in(const struct mb_record *record, uint64_t bits)
+is_in_buckets(const struct mb_record *record, uint64_t bits)
 {
     return (bits >> Mb_Bucket(record, Nd_BUCKETS) & 1) != 0;
 }
@@ -84,31 +84,32 @@
     const struct mb_record *record;
     for (record = Mb_First(node->members); record != NULL;
          record = Mb_Next(record)) {
-        count += is_in(record, bits);
+        count += is_in_buckets(record, bits);
     }
     msgpack_pack_array(packer, count);
     for (record = Mb_First(node->members); record != NULL;
          record = Mb_Next(record)) {
-        if (is_in(record, bits)) {
+        if (is_in_buckets(record, bits)) {
             Wr_PackRecord(packer, record);
         }
     }
 }
 
 static bool
-take_records(struct nd_node *node, const msgpack_object *object, bool learn)
+apply_records(struct nd_node *node, const msgpack_object *object,
+              bool local_only)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct mb_record record;
-        if (!Wr_ReadRecord(&part[i], &record)) {
+        if (!Wr_ReadRecord(&item[i], &record)) {
             return false;
         }
-        if (learn) {
-            Mb_Learn(node->members, &record);
+        if (local_only) {
+            Mb_ApplyLocally(node->members, &record);
         }
         else {
             Mb_Apply(node->members, &record);
@@ -118,19 +119,20 @@
 }
 
 static bool
-take_facts(struct nd_node *node, const msgpack_object *object, bool learn)
+apply_facts(struct nd_node *node, const msgpack_object *object,
+            bool local_only)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct wr_fact fact;
-        if (!Wr_ReadFact(&part[i], &fact)) {
+        if (!Wr_ReadFact(&item[i], &fact)) {
             return false;
         }
-        if (learn) {
-            Fc_Learn(node->facts, &fact.fact);
+        if (local_only) {
+            Fc_ApplyLocally(node->facts, &fact.fact);
         }
         else {
             Fc_Apply(node->facts, &fact.fact);
@@ -170,18 +172,18 @@
 static bool
 read_stamp(const msgpack_object *object, struct fc_stamp *out)
 {
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL) {
         return false;
     }
     for (int i = 0; i < 3; i++) {
-        if (part[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
+        if (item[i].type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
             return false;
         }
     }
-    out->name_hash = part[0].via.u64;
-    out->version = part[1].via.u64;
-    out->value_hash = (uint32_t)part[2].via.u64;
+    out->name_hash = item[0].via.u64;
+    out->version = item[1].via.u64;
+    out->value_hash = (uint32_t)item[2].via.u64;
     return true;
 }
 
@@ -193,12 +195,12 @@
                                    : MB_FAR);
 }
 
-/* Unpacks the payload of a request or an answer and hands it on. */
+/* Unpacks the payload of a request or an answer and passes it to "decode". */
 static bool
-with_payload(struct nd_node *node, const void *payload, size_t len,
-             bool (*take)(struct nd_node *node, const msgpack_object *object,
-                          void *arg),
-             void *arg)
+decode_payload(struct nd_node *node, const void *payload, size_t len,
+               bool (*decode)(struct nd_node *node,
+                              const msgpack_object *object, void *arg),
+               void *arg)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -206,12 +208,12 @@
     bool good = Mp_CountsFit(payload, len) &&
                 msgpack_unpack_next(&unpacked, payload, len, &offset) ==
                     MSGPACK_UNPACK_SUCCESS &&
-                take(node, &unpacked.data, arg);
+                decode(node, &unpacked.data, arg);
     msgpack_unpacked_destroy(&unpacked);
     return good;
 }
 
-/* The answering side. */
+/* The node that answers an exchange. */
 
 struct nd_reply {
     enum fc_scope narrowest;
@@ -222,32 +224,32 @@
 answer_digest(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_reply *reply = arg;
-    const msgpack_object *part = parts(object, 2);
+    const msgpack_object *item = array_items(object, 2);
     uint64_t theirs[Nd_BUCKETS];
     uint64_t ours[Nd_BUCKETS];
-    if (part == NULL || !read_buckets(&part[0], theirs, Nd_BUCKETS) ||
-        parts(&part[1], 0) == NULL) {
+    if (item == NULL || !read_buckets(&item[0], theirs, Nd_BUCKETS) ||
+        array_items(&item[1], 0) == NULL) {
         return false;
     }
     msgpack_packer packer;
     msgpack_packer_init(&packer, &reply->buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, 3);
     Mb_Digest(node->members, ours, Nd_BUCKETS);
-    uint64_t bits = differing(theirs, ours, Nd_BUCKETS);
+    uint64_t bits = differing_bits(theirs, ours, Nd_BUCKETS);
     msgpack_pack_uint64(&packer, bits);
     pack_records(node, &packer, bits);
     size_t scopes = reply->narrowest + 1U;
-    if (part[1].via.array.size < scopes) {
-        scopes = part[1].via.array.size;
+    if (item[1].via.array.size < scopes) {
+        scopes = item[1].via.array.size;
     }
     msgpack_pack_array(&packer, scopes);
     for (size_t scope = 0; scope < scopes; scope++) {
-        if (!read_buckets(&part[1].via.array.ptr[scope], theirs, Fc_BUCKETS)) {
+        if (!read_buckets(&item[1].via.array.ptr[scope], theirs, Fc_BUCKETS)) {
             return false;
         }
         Fc_Digest(node->facts, (enum fc_scope)scope, ours);
         pack_stamps(node, &packer, (enum fc_scope)scope,
-                    differing(theirs, ours, Fc_BUCKETS));
+                    differing_bits(theirs, ours, Fc_BUCKETS));
     }
     return true;
 }
@@ -256,25 +258,28 @@
 answer_merge(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_reply *reply = arg;
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL || !take_records(node, &part[0], false) ||
-        !take_facts(node, &part[1], false)) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL || !apply_records(node, &item[0], false) ||
+        !apply_facts(node, &item[1], false)) {
         return false;
     }
-    const msgpack_object *wanted = parts(&part[2], 0);
+    const msgpack_object *wanted = array_items(&item[2], 0);
     if (wanted == NULL) {
         return false;
     }
     msgpack_packer packer;
     msgpack_packer_init(&packer, &reply->buffer, msgpack_sbuffer_write);
-    size_t given = 0;
-    size_t count = part[2].via.array.size;
+    size_t at = 0;
+    size_t count = item[2].via.array.size;
     msgpack_pack_array(&packer, count);
-    for (; given < count; given++) {
+    for (; at < count; at++) {
         struct fc_fact fact = {.owner = "", .key = ""};
-        /* Every element wanted is answered, if only by nil. */
-        if (wanted[given].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-            !Fc_ByHash(node->facts, wanted[given].via.u64, &fact) ||
+        /*
+         * Every requested fact has an element in the answer: nil when there is
+         * none to send.
+         */
+        if (wanted[at].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+            !Fc_ByHash(node->facts, wanted[at].via.u64, &fact) ||
             fact.scope > reply->narrowest ||
             reply->buffer.size > Nd_BYTES_MAX) {
             msgpack_pack_nil(&packer);
@@ -288,15 +293,15 @@
 
 static void
 reply_with(struct nd_node *node, struct lk_request *request,
-           bool (*take)(struct nd_node *node, const msgpack_object *object,
-                        void *arg))
+           bool (*decode)(struct nd_node *node, const msgpack_object *object,
+                          void *arg))
 {
     size_t len;
     const void *payload = Lk_Payload(request, &len);
     struct nd_reply reply = {.narrowest =
                                  scope_of_peer(node, Lk_From(request))};
     msgpack_sbuffer_init(&reply.buffer);
-    bool good = with_payload(node, payload, len, take, &reply);
+    bool good = decode_payload(node, payload, len, decode, &reply);
     Lk_Reply(request, good ? ST_OK : ST_INVALID, reply.buffer.data,
              good ? reply.buffer.size : 0);
     msgpack_sbuffer_destroy(&reply.buffer);
@@ -314,10 +319,10 @@
     reply_with(arg, request, answer_merge);
 }
 
-/* The asking side. */
+/* The node that starts an exchange. */
 
 static void
-ended(struct nd_node *node, bool good)
+end_sync(struct nd_node *node, bool good)
 {
     node->syncing = false;
     if (good) {
@@ -327,25 +332,25 @@
 }
 
 static bool
-take_merged(struct nd_node *node, const msgpack_object *object, void *arg)
+apply_merged(struct nd_node *node, const msgpack_object *object, void *arg)
 {
-    const msgpack_object *part = parts(object, 0);
-    if (part == NULL) {
+    const msgpack_object *item = array_items(object, 0);
+    if (item == NULL) {
         return false;
     }
     for (size_t i = 0; i < object->via.array.size; i++) {
         struct wr_fact fact;
-        if (part[i].type == MSGPACK_OBJECT_NIL) {
+        if (item[i].type == MSGPACK_OBJECT_NIL) {
             continue;
         }
-        if (!Wr_ReadFact(&part[i], &fact)) {
+        if (!Wr_ReadFact(&item[i], &fact)) {
             return false;
         }
         if (node->synced) {
             Fc_Apply(node->facts, &fact.fact);
         }
         else {
-            Fc_Learn(node->facts, &fact.fact);
+            Fc_ApplyLocally(node->facts, &fact.fact);
         }
     }
     return true;
@@ -355,12 +360,12 @@
 on_merged(void *arg, const struct lk_result *result)
 {
     struct nd_node *node = arg;
-    ended(node, result->status == ST_OK &&
-                    with_payload(node, result->payload, result->len,
-                                 take_merged, NULL));
+    end_sync(node, result->status == ST_OK &&
+                       decode_payload(node, result->payload, result->len,
+                                      apply_merged, NULL));
 }
 
-/* What to send and what to ask for, after comparing stamps. */
+/* The records and facts to send and the facts to request. */
 struct nd_difference {
     uint64_t member_bits;
     msgpack_sbuffer facts;
@@ -370,7 +375,7 @@
 };
 
 static void
-want(struct nd_difference *difference, uint64_t name_hash)
+request_fact(struct nd_difference *difference, uint64_t name_hash)
 {
     msgpack_packer packer;
     msgpack_packer_init(&packer, &difference->wanted, msgpack_sbuffer_write);
@@ -379,11 +384,11 @@
 }
 
 static void
-give(struct nd_difference *difference, const struct fc_fact *fact)
+send_fact(struct nd_difference *difference, const struct fc_fact *fact)
 {
     msgpack_packer packer;
     if (difference->facts.size > Nd_BYTES_MAX / 2) {
-        return; /* the next exchange goes on */
+        return; /* the next exchange sends the rest */
     }
     msgpack_packer_init(&packer, &difference->facts, msgpack_sbuffer_write);
     Wr_PackFact(&packer, fact);
@@ -403,7 +408,11 @@
     return false;
 }
 
-/* What they hold: newer than ours is wanted, older is given ours. */
+/*
+ * Compares the facts of the peer with the local ones: requests newer versions
+ * and sends newer local versions.  Of equal versions with different values,
+ * each side sends its value.
+ */
 static bool
 compare_theirs(struct nd_node *node, const msgpack_object *stamps,
                struct nd_difference *difference)
@@ -414,22 +423,22 @@
         if (!read_stamp(&stamps->via.array.ptr[i], &theirs)) {
             return false;
         }
-        bool known = Fc_ByHash(node->facts, theirs.name_hash, &ours);
-        if (!known || theirs.version > ours.version) {
-            want(difference, theirs.name_hash);
+        bool found = Fc_ByHash(node->facts, theirs.name_hash, &ours);
+        if (!found || theirs.version > ours.version) {
+            request_fact(difference, theirs.name_hash);
         }
         else if (theirs.version < ours.version) {
-            give(difference, &ours);
+            send_fact(difference, &ours);
         }
         else if (theirs.value_hash != Fc_ValueHash(&ours)) {
-            want(difference, theirs.name_hash);
-            give(difference, &ours);
+            request_fact(difference, theirs.name_hash);
+            send_fact(difference, &ours);
         }
     }
     return true;
 }
 
-/* What only we hold in the buckets that differ is given. */
+/* Sends the facts that only this node has in the buckets that differ. */
 static void
 compare_ours(struct nd_node *node, enum fc_scope scope, uint64_t bits,
              const msgpack_object *theirs, struct nd_difference *difference)
@@ -444,7 +453,7 @@
             struct fc_fact ours;
             if (!holds_stamp(theirs, stamps[j].name_hash) &&
                 Fc_ByHash(node->facts, stamps[j].name_hash, &ours)) {
-                give(difference, &ours);
+                send_fact(difference, &ours);
             }
         }
     }
@@ -454,33 +463,34 @@
 compare_scope(struct nd_node *node, enum fc_scope scope,
               const msgpack_object *object, struct nd_difference *difference)
 {
-    const msgpack_object *part = parts(object, 2);
-    if (part == NULL || part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        parts(&part[1], 0) == NULL ||
-        !compare_theirs(node, &part[1], difference)) {
+    const msgpack_object *item = array_items(object, 2);
+    if (item == NULL || item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        array_items(&item[1], 0) == NULL ||
+        !compare_theirs(node, &item[1], difference)) {
         return false;
     }
-    compare_ours(node, scope, part[0].via.u64, &part[1], difference);
+    compare_ours(node, scope, item[0].via.u64, &item[1], difference);
     return true;
 }
 
 static bool
-take_digest(struct nd_node *node, const msgpack_object *object, void *arg)
+apply_digest(struct nd_node *node, const msgpack_object *object, void *arg)
 {
     struct nd_difference *difference = arg;
-    const msgpack_object *part = parts(object, 3);
-    if (part == NULL || part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        parts(&part[2], 0) == NULL || part[2].via.array.size > Fc_SCOPES) {
+    const msgpack_object *item = array_items(object, 3);
+    if (item == NULL || item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        array_items(&item[2], 0) == NULL ||
+        item[2].via.array.size > Fc_SCOPES) {
         return false;
     }
-    difference->member_bits = part[0].via.u64;
-    for (size_t scope = 0; scope < part[2].via.array.size; scope++) {
+    difference->member_bits = item[0].via.u64;
+    for (size_t scope = 0; scope < item[2].via.array.size; scope++) {
         if (!compare_scope(node, (enum fc_scope)scope,
-                           &part[2].via.array.ptr[scope], difference)) {
+                           &item[2].via.array.ptr[scope], difference)) {
             return false;
         }
     }
-    return take_records(node, &part[1], !node->synced);
+    return apply_records(node, &item[1], !node->synced);
 }
 
 static bool
@@ -525,11 +535,11 @@
     msgpack_sbuffer_init(&difference.facts);
     msgpack_sbuffer_init(&difference.wanted);
     bool good = result->status == ST_OK &&
-                with_payload(node, result->payload, result->len, take_digest,
-                             &difference);
+                decode_payload(node, result->payload, result->len,
+                               apply_digest, &difference);
     if (!good || is_equal(&difference) ||
         send_merge(node, node->sync_peer, &difference) != ST_OK) {
-        ended(node, good && is_equal(&difference));
+        end_sync(node, good && is_equal(&difference));
     }
     msgpack_sbuffer_destroy(&difference.facts);
     msgpack_sbuffer_destroy(&difference.wanted);
@@ -538,12 +548,12 @@
 static const struct mb_record *
 choose_peer(struct nd_node *node)
 {
-    uint32_t chance = Rn_Below(&node->random, 10);
+    uint32_t draw = Rn_Below(&node->random, 10);
     enum mb_distance distance = MB_SAME_DATA_CENTRE;
-    if (chance < Nd_FAR_OF_TEN || node->sync_far) {
+    if (draw < Nd_FAR_OF_TEN || node->sync_far) {
         distance = MB_FAR;
     }
-    else if (chance < Nd_FAR_OF_TEN + Nd_REGION_OF_TEN) {
+    else if (draw < Nd_FAR_OF_TEN + Nd_REGION_OF_TEN) {
         distance = MB_SAME_REGION;
     }
     node->sync_far = false;
@@ -558,8 +568,9 @@
 }
 
 /*
- * Exchanges follow each other closely after the start: when many daemons
- * start at once, the first peer asked knows few of them.
+ * Sets the time of the next exchange.  The interval is short after start and
+ * doubles up to the period: when many daemons start at once, the first peers
+ * have few of the members yet.
  */
 static void
 plan_next(struct nd_node *node)
@@ -577,8 +588,8 @@
 }
 
 /*
- * Begins an exchange with a random member, mostly of the own data centre; at
- * once when a first member is known.
+ * Starts an exchange with a random member, usually of the same data centre.
+ * The first exchange starts as soon as there is a member.
  */
 void
 nd_sync_start(struct nd_node *node)
@@ -609,7 +620,7 @@
     msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Makes the node answer the exchanges of others. */
+/* Registers the handlers that answer the exchanges of other nodes. */
 enum st_status
 nd_sync_init(struct nd_node *node)
 {
--- a/packages/member/table.c
+++ b/packages/member/table.c
@@ -1,4 +1,4 @@
-/* What the table holds and how what is heard of a member is merged into it. */
+/* Holds the members of the cluster and merges received updates into them. */
 #include "member/table.h"
 
 #include <bsd/string.h>
@@ -11,11 +11,11 @@
 #define Mb_PERIOD_USEC Ck_USEC_PER_SEC
 #define Mb_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Mb_GROUP_MIN 8
-#define Mb_SUSPICION_PERIODS 4 /* times the decimal logarithm of the group */
-#define Mb_SUSPICION_ALONE 5   /* times longer with a single accuser */
+#define Mb_SUSPICION_PERIODS 4 /* times log10 of the group size */
+#define Mb_SUSPICION_FACTOR 5  /* times, divided by suspectors + 1 */
 #define Mb_ISOLATED_PERIODS 3
-#define Mb_ISOLATED_MIN 3 /* others in the group before silence means us */
-#define Mb_SPREAD_EXTRA 2 /* transmissions beyond the binary logarithm */
+#define Mb_ISOLATED_MIN 3 /* others in the group, else never isolated */
+#define Mb_SPREAD_EXTRA 2 /* transmissions beyond log2 of the members */
 
 static int
 spread_count(const struct mb_table *table)
@@ -27,21 +27,21 @@
     return count;
 }
 
-/* Queues what is known of a member for piggyback, ahead of older changes. */
+/* Queues the record of a member for gossip, ahead of older changes. */
 void
 mb_enqueue(struct mb_table *table, struct mb_entry *entry)
 {
-    if (table->quiet && entry != table->self) {
+    if (table->no_spread && entry != table->self) {
         return;
     }
-    if (entry->left > 0) {
+    if (entry->sends_left > 0) {
         TAILQ_REMOVE(&table->queue, entry, queued);
     }
-    entry->left = spread_count(table);
+    entry->sends_left = spread_count(table);
     TAILQ_INSERT_HEAD(&table->queue, entry, queued);
 }
 
-/* Sets the state and tells the owner of the table. */
+/* Sets the state of a member and calls "changed". */
 void
 mb_set_state(struct mb_table *table, struct mb_entry *entry,
              enum mb_state state)
@@ -50,9 +50,9 @@
     entry->record.state = state;
     entry->since_usec = Ck_Now(table->clock);
     entry->deadline_usec = 0;
-    entry->accuser_count = 0;
-    entry->record.by[0] = '\0';
-    entry->local = false;
+    entry->suspector_count = 0;
+    entry->record.suspected_by[0] = '\0';
+    entry->local_suspicion = false;
     entry->wait_usec = 0;
     entry->next_usec = 0;
     if (state == MB_LEAVING) {
@@ -61,11 +61,11 @@
     else if (state == MB_ALIVE) {
         entry->departed = false;
     }
-    if (mb_is_living(before) && !mb_is_living(state)) {
-        entry->place->living--;
+    if (mb_is_live(before) && !mb_is_live(state)) {
+        entry->dc->live_count--;
     }
-    else if (!mb_is_living(before) && mb_is_living(state)) {
-        entry->place->living++;
+    else if (!mb_is_live(before) && mb_is_live(state)) {
+        entry->dc->live_count++;
     }
     table->generation++;
     if (entry != table->self && before != state &&
@@ -74,16 +74,19 @@
     }
 }
 
-/* True when this node may judge whether the member is alive. */
+/*
+ * Returns true for a member of the probe group, where this node detects
+ * failures.
+ */
 bool
 mb_in_group(const struct mb_table *table, const struct mb_entry *entry)
 {
-    const struct mb_place *own = table->self->place;
-    if (entry->place == own) {
+    const struct mb_dc *own = table->self->dc;
+    if (entry->dc == own) {
         return true;
     }
-    return own->living < table->group_min &&
-           strcmp(entry->place->region, own->region) == 0;
+    return own->live_count < table->group_min &&
+           strcmp(entry->dc->region, own->region) == 0;
 }
 
 static size_t
@@ -100,23 +103,24 @@
 }
 
 /*
- * True when this node, not the others, is likely cut off: none of at least
- * three group members was heard for three periods.  Without this guard a
- * node whose switch failed would declare its whole group dead and, on its
- * return, spread that; every member would flap once.
+ * Returns true when this node itself is probably isolated: it has received
+ * nothing for three periods from any member of a group with at least three
+ * others.  Without this check, a node whose switch failed would declare its
+ * whole group dead and gossip that when it is connected again, so that every
+ * member would briefly be marked dead.
  */
 bool
 mb_isolated(const struct mb_table *table, int64_t now)
 {
-    int64_t silent = now - table->last_heard_usec;
-    return silent > Mb_ISOLATED_PERIODS * table->period_usec &&
+    int64_t silence_usec = now - table->last_received_usec;
+    return silence_usec > Mb_ISOLATED_PERIODS * table->period_usec &&
            group_size(table) > Mb_ISOLATED_MIN;
 }
 
 static int64_t
 suspicion_usec(const struct mb_table *table, const struct mb_entry *entry)
 {
-    /* log10 in thousandths is near enough: 301 for each binary digit. */
+    /* Approximate log10 in thousandths: 301 for each binary digit. */
     int64_t thousandths = 0;
     size_t size = group_size(table);
     for (size_t n = size; n > 1; n >>= 1) {
@@ -125,35 +129,41 @@
     if (thousandths < 1000) {
         thousandths = 1000;
     }
-    int64_t least =
+    int64_t min_usec =
         Mb_SUSPICION_PERIODS * table->period_usec * thousandths / 1000;
-    /* Without the two concerned and the first accuser few may be left. */
-    size_t wanted = size < 2 + Mb_ACCUSERS_MAX ? 1 : Mb_ACCUSERS_MAX;
-    if (entry->accuser_count >= wanted) {
-        return least;
-    }
-    return least * Mb_SUSPICION_ALONE / (int64_t)(entry->accuser_count + 1);
+    /*
+     * Apart from the suspected member, this node and the first suspector, a
+     * small group has few members that could confirm the suspicion.
+     */
+    size_t wanted = size < 2 + Mb_SUSPECTORS_MAX ? 1 : Mb_SUSPECTORS_MAX;
+    if (entry->suspector_count >= wanted) {
+        return min_usec;
+    }
+    return min_usec * Mb_SUSPICION_FACTOR /
+           (int64_t)(entry->suspector_count + 1);
 }
 
 /*
- * Counts an accuser; true for a new one.  A member that many find silent is
- * given up soon, one that a single node finds silent gets five times as long
- * to refute: the fault may lie with the accuser or on the path between.
+ * Records a suspector.  Returns true for a new one.  A member with several
+ * suspectors is declared dead early.  In a group of five or more, a member
+ * with a single suspector gets 2.5 times as long to refute, since the fault
+ * may be at the suspector or on the path between the two.
  */
 static bool
-add_accuser(struct mb_table *table, struct mb_entry *entry, const char *id)
+add_suspector(struct mb_table *table, struct mb_entry *entry, const char *id)
 {
     uint64_t hash = Hash_String(id, 0);
-    for (size_t i = 0; i < entry->accuser_count; i++) {
-        if (entry->accusers[i] == hash) {
+    for (size_t i = 0; i < entry->suspector_count; i++) {
+        if (entry->suspectors[i] == hash) {
             return false;
         }
     }
-    if (entry->accuser_count == Mb_ACCUSERS_MAX) {
+    if (entry->suspector_count == Mb_SUSPECTORS_MAX) {
         return false;
     }
-    entry->accusers[entry->accuser_count++] = hash;
-    strlcpy(entry->record.by, id, sizeof(entry->record.by));
+    entry->suspectors[entry->suspector_count++] = hash;
+    strlcpy(entry->record.suspected_by, id,
+            sizeof(entry->record.suspected_by));
     if (mb_in_group(table, entry)) {
         entry->deadline_usec =
             entry->since_usec + suspicion_usec(table, entry);
@@ -163,12 +173,12 @@
 }
 
 /*
- * Suspects a member that answered neither a probe nor the indirect ones.
- * While this node is cut off the suspicion stays its own and ends in no
- * verdict; see mb_isolated().
+ * Suspects a member that answered neither a direct nor an indirect probe.
+ * While this node is isolated, the suspicion is not gossiped and the member is
+ * not declared dead; see mb_isolated().
  */
 void
-mb_accuse(struct mb_table *table, struct mb_entry *entry)
+mb_suspect(struct mb_table *table, struct mb_entry *entry)
 {
     if (entry->record.state == MB_DEAD) {
         return;
@@ -176,17 +186,18 @@
     bool isolated = mb_isolated(table, Ck_Now(table->clock));
     if (entry->record.state != MB_SUSPECT) {
         mb_set_state(table, entry, MB_SUSPECT);
-        entry->local = isolated;
+        entry->local_suspicion = isolated;
     }
-    if (!entry->local) {
-        add_accuser(table, entry, table->self->record.id);
+    if (!entry->local_suspicion) {
+        add_suspector(table, entry, table->self->record.id);
     }
 }
 
 /*
- * Hearing that this node is suspected, dead or known by a later incarnation
- * (its host was replaced and the calendar of the new one is behind) it takes
- * the next incarnation, which overrides all that was said before.
+ * Refutes a record that says that this node is suspected or dead, or that has
+ * a later incarnation (the host was replaced and the clock of the new one is
+ * behind).  This node takes the next incarnation, which overrides all earlier
+ * records.
  */
 static void
 refute(struct mb_table *table, const struct mb_record *record)
@@ -205,31 +216,32 @@
 }
 
 static void
-take_places(struct mb_table *table, struct mb_entry *entry,
-            const struct mb_record *record)
+apply_location(struct mb_table *table, struct mb_entry *entry,
+               const struct mb_record *record)
 {
-    struct mb_place *place = mb_place_of(table, record);
-    if (place == NULL) {
+    struct mb_dc *dc = mb_dc_of(table, record);
+    if (dc == NULL) {
         return;
     }
-    if (mb_is_living(entry->record.state)) {
-        entry->place->living--;
-        place->living++;
+    if (mb_is_live(entry->record.state)) {
+        entry->dc->live_count--;
+        dc->live_count++;
     }
-    entry->place = place;
+    entry->dc = dc;
     enum mb_state state = entry->record.state;
     entry->record = *record;
     entry->record.state = state;
 }
 
 /*
- * A later incarnation wins; within one incarnation the later of alive,
- * leaving, suspect, dead wins.  A short record of a life not yet known is
- * left alone: the new life may have a new address, which only a full one
- * tells.
+ * Decides whether a record replaces the stored one.  The later incarnation
+ * wins; within one incarnation the later state in the order alive, leaving,
+ * suspect, dead wins.  A short record with a new incarnation is ignored unless
+ * it says that the member is dead: the restarted node may have a new address,
+ * which only a full record contains.
  */
 static bool
-is_news(const struct mb_entry *entry, const struct mb_record *record)
+supersedes(const struct mb_entry *entry, const struct mb_record *record)
 {
     if (record->incarnation < entry->record.incarnation) {
         return false;
@@ -237,25 +249,25 @@
     if (record->incarnation > entry->record.incarnation) {
         return record->full || record->state == MB_DEAD;
     }
-    return record->state > entry->record.state || entry->local;
+    return record->state > entry->record.state || entry->local_suspicion;
 }
 
 static void
-take_news(struct mb_table *table, struct mb_entry *entry,
-          const struct mb_record *record)
+apply_record(struct mb_table *table, struct mb_entry *entry,
+             const struct mb_record *record)
 {
     if (record->full) {
-        take_places(table, entry, record);
+        apply_location(table, entry, record);
     }
     entry->record.incarnation = record->incarnation;
     mb_set_state(table, entry, record->state);
     if (record->state == MB_SUSPECT) {
-        add_accuser(table, entry, record->by);
+        add_suspector(table, entry, record->suspected_by);
     }
     mb_enqueue(table, entry);
 }
 
-/* Merges what a peer says of a member. */
+/* Merges a received record of a member. */
 void
 Mb_Apply(struct mb_table *table, const struct mb_record *record)
 {
@@ -270,30 +282,31 @@
         }
         entry = mb_add(table, record);
         if (entry != NULL) {
-            take_news(table, entry, record);
+            apply_record(table, entry, record);
         }
         return;
     }
-    if (is_news(entry, record)) {
-        take_news(table, entry, record);
+    if (supersedes(entry, record)) {
+        apply_record(table, entry, record);
     }
     else if (record->incarnation == entry->record.incarnation &&
              record->state == MB_SUSPECT &&
              entry->record.state == MB_SUSPECT) {
-        add_accuser(table, entry, record->by);
+        add_suspector(table, entry, record->suspected_by);
     }
 }
 
 /*
- * Merges what a peer says of a member without spreading it further: the
- * first full state that a new node takes is news to that node alone.
+ * Merges a received record without queueing it for gossip.  A starting node
+ * uses this for the first full state that it receives, which its peers already
+ * have.
  */
 void
-Mb_Learn(struct mb_table *table, const struct mb_record *record)
+Mb_ApplyLocally(struct mb_table *table, const struct mb_record *record)
 {
-    table->quiet = true;
+    table->no_spread = true;
     Mb_Apply(table, record);
-    table->quiet = false;
+    table->no_spread = false;
 }
 
 static enum st_status
@@ -308,7 +321,7 @@
     return ST_OK;
 }
 
-/* Creates a table that knows only the node itself. */
+/* Creates a table that contains only this node. */
 enum st_status
 Mb_Create(const struct mb_options *options, struct mb_table **out)
 {
@@ -332,9 +345,9 @@
         options->group_min != 0 ? options->group_min : Mb_GROUP_MIN;
     RB_INIT(&table->members);
     TAILQ_INIT(&table->queue);
-    TAILQ_INIT(&table->places);
+    TAILQ_INIT(&table->dcs);
     table->last_tick_usec = Ck_Now(table->clock);
-    table->last_heard_usec = table->last_tick_usec;
+    table->last_received_usec = table->last_tick_usec;
     table->next_probe_usec =
         table->last_tick_usec +
         Rn_Below(table->random, (uint32_t)table->period_usec);
@@ -363,16 +376,16 @@
         RB_REMOVE(mb_tree, &table->members, entry);
         free(entry);
     }
-    struct mb_place *place;
-    while ((place = TAILQ_FIRST(&table->places)) != NULL) {
-        TAILQ_REMOVE(&table->places, place, link);
-        free(place);
+    struct mb_dc *dc;
+    while ((dc = TAILQ_FIRST(&table->dcs)) != NULL) {
+        TAILQ_REMOVE(&table->dcs, dc, link);
+        free(dc);
     }
     free(table->order);
     free(table);
 }
 
-/* Replaces the addresses asked when members are missing. */
+/* Replaces the seeds: addresses to probe that belong to no live member. */
 void
 Mb_SetSeeds(struct mb_table *table, const struct mb_endpoint *seeds,
             size_t count)
@@ -383,9 +396,12 @@
     }
 }
 
-/* Takes back what was suspected since then, while this node was cut off. */
+/*
+ * Reverts the suspicions of group members since a time, when this node turns
+ * out to have been isolated.
+ */
 static void
-acquit(struct mb_table *table, int64_t since_usec)
+revert_suspicions(struct mb_table *table, int64_t since_usec)
 {
     struct mb_entry *entry;
     RB_FOREACH (entry, mb_tree, &table->members) {
@@ -398,26 +414,26 @@
 }
 
 static void
-heard(struct mb_table *table, const struct mb_entry *sender)
+note_sender(struct mb_table *table, const struct mb_entry *sender)
 {
     int64_t now = Ck_Now(table->clock);
     if (sender == NULL) {
         return;
     }
-    if (sender->place->out_of_reach) {
-        sender->place->next_usec = now; /* no need to wait for the backoff */
+    if (sender->dc->unreachable) {
+        sender->dc->next_usec = now; /* end the backoff */
     }
     if (!mb_in_group(table, sender)) {
         return;
     }
     if (mb_isolated(table, now)) {
-        acquit(table, table->last_heard_usec);
+        revert_suspicions(table, table->last_received_usec);
     }
-    table->last_heard_usec = now;
+    table->last_received_usec = now;
 }
 
 static bool
-speaks_of(const struct mb_message *message, const char *id)
+has_update_for(const struct mb_message *message, const char *id)
 {
     for (size_t i = 0; i < message->update_count; i++) {
         if (strcmp(message->updates[i].id, id) == 0) {
@@ -434,14 +450,14 @@
     struct mb_message ack =
         mb_message_new(table, MB_ACK, ping->sequence, ping->from);
     const struct mb_entry *sender = mb_find(table, ping->from);
-    bool doubted = sender != NULL && (sender->record.state == MB_SUSPECT ||
-                                      sender->record.state == MB_DEAD);
-    if (doubted ||
+    bool suspected = sender != NULL && (sender->record.state == MB_SUSPECT ||
+                                        sender->record.state == MB_DEAD);
+    if (suspected ||
         (sender != NULL && sender->record.incarnation > ping->incarnation)) {
         mb_message_add(&ack, &sender->record);
     }
     if (ping->subject[0] == '\0' || sender == NULL ||
-        speaks_of(ping, table->self->record.id)) {
+        has_update_for(ping, table->self->record.id)) {
         mb_message_add(&ack, &table->self->record);
     }
     mb_message_fill(table, &ack);
@@ -451,9 +467,9 @@
 }
 
 /*
- * Takes a message that came from the given address.  A ping meant for
- * another node is dropped: a host that took over an address must not keep
- * its former user alive.
+ * Handles a message received from an address.  A ping for another node is
+ * dropped: a host that took over the address of a failed one must not keep
+ * that one alive in the table.
  */
 void
 Mb_Receive(struct mb_table *table, const struct mb_endpoint *from,
@@ -466,7 +482,7 @@
     for (size_t i = 0; i < message->update_count; i++) {
         Mb_Apply(table, &message->updates[i]);
     }
-    heard(table, mb_find(table, message->from));
+    note_sender(table, mb_find(table, message->from));
     switch (message->type) {
     case MB_PING:
         if (message->subject[0] == '\0' ||
@@ -475,7 +491,7 @@
         }
         break;
     case MB_ACK:
-        mb_acknowledged(table, message);
+        mb_handle_ack(table, message);
         break;
     case MB_PING_REQ:
         mb_relay_probe(table, message);
@@ -485,15 +501,15 @@
     }
 }
 
-/* Takes the verdict of a bridge on whether a data centre is within reach. */
+/* Sets whether a data centre is reachable, as reported by a bridge. */
 void
-Mb_SetReach(struct mb_table *table, const char *data_centre, bool reachable)
+Mb_SetReachable(struct mb_table *table, const char *data_centre,
+                bool reachable)
 {
-    struct mb_place *place;
-    TAILQ_FOREACH (place, &table->places, link) {
-        if (strcmp(place->name, data_centre) == 0 &&
-            place != table->self->place) {
-            mb_set_reach(table, place, reachable);
+    struct mb_dc *dc;
+    TAILQ_FOREACH (dc, &table->dcs, link) {
+        if (strcmp(dc->name, data_centre) == 0 && dc != table->self->dc) {
+            mb_set_reachable(table, dc, reachable);
         }
     }
 }
