--- a/packages/gate/admin.c
+++ b/packages/gate/admin.c
@@ -215,8 +215,8 @@
 /*
  * The bootstrap key is valid while no team exists.  Afterwards it only gives
  * the verdict on the change that it published: if the response to the first
- * change was lost, the operator repeats a change that has itself made the key
- * invalid, and must not be told that it was refused.
+ * change was lost, the operator retries a change that has itself made the key
+ * invalid, and must not be told that the change was refused.
  */
 static bool
 bootstrap_allows(struct ad_admin *admin, struct hs_request *request,
@@ -309,9 +309,9 @@
 }
 
 /*
- * Drops pending changes.  Call it before Lp_Destroy(), once Ad_OpenRequests()
- * is 0: the callers of dropped changes get no response, although the appends
- * may still take effect.
+ * Drops pending changes.  Must be called before Lp_Destroy(), and should be
+ * called only once Ad_OpenRequests() is 0: the callers of dropped changes get
+ * no response, although the appends may still take effect.
  */
 void
 Ad_Stop(struct ad_admin *admin)
@@ -322,7 +322,7 @@
     }
 }
 
-/* Call it after Lp_Destroy(); NULL is allowed. */
+/* Must be called after Lp_Destroy(); NULL is allowed. */
 void
 Ad_Destroy(struct ad_admin *admin)
 {
--- a/packages/gate/admin_publish.c
+++ b/packages/gate/admin_publish.c
@@ -38,7 +38,7 @@
     free(publish);
 }
 
-/* Frees the publish unless its request or its append is still open. */
+/* Frees a publish unless its request or its append is still open. */
 static void
 publish_free_if_ended(struct ad_publish *publish)
 {
@@ -96,7 +96,7 @@
 
 /*
  * No verdict was read in time.  The append may have taken effect, so the
- * response must claim neither success nor failure.  The id makes a repetition
+ * response must claim neither success nor failure.  The id makes a retry
  * of the change safe in both cases.
  */
 static void
@@ -237,7 +237,7 @@
     return ST_OK;
 }
 
-/* Whether the request repeats a change of the section with a verdict. */
+/* Whether the request retries a change of the section that has a verdict. */
 bool
 Ad_HasVerdict(struct ad_admin *admin, struct hs_request *request,
               const char *section)
@@ -315,8 +315,8 @@
 }
 
 /*
- * Answers the pending changes that now have a verdict.  Call it after records
- * were applied to the sections.
+ * Answers the pending changes that now have a verdict.  Must be called after
+ * records were applied to the sections.
  */
 void
 Ad_AnswerVerdicts(struct ad_admin *admin)
--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -6,7 +6,7 @@
 
 #include "gate/claims_wire.h"
 
-/* Without a reply from the peer for so long this daemon appends the claim. */
+/* If the peer has not replied by then, this daemon appends the claim. */
 #define Gc_PEER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
 /* A served claim ends before the requesting daemon stops waiting for it. */
 #define Gc_SERVE_TIMEOUT_USEC (1000 * Ck_USEC_PER_MSEC)
@@ -42,8 +42,8 @@
     size_t len;
 };
 
-/* A claim that another daemon has requested. */
-struct request {
+/* A claim that is made for another daemon. */
+struct served_claim {
     struct cl_claim claim;
     gc_answer_fn answer;
     void *arg;
@@ -204,10 +204,10 @@
                 size_t len)
 {
     struct gc_wait *wait = arg;
-    struct cw_reply answer;
-    if (status == ST_OK && Cw_ReadReply(payload, len, &answer) == ST_OK) {
-        finish_wait(wait, &answer.answer);
-        Cw_FreeReply(&answer);
+    struct cw_reply reply;
+    if (status == ST_OK && Cw_ReadReply(payload, len, &reply) == ST_OK) {
+        finish_wait(wait, &reply.answer);
+        Cw_FreeReply(&reply);
         return;
     }
     /*
@@ -307,31 +307,31 @@
 }
 
 static enum st_status
-apply_locally(struct gc_claims *claims, const struct cw_request *ask)
+apply_locally(struct gc_claims *claims, const struct cw_request *request)
 {
-    int slot = Cl_Slot(&ask->key);
+    int slot = Cl_Slot(&request->key);
     if (!Kp_IsOpen(claims->keeper, slot)) {
         Kp_Open(claims->keeper, slot);
     }
-    if (ask->kind == CW_RESULT) {
-        return Kp_Result(claims->keeper, &ask->key, &ask->attempt,
-                         &ask->answer, append_done, NULL);
+    if (request->kind == CW_RESULT) {
+        return Kp_Result(claims->keeper, &request->key, &request->attempt,
+                         &request->answer, append_done, NULL);
     }
-    return Kp_Release(claims->keeper, &ask->key, &ask->attempt, append_done,
-                      NULL);
+    return Kp_Release(claims->keeper, &request->key, &request->attempt,
+                      append_done, NULL);
 }
 
 static void
 update_done(void *arg, enum st_status status, const char *payload, size_t len)
 {
     struct update *update = arg;
-    struct cw_request ask;
+    struct cw_request request;
     update->claims->pending_updates--;
     /* Without a reply the update is appended locally; it is idempotent. */
     if (status != ST_OK &&
-        Cw_ReadRequest(update->payload, update->len, &ask) == ST_OK) {
-        apply_locally(update->claims, &ask);
-        Cw_FreeRequest(&ask);
+        Cw_ReadRequest(update->payload, update->len, &request) == ST_OK) {
+        apply_locally(update->claims, &request);
+        Cw_FreeRequest(&request);
     }
     free(update->payload);
     free(update);
@@ -381,7 +381,7 @@
     send_update(claims, key, Cw_ReleaseRequest(key, attempt));
 }
 
-/* Records the answer to a claimed request, for repeats under its key. */
+/* Records the answer to a claimed request, for retries under its key. */
 void
 Gc_Result(struct gc_claims *claims, const struct gc_key *key,
           const struct cl_answer *answer)
@@ -410,32 +410,32 @@
 static void
 peer_claim_settled(void *arg, const struct kp_answer *answer)
 {
-    struct request *request = arg;
+    struct served_claim *served = arg;
     char *text =
-        Cw_ClaimReply(answer, &request->claim.key, &request->claim.attempt);
-    request->answer(request->arg, text != NULL ? text : "",
-                    text != NULL ? strlen(text) : 0);
+        Cw_ClaimReply(answer, &served->claim.key, &served->claim.attempt);
+    served->answer(served->arg, text != NULL ? text : "",
+                   text != NULL ? strlen(text) : 0);
     free(text);
-    free(request);
+    free(served);
 }
 
 static enum st_status
-serve_claim(struct gc_claims *claims, const struct cw_request *ask,
+serve_claim(struct gc_claims *claims, const struct cw_request *request,
             gc_answer_fn answer, void *arg)
 {
-    struct request *request = calloc(1, sizeof(*request));
-    if (request == NULL) {
+    struct served_claim *served = calloc(1, sizeof(*served));
+    if (served == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
-    request->claim = ask->claim;
-    request->answer = answer;
-    request->arg = arg;
+    served->claim = request->claim;
+    served->answer = answer;
+    served->arg = arg;
     int64_t deadline =
         Ck_Now(claims->options.gate->clock) + Gc_SERVE_TIMEOUT_USEC;
-    enum st_status status = claim_locally(claims, &ask->claim, deadline,
-                                          peer_claim_settled, request);
+    enum st_status status = claim_locally(claims, &request->claim, deadline,
+                                          peer_claim_settled, served);
     if (status != ST_OK) {
-        free(request);
+        free(served);
     }
     return status;
 }
@@ -448,20 +448,20 @@
 Gc_Serve(struct gc_claims *claims, const char *payload, size_t len,
          gc_answer_fn answer, void *arg)
 {
-    struct cw_request ask;
-    enum st_status status = Cw_ReadRequest(payload, len, &ask);
+    struct cw_request request;
+    enum st_status status = Cw_ReadRequest(payload, len, &request);
     if (status != ST_OK) {
         return status;
     }
-    if (ask.kind == CW_CLAIM) {
-        status = serve_claim(claims, &ask, answer, arg);
+    if (request.kind == CW_CLAIM) {
+        status = serve_claim(claims, &request, answer, arg);
     }
     else {
-        status = apply_locally(claims, &ask);
+        status = apply_locally(claims, &request);
         if (status == ST_OK) {
             answer(arg, "", 0);
         }
     }
-    Cw_FreeRequest(&ask);
+    Cw_FreeRequest(&request);
     return status;
 }
--- a/packages/gate/claims.h
+++ b/packages/gate/claims.h
@@ -1,6 +1,6 @@
 /*
  * At-most-once execution: claims an idempotency key in the log before the
- * request is sent, and records the result for repeats under the same key.
+ * request is sent, and records the result for retries under the same key.
  *
  * Keys are hashed to slots.  Rendezvous hashing assigns each slot to one
  * daemon, which batches the claims of all daemons into one append.  The
@@ -38,7 +38,7 @@
 
 /* Access to the other daemons. */
 struct gc_ops {
-    /* The daemon that a slot is assigned to; NULL for this daemon. */
+    /* The daemon that a slot is assigned to; NULL: this daemon. */
     const char *(*assigned_node)(void *arg, int slot);
     /*
      * Sends a request to another daemon.  On ST_OK "reply" is called exactly
@@ -76,7 +76,7 @@
 void Gc_Unknown(struct gc_claims *claims, const struct gc_key *key);
 void Gc_Release(struct gc_claims *claims, const struct gc_key *key);
 
-/* Receives the reply to a request of another daemon; called once. */
+/* Sends the reply to a request of another daemon; called once. */
 typedef void (*gc_answer_fn)(void *arg, const char *payload, size_t len);
 enum st_status Gc_Serve(struct gc_claims *claims, const char *payload,
                         size_t len, gc_answer_fn answer, void *arg);
--- a/packages/gate/claims_wire.c
+++ b/packages/gate/claims_wire.c
@@ -28,7 +28,7 @@
     return text;
 }
 
-/* Encodes a claim; the caller frees the text, which is NULL without memory. */
+/* Encodes a claim as text, which the caller frees; NULL if out of memory. */
 char *
 Cw_ClaimRequest(const struct cl_claim *claim)
 {
@@ -92,10 +92,10 @@
 }
 
 void
-Cw_FreeRequest(struct cw_request *ask)
+Cw_FreeRequest(struct cw_request *request)
 {
-    free(ask->decoded_body);
-    ask->decoded_body = NULL;
+    free(request->decoded_body);
+    request->decoded_body = NULL;
 }
 
 /* Encodes the reply to a claim; the caller frees the text. */
@@ -116,7 +116,7 @@
 }
 
 static enum st_status
-read_answer(struct cw_reply *out)
+read_reply(struct cw_reply *out)
 {
     int verdict =
         index_of(verdict_names, Cw_VERDICTS,
@@ -145,7 +145,7 @@
 {
     memset(out, 0, sizeof(*out));
     out->root = json_loadb(payload, len, 0, NULL);
-    enum st_status status = read_answer(out);
+    enum st_status status = read_reply(out);
     if (status != ST_OK) {
         Cw_FreeReply(out);
     }
@@ -153,10 +153,10 @@
 }
 
 void
-Cw_FreeReply(struct cw_reply *answer)
+Cw_FreeReply(struct cw_reply *reply)
 {
-    free(answer->decoded_body);
-    json_decref(answer->root);
-    answer->decoded_body = NULL;
-    answer->root = NULL;
+    free(reply->decoded_body);
+    json_decref(reply->root);
+    reply->decoded_body = NULL;
+    reply->root = NULL;
 }
--- a/packages/gate/claims_wire.h
+++ b/packages/gate/claims_wire.h
@@ -15,7 +15,7 @@
     CW_RELEASE,
 };
 
-/* A request that was read. */
+/* A decoded request. */
 struct cw_request {
     enum cw_kind kind;
     struct cl_claim claim;     /* CW_CLAIM */
@@ -25,7 +25,7 @@
     void *decoded_body; /* body of the answer; freed by Cw_FreeRequest() */
 };
 
-/* A reply to a claim that was read. */
+/* A decoded reply to a claim. */
 struct cw_reply {
     struct kp_answer answer;
     struct cl_answer stored;
@@ -41,11 +41,11 @@
                         const struct cl_attempt *attempt);
 enum st_status Cw_ReadRequest(const char *payload, size_t len,
                               struct cw_request *out);
-void Cw_FreeRequest(struct cw_request *ask);
+void Cw_FreeRequest(struct cw_request *request);
 char *Cw_ClaimReply(const struct kp_answer *answer, const struct cl_key *key,
                     const struct cl_attempt *attempt);
 enum st_status Cw_ReadReply(const char *payload, size_t len,
                             struct cw_reply *out);
-void Cw_FreeReply(struct cw_reply *answer);
+void Cw_FreeReply(struct cw_reply *reply);
 
 #endif
--- a/packages/gate/confstream.c
+++ b/packages/gate/confstream.c
@@ -50,7 +50,10 @@
     stream->options.applied(stream->options.arg, Sc_Offset(stream->sections));
 }
 
-/* By the wall clock of the writer; -1 for a record without a time. */
+/*
+ * The age of a record: this wall clock less that of its writer; -1 for a
+ * record without a time.
+ */
 static int64_t
 age_of(const struct cs_stream *stream, const struct rc_record *record)
 {
@@ -290,11 +293,11 @@
 int64_t
 Cs_ReadAge(const struct cs_stream *stream)
 {
-    int64_t asked;
-    if (!Sn_AtTail(stream->replica, &asked)) {
+    int64_t requested_at;
+    if (!Sn_AtTail(stream->replica, &requested_at)) {
         return -1;
     }
-    return Ck_Now(stream->options.gate->clock) - asked;
+    return Ck_Now(stream->options.gate->clock) - requested_at;
 }
 
 /* Whether this daemon has read the log to its end recently. */
--- a/packages/gate/control.c
+++ b/packages/gate/control.c
@@ -118,18 +118,18 @@
 void
 Ct_Tick(struct ct_control *control)
 {
-    int64_t asked = 0;
+    int64_t requested_at = 0;
     Sn_Tick(control->replica);
-    bool ready = Sn_AtTail(control->replica, &asked);
-    Le_Tick(control->leases, ready, asked);
+    bool ready = Sn_AtTail(control->replica, &requested_at);
+    Le_Tick(control->leases, ready, requested_at);
     Wr_Tick(control->writer);
 }
 
 /* Sets whether this daemon writes the snapshots of the stream. */
 void
-Ct_SetSnapshotWriter(struct ct_control *control, bool snapshot_writer)
+Ct_SetSnapshotWriter(struct ct_control *control, bool writing)
 {
-    Sn_EnableSnapshots(control->replica, snapshot_writer);
+    Sn_EnableSnapshots(control->replica, writing);
 }
 
 /* Appends a record; the reference to "body" is taken, also on failure. */
--- a/packages/gate/hostwatch.c
+++ b/packages/gate/hostwatch.c
@@ -200,7 +200,7 @@
     return ST_OK;
 }
 
-/* Stops polling; call it before the loop is destroyed. */
+/* Stops polling; must be called before the loop is destroyed. */
 void
 Hw_Destroy(struct hw_watch *watch)
 {
--- a/packages/gate/test/admin_test.cc
+++ b/packages/gate/test/admin_test.cc
@@ -312,7 +312,7 @@
 
 /*
  * Guards against a wrong 401 for a change that is in force: the response to
- * the first publish is lost, and the repetition uses a bootstrap key that the
+ * the first publish is lost, and the retry uses a bootstrap key that the
  * change itself has made invalid.
  */
 TEST_F(Admin, BootstrapKeyGetsTheVerdictOnItsOwnChange)
@@ -439,8 +439,8 @@
 /*
  * Guards against a change that takes effect twice.  The response to the append
  * is lost and the log cannot be read for a while, so the operator gets
- * "unknown" and repeats the change with the same id at another daemon.  The
- * repetition must get the verdict on the first append.
+ * "unknown" and retries the change with the same id at another daemon.  The
+ * retry must get the verdict on the first append.
  */
 TEST_F(WithTeams, RepeatedChangeTakesEffectOnce)
 {
--- a/packages/gate/test/confstream_test.cc
+++ b/packages/gate/test/confstream_test.cc
@@ -16,7 +16,7 @@
 const int64_t kTick = 20 * Ck_USEC_PER_MSEC;
 
 // A log with one record; the first "lost" reads after the write get no answer.
-struct SilentLog {
+struct LossyLog {
     struct pl_log log = {&kOps, this};
     FakeClock clock;
     int lost = 0;
@@ -50,7 +50,7 @@
     Read(struct pl_log *log, const char *, uint64_t, size_t, pl_read_fn done,
          void *arg)
     {
-        auto *self = static_cast<SilentLog *>(log->context);
+        auto *self = static_cast<LossyLog *>(log->context);
         self->done = done;
         self->arg = arg;
         self->answer_lost = self->written && self->lost-- > 0;
@@ -63,13 +63,13 @@
     static const struct pl_ops kOps;
 };
 
-const struct pl_ops SilentLog::kOps = {nullptr, SilentLog::Read};
+const struct pl_ops LossyLog::kOps = {nullptr, LossyLog::Read};
 
 // Guards against a daemon that uses an old configuration for longer than 11 s
 // when gossip does not announce the change and two reads of the log are lost.
 TEST(ConfigStream, IsInForceInTimeWithoutNoticeAndWithTwoReadsLost)
 {
-    SilentLog log;
+    LossyLog log;
     log.lost = 2;
     bool read = false;
     struct fo_options options = {};
@@ -327,7 +327,7 @@
     EXPECT_LE(MaxDelay(stop, kInForceMax), kInForceMax);
 }
 
-// Guards against a late second change: a read under way may have returned only
+// Guards against a late second change: a read in flight may have returned only
 // the first of the two.
 TEST(ConfigStream, IsInForceInTimeForTheSecondChangeWithinOneRead)
 {
