--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -25,12 +25,12 @@
 #define Dm_POLLING_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
 #define Dm_HOSTS_PERIOD_USEC (500 * Ck_USEC_PER_MSEC)
 #define Dm_FETCH_PERIOD_USEC (200 * Ck_USEC_PER_MSEC)
-/* Peers treat a daemon as silent after four intervals without demand. */
+/* Peers consider a daemon unresponsive after 4 intervals without demand. */
 #define Dm_DEMANDS_SKIPPED_MAX 2
-/* Appends a second of one daemon; the claim keeper sets that of claims. */
+/* Appends a second of one daemon; state/keeper.c sets the rate of claims. */
 #define Dm_CONFIG_APPENDS_PER_SEC 5
 #define Dm_LEASE_APPENDS_PER_SEC 5
-#define Dm_EVIDENCE_APPENDS_PER_SEC 1
+#define Dm_SNAPSHOT_APPENDS_PER_SEC 1
 #define Dm_APPEND_BURST 20
 #define Dm_BODY_MAX_BYTES ((size_t)1 << 20)
 #define Dm_INCARNATION_MASK (UINT64_MAX >> 1)
@@ -144,7 +144,7 @@
 }
 
 static bool
-stop_none_silent(void *arg)
+stop_none_fresh(void *arg)
 {
     struct dm_daemon *daemon = arg;
     return Hs_Fresh(daemon->callers) == 0;
@@ -178,7 +178,7 @@
     .leaving = stop_leaving,
     .refusing = stop_refusing,
     .stop_listening = stop_listening,
-    .none_silent = stop_none_silent,
+    .none_fresh = stop_none_fresh,
     .idle = stop_idle,
     .finished = stop_finished,
 };
@@ -222,9 +222,9 @@
     }
     daemon->next_demand = now + In_PublishInterval(daemon->gate.intake);
     /*
-     * A daemon without callers skips most publications, and makes enough of
-     * them to keep its peers from treating it as silent.  While the number of
-     * daemons changes, as after a start, no publication is skipped.
+     * A daemon without callers skips most publications, but not so many that
+     * its peers consider it unresponsive.  While the number of daemons
+     * changes, as after a start, no publication is skipped.
      */
     bool idle =
         daemon->published_demands == 0 &&
@@ -387,7 +387,7 @@
                Dm_APPEND_BURST);
     Bg_SetRate(daemon->budget, BG_LEASE, Dm_LEASE_APPENDS_PER_SEC,
                Dm_APPEND_BURST);
-    Bg_SetRate(daemon->budget, BG_SNAPSHOT, Dm_EVIDENCE_APPENDS_PER_SEC,
+    Bg_SetRate(daemon->budget, BG_SNAPSHOT, Dm_SNAPSHOT_APPENDS_PER_SEC,
                Dm_APPEND_BURST);
     struct cs_options config = {
         .gate = &daemon->gate,
@@ -419,7 +419,7 @@
 }
 
 static enum st_status
-start_parts(struct dm_daemon *daemon)
+start_modules(struct dm_daemon *daemon)
 {
     struct gt_gate *gate = &daemon->gate;
     uint64_t incarnation;
@@ -476,7 +476,7 @@
     TAILQ_INIT(&daemon->gate.requests);
     enum st_status status = Lp_Create(&daemon->gate.loop);
     if (status == ST_OK) {
-        status = start_parts(daemon);
+        status = start_modules(daemon);
     }
     if (status == ST_OK) {
         daemon->tick = Lp_TimerCreate(daemon->gate.loop, tick, daemon);
--- a/packages/gate/daemon_internal.h
+++ b/packages/gate/daemon_internal.h
@@ -28,9 +28,9 @@
     size_t published_daemons; /* that the limits are divided by */
     int demands_skipped;
     int64_t next_fetch;
-    int64_t behind_since; /* peers have read the config stream further */
+    int64_t behind_since; /* since when peers have higher config offsets */
     int64_t next_polling_update;
-    int64_t next_offset;
+    int64_t next_offset;       /* when the config offset is next published */
     int64_t next_warmup_hosts; /* when the warm-up hosts are next updated */
     struct pl_log *log;
     struct bg_budget *budget;
@@ -54,7 +54,7 @@
 extern const struct lw_ops dm_load_ops;
 
 /* Publishes the prompt parts that crash engines to the other daemons. */
-void Dm_PublishPoison(void *arg, const struct gq_rows *report);
+void Dm_PublishPoison(void *arg, const struct gq_rows *rows);
 
 const char *Dm_NotReady(const struct dm_daemon *daemon);
 void Dm_ConfigApplied(void *arg, uint64_t offset);
--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -85,7 +85,7 @@
 };
 
 static const char *
-claim_keeper(void *arg, int slot)
+claim_assigned_node(void *arg, int slot)
 {
     struct dm_daemon *daemon = arg;
     char key[Dm_KEY_MAX];
@@ -94,25 +94,25 @@
 }
 
 static enum st_status
-claim_call(void *arg, const char *node, const char *payload, size_t len,
+claim_send(void *arg, const char *node, const char *payload, size_t len,
            int64_t timeout_usec, gc_reply_fn reply, void *reply_arg)
 {
     struct dm_daemon *daemon = arg;
-    return Pe_CallClaimKeeper(daemon->peers, node, payload, len, timeout_usec,
-                              reply, reply_arg);
+    return Pe_SendClaim(daemon->peers, node, payload, len, timeout_usec, reply,
+                        reply_arg);
 }
 
 static bool
-claim_owner_ended(void *arg, const struct rc_writer *owner)
+claim_has_ended(void *arg, const struct rc_writer *owner)
 {
     struct dm_daemon *daemon = arg;
     return Pe_RunEnded(daemon->peers, owner->node, owner->incarnation);
 }
 
 const struct gc_ops dm_claim_ops = {
-    .assigned_node = claim_keeper,
-    .send = claim_call,
-    .has_ended = claim_owner_ended,
+    .assigned_node = claim_assigned_node,
+    .send = claim_send,
+    .has_ended = claim_has_ended,
 };
 
 /*
@@ -157,9 +157,9 @@
     struct dm_daemon *daemon = arg;
     Ep_SetLoad(daemon->gate.endpoints, report->service, report->endpoint,
                &report->sample);
-    Ep_SetRefusalsBorne(daemon->gate.endpoints, report->service,
-                        report->endpoint, report->refusals_borne,
-                        report->sample.taken);
+    Ep_SetRefusalLimit(daemon->gate.endpoints, report->service,
+                       report->endpoint, report->refusal_limit,
+                       report->sample.taken);
     if (report->has_cold) {
         Ep_SetColdLeft(daemon->gate.endpoints, report->service,
                        report->endpoint, report->cold_left_usec,
@@ -234,17 +234,17 @@
 }
 
 static void
-peer_poison(void *arg, const struct gq_rows *report)
+peer_poison(void *arg, const struct gq_rows *rows)
 {
     struct dm_daemon *daemon = arg;
-    Gq_Import(daemon->gate.quarantine, report);
+    Gq_Import(daemon->gate.quarantine, rows);
 }
 
 void
-Dm_PublishPoison(void *arg, const struct gq_rows *report)
+Dm_PublishPoison(void *arg, const struct gq_rows *rows)
 {
     struct dm_daemon *daemon = arg;
-    Pe_PublishPoison(daemon->peers, report);
+    Pe_PublishPoison(daemon->peers, rows);
 }
 
 const struct pe_ops dm_peer_ops = {
@@ -304,7 +304,7 @@
 };
 
 static bool
-load_is_watcher(void *arg, const struct ch_info *info)
+load_is_assigned(void *arg, const struct ch_info *info)
 {
     struct dm_daemon *daemon = arg;
     return Pe_IsWatcher(daemon->peers, info);
@@ -319,7 +319,7 @@
 }
 
 static void
-load_silent(void *arg, const char *service, const char *endpoint)
+load_unreachable(void *arg, const char *service, const char *endpoint)
 {
     struct dm_daemon *daemon = arg;
     struct ch_table *table = Ep_Table(daemon->gate.endpoints, service);
@@ -330,7 +330,7 @@
 }
 
 const struct lw_ops dm_load_ops = {
-    .is_assigned = load_is_watcher,
+    .is_assigned = load_is_assigned,
     .report = load_report,
-    .unreachable = load_silent,
+    .unreachable = load_unreachable,
 };
--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -240,7 +240,7 @@
         }
     }
     size_t count = 0;
-    char now[Ep_EVACUATED_MAX][Cf_NAME_MAX];
+    char current[Ep_EVACUATED_MAX][Cf_NAME_MAX];
     for (size_t i = 0; i < config->data_centre_count; i++) {
         const struct cf_data_centre *centre = &config->data_centres[i];
         if (!centre->evacuated || count == Ep_EVACUATED_MAX) {
@@ -249,9 +249,9 @@
         if (!was_evacuated(pool, centre->name)) {
             Ev_Log(&GT_EVACUATED, "data_centre=%s", centre->name);
         }
-        strlcpy(now[count++], centre->name, Cf_NAME_MAX);
+        strlcpy(current[count++], centre->name, Cf_NAME_MAX);
     }
-    memcpy(pool->evacuated, now, sizeof(now[0]) * count);
+    memcpy(pool->evacuated, current, sizeof(current[0]) * count);
     pool->evacuated_count = count;
 }
 
@@ -474,8 +474,8 @@
 }
 
 static void
-set_brittle(struct ep_pool *pool, struct service *service,
-            const char *endpoint, int most, int64_t taken)
+set_refusal_limit(struct ep_pool *pool, struct service *service,
+                  const char *endpoint, int refusal_limit, int64_t taken)
 {
     int64_t now = Ck_Now(pool->gate->clock);
     const struct ch_endpoint *found = Ch_Find(service->table, endpoint);
@@ -483,20 +483,22 @@
         return;
     }
     bool before = Ch_IsBrittle(found, now);
-    if (Ch_SetRefusalLimit(service->table, endpoint, most, taken) == ST_OK &&
+    if (Ch_SetRefusalLimit(service->table, endpoint, refusal_limit, taken) ==
+            ST_OK &&
         before != Ch_IsBrittle(found, now)) {
-        Ev_Log(&GT_BRITTLE, "service=%s most=%d", service->name, most);
+        Ev_Log(&GT_BRITTLE, "service=%s most=%d", service->name,
+               refusal_limit);
     }
 }
 
 void
-Ep_SetRefusalsBorne(struct ep_pool *pool, const char *service,
-                    const char *endpoint, int most, int64_t taken)
+Ep_SetRefusalLimit(struct ep_pool *pool, const char *service,
+                   const char *endpoint, int refusal_limit, int64_t taken)
 {
     struct service *at;
     TAILQ_FOREACH (at, &pool->services, link) {
         if (service == NULL || strcmp(at->name, service) == 0) {
-            set_brittle(pool, at, endpoint, most, taken);
+            set_refusal_limit(pool, at, endpoint, refusal_limit, taken);
         }
     }
 }
--- a/packages/gate/endpoints.h
+++ b/packages/gate/endpoints.h
@@ -31,12 +31,13 @@
 void Ep_SetLoad(struct ep_pool *pool, const char *service,
                 const char *endpoint, const struct ch_sample *sample);
 /*
- * Takes the number of refused requests a second that an endpoint and the
- * others of its service can bear, from a load report taken at "taken".
- * "most" below 0: the report does not contain the number.
+ * Sets how many refused requests a second the endpoints of a service can each
+ * bear, from a load report of one of them, sampled at "taken".  A
+ * refusal_limit below 0: the report does not contain the number.
  */
-void Ep_SetRefusalsBorne(struct ep_pool *pool, const char *service,
-                         const char *endpoint, int most, int64_t taken);
+void Ep_SetRefusalLimit(struct ep_pool *pool, const char *service,
+                        const char *endpoint, int refusal_limit,
+                        int64_t taken);
 /* Sets how much longer an endpoint will be cold, as measured at "taken". */
 void Ep_SetColdLeft(struct ep_pool *pool, const char *service,
                     const char *endpoint, int64_t left_usec, int64_t taken);
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -9,15 +9,15 @@
 #define Lw_ROUND_USEC (200 * Ck_USEC_PER_MSEC)
 #define Lw_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
 #define Lw_TIMEOUT_USEC (1 * Ck_USEC_PER_SEC)
-#define Lw_SILENT_FAILURES 3
+#define Lw_UNREACHABLE_FAILURES 3
 /*
  * Samples that all daemons of a data centre together gossip in a second.  With
  * more endpoints each is gossiped less often, because every sample costs every
  * daemon of the data centre a few hundred bytes.
  */
 #define Lw_GOSSIP_PER_SEC 20
-/* Rounds after which the poll of a missing endpoint is removed. */
-#define Lw_FORGET_ROUNDS 10
+/* Rounds without assignment after which the poll of an endpoint is removed. */
+#define Lw_UNASSIGNED_ROUNDS 10
 
 /* The periodic poll of one endpoint. */
 struct poll {
@@ -27,8 +27,8 @@
     char endpoint[Ch_NAME_MAX];
     struct jc_call *call;
     int64_t due_at;
-    int failures;      /* in a row */
-    int rounds_unseen; /* rounds since the endpoint was last assigned */
+    int failures;          /* in a row */
+    int rounds_unassigned; /* rounds since the endpoint was last assigned */
 };
 
 TAILQ_HEAD(poll_list, poll);
@@ -87,7 +87,7 @@
 {
     struct lw_watch *watch = poll->watch;
     poll->failures++;
-    if (poll->failures == Lw_SILENT_FAILURES) {
+    if (poll->failures == Lw_UNREACHABLE_FAILURES) {
         watch->ops->unreachable(watch->arg, poll->service, poll->endpoint);
     }
 }
@@ -137,7 +137,7 @@
         .left_usec = number(body, "left_ms") * Ck_USEC_PER_MSEC,
         .has_cold = json_is_integer(json_object_get(body, "cold_ms")),
         .cold_left_usec = number(body, "cold_ms") * Ck_USEC_PER_MSEC,
-        .refusals_borne =
+        .refusal_limit =
             json_is_integer(json_object_get(body, "refusals_borne"))
                 ? number(body, "refusals_borne")
                 : -1,
@@ -175,20 +175,20 @@
     if (poll == NULL) {
         return;
     }
-    poll->rounds_unseen = 0;
+    poll->rounds_unassigned = 0;
     if (poll->call == NULL && Ck_Now(watch->gate->clock) >= poll->due_at) {
         start_poll(poll, info);
     }
 }
 
 static void
-remove_unseen(struct lw_watch *watch)
+remove_unassigned(struct lw_watch *watch)
 {
     struct poll *poll;
     struct poll *next;
     TAILQ_FOREACH_SAFE (poll, &watch->polls, link, next) {
-        poll->rounds_unseen++;
-        if (poll->rounds_unseen > Lw_FORGET_ROUNDS) {
+        poll->rounds_unassigned++;
+        if (poll->rounds_unassigned > Lw_UNASSIGNED_ROUNDS) {
             TAILQ_REMOVE(&watch->polls, poll, link);
             poll_free(poll);
         }
@@ -217,7 +217,7 @@
         }
     }
     watch->local_endpoints = local_endpoints;
-    remove_unseen(watch);
+    remove_unassigned(watch);
     Lp_TimerSet(watch->timer, Lw_ROUND_USEC);
 }
 
--- a/packages/gate/loadwatch.h
+++ b/packages/gate/loadwatch.h
@@ -22,9 +22,9 @@
     struct ch_sample sample;
     bool leaving;
     int64_t left_usec;      /* time until it is reclaimed, if leaving */
-    bool has_cold;          /* cold_usec is valid */
+    bool has_cold;          /* cold_left_usec is valid */
     int64_t cold_left_usec; /* remaining warm-up time when sampled */
-    int refusals_borne; /* refusals a second it can bear; below 0: unknown */
+    int refusal_limit; /* refusals a second it can bear; below 0: unknown */
     char version[Ch_NAME_MAX];
     /* The shortest interval between two gossiped samples of one endpoint. */
     int64_t gossip_interval_usec;
--- a/packages/gate/moves.c
+++ b/packages/gate/moves.c
@@ -11,7 +11,7 @@
 
 #define Mo_PERIOD_USEC (500 * Ck_USEC_PER_MSEC)
 
-/* Call Mo_SetControl() before the first tick. */
+/* Mo_SetControl() must be called before the first tick. */
 enum st_status
 Mo_Create(struct gt_gate *gate, const struct mo_ops *ops, void *arg,
           struct mo_moves **out)
@@ -28,7 +28,7 @@
     return ST_OK;
 }
 
-/* Call it after the control stream is destroyed. */
+/* Must be called after the control stream is destroyed. */
 void
 Mo_Destroy(struct mo_moves *moves)
 {
@@ -139,21 +139,21 @@
 apply(void *arg, const struct rc_record *record)
 {
     struct mo_moves *moves = arg;
-    struct mw_record move;
+    struct mw_record state;
     struct ls_lease lease;
-    if (!Rc_IsKind(record, Mw_KIND) || !Mw_ReadRecord(record->body, &move)) {
+    if (!Rc_IsKind(record, Mw_KIND) || !Mw_ReadRecord(record->body, &state)) {
         return;
     }
-    struct mo_service *service = find_or_add(moves, move.move.plan.service);
+    struct mo_service *service = find_or_add(moves, state.move.plan.service);
     if (service == NULL ||
         !Le_Get(Ct_Leases(moves->control), service->job, &lease) ||
-        lease.fence != move.fence ||
+        lease.fence != state.fence ||
         Rc_CompareWriters(&lease.holder, &record->writer) != 0) {
         return;
     }
-    service->record = move;
+    service->record = state;
     service->recorded = true;
-    log_end(&move);
+    log_end(&state);
 }
 
 static void
--- a/packages/gate/moves.h
+++ b/packages/gate/moves.h
@@ -1,8 +1,8 @@
 /*
  * Version moves: the gradual shift of a service's traffic from one version to
  * another.  This module replicates the state of each move from the log, runs
- * this router's circuit breaker and outcome counts, and does the work of the
- * lease holder that advances a move.
+ * this router's circuit breaker and outcome counts, and advances the moves
+ * whose lease this daemon holds.
  */
 #ifndef GATE_MOVES_H
 #define GATE_MOVES_H
--- a/packages/gate/moves_holder.c
+++ b/packages/gate/moves_holder.c
@@ -1,9 +1,9 @@
 /*
- * The work of the lease holder of a version move.  It merges the reports of
- * the routers, decides on the next step, and writes each decision to the log
- * with the fencing token of its lease.  A new holder continues from the last
- * record in the log.  It starts without the evidence of its predecessor and
- * collects it anew; versions that routers distrust stay distrusted meanwhile.
+ * The lease holder of a version move merges the reports of the routers,
+ * decides on the next step, and writes each decision to the log with the
+ * fencing token of its lease.  A new holder continues from the last record in
+ * the log, but collects new evidence.  A version on which a router's circuit
+ * breaker has tripped gets no requests meanwhile.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -58,15 +58,15 @@
 static bool
 is_recorded(const struct mo_service *service)
 {
-    const struct mv_move *now = &service->working;
+    const struct mv_move *working = &service->working;
     const struct mv_move *recorded = &service->record.move;
-    return service->recorded && now->phase == recorded->phase &&
-           now->share == recorded->share &&
-           now->started == recorded->started &&
-           strcmp(now->plan.to, recorded->plan.to) == 0 &&
-           strcmp(now->plan.from, recorded->plan.from) == 0 &&
-           now->plan.deadline == recorded->plan.deadline &&
-           now->plan.withdrawn == recorded->plan.withdrawn;
+    return service->recorded && working->phase == recorded->phase &&
+           working->share == recorded->share &&
+           working->started == recorded->started &&
+           strcmp(working->plan.to, recorded->plan.to) == 0 &&
+           strcmp(working->plan.from, recorded->plan.from) == 0 &&
+           working->plan.deadline == recorded->plan.deadline &&
+           working->plan.withdrawn == recorded->plan.withdrawn;
 }
 
 /*
@@ -94,15 +94,15 @@
 }
 
 static void
-collect_view(struct mo_moves *moves, struct mo_service *service,
-             struct mv_tick_input *view)
+collect_input(struct mo_moves *moves, struct mo_service *service,
+              struct mv_tick_input *input)
 {
     struct ch_table *table = Ep_Table(moves->gate->endpoints, service->name);
     const char *routers[Mo_ROUTERS_MAX];
     struct ch_capacity capacity = {0};
     int new_slots = 0;
     int old_slots = 0;
-    memset(view, 0, sizeof(*view));
+    memset(input, 0, sizeof(*input));
     if (table == NULL) {
         return;
     }
@@ -115,24 +115,24 @@
         }
         if (strcmp(info->version, service->working.plan.to) == 0) {
             new_slots += slots;
-            view->new_endpoints++;
+            input->new_endpoints++;
         }
         else if (strcmp(info->version, service->working.plan.from) == 0) {
             old_slots += slots;
         }
     }
     Ch_Capacity(table, Ck_Now(moves->gate->clock), &capacity);
-    view->new_capacity =
+    input->new_capacity =
         old_slots > new_slots ? (double)new_slots / old_slots : 1;
-    view->any_tripped = !Ch_Trusted(table, service->working.plan.to);
+    input->any_tripped = !Ch_Trusted(table, service->working.plan.to);
     /* The load is spread evenly, so each router has about the same. */
-    view->per_sec =
+    input->per_sec =
         capacity.per_sec *
         (double)moves->ops->routers(moves->arg, routers, Mo_ROUTERS_MAX);
-    if (view->per_sec > service->peak_per_sec) {
-        service->peak_per_sec = view->per_sec;
+    if (input->per_sec > service->peak_per_sec) {
+        service->peak_per_sec = input->per_sec;
     }
-    view->peak_per_sec = service->peak_per_sec;
+    input->peak_per_sec = service->peak_per_sec;
 }
 
 static void
@@ -140,15 +140,15 @@
 {
     int64_t now = Ck_Now(moves->gate->clock);
     int64_t wall = Ck_Wall(moves->gate->clock);
-    struct mv_tick_input view;
+    struct mv_tick_input input;
     if (now - service->block_closed_at >= Mo_CLOSE_USEC) {
         service->block_closed_at = now;
         Mv_CloseBlock(service->evidence);
     }
     if (is_recorded(service)) {
         Mv_Revise(&service->working, &service->plan, wall);
-        collect_view(moves, service, &view);
-        Mv_Tick(&service->working, service->evidence, &view, wall);
+        collect_input(moves, service, &input);
+        Mv_Tick(&service->working, service->evidence, &input, wall);
     }
     write_state(moves, service);
 }
--- a/packages/gate/moves_internal.h
+++ b/packages/gate/moves_internal.h
@@ -26,7 +26,7 @@
 
     /* Used by the lease holder only. */
     bool holding;
-    struct mv_move working; /* not yet in the log if it differs */
+    struct mv_move working; /* the state to log; "record" is the logged one */
     struct mv_evidence *evidence;
     int64_t block_closed_at;
     double peak_per_sec; /* highest request rate seen */
--- a/packages/gate/peer_facts.c
+++ b/packages/gate/peer_facts.c
@@ -12,7 +12,7 @@
 #define Pf_LOAD_FIELDS_MIN 6
 #define Pf_LOAD_FIELDS_COLD 7
 #define Pf_DEMAND_FIELDS 4
-/* Older daemons send 3 fields, without "places". */
+/* Older daemons send 3 fields, without the slots. */
 #define Pf_DEMAND_FIELDS_MIN 3
 #define Pf_TIME_UNIT_USEC INT64_C(1000) /* times are sent in milliseconds */
 
@@ -158,7 +158,7 @@
     msgpack_pack_int64(&packer, report->has_cold ? report->cold_left_usec /
                                                        Pf_TIME_UNIT_USEC
                                                  : -1);
-    msgpack_pack_int(&packer, report->refusals_borne);
+    msgpack_pack_int(&packer, report->refusal_limit);
     size_t len = copy_out(&buffer, out, size);
     msgpack_sbuffer_destroy(&buffer);
     return len;
@@ -200,7 +200,7 @@
         out->left_usec = read_int(&field[5]) * Pf_TIME_UNIT_USEC;
         size_t size = unpacked.data.via.array.size;
         int64_t cold = size >= Pf_LOAD_FIELDS_COLD ? read_int(&field[6]) : -1;
-        out->refusals_borne =
+        out->refusal_limit =
             size >= Pf_LOAD_FIELDS ? (int)read_int(&field[7]) : -1;
         out->has_cold = cold >= 0;
         out->cold_left_usec = cold >= 0 ? cold * Pf_TIME_UNIT_USEC : 0;
--- a/packages/gate/peer_poison.c
+++ b/packages/gate/peer_poison.c
@@ -23,8 +23,8 @@
         Pz_PackClears(&packer, rows->clears, count);
     }
     else {
-        count = rows->stop_count;
-        Pz_PackQuarantines(&packer, rows->stops, count);
+        count = rows->quarantine_count;
+        Pz_PackQuarantines(&packer, rows->quarantines, count);
     }
     size_t len = count > 0 && buffer.size <= size ? buffer.size : 0;
     memcpy(out, buffer.data, len);
@@ -42,8 +42,8 @@
         out->clear_count = Pz_ReadClears(list, out->clears, Gq_CLEARS_MAX);
     }
     else {
-        out->stop_count =
-            Pz_ReadQuarantines(list, out->stops, Gq_QUARANTINES_MAX);
+        out->quarantine_count =
+            Pz_ReadQuarantines(list, out->quarantines, Gq_QUARANTINES_MAX);
     }
 }
 
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -135,10 +135,10 @@
 poison_fact(void *arg, const struct fc_fact *fact)
 {
     struct pe_peers *peers = arg;
-    struct gq_rows report;
+    struct gq_rows rows;
     if (strcmp(fact->owner, Nd_Id(peers->node)) != 0 &&
-        Pp_Read(fact->key, fact->value, fact->len, &report)) {
-        peers->ops->poison(peers->arg, &report);
+        Pp_Read(fact->key, fact->value, fact->len, &rows)) {
+        peers->ops->poison(peers->arg, &rows);
     }
 }
 
@@ -233,7 +233,7 @@
     return status;
 }
 
-/* The daemon joins the cluster once Pe_Seed() has named peers. */
+/* Creates the peers; the daemon joins the cluster once Pe_Seed() is called. */
 enum st_status
 Pe_Create(struct gt_gate *gate, uint16_t admin_port, uint64_t incarnation,
           const struct pe_ops *ops, void *arg, struct pe_peers **out)
@@ -275,8 +275,8 @@
 }
 
 /*
- * Does not announce that the daemon leaves; Pe_Leave() does.  Call it before
- * the loop is destroyed.
+ * Frees the peers without announcing that the daemon leaves, as Pe_Leave()
+ * does.  Must be called before the loop is destroyed.
  */
 void
 Pe_Destroy(struct pe_peers *peers)
@@ -288,7 +288,7 @@
     free(peers);
 }
 
-/* Gossip is bootstrapped from live entry hosts of the host list. */
+/* Sets the live entry hosts of the host list as seeds of gossip. */
 void
 Pe_Seed(struct pe_peers *peers, const struct hl_host *hosts, size_t count)
 {
@@ -383,7 +383,7 @@
     publish(peers, &post);
 }
 
-/* False when the daemon has not published where it accepts tunnels. */
+/* Finds where a daemon accepts tunnels; false when it published nothing. */
 bool
 Pe_FindTunnel(const struct pe_peers *peers, const char *node,
               struct pf_tunnel *out)
@@ -484,8 +484,8 @@
 
 /*
  * True when this daemon, or the other watcher of the endpoint, published a
- * sample within report->spread_usec.  A change of the leaving or cold state
- * is always published at once.
+ * sample within report->gossip_interval_usec.  A change of the leaving or cold
+ * state is always published at once.
  */
 static bool
 published_recently(const struct pe_peers *peers,
@@ -505,7 +505,7 @@
 
 /*
  * Publishes a load sample to the daemons of this data centre, at most one
- * each report->spread_usec.
+ * each report->gossip_interval_usec.
  */
 void
 Pe_PublishLoad(struct pe_peers *peers, const struct lw_report *report)
@@ -572,7 +572,7 @@
 
 /* Publishes what this daemon knows of prompt parts that crash engines. */
 void
-Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *report)
+Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *rows)
 {
     static const char *const keys[] = {Pp_CRASHED, Pp_CLEARED, Pp_QUARANTINED};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
@@ -585,7 +585,7 @@
             .ttl_usec = Pe_POISON_TTL_USEC,
             .value = value,
         };
-        post.len = Pp_Write(keys[i], report, value, sizeof(value));
+        post.len = Pp_Write(keys[i], rows, value, sizeof(value));
         if (post.len > 0) {
             publish(peers, &post);
         }
@@ -644,13 +644,12 @@
 }
 
 /*
- * Calls the daemon that keeps a claim slot.  After ST_OK, "reply" is called
- * exactly once, later.
+ * Sends a request about a claim to the daemon that its slot is assigned to.
+ * After ST_OK, "reply" is called exactly once, later.
  */
 enum st_status
-Pe_CallClaimKeeper(struct pe_peers *peers, const char *node,
-                   const char *payload, size_t len, int64_t timeout_usec,
-                   gc_reply_fn reply, void *arg)
+Pe_SendClaim(struct pe_peers *peers, const char *node, const char *payload,
+             size_t len, int64_t timeout_usec, gc_reply_fn reply, void *arg)
 {
     struct claim_call *call = calloc(1, sizeof(*call));
     if (call == NULL) {
--- a/packages/gate/peers.h
+++ b/packages/gate/peers.h
@@ -42,7 +42,7 @@
      * network partition it may still serve its portion of the limits.
      */
     void (*member)(void *arg, const char *node, bool present);
-    void (*poison)(void *arg, const struct gq_rows *report);
+    void (*poison)(void *arg, const struct gq_rows *rows);
     /* A router's report on a version move. */
     void (*move_report)(void *arg, const char *text, size_t len);
     /* A remote call about claims; reply with Lk_Reply(). */
@@ -66,17 +66,17 @@
                            int64_t left_usec);
 void Pe_PublishDistrust(struct pe_peers *peers, const char *service,
                         const char *version);
-void Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *report);
+void Pe_PublishPoison(struct pe_peers *peers, const struct gq_rows *rows);
 void Pe_PublishDemand(struct pe_peers *peers,
                       const struct pf_demands *demands);
 void Pe_PublishTunnel(struct pe_peers *peers, const struct pf_tunnel *tunnel,
                       int64_t ttl_usec);
 void Pe_SendMoveReport(struct pe_peers *peers, const char *node,
                        const char *text, size_t len);
-enum st_status Pe_CallClaimKeeper(struct pe_peers *peers, const char *node,
-                                  const char *payload, size_t len,
-                                  int64_t timeout_usec, gc_reply_fn reply,
-                                  void *arg);
+enum st_status Pe_SendClaim(struct pe_peers *peers, const char *node,
+                            const char *payload, size_t len,
+                            int64_t timeout_usec, gc_reply_fn reply,
+                            void *arg);
 
 /* Queries. */
 uint16_t Pe_Port(const struct pe_peers *peers);
--- a/packages/gate/quarantine.c
+++ b/packages/gate/quarantine.c
@@ -49,28 +49,28 @@
 }
 
 static void
-on_stopped(void *arg, const struct pz_quarantine *stop, int crashes,
-           bool from_peer)
+on_quarantined(void *arg, const struct pz_quarantine *added, int crashes,
+               bool from_peer)
 {
     struct gq_quarantine *quarantine = arg;
     Ev_Log(&GT_PART_STOPPED,
            "part=%08x service=%08x customer=%08x crashes=%d by=%s",
-           stop->key.part, stop->key.service, stop->key.customer, crashes,
+           added->key.part, added->key.service, added->key.customer, crashes,
            from_peer ? "peer" : "own");
     Gt_Count(quarantine->gate, "cg_parts_stopped_total", NULL, NULL);
     Lp_TimerSet(quarantine->cancel_timer, 0);
 }
 
 static void
-on_lifted(void *arg, const struct pz_quarantine *stop, const char *why)
+on_lifted(void *arg, const struct pz_quarantine *lifted, const char *why)
 {
     (void)arg;
     Ev_Log(&GT_PART_LIFTED, "part=%08x service=%08x customer=%08x reason=%s",
-           stop->key.part, stop->key.service, stop->key.customer, why);
+           lifted->key.part, lifted->key.service, lifted->key.customer, why);
 }
 
 static const struct pz_ops table_ops = {
-    .stopped = on_stopped,
+    .stopped = on_quarantined,
     .lifted = on_lifted,
 };
 
@@ -172,10 +172,10 @@
                  const struct rq_request *request, uint32_t *part)
 {
     struct pz_request described = describe(request);
-    const struct pz_quarantine *stop =
+    const struct pz_quarantine *found =
         Pz_FindQuarantine(quarantine->table, &described, wall_now(quarantine));
-    *part = stop == NULL ? 0 : stop->key.part;
-    return stop != NULL;
+    *part = found == NULL ? 0 : found->key.part;
+    return found != NULL;
 }
 
 bool
@@ -192,8 +192,8 @@
     for (size_t i = 0; i < rows->clear_count; i++) {
         Pz_ImportClear(quarantine->table, &rows->clears[i]);
     }
-    for (size_t i = 0; i < rows->stop_count; i++) {
-        Pz_ImportQuarantine(quarantine->table, &rows->stops[i],
+    for (size_t i = 0; i < rows->quarantine_count; i++) {
+        Pz_ImportQuarantine(quarantine->table, &rows->quarantines[i],
                             wall_now(quarantine));
     }
     for (size_t i = 0; i < rows->crash_count; i++) {
@@ -210,8 +210,8 @@
                                          Gq_CRASHES_MAX, now);
     rows->clear_count =
         Pz_ExportClears(quarantine->table, rows->clears, Gq_CLEARS_MAX, now);
-    rows->stop_count = Pz_ExportQuarantines(quarantine->table, rows->stops,
-                                            Gq_QUARANTINES_MAX);
+    rows->quarantine_count = Pz_ExportQuarantines(
+        quarantine->table, rows->quarantines, Gq_QUARANTINES_MAX);
 }
 
 /* Compares the counts and the newest crash, which is in the first row. */
@@ -220,7 +220,7 @@
 {
     return rows->crash_count != published->crash_count ||
            rows->clear_count != published->clear_count ||
-           rows->stop_count != published->stop_count ||
+           rows->quarantine_count != published->quarantine_count ||
            (rows->crash_count > 0 &&
             rows->crashes[0].ended_at != published->crashes[0].ended_at);
 }
@@ -239,7 +239,7 @@
     }
     struct gq_rows rows;
     collect(quarantine, &rows);
-    bool any = rows.crash_count + rows.clear_count + rows.stop_count > 0;
+    bool any = rows.crash_count + rows.clear_count + rows.quarantine_count > 0;
     bool changed = has_changed(&rows, &quarantine->published);
     if (any &&
         (changed || now - quarantine->published_at >= Gq_REPUBLISH_USEC)) {
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -23,14 +23,15 @@
 #define Gq_CLEARS_MAX 8
 #define Gq_QUARANTINES_MAX 7
 
-/* The rows that one daemon publishes; a "stop" is a quarantined part. */
+/* The rows that one daemon publishes. */
 struct gq_rows {
     size_t crash_count;
     struct pz_crash crashes[Gq_CRASHES_MAX]; /* newest first */
     size_t clear_count;
-    struct pz_clear clears[Gq_CLEARS_MAX]; /* parts that got a token */
-    size_t stop_count;
-    struct pz_quarantine stops[Gq_QUARANTINES_MAX];
+    /* Parts of requests that got a token. */
+    struct pz_clear clears[Gq_CLEARS_MAX];
+    size_t quarantine_count;
+    struct pz_quarantine quarantines[Gq_QUARANTINES_MAX];
 };
 
 typedef void (*gq_publish_fn)(void *arg, const struct gq_rows *rows);
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -27,7 +27,7 @@
 #define Rh_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 #define Rh_USER "daemon:"
 /* Links unused for so long are removed. */
-#define Rh_FORGET_USEC (600 * Ck_USEC_PER_SEC)
+#define Rh_UNUSED_USEC (600 * Ck_USEC_PER_SEC)
 
 /* The network path from this daemon to one endpoint. */
 struct link {
@@ -189,7 +189,7 @@
     return Th_Count(reach->through);
 }
 
-/* Peers that have published a port to connect through. */
+/* Peers that have published a port for tunnels. */
 struct candidates {
     size_t count;
     struct li_peer peers[Rh_PEERS_MAX];
@@ -209,17 +209,17 @@
     const struct mb_record *member = Mb_First(members);
     for (; member != NULL && out->count < Rh_PEERS_MAX;
          member = Mb_Next(member)) {
-        struct pf_tunnel fact;
+        struct pf_tunnel tunnel;
         if (member->state != MB_ALIVE || !Mb_Usable(members, member) ||
             strcmp(member->id, Nd_Id(node)) == 0 ||
-            !Pe_FindTunnel(reach->peers, member->id, &fact)) {
+            !Pe_FindTunnel(reach->peers, member->id, &tunnel)) {
             continue;
         }
         out->rows[out->count].member = member;
-        out->rows[out->count].port = fact.port;
+        out->rows[out->count].port = tunnel.port;
         out->peers[out->count++] = (struct li_peer){
             .same_data_centre = strcmp(member->data_centre, own) == 0,
-            .cut = fact.endpoints_cut,
+            .cut = tunnel.endpoints_cut,
             .failed_at =
                 Li_LastFailure(&reach->failures, Hash_String(member->id, 0)),
         };
@@ -274,7 +274,7 @@
     if (order != LI_DIRECT_ONLY) {
         add_step(tries, true, Rh_PEER_CONNECT_USEC);
     }
-    /* Last without a shorter limit, for an endpoint slow to connect. */
+    /* The last step has the default limit, for an endpoint slow to connect. */
     add_step(tries, false, 0);
 }
 
@@ -294,11 +294,12 @@
  * are cut are probed soon, since they may be restored as well.
  */
 static void
-handle_change(struct rh_reach *reach, const struct link *changed, bool silent)
+handle_change(struct rh_reach *reach, const struct link *changed,
+              bool timed_out)
 {
     if (changed->path.cut) {
         Ev_Log(&GT_LINK_CUT, "endpoint=%s silent=%d", changed->endpoint,
-               silent);
+               timed_out);
         return;
     }
     Ev_Log(&GT_LINK_REGAINED, "endpoint=%s", changed->endpoint);
@@ -414,9 +415,9 @@
     reach->next_publish =
         now + (first || changed ? Rh_REPUBLISH_USEC : Rh_PUBLISH_USEC);
     reach->published_cut = reach->any_cut;
-    struct pf_tunnel fact = {(uint16_t)Th_Port(reach->through),
-                             reach->any_cut};
-    Pe_PublishTunnel(reach->peers, &fact, Rh_FACT_TTL_USEC);
+    struct pf_tunnel tunnel = {(uint16_t)Th_Port(reach->through),
+                               reach->any_cut};
+    Pe_PublishTunnel(reach->peers, &tunnel, Rh_FACT_TTL_USEC);
 }
 
 void
@@ -432,7 +433,7 @@
     struct link *link;
     struct link *next;
     TAILQ_FOREACH_SAFE (link, &reach->links, link, next) {
-        if (now - link->used_at >= Rh_FORGET_USEC) {
+        if (now - link->used_at >= Rh_UNUSED_USEC) {
             drop_link(reach, link);
             continue;
         }
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -1,7 +1,7 @@
 /*
  * Connections to endpoints, made directly or, where this daemon's network path
  * to an endpoint is cut, through a peer daemon that can connect to it.
- * policy/way.h decides which.
+ * policy/link.h decides which.
  */
 #ifndef GATE_REACH_H
 #define GATE_REACH_H
--- a/packages/gate/relay_engine.c
+++ b/packages/gate/relay_engine.c
@@ -29,7 +29,7 @@
 #define Rl_RETRY_SOON_SEC 1
 /*
  * A host that froze or lost its network sends no reset, so its stream would
- * stay silent until the caller's deadline.  No engine pauses so long between
+ * stall until the caller's deadline.  No engine pauses so long between
  * two tokens.  Before the first token the request may be queued at the engine;
  * it is then given up only when load polls do not reach the engine either.
  */
@@ -549,20 +549,20 @@
 
 /* Fills in what the choice of an engine depends on. */
 void
-Re_FillAsk(const struct rl_engine *relay, struct ch_request *ask)
+Re_FillCriteria(const struct rl_engine *relay, struct ch_request *criteria)
 {
     const struct rq_request *request = relay->request;
     size_t prompt_bytes = request->prompt.text_len + relay->text_len;
-    memset(ask, 0, sizeof(*ask));
-    ask->prefix = request->prompt.prefix_hash;
-    ask->prompt_tokens = (int)(prompt_bytes / Rl_BYTES_PER_TOKEN);
-    ask->expected_tokens = request->prompt.max_tokens > 0
-                               ? request->prompt.max_tokens
-                               : Rl_EXPECTED_TOKENS;
-    ask->budget = request->deadline - Ck_Now(request->gate->clock);
-    ask->is_retry = relay->attempts.total > 0;
-    ask->failed = Rq_HasFailed(&relay->attempts);
-    Rq_Constrain(request, ask);
+    memset(criteria, 0, sizeof(*criteria));
+    criteria->prefix = request->prompt.prefix_hash;
+    criteria->prompt_tokens = (int)(prompt_bytes / Rl_BYTES_PER_TOKEN);
+    criteria->expected_tokens = request->prompt.max_tokens > 0
+                                    ? request->prompt.max_tokens
+                                    : Rl_EXPECTED_TOKENS;
+    criteria->budget = request->deadline - Ck_Now(request->gate->clock);
+    criteria->is_retry = relay->attempts.total > 0;
+    criteria->failed = Rq_HasFailed(&relay->attempts);
+    Rq_Constrain(request, criteria);
 }
 
 /* Sends the request to the engine of the current flight. */
@@ -596,14 +596,14 @@
  * again.
  */
 static enum st_status
-choose(struct rl_engine *relay, struct ch_request *ask)
+choose(struct rl_engine *relay, struct ch_request *criteria)
 {
     struct rq_request *request = relay->request;
     enum st_status status =
-        Rq_Choose(request, relay->table, ask, &relay->flight);
+        Rq_Choose(request, relay->table, criteria, &relay->flight);
     if (status == ST_OVERLOAD &&
         relay->capacity_waits >= Rl_CAPACITY_WAITS_MAX) {
-        status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
+        status = Rq_ChooseAny(request, relay->table, criteria, &relay->flight);
     }
     return status;
 }
@@ -612,10 +612,10 @@
 attempt(struct rl_engine *relay)
 {
     struct rq_request *request = relay->request;
-    struct ch_request ask;
-    Re_FillAsk(relay, &ask);
+    struct ch_request criteria;
+    Re_FillCriteria(relay, &criteria);
     relay->table = Ep_Table(request->gate->endpoints, request->service->name);
-    enum st_status status = choose(relay, &ask);
+    enum st_status status = choose(relay, &criteria);
     if (status == ST_OVERLOAD && may_have_run(relay)) {
         relay->capacity_waits++;
         wait_for_engine(relay);
--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -24,18 +24,18 @@
     struct rh_tries tries;
     char kv_handle[En_KV_MAX]; /* KV cache to resume from; or empty */
     int code;                  /* HTTP status of this attempt; 0: none yet */
-    bool paused;               /* not reading from the engine: slow caller */
-    bool streaming;      /* the response headers were sent to the caller */
-    bool done;           /* the answer is complete */
-    bool invalid;        /* this attempt sent an unusable event */
-    int tokens;          /* received in order, of all attempts */
+    bool paused;    /* not reading from the engine, as the caller is slow */
+    bool streaming; /* the response headers were sent to the caller */
+    bool done;      /* the answer is complete */
+    bool invalid;   /* this attempt sent an unusable event */
+    int tokens;     /* received in order, of all attempts */
     int tokens_at_start; /* value of "tokens" when this attempt began */
     int expected_tokens; /* tokens of the answer as the engine counts them */
     char *text;          /* of the tokens received */
     size_t text_len;
     size_t text_size;
     struct en_usage usage;
-    int recomputed_tokens; /* tokens, of all attempts */
+    int recomputed_tokens; /* of all attempts */
     int64_t last_token_at;
     int64_t first_token_usec; /* time to this attempt's first token */
     int64_t first_token_at;   /* of this attempt */
@@ -47,18 +47,19 @@
     int connect_failures;         /* attempts in a row without a connection */
     int capacity_waits;           /* waits in a row for free capacity */
     struct kv_move *move;         /* cache transfer to the target, or NULL */
-    struct ch_flight target;      /* reserved during a cache transfer */
+    struct ch_flight target;      /* flight reserved during the transfer */
     struct mt_metric *first_token_metric;
     struct mt_metric *token_metric;
 };
 
 void Re_EndFlight(struct rl_engine *relay, enum ch_outcome outcome);
 void Re_DropCall(struct rl_engine *relay);
-void Re_FillAsk(const struct rl_engine *relay, struct ch_request *ask);
+void Re_FillCriteria(const struct rl_engine *relay,
+                     struct ch_request *criteria);
 void Re_Launch(struct rl_engine *relay, const char *kv);
 void Re_NextAttempt(struct rl_engine *relay);
 
-/* Streams whose engine is leaving; in relay_leave.c. */
+/* Streams whose engine is leaving; in relay_migrate.c. */
 void Re_DropMove(struct rl_engine *relay);
 void Re_PlanDue(void *arg);
 
--- a/packages/gate/relay_migrate.c
+++ b/packages/gate/relay_migrate.c
@@ -42,15 +42,16 @@
             struct sm_stream *stream)
 {
     const struct rq_request *request = relay->request;
-    int whole = request->prompt.max_tokens > 0 ? request->prompt.max_tokens
-                                               : Rl_EXPECTED_TOKENS;
+    int expected_tokens = request->prompt.max_tokens > 0
+                              ? request->prompt.max_tokens
+                              : Rl_EXPECTED_TOKENS;
     int tokens_here = relay->tokens - relay->tokens_at_start;
     stream->time_left = relay->leaves_at - now;
     stream->prompt_tokens =
         (int)(request->prompt.text_len / Rl_BYTES_PER_TOKEN);
     stream->tokens_given = relay->tokens;
     stream->tokens_expected =
-        whole > relay->tokens ? whole - relay->tokens : 1;
+        expected_tokens > relay->tokens ? expected_tokens - relay->tokens : 1;
     stream->token_usec = tokens_here > 1
                              ? (relay->last_token_at - relay->first_token_at) /
                                    (tokens_here - 1)
@@ -64,13 +65,13 @@
 {
     struct gt_gate *gate = relay->request->gate;
     struct ch_settings settings;
-    struct ch_request ask;
+    struct ch_request criteria;
     Ch_Defaults(&settings);
-    Re_FillAsk(relay, &ask);
+    Re_FillCriteria(relay, &criteria);
     memset(target, 0, sizeof(*target));
-    target->found =
-        Ch_Choose(relay->table, &ask, now, &gate->random, flight) == ST_OK &&
-        flight->endpoint != relay->flight.endpoint;
+    target->found = Ch_Choose(relay->table, &criteria, now, &gate->random,
+                              flight) == ST_OK &&
+                    flight->endpoint != relay->flight.endpoint;
     target->imports_cache = true;
     target->wait = target->found ? flight->predicted : 0;
     target->move_usec = Rl_MOVE_USEC;
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -36,8 +36,8 @@
     bool id_matches; /* the answer has the id of this attempt */
     /*
      * An earlier attempt may have been sent, so that an endpoint may have run
-     * it.  Otherwise a last attempt that did not connect would make the whole
-     * request "not run".
+     * it.  Without this flag, a last attempt that did not connect would make
+     * the whole request "not run".
      */
     bool maybe_sent;
     bool lingering;       /* waits for the answer only to record it */
@@ -73,7 +73,7 @@
     Ch_FirstToken(relay->table, &relay->flight, now);
 }
 
-/* Records the answer for repeats of the request under the same key. */
+/* Records the answer for retries of the request under the same key. */
 static void
 record_result(struct rq_request *request, int code, const char *body,
               size_t len)
@@ -232,13 +232,13 @@
  * plain request does not wait for capacity.
  */
 static enum st_status
-choose(struct rq_request *request, struct ch_request *ask)
+choose(struct rq_request *request, struct ch_request *criteria)
 {
     struct rl_plain *relay = request->plain;
     enum st_status status =
-        Rq_Choose(request, relay->table, ask, &relay->flight);
+        Rq_Choose(request, relay->table, criteria, &relay->flight);
     if (status == ST_OVERLOAD && request->tried_count > 0) {
-        status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
+        status = Rq_ChooseAny(request, relay->table, criteria, &relay->flight);
     }
     return status;
 }
@@ -249,13 +249,13 @@
     struct gt_gate *gate = request->gate;
     struct rl_plain *relay = request->plain;
     int64_t now = Ck_Now(gate->clock);
-    struct ch_request ask = {
+    struct ch_request criteria = {
         .budget = request->deadline - now,
         .is_retry = relay->attempts.total > 0,
         .failed = Rq_HasFailed(&relay->attempts),
     };
     relay->table = Ep_Table(gate->endpoints, request->service->name);
-    if (choose(request, &ask) != ST_OK) {
+    if (choose(request, &criteria) != ST_OK) {
         Rq_Refuse(request, may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE,
                   Rl_RETRY_SOON_SEC, "no endpoint of %s %s; come back later",
                   request->service->name,
@@ -289,7 +289,7 @@
 
 /*
  * Handles a caller that has gone.  A request that has claimed a key and may
- * have run waits a while longer for its answer, which is recorded for a repeat
+ * have run waits Rl_LINGER_USEC for its answer, which is recorded for a retry
  * under the same key.
  */
 void
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -174,10 +174,10 @@
 
 /* Restricts the choice to the endpoints that the request may run at. */
 void
-Rq_Constrain(const struct rq_request *request, struct ch_request *ask)
+Rq_Constrain(const struct rq_request *request, struct ch_request *criteria)
 {
-    ask->allowed = may_run_at;
-    ask->allowed_arg = request;
+    criteria->allowed = may_run_at;
+    criteria->allowed_arg = request;
 }
 
 /* Returns why no endpoint was chosen; logs it if none is allowed. */
@@ -185,10 +185,10 @@
 Rq_WhyUnavailable(const struct rq_request *request,
                   const struct ch_table *table)
 {
-    struct ch_request ask = {0};
-    Rq_Constrain(request, &ask);
+    struct ch_request criteria = {0};
+    Rq_Constrain(request, &criteria);
     if (table == NULL || Ch_First(table) == NULL ||
-        Ch_AnyAllowed(table, &ask)) {
+        Ch_AnyAllowed(table, &criteria)) {
         return "is free";
     }
     Ev_Log(&GT_NOWHERE, "request=%s service=%s customer=%s", request->id,
@@ -198,17 +198,18 @@
 
 static enum st_status
 choose(struct rq_request *request, struct ch_table *table,
-       struct ch_request *ask, struct ch_flight *flight)
+       struct ch_request *criteria, struct ch_flight *flight)
 {
     struct gt_gate *gate = request->gate;
     if (table == NULL) {
         flight->endpoint = NULL;
         return St_Fail(ST_UNAVAILABLE, "the service has no endpoint yet");
     }
-    Rq_Constrain(request, ask);
-    ask->tried = request->tried;
-    ask->tried_count = request->tried_count;
-    return Ch_Choose(table, ask, Ck_Now(gate->clock), &gate->random, flight);
+    Rq_Constrain(request, criteria);
+    criteria->tried = request->tried;
+    criteria->tried_count = request->tried_count;
+    return Ch_Choose(table, criteria, Ck_Now(gate->clock), &gate->random,
+                     flight);
 }
 
 static void
@@ -231,14 +232,14 @@
  */
 enum st_status
 Rq_Choose(struct rq_request *request, struct ch_table *table,
-          struct ch_request *ask, struct ch_flight *flight)
+          struct ch_request *criteria, struct ch_flight *flight)
 {
-    enum st_status status = choose(request, table, ask, flight);
+    enum st_status status = choose(request, table, criteria, flight);
     if (status == ST_OVERLOAD) {
         return status;
     }
     if (status != ST_OK && request->tried_count > 0) {
-        return Rq_ChooseAny(request, table, ask, flight);
+        return Rq_ChooseAny(request, table, criteria, flight);
     }
     if (status == ST_OK) {
         start_flight(request, table, flight);
@@ -249,10 +250,10 @@
 /* Like Rq_Choose(), but allows the endpoints that were tried as well. */
 enum st_status
 Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
-             struct ch_request *ask, struct ch_flight *flight)
+             struct ch_request *criteria, struct ch_flight *flight)
 {
     clear_tried(request);
-    enum st_status status = choose(request, table, ask, flight);
+    enum st_status status = choose(request, table, criteria, flight);
     if (status == ST_OK) {
         start_flight(request, table, flight);
     }
--- a/packages/gate/request.h
+++ b/packages/gate/request.h
@@ -78,12 +78,15 @@
     __attribute__((format(printf, 4, 5)));
 void Rq_Finish(struct rq_request *request, enum an_outcome outcome);
 enum st_status Rq_Choose(struct rq_request *request, struct ch_table *table,
-                         struct ch_request *ask, struct ch_flight *flight);
-void Rq_Constrain(const struct rq_request *request, struct ch_request *ask);
+                         struct ch_request *criteria,
+                         struct ch_flight *flight);
+void Rq_Constrain(const struct rq_request *request,
+                  struct ch_request *criteria);
 const char *Rq_WhyUnavailable(const struct rq_request *request,
                               const struct ch_table *table);
 enum st_status Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
-                            struct ch_request *ask, struct ch_flight *flight);
+                            struct ch_request *criteria,
+                            struct ch_flight *flight);
 void Rq_RecordDispatch(struct rq_request *request, const char *endpoint);
 int Rq_SentCount(const struct rq_attempts *attempts);
 bool Rq_HasFailed(const struct rq_attempts *attempts);
--- a/packages/gate/stop.c
+++ b/packages/gate/stop.c
@@ -17,11 +17,11 @@
 /*
  * A connection accepted before listening ended may still send its request,
  * which is then refused by an error response rather than by a reset.  The
- * daemon always waits for the first time, and for silent connections for the
- * second time in addition.
+ * daemon always waits Sp_CLOSED_USEC, and up to Sp_FRESH_USEC more for
+ * connections that have not sent a request.
  */
 #define Sp_CLOSED_USEC (500 * Ck_USEC_PER_MSEC)
-#define Sp_SILENT_USEC (5 * Ck_USEC_PER_SEC)
+#define Sp_FRESH_USEC (5 * Ck_USEC_PER_SEC)
 #define Sp_POLL_USEC (50 * Ck_USEC_PER_MSEC)
 /*
  * Listening ends this long before the deadline, so that a forced stop resets
@@ -80,8 +80,8 @@
     case SP_CLOSED:
         stop->complete = now >= stop->phase_end &&
                          stop->ops->idle(stop->arg) &&
-                         (stop->ops->none_silent(stop->arg) ||
-                          now >= stop->phase_end + Sp_SILENT_USEC);
+                         (stop->ops->none_fresh(stop->arg) ||
+                          now >= stop->phase_end + Sp_FRESH_USEC);
         return;
     }
 }
@@ -147,7 +147,7 @@
     .closed = signal_closed,
 };
 
-/* SIGTERM and SIGINT, received on the loop, call Sp_Begin(). */
+/* Calls Sp_Begin() on SIGTERM and SIGINT, which are received on the loop. */
 enum st_status
 Sp_Create(struct gt_gate *gate, const struct sp_ops *ops, void *arg,
           struct sp_stop **out)
@@ -178,7 +178,7 @@
     return ST_OK;
 }
 
-/* Call it before the loop is destroyed. */
+/* Must be called before the loop is destroyed. */
 void
 Sp_Destroy(struct sp_stop *stop)
 {
--- a/packages/gate/stop.h
+++ b/packages/gate/stop.h
@@ -26,7 +26,7 @@
      */
     bool (*stop_listening)(void *arg, int64_t now);
     /* True when every connection has sent a request, or is closed. */
-    bool (*none_silent)(void *arg);
+    bool (*none_fresh)(void *arg);
     /* True when an exit would cut no request and lose no work. */
     bool (*idle)(void *arg);
     /* All work has ended, or the deadline has passed: leave the loop. */
