--- a/packages/gate/daemon_peers.c
+++ b/packages/gate/daemon_peers.c
@@ -11,8 +11,8 @@
 #define Dm_KEY_MAX 32
 /*
  * A new config offset is published twice.  Gossip misses a few daemons in a
- * hundred; without the second time they would get it from the full exchange of
- * facts half a minute later, while an operator waits.
+ * hundred; without the second publication they would get the offset from the
+ * full exchange of facts half a minute later, while an operator waits.
  */
 #define Dm_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 
--- a/packages/gate/loadwatch.h
+++ b/packages/gate/loadwatch.h
@@ -1,7 +1,8 @@
 /*
- * Polls the load of the model engines that are assigned to this daemon.  A few
- * daemons near an engine poll it, and gossip carries the samples to the
- * others: if 420 daemons polled 740 engines there would be 310,800 pairs.
+ * Polls the load of the model engines that are assigned to this daemon.  Two
+ * daemons in the data centre of an engine poll it, or any two if it has no
+ * daemon there, and gossip carries the samples to the others: if 420 daemons
+ * polled 740 engines there would be 310,800 pairs.
  */
 #ifndef GATE_LOADWATCH_H
 #define GATE_LOADWATCH_H
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -21,8 +21,8 @@
 #define Rh_FACT_TTL_USEC (3600 * Ck_USEC_PER_SEC)
 #define Rh_PUBLISH_USEC (1200 * Ck_USEC_PER_SEC)
 /*
- * Repeated once, soon after a start or a change, because gossip misses a few
- * daemons in 100.
+ * After a start or a change the tunnel is published once more after this time,
+ * because gossip misses a few daemons in 100.
  */
 #define Rh_REPUBLISH_USEC (3 * Ck_USEC_PER_SEC)
 #define Rh_USER "daemon:"
