--- a/packages/gate/loadwatch.h
+++ b/packages/gate/loadwatch.h
@@ -1,7 +1,8 @@
 /*
- * Polls the load of the model engines that are assigned to this daemon.  A few
- * daemons near an engine poll it, and gossip carries the samples to the
- * others: if 420 daemons polled 740 engines there would be 310,800 pairs.
+ * Polls the load of the model engines that are assigned to this daemon.  Two
+ * daemons in the data centre of an engine poll it, or any two if it has no
+ * daemon there, and gossip carries the samples to the others: if 420 daemons
+ * polled 740 engines there would be 310,800 pairs.
  */
 #ifndef GATE_LOADWATCH_H
 #define GATE_LOADWATCH_H
@@ -22,9 +23,9 @@
     struct ch_sample sample;
     bool leaving;
     int64_t left_usec;      /* time until it is reclaimed, if leaving */
-    bool has_cold;          /* cold_usec is valid */
+    bool has_cold;          /* cold_left_usec is valid */
     int64_t cold_left_usec; /* remaining warm-up time when sampled */
-    int refusals_borne; /* refusals a second it can bear; below 0: unknown */
+    int refusal_limit; /* refusals a second it can bear; below 0: unknown */
     char version[Ch_NAME_MAX];
     /* The shortest interval between two gossiped samples of one endpoint. */
     int64_t gossip_interval_usec;
