--- a/packages/model/agenda.c
+++ b/packages/model/agenda.c
@@ -2,12 +2,12 @@
 
 #include <stdlib.h>
 
-#define Ag_FIRST_SIZE 256
+#define Ag_INITIAL_ENTRIES 256
 
 struct ag_agenda {
     struct ag_entry *heap;
     size_t count;
-    size_t size;
+    size_t capacity;
     uint64_t order;
 };
 
@@ -35,21 +35,22 @@
 static bool
 grow(struct ag_agenda *agenda)
 {
-    size_t size = agenda->size == 0 ? Ag_FIRST_SIZE : agenda->size * 2;
+    size_t capacity =
+        agenda->capacity == 0 ? Ag_INITIAL_ENTRIES : agenda->capacity * 2;
     struct ag_entry *heap =
-        reallocarray(agenda->heap, size, sizeof(*agenda->heap));
+        reallocarray(agenda->heap, capacity, sizeof(*agenda->heap));
     if (heap == NULL) {
         return false;
     }
     agenda->heap = heap;
-    agenda->size = size;
+    agenda->capacity = capacity;
     return true;
 }
 
 bool
 Ag_Add(struct ag_agenda *agenda, int64_t at, int kind, size_t index)
 {
-    if (agenda->count == agenda->size && !grow(agenda)) {
+    if (agenda->count == agenda->capacity && !grow(agenda)) {
         return false;
     }
     struct ag_entry entry = {at, agenda->order++, kind, index};
@@ -63,7 +64,7 @@
     return true;
 }
 
-/* Puts the entry into the hole at the top. */
+/* Inserts the entry at the root, which is free, and restores heap order. */
 static void
 sift_down(struct ag_agenda *agenda, const struct ag_entry *entry)
 {
--- a/packages/model/agenda.h
+++ b/packages/model/agenda.h
@@ -1,5 +1,7 @@
-/* What happens next in a model: a heap of moments, in order of time and, at
-   the same time, of entry.  Deterministic. */
+/*
+ * Event queue of a simulation: a binary heap ordered by time and, for events
+ * at the same time, by insertion.  Deterministic.
+ */
 #ifndef MODEL_AGENDA_H
 #define MODEL_AGENDA_H
 
@@ -17,15 +19,15 @@
     int64_t at; /* microseconds */
     uint64_t order;
     int kind;
-    size_t index; /* of what it happens to */
+    size_t index; /* of the object that the event concerns */
 };
 
-/* NULL without memory. */
+/* Returns NULL if an allocation fails. */
 struct ag_agenda *Ag_Create(void);
 void Ag_Destroy(struct ag_agenda *agenda);
-/* False without memory. */
+/* Returns false if an allocation fails. */
 bool Ag_Add(struct ag_agenda *agenda, int64_t at, int kind, size_t index);
-/* Takes out the first; false when there is none. */
+/* Removes the earliest event; returns false if the queue is empty. */
 bool Ag_Next(struct ag_agenda *agenda, struct ag_entry *out);
 
 #ifdef __cplusplus
--- a/packages/model/engine.c
+++ b/packages/model/engine.c
@@ -6,16 +6,16 @@
 
 #define Me_BUCKETS 1024 /* a power of two */
 
-/* A part of a prompt that is kept, with all parts before it. */
-struct kept {
-    LIST_ENTRY(kept) bucket_link;
-    TAILQ_ENTRY(kept) age_link;
-    uint64_t chain;
+/* A cached prompt part, identified by a hash of it and all parts before it. */
+struct cached_part {
+    LIST_ENTRY(cached_part) bucket_link;
+    TAILQ_ENTRY(cached_part) lru_link;
+    uint64_t prefix_hash;
     int64_t tokens;
 };
 
-LIST_HEAD(kept_bucket, kept);
-TAILQ_HEAD(kept_list, kept);
+LIST_HEAD(cache_bucket, cached_part);
+TAILQ_HEAD(cache_list, cached_part);
 TAILQ_HEAD(job_list, me_job);
 
 struct me_engine {
@@ -25,10 +25,10 @@
     struct job_list waiting;
     struct job_list running;
     int running_count;
-    int64_t context;         /* tokens of those that run */
-    struct kept_list by_age; /* the one used last is last */
-    struct kept_bucket buckets[Me_BUCKETS];
-    int64_t kept_tokens;
+    int64_t context;       /* tokens of the running requests */
+    struct cache_list lru; /* least recently used first */
+    struct cache_bucket buckets[Me_BUCKETS];
+    int64_t cached_tokens;
 };
 
 struct me_engine *
@@ -41,18 +41,18 @@
         engine->arg = arg;
         TAILQ_INIT(&engine->waiting);
         TAILQ_INIT(&engine->running);
-        TAILQ_INIT(&engine->by_age);
+        TAILQ_INIT(&engine->lru);
     }
     return engine;
 }
 
 static void
-drop(struct me_engine *engine, struct kept *kept)
+evict(struct me_engine *engine, struct cached_part *cached)
 {
-    LIST_REMOVE(kept, bucket_link);
-    TAILQ_REMOVE(&engine->by_age, kept, age_link);
-    engine->kept_tokens -= kept->tokens;
-    free(kept);
+    LIST_REMOVE(cached, bucket_link);
+    TAILQ_REMOVE(&engine->lru, cached, lru_link);
+    engine->cached_tokens -= cached->tokens;
+    free(cached);
 }
 
 void
@@ -61,97 +61,98 @@
     if (engine == NULL) {
         return;
     }
-    struct kept *kept;
-    struct kept *next;
-    TAILQ_FOREACH_SAFE (kept, &engine->by_age, age_link, next) {
-        drop(engine, kept);
+    struct cached_part *cached;
+    struct cached_part *next;
+    TAILQ_FOREACH_SAFE (cached, &engine->lru, lru_link, next) {
+        evict(engine, cached);
     }
     free(engine);
 }
 
 static void
-make_room(struct me_engine *engine)
+evict_excess(struct me_engine *engine)
 {
-    struct kept *oldest;
-    struct kept *next;
-    TAILQ_FOREACH_SAFE (oldest, &engine->by_age, age_link, next) {
-        if (engine->kept_tokens + engine->context <=
+    struct cached_part *oldest;
+    struct cached_part *next;
+    TAILQ_FOREACH_SAFE (oldest, &engine->lru, lru_link, next) {
+        if (engine->cached_tokens + engine->context <=
             engine->speed.memory_tokens) {
             return;
         }
-        drop(engine, oldest);
+        evict(engine, oldest);
     }
 }
 
-static struct kept *
-find(struct me_engine *engine, uint64_t chain)
+static struct cached_part *
+find_cached(struct me_engine *engine, uint64_t prefix_hash)
 {
-    struct kept *kept;
-    LIST_FOREACH (kept, &engine->buckets[chain & (Me_BUCKETS - 1)],
+    struct cached_part *cached;
+    LIST_FOREACH (cached, &engine->buckets[prefix_hash & (Me_BUCKETS - 1)],
                   bucket_link) {
-        if (kept->chain == chain) {
-            return kept;
+        if (cached->prefix_hash == prefix_hash) {
+            return cached;
         }
     }
     return NULL;
 }
 
 static void
-use(struct me_engine *engine, struct kept *kept)
+touch(struct me_engine *engine, struct cached_part *cached)
 {
-    TAILQ_REMOVE(&engine->by_age, kept, age_link);
-    TAILQ_INSERT_TAIL(&engine->by_age, kept, age_link);
+    TAILQ_REMOVE(&engine->lru, cached, lru_link);
+    TAILQ_INSERT_TAIL(&engine->lru, cached, lru_link);
 }
 
 static void
-keep(struct me_engine *engine, uint64_t chain, int64_t tokens)
+cache_part(struct me_engine *engine, uint64_t prefix_hash, int64_t tokens)
 {
-    struct kept *kept = calloc(1, sizeof(*kept));
-    if (kept == NULL) {
+    struct cached_part *cached = calloc(1, sizeof(*cached));
+    if (cached == NULL) {
         return;
     }
-    kept->chain = chain;
-    kept->tokens = tokens;
-    LIST_INSERT_HEAD(&engine->buckets[chain & (Me_BUCKETS - 1)], kept,
+    cached->prefix_hash = prefix_hash;
+    cached->tokens = tokens;
+    LIST_INSERT_HEAD(&engine->buckets[prefix_hash & (Me_BUCKETS - 1)], cached,
                      bucket_link);
-    TAILQ_INSERT_TAIL(&engine->by_age, kept, age_link);
-    engine->kept_tokens += tokens;
+    TAILQ_INSERT_TAIL(&engine->lru, cached, lru_link);
+    engine->cached_tokens += tokens;
 }
 
 static uint64_t
-extend(uint64_t chain, uint64_t part)
+extend_prefix(uint64_t prefix_hash, uint64_t part)
 {
-    uint64_t both[2] = {chain, part};
-    return Hash_Bytes(both, sizeof(both), 0);
+    uint64_t input[2] = {prefix_hash, part};
+    return Hash_Bytes(input, sizeof(input), 0);
 }
 
-/* Finds what is kept of the prompt; the rest is to be read. */
+/* Counts the prompt tokens that are not cached and must be read. */
 static void
-look_up(struct me_engine *engine, struct me_job *job)
+look_up_cache(struct me_engine *engine, struct me_job *job)
 {
-    uint64_t chain = 0;
-    bool all_kept = true;
-    job->missed = 0;
+    uint64_t prefix_hash = 0;
+    bool all_cached = true;
+    job->uncached_tokens = 0;
     for (size_t i = 0; i < job->part_count; i++) {
-        chain = extend(chain, job->parts[i]);
-        struct kept *kept = all_kept ? find(engine, chain) : NULL;
-        all_kept = kept != NULL;
-        if (kept != NULL) {
-            use(engine, kept);
+        prefix_hash = extend_prefix(prefix_hash, job->parts[i]);
+        struct cached_part *cached =
+            all_cached ? find_cached(engine, prefix_hash) : NULL;
+        all_cached = cached != NULL;
+        if (cached != NULL) {
+            touch(engine, cached);
         }
         else {
-            job->missed += job->part_tokens[i];
+            job->uncached_tokens += job->part_tokens[i];
         }
     }
-    /* The last token is always read, to answer from. */
-    job->unread = job->missed > 0 ? job->missed : 1;
+    /* The answer is generated from the last prompt token, always read. */
+    job->prefill_left = job->uncached_tokens > 0 ? job->uncached_tokens : 1;
 }
 
 void
-Me_Take(struct me_engine *engine, struct me_job *job)
+Me_Submit(struct me_engine *engine, struct me_job *job)
 {
-    job->answers = false;
-    job->left = job->answer_tokens;
+    job->prefilled = false;
+    job->answer_left = job->answer_tokens;
     TAILQ_INSERT_TAIL(&engine->waiting, job, link);
 }
 
@@ -166,11 +167,11 @@
 }
 
 static void
-admit(struct me_engine *engine)
+admit_waiting(struct me_engine *engine)
 {
     struct me_job *job;
     while ((job = TAILQ_FIRST(&engine->waiting)) != NULL &&
-           engine->running_count < engine->speed.places) {
+           engine->running_count < engine->speed.slots) {
         job->context = prompt_tokens(job);
         bool fits =
             engine->context + job->context <= engine->speed.memory_tokens;
@@ -178,34 +179,35 @@
             return;
         }
         TAILQ_REMOVE(&engine->waiting, job, link);
-        look_up(engine, job);
+        look_up_cache(engine, job);
         TAILQ_INSERT_TAIL(&engine->running, job, link);
         engine->running_count++;
         engine->context += job->context;
-        make_room(engine);
+        evict_excess(engine);
     }
 }
 
-/* Reads a piece of the prompts, the first come first; returns its cost. */
+/* Reads a chunk of the prompts in order of admission; returns microseconds. */
 static double
-read_piece(struct me_engine *engine)
+prefill_chunk(struct me_engine *engine)
 {
     const struct me_speed *speed = &engine->speed;
-    int64_t room = speed->piece_tokens;
+    int64_t budget = speed->chunk_tokens;
     double cost = 0;
     struct me_job *job;
     TAILQ_FOREACH (job, &engine->running, link) {
-        if (job->unread == 0) {
+        if (job->prefill_left == 0) {
             continue;
         }
-        int64_t piece = job->unread < room ? job->unread : room;
-        int64_t before = job->context - job->unread;
-        job->unread -= piece;
-        room -= piece;
-        cost += (double)piece * speed->token_usec;
-        cost += (double)piece * ((double)before + (double)piece / 2) / 1e6 *
+        int64_t chunk =
+            job->prefill_left < budget ? job->prefill_left : budget;
+        int64_t before = job->context - job->prefill_left;
+        job->prefill_left -= chunk;
+        budget -= chunk;
+        cost += (double)chunk * speed->prefill_usec;
+        cost += (double)chunk * ((double)before + (double)chunk / 2) / 1e6 *
                 speed->attention_usec;
-        if (room == 0) {
+        if (budget == 0) {
             break;
         }
     }
@@ -215,7 +217,7 @@
 int64_t
 Me_BeginStep(struct me_engine *engine)
 {
-    admit(engine);
+    admit_waiting(engine);
     if (engine->running_count == 0) {
         return 0;
     }
@@ -223,22 +225,22 @@
     double usec = speed->step_usec +
                   engine->running_count * speed->running_usec +
                   (double)engine->context / 1000 * speed->context_usec;
-    usec += read_piece(engine);
+    usec += prefill_chunk(engine);
     return usec < 1 ? 1 : (int64_t)usec;
 }
 
-/* Parts can be used by others once the whole prompt is read. */
+/* Parts can be reused by other requests once the whole prompt is read. */
 static void
-keep_prompt(struct me_engine *engine, const struct me_job *job)
+cache_prompt(struct me_engine *engine, const struct me_job *job)
 {
-    uint64_t chain = 0;
+    uint64_t prefix_hash = 0;
     for (size_t i = 0; i < job->part_count; i++) {
-        chain = extend(chain, job->parts[i]);
-        if (find(engine, chain) == NULL) {
-            keep(engine, chain, job->part_tokens[i]);
+        prefix_hash = extend_prefix(prefix_hash, job->parts[i]);
+        if (find_cached(engine, prefix_hash) == NULL) {
+            cache_part(engine, prefix_hash, job->part_tokens[i]);
         }
     }
-    make_room(engine);
+    evict_excess(engine);
 }
 
 static void
@@ -256,18 +258,18 @@
     struct me_job *job;
     struct me_job *next;
     TAILQ_FOREACH_SAFE (job, &engine->running, link, next) {
-        if (job->unread > 0) {
+        if (job->prefill_left > 0) {
             continue;
         }
-        if (!job->answers) {
-            job->answers = true;
-            keep_prompt(engine, job);
-            engine->ops->first(engine->arg, job, now);
+        if (!job->prefilled) {
+            job->prefilled = true;
+            cache_prompt(engine, job);
+            engine->ops->first_token(engine->arg, job, now);
         }
-        job->left--;
+        job->answer_left--;
         job->context++;
         engine->context++;
-        if (job->left <= 0) {
+        if (job->answer_left <= 0) {
             finish(engine, job, now);
         }
     }
--- a/packages/model/engine.h
+++ b/packages/model/engine.h
@@ -1,10 +1,11 @@
 /*
- * A model engine: it runs requests in one batch, a token of each a step,
- * reads prompts in pieces between, and keeps the parts of prompts used last
- * in the memory that running requests leave.  Deterministic.
+ * Simulation of a model engine with continuous batching.  Each step generates
+ * one token for every running request and reads a chunk of the prompts that
+ * are still to be read.  Memory that running requests leave free holds the
+ * prompt parts used most recently.  Deterministic.
  *
- * Left out: preemption (a request waits until its prompt fits), moves of
- * memory between engines, faults.
+ * Not simulated: preemption (a request waits until its prompt fits), transfer
+ * of cached prompts between engines, faults.
  */
 #ifndef MODEL_ENGINE_H
 #define MODEL_ENGINE_H
@@ -21,52 +22,52 @@
 struct me_engine;
 
 struct me_speed {
-    int places; /* requests that run at once */
+    int slots; /* requests that run at once */
     int64_t memory_tokens;
-    int64_t piece_tokens;  /* prompt tokens read in a step at the most */
+    int64_t chunk_tokens;  /* most prompt tokens read in a step */
     double step_usec;      /* a step of an empty batch */
-    double running_usec;   /* more for each request that runs */
-    double context_usec;   /* more for each 1,000 tokens of their context */
-    double token_usec;     /* more for each prompt token read */
-    double attention_usec; /* more for each million pairs of a piece's tokens
-                              and those before them */
+    double running_usec;   /* added for each running request */
+    double context_usec;   /* added for each 1,000 tokens of their context */
+    double prefill_usec;   /* added for each prompt token read */
+    double attention_usec; /* added for each million pairs of a token of the
+                              chunk and a token before it */
 };
 
 #define Me_PARTS_MAX 3
 
-/* A request at an engine; the caller's, and at one engine at a time. */
+/* A request, owned by the caller; it is at one engine at a time. */
 struct me_job {
     TAILQ_ENTRY(me_job) link;
-    uint64_t parts[Me_PARTS_MAX]; /* of the prompt, in order */
+    uint64_t parts[Me_PARTS_MAX]; /* ids of the prompt parts, in order */
     int64_t part_tokens[Me_PARTS_MAX];
     size_t part_count;
     int64_t answer_tokens; /* 1 or more */
-    /* Of the engine. */
-    int64_t context; /* tokens in memory */
-    int64_t unread;  /* of the prompt */
-    int64_t left;    /* of the answer */
-    int64_t missed;  /* prompt tokens that were not kept */
-    bool answers;    /* the prompt is read */
+    /* Set by the engine. */
+    int64_t context;         /* tokens in memory */
+    int64_t prefill_left;    /* prompt tokens to read */
+    int64_t answer_left;     /* answer tokens to generate */
+    int64_t uncached_tokens; /* prompt tokens that were not cached */
+    bool prefilled;          /* the whole prompt was read */
 };
 
-/* What comes of a step. */
+/* Called by Me_EndStep when a request reaches its first token or its end. */
 struct me_ops {
-    void (*first)(void *arg, struct me_job *job, int64_t now);
+    void (*first_token)(void *arg, struct me_job *job, int64_t now);
     void (*ended)(void *arg, struct me_job *job, int64_t now);
 };
 
-/* NULL without memory. */
+/* Returns NULL if an allocation fails. */
 struct me_engine *Me_Create(const struct me_speed *speed,
                             const struct me_ops *ops, void *arg);
 void Me_Destroy(struct me_engine *engine);
-/* Hands over a request; it waits until it has a place. */
-void Me_Take(struct me_engine *engine, struct me_job *job);
+/* Queues a request until a slot is free and its prompt fits in memory. */
+void Me_Submit(struct me_engine *engine, struct me_job *job);
 /*
- * Begins a step; returns its length in microseconds, 0 when there is nothing
- * to do.  What arrives during a step waits for the next.
+ * Begins a step and returns its length in microseconds, or 0 if there is no
+ * request.  A request submitted during a step waits for the next step.
  */
 int64_t Me_BeginStep(struct me_engine *engine);
-/* Ends the step begun last. */
+/* Ends the step that Me_BeginStep began. */
 void Me_EndStep(struct me_engine *engine, int64_t now);
 
 #ifdef __cplusplus
--- a/packages/model/placing.h
+++ b/packages/model/placing.h
@@ -1,7 +1,8 @@
 /*
- * Many hosts that place requests at many model engines with the real
- * decisions (edge/place, edge/prefix), each by what it sent itself and by what
- * the others told a while ago.  Seeded and deterministic.
+ * Simulation of many hosts that place requests at many model engines with
+ * the production code (edge/place, edge/prefix).  Each host knows the requests
+ * that it placed itself, and the load of its peers from periodic reports.
+ * Seeded and deterministic.
  */
 #ifndef MODEL_PLACING_H
 #define MODEL_PLACING_H
@@ -18,68 +19,77 @@
 
 #define Mp_KINDS_MAX 8
 
-/* A size that is drawn, log-normal: its mean, the logarithm's deviation. */
+/* A log-normal distribution of sizes. */
 struct mp_size {
     double mean;
-    double spread;
-    double most;
+    double spread; /* standard deviation of the logarithm */
+    double max;    /* larger sizes are clamped to it; 0: no limit */
 };
 
-/* A part of a prompt that requests share. */
+/* A prompt part whose text is the same in several requests. */
 struct mp_shared {
     struct mp_size tokens;
-    size_t subjects; /* different ones; 0: no such part */
+    size_t variants; /* number of different texts; 0: no such part */
 };
 
 struct mp_kind {
     const char *name;
-    double weight; /* its part of all requests, against the others' */
+    double weight; /* frequency, relative to the other kinds */
     struct mp_size own_tokens;
     struct mp_shared shared[Me_PARTS_MAX - 1];
     struct mp_size answer_tokens;
-    double aim_msec; /* to the first token */
-    double worth;    /* of one of mean size in time; late a tenth of it */
+    double target_msec; /* latency target of the first token */
+    /*
+     * Of an answer of mean size that meets the target.  An answer that misses
+     * it has a tenth of the value.
+     */
+    double value;
 };
 
 struct mp_load {
     size_t hosts;
     size_t engines;
     size_t data_centres;
-    double per_sec;
+    double requests_per_sec;
     double seconds;
-    int64_t word_usec; /* between two words of a host to the others */
+    int64_t report_usec; /* between two load reports of a host to its peers */
     struct mp_kind kinds[Mp_KINDS_MAX];
     size_t kind_count;
     struct me_speed speed;
 };
 
 enum mp_lanes {
-    MP_AS_DECIDED, /* by the number of endpoints, as the daemons do */
-    MP_ALWAYS,     /* as if there were many endpoints */
-    MP_NEVER,
+    MP_LANES_BY_COUNT, /* if there are enough endpoints, as in the daemons */
+    MP_LANES_ALWAYS,   /* as if there were many endpoints */
+    MP_LANES_NEVER,
 };
 
-/* The ways that are set against each other. */
-struct mp_ways {
-    enum mp_lanes lanes; /* whether long prompts have endpoints of their own */
-    bool no_homes;       /* prompts that share a part have none in common */
-    bool all_look;       /* each request looks at all endpoints */
+/* Variants of the placement policy that are compared with each other. */
+struct mp_policy {
+    enum mp_lanes lanes; /* whether endpoints are reserved for long prompts */
+    bool no_preferred;   /* prompt groups have no preferred endpoints */
+    bool no_sampling;    /* each request considers all endpoints */
 };
 
-/* Parts of the worth that could be had, 0 to 1. */
+/*
+ * Scores are fractions, 0 to 1, of the value of a run in which every answer
+ * meets its latency target.
+ */
 struct mp_result {
     size_t requests;
-    size_t refused; /* nobody had room */
-    double whole;
-    double worst_seconds; /* the worst tenth of the seconds */
-    double worst_class;   /* a kind, its largest tenth or the fifth below */
-    double figure;        /* the three, weighed as callers weigh them */
+    size_t refused; /* no endpoint could be chosen */
+    double total;
+    double worst_seconds; /* mean over the worst tenth of the seconds */
+    /* Lowest of all kinds, their largest tenth of requests and next fifth. */
+    double worst_class;
+    double score; /* weighted sum of total, worst_seconds, worst_class */
     double kinds[Mp_KINDS_MAX];
-    double shared_read; /* part of the shared tokens read again */
+    /* Fraction of the tokens in shared parts that were not cached. */
+    double shared_reread;
 };
 
-/* False without memory, or when the load has nothing to play. */
-bool Mp_Run(const struct mp_load *load, const struct mp_ways *ways,
+/* Returns false if an allocation fails or the load is empty or too large. */
+bool Mp_Run(const struct mp_load *load, const struct mp_policy *policy,
             uint64_t seed, struct mp_result *out);
 
 #ifdef __cplusplus
--- a/packages/model/placing_internal.h
+++ b/packages/model/placing_internal.h
@@ -1,4 +1,4 @@
-/* Between placing.c and placing_judge.c. */
+/* Declarations shared by placing.c and placing_judge.c. */
 #ifndef MODEL_PLACING_INTERNAL_H
 #define MODEL_PLACING_INTERNAL_H
 
@@ -14,14 +14,14 @@
     size_t engine;
     size_t kind;
     int64_t arrived_at;
-    int64_t reading; /* what its host expects to be read for it */
-    int64_t prompt;
-    int64_t shared;    /* of the prompt */
-    double first_msec; /* -1: none */
+    int64_t prefill_tokens; /* its host expects to be read */
+    int64_t prompt_tokens;
+    int64_t shared_tokens;   /* prompt tokens in shared parts */
+    double first_token_msec; /* after arrival; -1 without an answer */
 };
 
-/* False without memory. */
-bool mp_judge(const struct mp_load *load, const struct mp_request *requests,
+/* Returns false if an allocation fails. */
+bool mp_score(const struct mp_load *load, const struct mp_request *requests,
               size_t count, struct mp_result *out);
 
 #ifdef __cplusplus
--- a/packages/model/test/agenda_test.cc
+++ b/packages/model/test/agenda_test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-TEST(Agenda, TheEarliestIsNextAndThenTheFirstEntered)
+TEST(Agenda, ReturnsEventsByTimeThenByInsertion)
 {
     ag_agenda *agenda = Ag_Create();
     std::mt19937 random(3);
--- a/packages/model/test/engine_test.cc
+++ b/packages/model/test/engine_test.cc
@@ -7,13 +7,13 @@
 namespace {
 
 constexpr me_speed kSpeed = {
-    .places = 2,
+    .slots = 2,
     .memory_tokens = 3000,
-    .piece_tokens = 100,
+    .chunk_tokens = 100,
     .step_usec = 1000,
     .running_usec = 10,
     .context_usec = 0,
-    .token_usec = 10,
+    .prefill_usec = 10,
     .attention_usec = 0,
 };
 
@@ -31,7 +31,7 @@
         Me_Destroy(engine_);
     }
 
-    // A request with one part of its own, or of the subject given.
+    // Returns a request whose prompt is one part with the given id.
     static me_job
     Job(uint64_t part, int64_t tokens, int64_t answer = 1)
     {
@@ -43,7 +43,7 @@
         return job;
     }
 
-    // Runs until nothing is left to do.
+    // Runs steps until no request is left.
     void
     Run()
     {
@@ -73,35 +73,36 @@
     std::vector<std::pair<me_job *, int64_t>> ends_;
 };
 
-TEST_F(Engine, APromptIsReadInPieces)
+TEST_F(Engine, APromptIsReadInChunks)
 {
     me_job job = Job(1, 250, 3);
-    Me_Take(engine_, &job);
+    Me_Submit(engine_, &job);
     Run();
-    // Three steps read 100, 100 and 50 tokens, the third answers; two more.
+    // Three steps read 100, 100 and 50 tokens.  The third also generates the
+    // first answer token, two more steps generate the others.
     ASSERT_EQ(1u, firsts_.size());
     EXPECT_EQ(3 * 1010 + 2500, firsts_[0].second);
     ASSERT_EQ(1u, ends_.size());
     EXPECT_EQ(5 * 1010 + 2500, ends_[0].second);
 }
 
-TEST_F(Engine, ALongPromptHoldsUpTheOneBehindIt)
+TEST_F(Engine, ALongPromptDelaysTheNextRequest)
 {
     me_job first = Job(1, 1000);
     me_job second = Job(2, 10);
-    Me_Take(engine_, &first);
-    Me_Take(engine_, &second);
+    Me_Submit(engine_, &first);
+    Me_Submit(engine_, &second);
     Run();
     ASSERT_EQ(2u, firsts_.size());
     EXPECT_EQ(&first, firsts_[0].first);
     EXPECT_EQ(&second, firsts_[1].first);
 }
 
-TEST_F(Engine, AThirdRequestWaitsForAPlace)
+TEST_F(Engine, AThirdRequestWaitsForASlot)
 {
     me_job jobs[3] = {Job(1, 10, 5), Job(2, 10, 9), Job(3, 10)};
     for (me_job &job : jobs) {
-        Me_Take(engine_, &job);
+        Me_Submit(engine_, &job);
     }
     Run();
     ASSERT_EQ(3u, firsts_.size());
@@ -109,43 +110,43 @@
     EXPECT_GT(firsts_[2].second, ends_[0].second);
 }
 
-TEST_F(Engine, WhatIsKeptIsNotReadAgainUntilItYields)
+TEST_F(Engine, ACachedPartIsNotReadAgainUntilEvicted)
 {
     me_job first = Job(7, 500);
-    Me_Take(engine_, &first);
+    Me_Submit(engine_, &first);
     Run();
-    EXPECT_EQ(500, first.missed);
+    EXPECT_EQ(500, first.uncached_tokens);
     me_job again = Job(7, 500);
-    Me_Take(engine_, &again);
+    Me_Submit(engine_, &again);
     Run();
-    EXPECT_EQ(0, again.missed);
-    // 2,700 tokens leave no room for the 500.
+    EXPECT_EQ(0, again.uncached_tokens);
+    // A prompt of 2,700 tokens evicts the 500: 3,000 fit in memory.
     me_job large = Job(8, 2700);
-    Me_Take(engine_, &large);
+    Me_Submit(engine_, &large);
     Run();
     me_job late = Job(7, 500);
-    Me_Take(engine_, &late);
+    Me_Submit(engine_, &late);
     Run();
-    EXPECT_EQ(500, late.missed);
+    EXPECT_EQ(500, late.uncached_tokens);
 }
 
-TEST_F(Engine, APartCountsOnlyWithThoseBeforeIt)
+TEST_F(Engine, APartIsCachedOnlyWithThePartsBeforeIt)
 {
     me_job first = Job(7, 100);
     first.parts[1] = 8;
     first.part_tokens[1] = 50;
     first.part_count = 2;
-    Me_Take(engine_, &first);
+    Me_Submit(engine_, &first);
     Run();
     me_job same = first;
-    Me_Take(engine_, &same);
+    Me_Submit(engine_, &same);
     Run();
-    EXPECT_EQ(0, same.missed);
+    EXPECT_EQ(0, same.uncached_tokens);
     me_job other = first;
     other.parts[0] = 9;
-    Me_Take(engine_, &other);
+    Me_Submit(engine_, &other);
     Run();
-    EXPECT_EQ(150, other.missed);
+    EXPECT_EQ(150, other.uncached_tokens);
 }
 
 TEST_F(Engine, AnIdleEngineHasNothingToDo)
--- a/packages/model/test/loads.h
+++ b/packages/model/test/loads.h
@@ -1,4 +1,4 @@
-// Loads that placement is compared on.
+// Loads on which placement policies are compared.
 #ifndef MODEL_TEST_LOADS_H
 #define MODEL_TEST_LOADS_H
 
@@ -7,48 +7,49 @@
 namespace cg {
 
 constexpr me_speed kFastEngine = {
-    .places = 48,
+    .slots = 48,
     .memory_tokens = 556741,
-    .piece_tokens = 1024,
+    .chunk_tokens = 1024,
     .step_usec = 2770,
     .running_usec = 14.5,
     .context_usec = 7.6,
-    .token_usec = 1 / 0.0852,
+    .prefill_usec = 1 / 0.0852,
     .attention_usec = 275,
 };
 
 constexpr me_speed kSlowEngine = {
-    .places = 64,
+    .slots = 64,
     .memory_tokens = 626012,
-    .piece_tokens = 4096,
+    .chunk_tokens = 4096,
     .step_usec = 3700,
     .running_usec = 19.3,
     .context_usec = 10.2,
-    .token_usec = 1 / 0.0639,
+    .prefill_usec = 1 / 0.0639,
     .attention_usec = 367,
 };
 
-// What the loads have in common; the kinds are to be filled in.
+// Settings that the loads have in common; the caller fills in the kinds.
 inline mp_load
-ThreeKinds(const me_speed &speed, size_t hosts, size_t engines, double per_sec)
+ThreeKinds(const me_speed &speed, size_t hosts, size_t engines,
+           double requests_per_sec)
 {
     mp_load load = {};
     load.hosts = hosts;
     load.engines = engines;
     load.data_centres = 4;
-    load.per_sec = per_sec;
+    load.requests_per_sec = requests_per_sec;
     load.seconds = 20;
-    load.word_usec = 400000;
+    load.report_usec = 400000;
     load.speed = speed;
     load.kind_count = 3;
     return load;
 }
 
-// Many short questions beside few long prompts, some of them very long.
+// Many short prompts and few long ones, some of them very long.
 inline mp_load
-ShortAmongLong(size_t hosts, size_t engines, double per_sec)
+ShortAmongLong(size_t hosts, size_t engines, double requests_per_sec)
 {
-    mp_load load = ThreeKinds(kFastEngine, hosts, engines, per_sec);
+    mp_load load = ThreeKinds(kFastEngine, hosts, engines, requests_per_sec);
     load.kinds[0] = {"digest",
                      62,
                      {6610, 1.4, 54600},
@@ -73,11 +74,11 @@
     return load;
 }
 
-// Half of the prompts are long, and most of such a prompt is shared.
+// Half of the prompts are long, and most of a long prompt is shared.
 inline mp_load
-LongAndShared(size_t hosts, size_t engines, double per_sec)
+LongAndShared(size_t hosts, size_t engines, double requests_per_sec)
 {
-    mp_load load = ThreeKinds(kSlowEngine, hosts, engines, per_sec);
+    mp_load load = ThreeKinds(kSlowEngine, hosts, engines, requests_per_sec);
     load.kinds[0] = {"review",
                      138,
                      {3720, 1.1, 53200},
@@ -102,24 +103,24 @@
     return load;
 }
 
-// The same kinds over hundreds of hosts, whose words are further apart, and
-// engines with few places.
+// The kinds of ShortAmongLong with hundreds of hosts, which report less often,
+// and engines with few slots.
 inline mp_load
-HundredsOfHosts(size_t hosts, size_t engines, double per_sec)
+HundredsOfHosts(size_t hosts, size_t engines, double requests_per_sec)
 {
-    mp_load load = ShortAmongLong(hosts, engines, per_sec);
+    mp_load load = ShortAmongLong(hosts, engines, requests_per_sec);
     load.data_centres = 6;
-    load.word_usec = 600000;
-    load.speed.places = 16;
+    load.report_usec = 600000;
+    load.speed.slots = 16;
     load.speed.memory_tokens = 476791;
     load.kinds[0].weight = 298;
-    load.kinds[0].shared[0].subjects = 1;
-    load.kinds[0].shared[1].subjects = 1125;
+    load.kinds[0].shared[0].variants = 1;
+    load.kinds[0].shared[1].variants = 1125;
     load.kinds[1].weight = 430;
     load.kinds[2].weight = 604;
-    load.kinds[2].shared[0].subjects = 160;
-    load.kinds[2].shared[1].subjects = 5134;
-    load.kinds[2].aim_msec = 500;
+    load.kinds[2].shared[0].variants = 160;
+    load.kinds[2].shared[1].variants = 5134;
+    load.kinds[2].target_msec = 500;
     return load;
 }
 
