--- a/packages/loss/loss.c
+++ b/packages/loss/loss.c
@@ -1,4 +1,4 @@
-/* Events of daemons, joined by request id and counted. */
+/* Joins the daemons' events by request id and counts them. */
 #include "loss/loss.h"
 
 #include <errno.h>
@@ -10,7 +10,7 @@
 
 #include "loss/loss_internal.h"
 
-/* Longer lines are no daemon's: its own are bounded at 1 KiB. */
+/* A longer line is malformed: daemons write lines of at most 1 KiB. */
 #define Ls_LINE_MAX 65536
 #define Ls_REASON_MAX 160
 #define Ls_NONE "-"
@@ -27,8 +27,8 @@
     ls_table_init(&losses->tables[LS_ROUTE], "route", false);
     ls_table_init(&losses->tables[LS_ENDPOINT], "endpoint", false);
     ls_table_init(&losses->tables[LS_SECOND], "second", true);
-    RB_INIT(&losses->open);
-    TAILQ_INIT(&losses->ages);
+    RB_INIT(&losses->pending);
+    TAILQ_INIT(&losses->pending_by_age);
     return losses;
 }
 
@@ -41,9 +41,9 @@
     for (int i = 0; i < LS_TABLES; i++) {
         ls_table_clear(&losses->tables[i]);
     }
-    struct ls_open *open;
-    while ((open = TAILQ_FIRST(&losses->ages)) != NULL) {
-        ls_open_free(ls_open_take(losses, open->id));
+    struct ls_pending *request;
+    while ((request = TAILQ_FIRST(&losses->pending_by_age)) != NULL) {
+        ls_pending_free(ls_pending_take(losses, request->id));
     }
     free(losses);
 }
@@ -76,7 +76,7 @@
     count_row(&losses->tables[LS_SECOND], "", (int64_t)floor(end->at), end);
 }
 
-/* A text of an event; what is missing or empty is "-". */
+/* Returns a string member of an event, or "-" if it is missing or empty. */
 static const char *
 text_of(const json_t *event, const char *name)
 {
@@ -91,14 +91,14 @@
 }
 
 static void
-take_sent(struct ls_losses *losses, const json_t *event)
+handle_sent(struct ls_losses *losses, const json_t *event)
 {
-    ls_open_add(losses, text_of(event, "id"), text_of(event, "tenant"),
-                text_of(event, "endpoint"), number_of(event, "t"));
+    ls_pending_add(losses, text_of(event, "id"), text_of(event, "tenant"),
+                   text_of(event, "endpoint"), number_of(event, "t"));
 }
 
 static void
-take_refused(struct ls_losses *losses, const json_t *event)
+handle_refused(struct ls_losses *losses, const json_t *event)
 {
     char reason[Ls_REASON_MAX];
     snprintf(reason, sizeof(reason), "refused %d: %s",
@@ -114,53 +114,54 @@
 }
 
 static void
-take_end(struct ls_losses *losses, const json_t *event)
+handle_end(struct ls_losses *losses, const json_t *event)
 {
-    struct ls_open *open = ls_open_take(losses, text_of(event, "id"));
+    struct ls_pending *request = ls_pending_take(losses, text_of(event, "id"));
     const char *outcome = text_of(event, "outcome");
     bool served = strcmp(outcome, "served") == 0;
-    double aim = number_of(event, "aim_ms");
-    bool late = served && aim > 0 && number_of(event, "first_ms") > aim;
+    double target_msec = number_of(event, "aim_ms");
+    bool late = served && target_msec > 0 &&
+                number_of(event, "first_ms") > target_msec;
     const char *endpoint = text_of(event, "endpoint");
-    if (strcmp(endpoint, Ls_NONE) == 0 && open != NULL) {
-        endpoint = open->endpoint;
+    if (strcmp(endpoint, Ls_NONE) == 0 && request != NULL) {
+        endpoint = request->endpoint;
     }
     struct ls_end end = {
         .reason = late     ? "late"
                   : served ? NULL
                            : outcome,
-        .customer = open == NULL ? Ls_NONE : open->customer,
+        .customer = request == NULL ? Ls_NONE : request->customer,
         .route = text_of(event, "route"),
         .endpoint = endpoint,
         .at = number_of(event, "t"),
         .late = late,
     };
     ls_count(losses, &end);
-    ls_open_free(open);
+    ls_pending_free(request);
 }
 
 static void
-take_event(struct ls_losses *losses, const json_t *event, const char *name)
+handle_event(struct ls_losses *losses, const json_t *event, const char *name)
 {
     if (strcmp(name, "attempt.sent") == 0) {
-        take_sent(losses, event);
+        handle_sent(losses, event);
     }
     else if (strcmp(name, "request.refused") == 0 ||
              strcmp(name, "request.unreadable") == 0) {
-        take_refused(losses, event);
+        handle_refused(losses, event);
     }
     else if (strcmp(name, "request.end") == 0) {
-        take_end(losses, event);
+        handle_end(losses, event);
     }
     else if (strcmp(name, "log.suppressed") == 0 &&
              number_of(event, "lines") > 0) {
-        losses->left_out += (uint64_t)number_of(event, "lines");
+        losses->suppressed += (uint64_t)number_of(event, "lines");
     }
 }
 
 /*
- * A line may have something before the event, as a collector's time and the
- * name of the host.
+ * A log collector may have put a prefix before the event, such as a time and a
+ * host name; the event begins at the first brace.
  */
 void
 Ls_Line(struct ls_losses *losses, const char *line)
@@ -168,25 +169,25 @@
     losses->lines++;
     const char *start = strchr(line, '{');
     if (start == NULL) {
-        losses->foreign++;
+        losses->other++;
         return;
     }
     json_t *event = json_loads(start, JSON_REJECT_DUPLICATES, NULL);
     if (event == NULL) {
-        losses->broken++;
+        losses->malformed++;
         return;
     }
     const char *name = json_string_value(json_object_get(event, "ev"));
     if (name == NULL) {
-        losses->foreign++;
+        losses->other++;
     }
     else {
-        take_event(losses, event, name);
+        handle_event(losses, event, name);
     }
     json_decref(event);
 }
 
-/* Passes over the rest of a line that is longer than any of a daemon. */
+/* Skips the rest of a line that is longer than Ls_LINE_MAX. */
 static void
 skip_line(gzFile file)
 {
@@ -215,7 +216,7 @@
     while (gzgets(file, line, Ls_LINE_MAX) != NULL) {
         if (strchr(line, '\n') == NULL && !gzeof(file)) {
             losses->lines++;
-            losses->broken++;
+            losses->malformed++;
             skip_line(file);
             continue;
         }
@@ -223,33 +224,33 @@
     }
     int error = Z_OK;
     (void)gzerror(file, &error);
-    bool folder = error == Z_ERRNO && errno == EISDIR;
-    losses->broken += error != Z_OK && !folder;
+    bool is_directory = error == Z_ERRNO && errno == EISDIR;
+    losses->malformed += error != Z_OK && !is_directory;
     gzclose(file);
     free(line);
-    return folder ? St_Fail(ST_NOT_FOUND,
-                            "%s is a folder: name the logs in it", path)
-                  : ST_OK;
+    return is_directory ? St_Fail(ST_NOT_FOUND,
+                                  "%s is a folder: name the logs in it", path)
+                        : ST_OK;
 }
 
 /*
- * A daemon that is killed writes no end of what it had under way; the caller
- * saw its connection close.
+ * A daemon that is killed logs no end for the requests it had in flight. Their
+ * callers saw the connection close, so they are counted as lost.
  */
 void
 Ls_Finish(struct ls_losses *losses)
 {
-    struct ls_open *open;
-    while ((open = TAILQ_FIRST(&losses->ages)) != NULL) {
-        struct ls_open *taken = ls_open_take(losses, open->id);
+    struct ls_pending *oldest;
+    while ((oldest = TAILQ_FIRST(&losses->pending_by_age)) != NULL) {
+        struct ls_pending *request = ls_pending_take(losses, oldest->id);
         struct ls_end end = {
             .reason = "no end in the logs",
-            .customer = taken->customer,
+            .customer = request->customer,
             .route = Ls_NONE,
-            .endpoint = taken->endpoint,
-            .at = taken->sent_at,
+            .endpoint = request->endpoint,
+            .at = request->sent_at,
         };
         ls_count(losses, &end);
-        ls_open_free(taken);
+        ls_pending_free(request);
     }
 }
--- a/packages/loss/loss.h
+++ b/packages/loss/loss.h
@@ -1,10 +1,10 @@
 /*
- * Why requests were lost, from the daemons' logs: refusals and ends of
- * requests are joined by request id with what was sent where, and counted by
- * reason, customer, route, endpoint and second.
+ * Statistics of lost requests, from the daemons' logs.  The refusal or end of
+ * a request is joined by request id with the endpoint it was sent to. Requests
+ * are counted by reason, customer, route, endpoint and second.
  *
  * Logs of many daemons may be read one after the other, compressed or not.
- * Memory grows with the number of requests under way at one time and with the
+ * Memory grows with the number of requests in flight at one time and with the
  * number of different names, not with the length of the logs.
  */
 #ifndef LOSS_LOSS_H
@@ -21,28 +21,27 @@
 
 struct ls_losses;
 
-/* NULL without memory. */
+/* Returns NULL if an allocation fails. */
 struct ls_losses *Ls_Create(void);
 void Ls_Destroy(struct ls_losses *losses);
 
 /*
- * Takes one line, with or without its line end.  What is no event of a daemon
- * is counted and passed over.
+ * Reads one line, with or without its newline.  A line that is not an event of
+ * a daemon is counted and skipped.
  */
 void Ls_Line(struct ls_losses *losses, const char *line);
 /*
- * Takes a file of lines, plain or compressed with gzip.  ST_NOT_FOUND: it
- * cannot be read.  A file that ends within its compressed data counts as one
- * broken line.
+ * Reads a log file, plain or compressed with gzip.  Returns ST_NOT_FOUND if it
+ * cannot be read.  Truncated compressed data counts as one malformed line.
  */
 enum st_status Ls_File(struct ls_losses *losses, const char *path);
-/* After the last line: what is still under way has no end in the logs. */
+/* Call after the last line: counts requests still in flight as lost. */
 void Ls_Finish(struct ls_losses *losses);
 
-/* What was found; false: it could not be written. */
+/* Print the statistics; they return false if writing fails. */
 bool Ls_PrintText(const struct ls_losses *losses, FILE *out);
 bool Ls_PrintJson(const struct ls_losses *losses, FILE *out);
-/* Requests of each second as a picture: served, late, lost. */
+/* Prints a chart of the requests served, late and lost in each second. */
 bool Ls_PrintSvg(const struct ls_losses *losses, FILE *out);
 
 #ifdef __cplusplus
--- a/packages/loss/loss_internal.h
+++ b/packages/loss/loss_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the losses only. */
+/* Declarations shared by the files of this package. */
 #ifndef LOSS_LOSS_INTERNAL_H
 #define LOSS_LOSS_INTERNAL_H
 
@@ -9,18 +9,18 @@
 
 #include "loss/loss.h"
 
-/* Names that a table keeps apart; further ones are counted as "others". */
+/* Rows of a table; requests with further names are counted as "others". */
 #define Ls_ROWS_MAX 4096
-/* Requests under way that are remembered; the oldest give way. */
-#define Ls_OPEN_MAX 200000
+/* Requests tracked in flight; beyond it, the oldest one is evicted. */
+#define Ls_PENDING_MAX 200000
 
 /* Requests of one reason, customer, route, endpoint or second. */
 struct ls_row {
     RB_ENTRY(ls_row) link;
     char *name;
-    int64_t number; /* of a second; 0 elsewhere */
+    int64_t number; /* seconds since 1970 in the table of seconds, else 0 */
     uint64_t total;
-    uint64_t late; /* served, but after the route's aim */
+    uint64_t late; /* served after the route's latency target */
     uint64_t lost;
 };
 
@@ -28,25 +28,25 @@
 
 struct ls_table {
     const char *title;
-    bool by_number; /* ordered by number, else by what was lost */
+    bool by_number; /* sorted by number, else by late and lost requests */
     struct ls_rows rows;
     size_t count;
 };
 
 /* A request that was sent to an endpoint and has not ended. */
-struct ls_open {
-    RB_ENTRY(ls_open) link;
-    TAILQ_ENTRY(ls_open) age;
+struct ls_pending {
+    RB_ENTRY(ls_pending) link;
+    TAILQ_ENTRY(ls_pending) age_link;
     char *id;
     char *customer;
     char *endpoint;
     double sent_at;
 };
 
-RB_HEAD(ls_open_tree, ls_open);
-TAILQ_HEAD(ls_open_list, ls_open);
+RB_HEAD(ls_pending_tree, ls_pending);
+TAILQ_HEAD(ls_pending_list, ls_pending);
 
-enum ls_kind {
+enum ls_table_id {
     LS_REASON,
     LS_CUSTOMER,
     LS_ROUTE,
@@ -57,18 +57,18 @@
 
 struct ls_losses {
     struct ls_table tables[LS_TABLES];
-    struct ls_open_tree open;
-    struct ls_open_list ages; /* oldest first */
-    size_t open_count;
+    struct ls_pending_tree pending;
+    struct ls_pending_list pending_by_age; /* oldest first */
+    size_t pending_count;
     uint64_t requests;
     uint64_t served;
     uint64_t late;
     uint64_t lost;
-    uint64_t forgotten; /* under way, but too many at once */
+    uint64_t discarded; /* not tracked: too many in flight, or no memory */
     uint64_t lines;
-    uint64_t broken;   /* lines that look like an event and cannot be read */
-    uint64_t foreign;  /* lines that are no events */
-    uint64_t left_out; /* lines that daemons say they did not write */
+    uint64_t malformed;  /* lines too long, or with a brace but no JSON */
+    uint64_t other;      /* lines that are not events */
+    uint64_t suppressed; /* lines that daemons report as not written */
 };
 
 /* How a request ended. */
@@ -78,26 +78,26 @@
     const char *route;
     const char *endpoint;
     double at; /* seconds since 1970 */
-    bool late; /* served all the same */
+    bool late; /* served after the latency target; "reason" is set */
 };
 
 void ls_count(struct ls_losses *losses, const struct ls_end *end);
 
 void ls_table_init(struct ls_table *table, const char *title, bool by_number);
 void ls_table_clear(struct ls_table *table);
-/* The row of a name; NULL without memory. */
+/* Finds or creates a row; returns NULL if an allocation fails. */
 struct ls_row *ls_table_row(struct ls_table *table, const char *name,
                             int64_t number);
 /*
- * The rows in the order in which they are shown; the caller frees the array.
- * NULL when there is none or no memory.
+ * Returns the rows in display order; the caller frees the array.  Returns NULL
+ * if the table is empty or an allocation fails.
  */
 const struct ls_row **ls_table_sorted(const struct ls_table *table);
 
-/* Requests under way. */
-void ls_open_add(struct ls_losses *losses, const char *id,
-                 const char *customer, const char *endpoint, double at);
-struct ls_open *ls_open_take(struct ls_losses *losses, const char *id);
-void ls_open_free(struct ls_open *open);
+/* Requests in flight, by id; ls_pending_take removes one from the tree. */
+void ls_pending_add(struct ls_losses *losses, const char *id,
+                    const char *customer, const char *endpoint, double at);
+struct ls_pending *ls_pending_take(struct ls_losses *losses, const char *id);
+void ls_pending_free(struct ls_pending *request);
 
 #endif
--- a/packages/loss/loss_print.c
+++ b/packages/loss/loss_print.c
@@ -1,4 +1,4 @@
-/* What was lost, as tables and as JSON. */
+/* Prints the statistics as text tables and as JSON. */
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdlib.h>
@@ -6,12 +6,12 @@
 
 #include "loss/loss_internal.h"
 
-/* Rows of a table that are printed; the rest is summed up. */
+/* Rows printed of a table; of the others only the number is printed. */
 #define Ls_PRINTED_MAX 12
 #define Ls_PER_CENT 100.0
 
 static double
-share(uint64_t part, uint64_t of)
+percent(uint64_t part, uint64_t of)
 {
     return of == 0 ? 0 : Ls_PER_CENT * (double)part / (double)of;
 }
@@ -31,7 +31,7 @@
     fprintf(out, "%-44s", text);
 }
 
-/* Seconds in which nothing was lost say nothing. */
+/* Rows without late or lost requests are left out of the text. */
 static bool
 is_shown(const struct ls_row *row)
 {
@@ -45,24 +45,24 @@
     fprintf(out, "\n%-44s %9s %9s %9s %7s\n", table->title, "requests", "late",
             "lost", "in 100");
     size_t printed = 0;
-    size_t left = 0;
+    size_t omitted = 0;
     for (size_t i = 0; rows != NULL && i < table->count; i++) {
         const struct ls_row *row = rows[i];
         if (!is_shown(row)) {
             continue;
         }
         if (!table->by_number && printed == Ls_PRINTED_MAX) {
-            left++;
+            omitted++;
             continue;
         }
         printed++;
         print_name(table, row, out);
         fprintf(out, " %9" PRIu64 " %9" PRIu64 " %9" PRIu64 " %7.1f\n",
                 row->total, row->late, row->lost,
-                share(row->late + row->lost, row->total));
+                percent(row->late + row->lost, row->total));
     }
-    if (left > 0) {
-        fprintf(out, "and %zu more\n", left);
+    if (omitted > 0) {
+        fprintf(out, "and %zu more\n", omitted);
     }
     free(rows);
 }
@@ -77,8 +77,8 @@
             " of something else, %" PRIu64 " left out by daemons; %" PRIu64
             " requests forgotten\n",
             losses->requests, losses->served, losses->late, losses->lost,
-            losses->lines, losses->broken, losses->foreign, losses->left_out,
-            losses->forgotten);
+            losses->lines, losses->malformed, losses->other,
+            losses->suppressed, losses->discarded);
     for (int i = 0; i < LS_TABLES; i++) {
         print_table(&losses->tables[i], out);
     }
@@ -119,9 +119,10 @@
         (json_int_t)losses->requests, "served", (json_int_t)losses->served,
         "late", (json_int_t)losses->late, "lost", (json_int_t)losses->lost,
         "lines", (json_int_t)losses->lines, "broken_lines",
-        (json_int_t)losses->broken, "other_lines", (json_int_t)losses->foreign,
-        "lines_left_out", (json_int_t)losses->left_out, "forgotten",
-        (json_int_t)losses->forgotten);
+        (json_int_t)losses->malformed, "other_lines",
+        (json_int_t)losses->other, "lines_left_out",
+        (json_int_t)losses->suppressed, "forgotten",
+        (json_int_t)losses->discarded);
     if (document == NULL) {
         return false;
     }
--- a/packages/loss/loss_svg.c
+++ b/packages/loss/loss_svg.c
@@ -1,16 +1,17 @@
-/* Requests of each second as stacked bars. */
+/* Draws the requests of each second as stacked bars. */
 #include <inttypes.h>
 #include <stdlib.h>
 
 #include "loss/loss_internal.h"
 
-/* Of the picture, in pixels. */
+/* Size and margins of the picture in pixels. */
 #define Ls_WIDTH 960
 #define Ls_HEIGHT 320
 #define Ls_LEFT 56
 #define Ls_RIGHT 16
 #define Ls_TOP 40
 #define Ls_BOTTOM 40
+
 #define Ls_GRID_LINES 4
 #define Ls_TIME_MARKS 8
 
@@ -26,9 +27,9 @@
 };
 
 struct frame {
-    int64_t first; /* second */
+    int64_t first; /* second since 1970 */
     int64_t seconds;
-    uint64_t most; /* requests in one second */
+    uint64_t max_requests; /* highest number in one second */
 };
 
 static double
@@ -43,7 +44,7 @@
 height_of(const struct frame *frame, uint64_t requests)
 {
     double height = Ls_HEIGHT - Ls_TOP - Ls_BOTTOM;
-    return height * (double)requests / (double)frame->most;
+    return height * (double)requests / (double)frame->max_requests;
 }
 
 static void
@@ -54,12 +55,12 @@
         return;
     }
     double width = left_of(frame, second + 1) - left_of(frame, second);
-    double foot = Ls_HEIGHT - Ls_BOTTOM - height_of(frame, below);
+    double bottom = Ls_HEIGHT - Ls_BOTTOM - height_of(frame, below);
     double height = height_of(frame, requests);
     fprintf(out,
             "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" "
             "fill=\"%s\"/>\n",
-            left_of(frame, second), foot - height, width * 0.9, height,
+            left_of(frame, second), bottom - height, width * 0.9, height,
             bars[bar].colour);
 }
 
@@ -67,7 +68,7 @@
 print_grid(const struct frame *frame, FILE *out)
 {
     for (int i = 0; i <= Ls_GRID_LINES; i++) {
-        uint64_t requests = frame->most * (uint64_t)i / Ls_GRID_LINES;
+        uint64_t requests = frame->max_requests * (uint64_t)i / Ls_GRID_LINES;
         double y = Ls_HEIGHT - Ls_BOTTOM - height_of(frame, requests);
         fprintf(out,
                 "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" "
@@ -88,7 +89,7 @@
 }
 
 static void
-print_key(FILE *out)
+print_legend(FILE *out)
 {
     for (int i = 0; i < BARS; i++) {
         int x = Ls_LEFT + i * 130;
@@ -104,7 +105,9 @@
 {
     struct frame frame = {0, 1, 1};
     for (size_t i = 0; i < count; i++) {
-        frame.most = rows[i]->total > frame.most ? rows[i]->total : frame.most;
+        frame.max_requests = rows[i]->total > frame.max_requests
+                                 ? rows[i]->total
+                                 : frame.max_requests;
     }
     if (count > 0) {
         frame.first = rows[0]->number;
@@ -126,7 +129,7 @@
             "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n",
             Ls_WIDTH, Ls_HEIGHT);
     print_grid(&frame, out);
-    print_key(out);
+    print_legend(out);
     for (size_t i = 0; i < count; i++) {
         const struct ls_row *row = rows[i];
         uint64_t served = row->total - row->late - row->lost;
--- a/packages/loss/loss_table.c
+++ b/packages/loss/loss_table.c
@@ -1,11 +1,11 @@
-/* Rows by name, and requests under way by id. */
+/* Tables of rows by name, and requests in flight by id. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "loss/loss_internal.h"
 
 RB_PROTOTYPE(ls_rows, ls_row, link, compare_rows);
-RB_PROTOTYPE(ls_open_tree, ls_open, link, compare_open);
+RB_PROTOTYPE(ls_pending_tree, ls_pending, link, compare_pending);
 
 static int
 compare_rows(const struct ls_row *a, const struct ls_row *b)
@@ -17,13 +17,13 @@
 }
 
 static int
-compare_open(const struct ls_open *a, const struct ls_open *b)
+compare_pending(const struct ls_pending *a, const struct ls_pending *b)
 {
     return strcmp(a->id, b->id);
 }
 
 RB_GENERATE(ls_rows, ls_row, link, compare_rows);
-RB_GENERATE(ls_open_tree, ls_open, link, compare_open);
+RB_GENERATE(ls_pending_tree, ls_pending, link, compare_pending);
 
 void
 ls_table_init(struct ls_table *table, const char *title, bool by_number)
@@ -74,7 +74,7 @@
 }
 
 static int
-by_lost(const void *a, const void *b)
+compare_lost(const void *a, const void *b)
 {
     const struct ls_row *x = *(const struct ls_row *const *)a;
     const struct ls_row *y = *(const struct ls_row *const *)b;
@@ -102,68 +102,70 @@
         rows[count++] = row;
     }
     if (!table->by_number) {
-        qsort(rows, count, sizeof(*rows), by_lost);
+        qsort(rows, count, sizeof(*rows), compare_lost);
     }
     return rows;
 }
 
 void
-ls_open_free(struct ls_open *open)
+ls_pending_free(struct ls_pending *request)
 {
-    if (open != NULL) {
-        free(open->id);
-        free(open->customer);
-        free(open->endpoint);
-        free(open);
+    if (request != NULL) {
+        free(request->id);
+        free(request->customer);
+        free(request->endpoint);
+        free(request);
     }
 }
 
 static void
-remove_open(struct ls_losses *losses, struct ls_open *open)
+remove_pending(struct ls_losses *losses, struct ls_pending *request)
 {
-    RB_REMOVE(ls_open_tree, &losses->open, open);
-    TAILQ_REMOVE(&losses->ages, open, age);
-    losses->open_count--;
+    RB_REMOVE(ls_pending_tree, &losses->pending, request);
+    TAILQ_REMOVE(&losses->pending_by_age, request, age_link);
+    losses->pending_count--;
 }
 
-struct ls_open *
-ls_open_take(struct ls_losses *losses, const char *id)
+struct ls_pending *
+ls_pending_take(struct ls_losses *losses, const char *id)
 {
-    struct ls_open wanted = {.id = (char *)id};
-    struct ls_open *open = RB_FIND(ls_open_tree, &losses->open, &wanted);
-    if (open != NULL) {
-        remove_open(losses, open);
+    struct ls_pending wanted = {.id = (char *)id};
+    struct ls_pending *request =
+        RB_FIND(ls_pending_tree, &losses->pending, &wanted);
+    if (request != NULL) {
+        remove_pending(losses, request);
     }
-    return open;
+    return request;
 }
 
-/* A request that is sent once more replaces what was known of it. */
+/* If the request was sent before (a retry), the new attempt replaces it. */
 void
-ls_open_add(struct ls_losses *losses, const char *id, const char *customer,
-            const char *endpoint, double at)
+ls_pending_add(struct ls_losses *losses, const char *id, const char *customer,
+               const char *endpoint, double at)
 {
-    ls_open_free(ls_open_take(losses, id));
-    if (losses->open_count >= Ls_OPEN_MAX) {
-        struct ls_open *oldest = TAILQ_FIRST(&losses->ages);
-        remove_open(losses, oldest);
-        ls_open_free(oldest);
-        losses->forgotten++;
-    }
-    struct ls_open *open = calloc(1, sizeof(*open));
-    if (open == NULL) {
-        losses->forgotten++;
+    ls_pending_free(ls_pending_take(losses, id));
+    if (losses->pending_count >= Ls_PENDING_MAX) {
+        struct ls_pending *oldest = TAILQ_FIRST(&losses->pending_by_age);
+        remove_pending(losses, oldest);
+        ls_pending_free(oldest);
+        losses->discarded++;
+    }
+    struct ls_pending *request = calloc(1, sizeof(*request));
+    if (request == NULL) {
+        losses->discarded++;
         return;
     }
-    open->id = strdup(id);
-    open->customer = strdup(customer);
-    open->endpoint = strdup(endpoint);
-    open->sent_at = at;
-    if (open->id == NULL || open->customer == NULL || open->endpoint == NULL) {
-        ls_open_free(open);
-        losses->forgotten++;
+    request->id = strdup(id);
+    request->customer = strdup(customer);
+    request->endpoint = strdup(endpoint);
+    request->sent_at = at;
+    if (request->id == NULL || request->customer == NULL ||
+        request->endpoint == NULL) {
+        ls_pending_free(request);
+        losses->discarded++;
         return;
     }
-    RB_INSERT(ls_open_tree, &losses->open, open);
-    TAILQ_INSERT_TAIL(&losses->ages, open, age);
-    losses->open_count++;
+    RB_INSERT(ls_pending_tree, &losses->pending, request);
+    TAILQ_INSERT_TAIL(&losses->pending_by_age, request, age_link);
+    losses->pending_count++;
 }
--- a/packages/loss/test/loss_test.cc
+++ b/packages/loss/test/loss_test.cc
@@ -13,10 +13,10 @@
 
 namespace {
 
-const char kRecorded[] = CG_SOURCE_DIR "/packages/loss/test/data/flood.log";
+const char kRecordedLog[] = CG_SOURCE_DIR "/packages/loss/test/data/flood.log";
 
 std::string
-Whole(FILE *file)
+ReadAll(FILE *file)
 {
     std::string text;
     char buffer[4096];
@@ -51,7 +51,7 @@
         Ls_Finish(losses);
         FILE *out = tmpfile();
         EXPECT_TRUE(Ls_PrintJson(losses, out));
-        document = json_loads(Whole(out).c_str(), 0, nullptr);
+        document = json_loads(ReadAll(out).c_str(), 0, nullptr);
     }
 
     long long
@@ -60,16 +60,16 @@
         return json_integer_value(json_object_get(document, name));
     }
 
-    // A row's figure; -1 when there is no such row.
+    // Returns a count of a row, or -1 if there is no such row.
     long long
-    Row(const char *table, const std::string &name, const char *figure) const
+    Row(const char *table, const std::string &name, const char *count) const
     {
         size_t i;
         json_t *row;
         json_array_foreach (json_object_get(document, table), i, row) {
             const char *text = json_string_value(json_object_get(row, "name"));
             if (text != nullptr && name == text) {
-                return json_integer_value(json_object_get(row, figure));
+                return json_integer_value(json_object_get(row, count));
             }
         }
         return -1;
@@ -100,16 +100,16 @@
 };
 
 std::string
-Recorded()
+ReadRecordedLog()
 {
-    std::ifstream in(kRecorded);
+    std::ifstream in(kRecordedLog);
     std::stringstream text;
     text << in.rdbuf();
     return text.str();
 }
 
 void
-ExpectRecorded(const Losses &found)
+ExpectRecordedCounts(const Losses &found)
 {
     EXPECT_EQ(62, found.Number("requests"));
     EXPECT_EQ(54, found.Number("served"));
@@ -123,18 +123,18 @@
     EXPECT_EQ(1, found.Row("endpoint", "endpoint-2", "late"));
 }
 
-TEST(Loss, ARecordedFloodIsCounted)
+TEST(Loss, CountsARecordedOverload)
 {
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecorded));
+    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecordedLog));
     found.Finish();
-    ExpectRecorded(found);
+    ExpectRecordedCounts(found);
 }
 
-TEST(Loss, ACompressedLogSaysTheSame)
+TEST(Loss, ACompressedLogGivesTheSameCounts)
 {
     TempFile file;
-    std::string text = Recorded();
+    std::string text = ReadRecordedLog();
     gzFile out = gzopen(file.Path(), "wb");
     ASSERT_EQ((int)text.size(),
               gzwrite(out, text.data(), (unsigned)text.size()));
@@ -142,18 +142,18 @@
     Losses found;
     ASSERT_EQ(ST_OK, Ls_File(found.losses, file.Path()));
     found.Finish();
-    ExpectRecorded(found);
+    ExpectRecordedCounts(found);
 }
 
-// An operator copies a log while it is being compressed, and is told nothing
-// at all of the hour that it holds.
-TEST(Loss, ACompressedLogThatEndsEarlyIsReadThatFar)
+// Guards against a truncated gzip file, such as a log copied while it is being
+// compressed, whose readable lines are not counted.
+TEST(Loss, ATruncatedCompressedLogIsReadToItsEnd)
 {
     TempFile whole;
     TempFile cut;
     std::string text;
     for (int i = 0; i < 200; i++) {
-        text += Recorded();
+        text += ReadRecordedLog();
     }
     gzFile out = gzopen(whole.Path(), "wb");
     gzwrite(out, text.data(), (unsigned)text.size());
@@ -170,7 +170,7 @@
     EXPECT_GT(found.Number("broken_lines"), 0);
 }
 
-TEST(Loss, AFileThatIsNotThereIsSaidSo)
+TEST(Loss, AMissingFileIsReported)
 {
     Losses found;
     EXPECT_EQ(ST_NOT_FOUND, Ls_File(found.losses, "/nowhere/a.log"));
@@ -179,9 +179,9 @@
     EXPECT_EQ(ST_NOT_FOUND, Ls_File(found.losses, "/tmp"));
 }
 
-// A daemon is killed with requests under way; their callers are not among
-// those that are known to have lost something.
-TEST(Loss, WhatHasNoEndIsLost)
+// Guards against lost requests that are not counted because their daemon was
+// killed while they were in flight.
+TEST(Loss, ARequestWithoutAnEndIsLost)
 {
     Losses found;
     found.Line("{\"t\":10.5,\"node\":\"a\",\"ev\":\"attempt.sent\","
@@ -193,7 +193,7 @@
     EXPECT_EQ(1, found.Row("endpoint", "e", "lost"));
 }
 
-// A request that was sent twice is one request, lost or not.
+// Guards against a retried request that is counted once per attempt.
 TEST(Loss, ARequestSentTwiceCountsOnce)
 {
     Losses found;
@@ -212,8 +212,8 @@
     EXPECT_EQ(-1, found.Row("endpoint", "e", "lost"));
 }
 
-// A log of another program, or one with a cut line in it, ends the count.
-TEST(Loss, WhatIsNoEventIsCountedAndPassedOver)
+// Guards against a foreign or truncated line that ends the count.
+TEST(Loss, LinesThatAreNotEventsAreCountedAndSkipped)
 {
     Losses found;
     for (const char *line :
@@ -229,9 +229,9 @@
     EXPECT_EQ(3, found.Number("lost"));
 }
 
-// An operator trusts the counts of an hour in which daemons left out the
-// lines of what went well.
-TEST(Loss, LinesThatDaemonsLeftOutAreSaid)
+// Guards against counts that look complete although the daemons suppressed
+// log lines.
+TEST(Loss, SuppressedLinesAreReported)
 {
     Losses found;
     found.Line("{\"t\":1,\"ev\":\"log.suppressed\",\"lines\":120}");
@@ -240,8 +240,8 @@
     EXPECT_EQ(150, found.Number("lines_left_out"));
 }
 
-// Names without end must not take memory without end.
-TEST(Loss, ManyNamesAreSummedUp)
+// Guards against memory that grows with the number of different names.
+TEST(Loss, FurtherNamesAreCountedAsOthers)
 {
     Losses found;
     for (int i = 0; i < 10000; i++) {
@@ -254,7 +254,7 @@
     EXPECT_EQ(10000 - 4096, found.Row("customer", "others", "lost"));
 }
 
-TEST(Loss, ALineWithoutAnEndIsPassedOver)
+TEST(Loss, ATooLongLineIsSkipped)
 {
     TempFile file;
     std::ofstream(file.Path())
@@ -267,28 +267,28 @@
     EXPECT_EQ(1, found.Number("lost"));
 }
 
-TEST(Loss, TheTimelineHasABarForWhatWasLost)
+TEST(Loss, TheTimelineHasABarForLostRequests)
 {
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecorded));
+    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecordedLog));
     Ls_Finish(found.losses);
     FILE *out = tmpfile();
     ASSERT_TRUE(Ls_PrintSvg(found.losses, out));
-    std::string text = Whole(out);
+    std::string text = ReadAll(out);
     EXPECT_EQ(0u, text.find("<svg "));
     EXPECT_NE(std::string::npos, text.find("#c0392b\"/>\n<text"));
     EXPECT_NE(std::string::npos, text.find("</svg>"));
     EXPECT_EQ(std::string::npos, text.find("nan"));
 }
 
-TEST(Loss, NothingReadIsNothingLost)
+TEST(Loss, AnEmptyInputHasNoLosses)
 {
     Losses found;
     found.Finish();
     EXPECT_EQ(0, found.Number("requests"));
     FILE *out = tmpfile();
     EXPECT_TRUE(Ls_PrintSvg(found.losses, out));
-    EXPECT_EQ(std::string::npos, Whole(out).find("nan"));
+    EXPECT_EQ(std::string::npos, ReadAll(out).find("nan"));
 }
 
 } // namespace
