--- a/packages/base/buffer.h
+++ b/packages/base/buffer.h
@@ -1,4 +1,4 @@
-/* Bytes that grow at their end. */
+/* Byte buffer that grows as data is appended. */
 #ifndef BASE_BUFFER_H
 #define BASE_BUFFER_H
 
@@ -9,14 +9,14 @@
 extern "C" {
 #endif
 
-/* All zero: empty. */
+/* A zeroed struct is an empty buffer. */
 struct bf_buffer {
     char *at;
     size_t len;
-    size_t size;
+    size_t size; /* allocated */
 };
 
-/* False without memory; the buffer is as it was. */
+/* Appends data; if an allocation fails, returns false and changes nothing. */
 bool Bf_Add(struct bf_buffer *buffer, const void *data, size_t len);
 void Bf_Free(struct bf_buffer *buffer);
 
--- a/packages/base/clock.c
+++ b/packages/base/clock.c
@@ -11,8 +11,8 @@
 {
     (void)clock;
     /*
-     * CLOCK_BOOTTIME, not CLOCK_MONOTONIC: a host suspended past the end of
-     * its lease must see that time has gone by.
+     * CLOCK_BOOTTIME, not CLOCK_MONOTONIC, which stops during suspend: a host
+     * that was suspended past the end of its lease must see it as expired.
      */
     clock_gettime(CLOCK_BOOTTIME, now);
 }
@@ -31,14 +31,14 @@
 
 static const struct ck_clock system_clock = {.ops = &system_ops};
 
-/* Returns the clock of this host.  It lives as long as the process. */
+/* Returns the clock of this host, valid as long as the process runs. */
 const struct ck_clock *
 Ck_System(void)
 {
     return &system_clock;
 }
 
-/* Microseconds since an arbitrary start, never going back. */
+/* Returns monotonic time in microseconds since an arbitrary start. */
 int64_t
 Ck_Now(const struct ck_clock *clock)
 {
@@ -47,7 +47,7 @@
     return to_usec(&now);
 }
 
-/* Calendar time in microseconds since the epoch; may jump either way. */
+/* Returns calendar time in microseconds since the epoch; it may jump. */
 int64_t
 Ck_Wall(const struct ck_clock *clock)
 {
--- a/packages/base/clock.h
+++ b/packages/base/clock.h
@@ -1,6 +1,6 @@
 /*
- * The clock as an interface, so that decisions and leases can be tested with
- * a clock that jumps.  Arithmetic is done in microseconds (int64_t).
+ * The clock is an interface, so that decisions and leases can be tested with a
+ * simulated clock that jumps.  Times are int64_t microseconds.
  */
 #ifndef BASE_CLOCK_H
 #define BASE_CLOCK_H
@@ -18,9 +18,9 @@
 struct ck_clock;
 
 struct ck_ops {
-    /* Time since an arbitrary start; counts suspended time as well. */
+    /* Time since an arbitrary start, including time while suspended. */
     void (*boot)(const struct ck_clock *clock, struct timespec *now);
-    /* Calendar time, for people and for the platform only. */
+    /* Calendar time, for display and for the platform only. */
     void (*wall)(const struct ck_clock *clock, struct timespec *now);
 };
 
--- a/packages/base/deflate.c
+++ b/packages/base/deflate.c
@@ -5,7 +5,7 @@
 #include <zlib.h>
 
 #define Df_LENGTH_BYTES 4
-/* The fastest: the others gain little on names that repeat. */
+/* The fastest level; higher ones gain little on repeated names. */
 #define Df_LEVEL 1
 
 bool
@@ -17,16 +17,15 @@
     for (size_t i = 0; i < Df_LENGTH_BYTES; i++) {
         length[i] = (unsigned char)(len >> (8 * (Df_LENGTH_BYTES - 1 - i)));
     }
-    bool fine = packed != NULL && len <= UINT32_MAX &&
-                compress2(packed, &size, data, (uLong)len, Df_LEVEL) == Z_OK &&
-                Bf_Add(out, length, sizeof(length)) &&
-                Bf_Add(out, packed, size);
+    bool ok = packed != NULL && len <= UINT32_MAX &&
+              compress2(packed, &size, data, (uLong)len, Df_LEVEL) == Z_OK &&
+              Bf_Add(out, length, sizeof(length)) && Bf_Add(out, packed, size);
     free(packed);
-    return fine;
+    return ok;
 }
 
 bool
-Df_Unpack(const void *data, size_t len, size_t most, struct bf_buffer *out)
+Df_Unpack(const void *data, size_t len, size_t max_len, struct bf_buffer *out)
 {
     const unsigned char *bytes = data;
     if (len < Df_LENGTH_BYTES) {
@@ -36,15 +35,15 @@
     for (size_t i = 0; i < Df_LENGTH_BYTES; i++) {
         size = size << 8 | bytes[i];
     }
-    if (size > most) {
+    if (size > max_len) {
         return false;
     }
     unsigned char *raw = malloc(size + 1);
     uLongf got = (uLongf)size;
-    bool fine = raw != NULL &&
-                uncompress(raw, &got, bytes + Df_LENGTH_BYTES,
-                           (uLong)(len - Df_LENGTH_BYTES)) == Z_OK &&
-                got == size && Bf_Add(out, raw, size);
+    bool ok = raw != NULL &&
+              uncompress(raw, &got, bytes + Df_LENGTH_BYTES,
+                         (uLong)(len - Df_LENGTH_BYTES)) == Z_OK &&
+              got == size && Bf_Add(out, raw, size);
     free(raw);
-    return fine;
+    return ok;
 }
--- a/packages/base/deflate.h
+++ b/packages/base/deflate.h
@@ -1,4 +1,4 @@
-/* Bytes made smaller with zlib, behind their length. */
+/* zlib compression; the compressed data follows the uncompressed length. */
 #ifndef BASE_DEFLATE_H
 #define BASE_DEFLATE_H
 
@@ -11,10 +11,14 @@
 extern "C" {
 #endif
 
-/* False without memory. */
+/* Appends the compressed data to "out"; false if an allocation fails. */
 bool Df_Pack(const void *data, size_t len, struct bf_buffer *out);
-/* False for bytes that are none of ours, or more than "most" unpacked. */
-bool Df_Unpack(const void *data, size_t len, size_t most,
+/*
+ * Appends the uncompressed data to "out".  Returns false if the data is
+ * invalid or longer than "max_len" bytes uncompressed, or if an allocation
+ * fails.
+ */
+bool Df_Unpack(const void *data, size_t len, size_t max_len,
                struct bf_buffer *out);
 
 #ifdef __cplusplus
--- a/packages/base/event.c
+++ b/packages/base/event.c
@@ -26,13 +26,13 @@
 }
 
 /*
- * Starts logging for a program; events less important than "most" are
- * dropped.  Before this call every event is dropped, which suits tests.
+ * Starts logging for a program; events less severe than "max_level" are
+ * dropped.  Before this call all events are dropped, so tests log nothing.
  */
 void
-Ev_Open(const char *program, enum ev_level most)
+Ev_Open(const char *program, enum ev_level max_level)
 {
-    /* No configuration file: a host has no disk to keep one on. */
+    /* Hosts have no disk that could hold a log4c configuration file. */
     setenv("LOG4C_RCPATH", "/nonexistent", 0);
     log4c_init();
     category = log4c_category_get(program);
@@ -40,12 +40,12 @@
     log4c_appender_set_layout(appender, log4c_layout_get("dated"));
     log4c_category_set_appender(category, appender);
     log4c_category_set_additivity(category, 0);
-    log4c_category_set_priority(category, to_priority(most));
+    log4c_category_set_priority(category, to_priority(max_level));
 }
 
 /*
- * Logs one event with a printf-style list of key=value pairs.  Secrets must
- * be passed as digests.
+ * Logs one event with a printf-style list of key=value pairs.  Pass digests of
+ * secrets, never the secrets.
  */
 void
 Ev_Log(const struct ev_event *event, const char *fmt, ...)
@@ -63,7 +63,7 @@
                        line);
 }
 
-/* Stops logging and frees what log4c holds. */
+/* Stops logging and frees the resources of log4c. */
 void
 Ev_Close(void)
 {
--- a/packages/base/event.h
+++ b/packages/base/event.h
@@ -1,8 +1,8 @@
 /*
  * Numbered log events.  Each package lists its events in events.def as
  *     EV(number, NAME, LEVEL, "meaning", "what to do")
- * and docs/EVENTS.md is made from these lists.  Lines go to standard error
- * through log4c; hosts keep no files.
+ * and docs/EVENTS.md is generated from these lists.  Events are written to
+ * standard error through log4c, because hosts keep no log files.
  */
 #ifndef BASE_EVENT_H
 #define BASE_EVENT_H
@@ -24,12 +24,12 @@
     enum ev_level level;
 };
 
-/* Declares the events of a package: include events.def with this EV. */
+/* Declares an event; define EV by this macro and include events.def. */
 #define Ev_DEFINE(number, name, level)                                        \
     static const struct ev_event name                                         \
         __attribute__((unused)) = {number, #name, EV_##level};
 
-void Ev_Open(const char *program, enum ev_level most);
+void Ev_Open(const char *program, enum ev_level max_level);
 void Ev_Log(const struct ev_event *event, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 void Ev_Close(void);
--- a/packages/base/hash.c
+++ b/packages/base/hash.c
@@ -8,14 +8,14 @@
 
 #define Hash_DIGEST_BYTES 16
 
-/* 64-bit placement hash of len bytes; not for security. */
+/* Returns a 64-bit placement hash of len bytes; not cryptographic. */
 uint64_t
 Hash_Bytes(const void *data, size_t len, uint64_t seed)
 {
     return XXH3_64bits_withSeed(data, len, seed);
 }
 
-/* 64-bit placement hash of a string; not for security. */
+/* Returns a 64-bit placement hash of a string; not cryptographic. */
 uint64_t
 Hash_String(const char *text, uint64_t seed)
 {
@@ -23,8 +23,8 @@
 }
 
 /*
- * Weight of a node for a key in rendezvous hashing: the node with the
- * highest weight is responsible, and a node's loss moves only its own keys.
+ * Returns the weight of a node for a key in rendezvous hashing.  A key belongs
+ * to the node with the highest weight; a node's loss moves only its own keys.
  */
 uint64_t
 Hash_Rendezvous(const char *key, const char *node)
@@ -32,7 +32,7 @@
     return Hash_String(node, Hash_String(key, 0));
 }
 
-/* First 128 bits of SHA-256 in hex: names a secret without revealing it. */
+/* First 128 bits of SHA-256 in hex: identifies a secret, but hides it. */
 void
 Hash_Digest(const void *data, size_t len, char out[Hash_DIGEST_HEX])
 {
@@ -43,7 +43,7 @@
     }
 }
 
-/* 128-bit message authentication code (HMAC-SHA-256, truncated). */
+/* Message authentication code: HMAC-SHA-256, truncated to 128 bits. */
 void
 Hash_Mac(const char *key, const void *data, size_t len, uint8_t out[16])
 {
--- a/packages/base/hash.h
+++ b/packages/base/hash.h
@@ -1,6 +1,4 @@
-/*
- * Hashing for placement (xxhash) and for digests (SHA-256).
- */
+/* Hashes for placement (xxhash), digests and MACs (SHA-256). */
 #ifndef BASE_HASH_H
 #define BASE_HASH_H
 
--- a/packages/base/line.c
+++ b/packages/base/line.c
@@ -10,16 +10,17 @@
 
 #define Ln_LINE_MAX 1024
 #define Ln_BUFFER_BYTES 65536
-#define Ln_WRITE_BYTES 4096 /* what a pipe that polls writable takes whole */
+#define Ln_WRITE_BYTES                                                        \
+    4096 /* a writable pipe accepts this much without blocking */
 /*
- * Lines a second, and how many may come at once.  A daemon handles some tens
- * of requests a second, a few lines each; ten times that is an overload whose
- * single successes explain nothing.
+ * Rate and burst of a token bucket, in lines.  A daemon handles some tens of
+ * requests a second with a few lines each.  At ten times that rate it is
+ * overloaded, and lines about single successful requests explain nothing.
  */
 #define Ln_PER_SEC 200.0
 #define Ln_BURST 400.0
-/* Below this part of the burst ordinary lines are left out. */
-#define Ln_ORDINARY_ABOVE 0.5
+/* Fraction of the burst that is reserved for lines that are not ordinary. */
+#define Ln_ORDINARY_RESERVE 0.5
 
 static struct {
     int fd;
@@ -27,7 +28,7 @@
     const struct ck_clock *clock;
     char node[96];
     double tokens;
-    int64_t filled_at;
+    int64_t refilled_at;
     unsigned long suppressed;
     size_t len;
     char buffer[Ln_BUFFER_BYTES];
@@ -40,22 +41,23 @@
     out.open = true;
     out.clock = clock;
     out.tokens = Ln_BURST;
-    out.filled_at = Ck_Now(clock);
+    out.refilled_at = Ck_Now(clock);
     strlcpy(out.node, node, sizeof(out.node));
 }
 
 static bool
-allowed(enum ln_weight weight)
+take_token(enum ln_weight weight)
 {
     int64_t now = Ck_Now(out.clock);
     out.tokens +=
-        (double)(now - out.filled_at) * Ln_PER_SEC / (double)Ck_USEC_PER_SEC;
-    out.filled_at = now;
+        (double)(now - out.refilled_at) * Ln_PER_SEC / (double)Ck_USEC_PER_SEC;
+    out.refilled_at = now;
     if (out.tokens > Ln_BURST) {
         out.tokens = Ln_BURST;
     }
-    double need = weight == LN_ORDINARY ? Ln_BURST * Ln_ORDINARY_ABOVE : 1;
-    if (out.tokens < need || out.len + Ln_LINE_MAX > Ln_BUFFER_BYTES) {
+    double required =
+        weight == LN_ORDINARY ? Ln_BURST * Ln_ORDINARY_RESERVE : 1;
+    if (out.tokens < required || out.len + Ln_LINE_MAX > Ln_BUFFER_BYTES) {
         return false;
     }
     out.tokens -= 1;
@@ -65,12 +67,12 @@
 static void
 append(const char *event, const char *members)
 {
-    int64_t wall = Ck_Wall(out.clock);
+    int64_t wall_usec = Ck_Wall(out.clock);
     int len =
         snprintf(out.buffer + out.len, Ln_LINE_MAX,
                  "{\"t\":%lld.%03lld,\"node\":\"%s\",\"ev\":\"%s\"%s%s}\n",
-                 (long long)(wall / Ck_USEC_PER_SEC),
-                 (long long)(wall % Ck_USEC_PER_SEC / Ck_USEC_PER_MSEC),
+                 (long long)(wall_usec / Ck_USEC_PER_SEC),
+                 (long long)(wall_usec % Ck_USEC_PER_SEC / Ck_USEC_PER_MSEC),
                  out.node, event, members[0] == '\0' ? "" : ",", members);
     if (len > 0 && len < Ln_LINE_MAX) {
         out.len += (size_t)len;
@@ -86,7 +88,7 @@
     if (!out.open) {
         return;
     }
-    if (!allowed(weight)) {
+    if (!take_token(weight)) {
         out.suppressed++;
         return;
     }
--- a/packages/base/line.h
+++ b/packages/base/line.h
@@ -1,7 +1,8 @@
 /*
- * Structured log lines on standard output, one JSON object each.  Lines are
- * bounded in number and never wait: under load ordinary ones give way to
- * failures first, and what was left out is counted in a line of its own.
+ * Structured log lines on standard output, one JSON object each.  Logging
+ * never blocks: lines are rate-limited and buffered.  Near the limit ordinary
+ * lines are suppressed, so that failures can still be logged.  A
+ * "log.suppressed" line reports the number of suppressed lines.
  */
 #ifndef BASE_LINE_H
 #define BASE_LINE_H
@@ -13,18 +14,21 @@
 #endif
 
 enum ln_weight {
-    LN_ORDINARY, /* a request that went well */
-    LN_FAILURE,  /* a request that did not */
-    LN_STATE,    /* what the process believes has changed */
+    LN_ORDINARY, /* expected, such as a successful request */
+    LN_FAILURE,  /* a failed request or operation */
+    LN_STATE,    /* a change in the process's view of the system */
 };
 
 void Ln_Open(int fd, const struct ck_clock *clock, const char *node);
-/* "fmt" gives the members after the event, as JSON without the braces. */
+/* "fmt" formats the JSON members that follow "ev", without braces. */
 void Ln_Log(enum ln_weight weight, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
-/* Writes what the descriptor takes; to be called some ten times a second. */
+/*
+ * Writes buffered lines until the descriptor would block.  Call it about ten
+ * times a second.
+ */
 void Ln_Flush(void);
-/* Bytes that are safe inside a JSON string; others become '?'. */
+/* Replaces bytes that are unsafe inside a JSON string by '?'. */
 void Ln_Clean(char *text);
 
 #ifdef __cplusplus
--- a/packages/base/metric.c
+++ b/packages/base/metric.c
@@ -7,8 +7,8 @@
 
 /* Histogram buckets: powers of two from 128 us to about 2.2 minutes. */
 #define Mt_BUCKETS 21
-#define Mt_FIRST_BOUND INT64_C(128)
-#define Mt_MAX_METRICS 4096
+#define Mt_FIRST_BOUND_USEC INT64_C(128)
+#define Mt_METRICS_MAX 4096
 
 struct mt_metric {
     TAILQ_ENTRY(mt_metric) link;
@@ -26,7 +26,7 @@
     struct mt_metric overflow;
 };
 
-/* Creates an empty registry, or NULL without memory. */
+/* Creates an empty registry; returns NULL if an allocation fails. */
 struct mt_registry *
 Mt_Create(void)
 {
@@ -71,7 +71,7 @@
         free(metric);
         return NULL;
     }
-    /* Series of one name stay together, as the text format asks. */
+    /* The text format requires the series of one name to be adjacent. */
     struct mt_metric *after = NULL;
     struct mt_metric *other;
     TAILQ_FOREACH (other, &registry->metrics, link) {
@@ -90,10 +90,10 @@
 }
 
 /*
- * Finds or makes a metric.  "labels" is the text between the braces, without
- * them, or empty.  Never returns NULL: beyond 4096 series, or without memory,
- * a shared metric that is never printed is returned, so that a flood of
- * label values cannot exhaust memory.
+ * Finds or creates a metric.  "labels" is the text between the braces, without
+ * them, or empty.  Never returns NULL: beyond 4096 series, or if an allocation
+ * fails, returns a shared metric that is never printed, so that a large number
+ * of label values cannot exhaust memory.
  */
 struct mt_metric *
 Mt_Get(struct mt_registry *registry, enum mt_kind kind, const char *name,
@@ -106,7 +106,7 @@
             return metric;
         }
     }
-    if (registry->count >= Mt_MAX_METRICS) {
+    if (registry->count >= Mt_METRICS_MAX) {
         return &registry->overflow;
     }
     metric = metric_create(registry, kind, name, labels);
@@ -132,7 +132,7 @@
 Mt_Observe(struct mt_metric *metric, int64_t usec)
 {
     int bucket = 0;
-    int64_t bound = Mt_FIRST_BOUND;
+    int64_t bound = Mt_FIRST_BOUND_USEC;
     while (bucket < Mt_BUCKETS && usec > bound) {
         bound *= 2;
         bucket++;
@@ -142,7 +142,7 @@
     metric->value += usec;
 }
 
-/* Value of a counter or gauge; sum of a histogram in microseconds. */
+/* Value of a counter or gauge, or sum of a histogram in microseconds. */
 int64_t
 Mt_Value(const struct mt_metric *metric)
 {
@@ -154,11 +154,11 @@
 Mt_Quantile(const struct mt_metric *metric, double quantile)
 {
     int64_t rank = (int64_t)(quantile * (double)metric->count);
-    int64_t seen = 0;
-    int64_t bound = Mt_FIRST_BOUND;
+    int64_t cumulative = 0;
+    int64_t bound = Mt_FIRST_BOUND_USEC;
     for (int i = 0; i <= Mt_BUCKETS; i++) {
-        seen += metric->buckets[i];
-        if (seen > rank) {
+        cumulative += metric->buckets[i];
+        if (cumulative > rank) {
             return bound;
         }
         bound *= 2;
@@ -184,12 +184,13 @@
 print_histogram(FILE *out, const struct mt_metric *metric)
 {
     const char *comma = metric->labels[0] != '\0' ? "," : "";
-    int64_t seen = 0;
-    int64_t bound = Mt_FIRST_BOUND;
+    int64_t cumulative = 0;
+    int64_t bound = Mt_FIRST_BOUND_USEC;
     for (int i = 0; i < Mt_BUCKETS; i++) {
-        seen += metric->buckets[i];
+        cumulative += metric->buckets[i];
         fprintf(out, "%s_bucket{%s%sle=\"%.6f\"} %lld\n", metric->name,
-                metric->labels, comma, (double)bound / 1e6, (long long)seen);
+                metric->labels, comma, (double)bound / 1e6,
+                (long long)cumulative);
         bound *= 2;
     }
     fprintf(out, "%s_bucket{%s%sle=\"+Inf\"} %lld\n", metric->name,
@@ -211,7 +212,7 @@
     }
 }
 
-/* Prints every metric; the caller frees the text.  NULL without memory. */
+/* Returns all metrics as text, which the caller frees, or NULL on failure. */
 char *
 Mt_Print(const struct mt_registry *registry)
 {
--- a/packages/base/metric.h
+++ b/packages/base/metric.h
@@ -1,6 +1,6 @@
 /*
- * Counters, gauges and histograms, printed in the usual text exposition
- * format.  A metric is found or made by name and label text; the handle
+ * Counters, gauges and histograms, printed in the Prometheus text exposition
+ * format.  A metric is looked up or created by name and label text; the handle
  * stays valid until the registry is destroyed.
  */
 #ifndef BASE_METRIC_H
@@ -28,7 +28,7 @@
                          const char *name, const char *labels);
 void Mt_Add(struct mt_metric *metric, int64_t amount);
 void Mt_Set(struct mt_metric *metric, int64_t value);
-/* Sets every metric of a name to 0, whatever its labels. */
+/* Sets all counters or gauges of a name to 0, whatever their labels. */
 void Mt_Clear(struct mt_registry *registry, const char *name);
 void Mt_Observe(struct mt_metric *metric, int64_t usec);
 int64_t Mt_Value(const struct mt_metric *metric);
--- a/packages/base/packscan.c
+++ b/packages/base/packscan.c
@@ -1,8 +1,8 @@
 /*
- * A look at msgpack before the library unpacks it.  The library allocates
- * for a declared number of elements before they come: five bytes that claim
- * four billion made it ask for 256 GiB.  Every element takes a byte at
- * least, so no count may exceed the bytes that are left.
+ * Validates msgpack lengths before the library unpacks the data.  The library
+ * allocates memory for a declared number of elements before it reads them:
+ * five bytes that declare four billion elements made it request 256 GiB. Every
+ * element takes at least one byte, so no count may exceed the bytes left.
  */
 #include "base/packscan.h"
 
@@ -12,28 +12,31 @@
 #define Mp_FIRST_TYPED 0xc0
 #define Mp_NEGATIVE 0xe0
 
-/* Of the types 0xc0 to 0xdf: what follows the first byte. */
-struct mp_form {
-    uint8_t length_bytes; /* of a length or a count */
-    uint8_t fixed;        /* bytes besides */
-    uint8_t per_count;    /* elements for each of a count; 0: bytes */
+/* Layout of an element of type 0xc0 to 0xdf after its first byte. */
+struct mp_layout {
+    uint8_t length_bytes;       /* size of the length or count field */
+    uint8_t fixed_bytes;        /* further bytes of fixed size */
+    uint8_t elements_per_count; /* 1 array, 2 map; 0: the field counts bytes */
 };
 
-static const struct mp_form forms[] = {
-    {0, 0, 0},  {0, 0, 0}, {0, 0, 0}, {0, 0, 0}, /* nil, none, false, true */
+static const struct mp_layout layouts[] = {
+    {0, 0, 0},  {0, 0, 0}, {0, 0, 0}, {0, 0, 0}, /* nil, unused, false, true */
     {1, 0, 0},  {2, 0, 0}, {4, 0, 0},            /* bytes */
     {1, 1, 0},  {2, 1, 0}, {4, 1, 0},            /* extension */
     {0, 4, 0},  {0, 8, 0},                       /* floating point */
     {0, 1, 0},  {0, 2, 0}, {0, 4, 0}, {0, 8, 0}, /* unsigned */
     {0, 1, 0},  {0, 2, 0}, {0, 4, 0}, {0, 8, 0}, /* signed */
-    {0, 2, 0},  {0, 3, 0}, {0, 5, 0}, {0, 9, 0}, /* extension of one size */
+    {0, 2, 0},  {0, 3, 0}, {0, 5, 0}, {0, 9, 0}, /* extension of fixed size */
     {0, 17, 0},                                  /* extension of 16 bytes */
     {1, 0, 0},  {2, 0, 0}, {4, 0, 0},            /* string */
     {2, 0, 1},  {4, 0, 1},                       /* array */
     {2, 0, 2},  {4, 0, 2},                       /* map */
 };
 
-/* Size of an element's own bytes and how many elements it holds. */
+/*
+ * Reads the size of an element without its children, and their number. Returns
+ * false if the data ends within the length field.
+ */
 static bool
 read_element(const uint8_t *data, size_t left, uint64_t *size,
              uint64_t *elements)
@@ -56,27 +59,27 @@
         *size += first - Mp_FIX_STRING;
         return true;
     }
-    const struct mp_form *form = &forms[first - Mp_FIRST_TYPED];
+    const struct mp_layout *layout = &layouts[first - Mp_FIRST_TYPED];
     uint64_t length = 0;
-    if (left < 1U + form->length_bytes) {
+    if (left < 1U + layout->length_bytes) {
         return false;
     }
-    for (int i = 1; i <= form->length_bytes; i++) {
+    for (int i = 1; i <= layout->length_bytes; i++) {
         length = length << 8 | data[i];
     }
-    *size += form->length_bytes + form->fixed;
-    *elements = length * form->per_count;
-    *size += form->per_count == 0 ? length : 0;
+    *size += layout->length_bytes + layout->fixed_bytes;
+    *elements = length * layout->elements_per_count;
+    *size += layout->elements_per_count == 0 ? length : 0;
     return true;
 }
 
-/* True when all that the bytes declare can be in them. */
+/* Returns true if the data is long enough for all lengths it declares. */
 bool
 Mp_CountsFit(const uint8_t *data, size_t len)
 {
-    uint64_t due = 1; /* elements still to come */
+    uint64_t pending = 1; /* elements not read yet */
     size_t at = 0;
-    while (due > 0) {
+    while (pending > 0) {
         uint64_t size;
         uint64_t elements;
         if (at == len ||
@@ -85,8 +88,8 @@
             return false;
         }
         at += size;
-        due += elements - 1;
-        if (due > len - at) {
+        pending += elements - 1;
+        if (pending > len - at) {
             return false;
         }
     }
--- a/packages/base/packscan.h
+++ b/packages/base/packscan.h
@@ -1,4 +1,4 @@
-/* A look at msgpack before the library unpacks it. */
+/* Validation of msgpack lengths before the library unpacks the data. */
 #ifndef BASE_PACKSCAN_H
 #define BASE_PACKSCAN_H
 
--- a/packages/base/random.c
+++ b/packages/base/random.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Starts a sequence that is the same for the same seed on every host. */
+/* Starts a sequence; equal seeds give equal sequences on all hosts. */
 void
 Rn_Seed(struct rn_random *random, uint64_t seed)
 {
--- a/packages/base/random.h
+++ b/packages/base/random.h
@@ -1,6 +1,6 @@
 /*
- * Seeded pseudo-random numbers for decisions, so that a run can be repeated.
- * Keys and incarnations come from arc4random of libbsd, never from here.
+ * Seeded pseudo-random numbers for decisions, so that a run is reproducible.
+ * Not for keys and incarnations, which come from arc4random of libbsd.
  */
 #ifndef BASE_RANDOM_H
 #define BASE_RANDOM_H
--- a/packages/base/status.c
+++ b/packages/base/status.c
@@ -10,7 +10,7 @@
 /*
  * Records a failure of the given kind with a printf-style message that names
  * the remedy, and returns the kind so that callers can write
- * "return St_Fail(...)".  Longer messages are cut at 511 bytes.
+ * "return St_Fail(...)".  Messages are truncated to 511 bytes.
  */
 enum st_status
 St_Fail(enum st_status kind, const char *fmt, ...)
--- a/packages/base/test/base_test.cc
+++ b/packages/base/test/base_test.cc
@@ -10,7 +10,7 @@
 #include "base/random.h"
 #include "base/status.h"
 
-TEST(Status, KeepsKindAndMessage)
+TEST(Status, KeepsStatusAndMessage)
 {
     EXPECT_EQ(ST_CONFLICT, St_Fail(ST_CONFLICT, "base %d is stale", 7));
     EXPECT_STREQ("base 7 is stale", St_Message());
--- a/packages/base/test/buffer_test.cc
+++ b/packages/base/test/buffer_test.cc
@@ -5,8 +5,8 @@
 #include "base/buffer.h"
 #include "base/deflate.h"
 
-// Bytes that came in pieces are handed on with some of them missing or twice.
-TEST(Buffer, KeepsWhatWasAddedInOrder)
+// Guards against data appended in pieces that is lost or duplicated.
+TEST(Buffer, KeepsAppendedDataInOrder)
 {
     struct bf_buffer buffer = {};
     std::string all;
@@ -24,9 +24,9 @@
     Bf_Free(&buffer);
 }
 
-// A daemon takes bytes that were cut or made up for a peer's state, or runs
-// out of memory by a length that is a lie.
-TEST(Deflate, OnlyWholeBytesOfOursAreUnpacked)
+// Guards against a daemon that accepts truncated or corrupt data as a peer's
+// state, or runs out of memory because of a false length.
+TEST(Deflate, RejectsTruncatedAndCorruptData)
 {
     std::string text;
     for (int i = 0; i < 3000; i++) {
