--- a/packages/model/engine.c
+++ b/packages/model/engine.c
@@ -144,7 +144,8 @@
             job->uncached_tokens += job->part_tokens[i];
         }
     }
-    /* The answer is generated from the last prompt token, always read. */
+    /* Even a cached prompt is read from its last token, to begin the answer.
+     */
     job->prefill_left = job->uncached_tokens > 0 ? job->uncached_tokens : 1;
 }
 
