--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -11,8 +11,8 @@
 #include "base/clock.h"
 #include "policy/admit_internal.h"
 
-/* A peer without a publication for this many intervals is silent. */
-#define SILENT_INTERVALS 4
+/* A peer without a publication for this many intervals is unresponsive. */
+#define UNRESPONSIVE_INTERVALS 4
 /* A raised share takes effect after this many publication intervals. */
 #define RAISE_WINDOW_INTERVALS 3
 /* Time constant of the exponential decay of demands. */
@@ -50,7 +50,7 @@
 list_claimants(struct am_limits *limits, const struct am_customer *customer,
                bool by_rate, int64_t now)
 {
-    int64_t oldest = now - SILENT_INTERVALS * Am_PublishInterval(limits);
+    int64_t oldest = now - UNRESPONSIVE_INTERVALS * Am_PublishInterval(limits);
     const struct am_demand *own = &customer->published;
     size_t count = 0;
     limits->claimants[count++] = (struct am_claimant){
@@ -63,7 +63,8 @@
         struct am_claimant *claimant = &limits->claimants[count++];
         const struct am_demand *demand = demand_of(peer, customer->name);
         *claimant = (struct am_claimant){.rank = peer->rank, .slots = -1};
-        claimant->silent = !peer->has_demands || peer->received_at < oldest;
+        claimant->unresponsive =
+            !peer->has_demands || peer->received_at < oldest;
         if (demand != NULL) {
             claimant->demand = by_rate ? demand->per_sec : demand->in_flight;
             claimant->slots = demand->slots;
@@ -125,7 +126,10 @@
     customer->shares_computed_at = now;
 }
 
-/* Whether a peer has published demand for the customer or uses its slots. */
+/*
+ * Whether a peer has published a demand for the customer, as each peer does
+ * that uses its slots.
+ */
 static bool
 is_demanded_by_peer(const struct am_limits *limits,
                     const struct am_customer *customer)
@@ -140,11 +144,12 @@
 }
 
 /*
- * Sets the slots that may be used until the next publication. A larger share
- * counts only up to the slots that the peers have published as free: a peer
- * that should use fewer by now may not have received the newer demands, for
- * seconds on a busy host, and the customer would have more requests running
- * than its limit.
+ * Sets the slots that may be used until the next publication, and returns the
+ * number to publish; "listed" says whether it will be published. A larger
+ * share counts only up to the slots that the peers have published as free: a
+ * peer that should use fewer by now may not have received the newer demands,
+ * for seconds on a busy host, and the customer would have more requests
+ * running than its limit.
  */
 static int
 grant_slots(struct am_limits *limits, struct am_customer *customer,
--- a/packages/policy/admit_divide.c
+++ b/packages/policy/admit_divide.c
@@ -20,7 +20,7 @@
 /*
  * Max-min fair level: each demand is met up to this level, so that together
  * they use "available". When "available" exceeds the sum of the demands,
- * *spare is what each daemon that is not silent gets beyond its demand.
+ * *spare is what each responsive daemon gets beyond its demand.
  */
 static double
 fill_level(double available, double even, const struct am_claimant *claimants,
@@ -31,7 +31,7 @@
     size_t active = 0;
     *spare = 0;
     for (size_t i = 0; i < count; i++) {
-        if (!claimants[i].silent) {
+        if (!claimants[i].unresponsive) {
             double demand = effective_demand(&claimants[i], even);
             sum += demand;
             highest = fmax(highest, demand);
@@ -48,7 +48,7 @@
         double level = (low + high) / 2;
         double taken = 0;
         for (size_t i = 0; i < count; i++) {
-            if (!claimants[i].silent) {
+            if (!claimants[i].unresponsive) {
                 taken += fmin(effective_demand(&claimants[i], even), level);
             }
         }
@@ -64,8 +64,8 @@
 
 /*
  * This daemon's share of a limit on a rate: small demands are met in full,
- * large ones up to a common level. The even share of a silent daemon stays
- * reserved: that daemon may be serving on the other side of a network
+ * large ones up to a common level. The even share of an unresponsive daemon
+ * stays reserved: that daemon may be serving on the other side of a network
  * partition, where it takes the same even share for itself.
  */
 double
@@ -75,7 +75,7 @@
     double available = limit;
     double spare;
     for (size_t i = 0; i < count; i++) {
-        available -= claimants[i].silent ? even : 0;
+        available -= claimants[i].unresponsive ? even : 0;
     }
     double level = fill_level(available, even, claimants, count, &spare);
     for (size_t i = 0; i < count; i++) {
@@ -112,8 +112,8 @@
 
 /*
  * Each peer is taken to use the slots that it last published, or its even
- * share if it published none or has been silent lately. Sorts the claimants by
- * rank, which decides who gets the slots left over by an even division.
+ * share if it published none or is unresponsive. Sorts the claimants by rank,
+ * which decides who gets the slots left over by an even division.
  */
 struct am_free_slots
 am_count_free_slots(int limit, struct am_claimant *claimants, size_t count)
@@ -125,7 +125,7 @@
         if (claimants[i].self) {
             slots.even = even;
         }
-        else if (claimants[i].silent || claimants[i].slots < 0) {
+        else if (claimants[i].unresponsive || claimants[i].slots < 0) {
             slots.free -= even;
         }
         else {
@@ -138,9 +138,9 @@
 
 /*
  * Like am_divide(), for a limit in whole slots; sorts the claimants by rank.
- * The slots reserved for silent daemons are whole too and depend on the ranks
- * alone, so that each side of a network partition reserves exactly the slots
- * that the other side takes. Returns 0 when there is no memory, because
+ * The slots reserved for unresponsive daemons are whole too and depend on the
+ * ranks alone, so that each side of a network partition reserves exactly the
+ * slots that the other side takes. Returns 0 when there is no memory, because
  * refusing requests keeps the limit.
  */
 int
@@ -151,7 +151,7 @@
     int extra = limit % (int)count;
     int available = limit;
     for (size_t i = 0; i < count; i++) {
-        available -= claimants[i].silent ? even + ((int)i < extra) : 0;
+        available -= claimants[i].unresponsive ? even + ((int)i < extra) : 0;
     }
     struct remainder *remainders = calloc(count, sizeof(*remainders));
     if (remainders == NULL) {
@@ -165,7 +165,7 @@
     for (size_t i = 0; i < count; i++) {
         remainders[i].index = i;
         remainders[i].fraction = -1;
-        if (claimants[i].silent) {
+        if (claimants[i].unresponsive) {
             continue;
         }
         double exact =
--- a/packages/policy/admit_internal.h
+++ b/packages/policy/admit_internal.h
@@ -75,8 +75,9 @@
     /* Hash of the daemon's id: the sort order that all daemons agree on. */
     uint64_t rank;
     double demand;
-    int slots;   /* slots it last published; -1: its even share */
-    bool silent; /* nothing received lately: its even share is reserved */
+    int slots; /* slots it last published; -1: its even share */
+    bool
+        unresponsive; /* nothing received lately: its even share is reserved */
     bool self;
 };
 
--- a/packages/policy/brittle.c
+++ b/packages/policy/brittle.c
@@ -2,9 +2,12 @@
 
 #include "base/clock.h"
 
-/* Long, so that a host that sends little does not forget between answers. */
+/*
+ * Long, so that a report does not expire between two answers at a host that
+ * sends few requests.
+ */
 #define Br_ENDPOINT_REPORT_TTL_USEC (30 * Ck_USEC_PER_SEC)
-/* Hosts with a recent endpoint report repeat it several times within this. */
+/* A host with a recent endpoint report sends it several times within this. */
 #define Br_PEER_REPORT_TTL_USEC (3 * Ck_USEC_PER_SEC)
 #define Br_PEER_REPORT_GAP_USEC (500 * Ck_USEC_PER_MSEC)
 /* Longer than the second over which an endpoint counts refusals. */
@@ -12,7 +15,7 @@
 /* A refusal arrives within this time of the request. */
 #define Br_CONFIRM_USEC (50 * Ck_USEC_PER_MSEC)
 #define Br_RANK_TTL_USEC (1 * Ck_USEC_PER_SEC)
-/* The hosts that may fill all slots get 1/2 of the refusal limit. */
+/* The hosts that may fill all slots get this fraction of the refusal limit. */
 #define Br_FULL_HOSTS_DIVISOR 2
 /* Hosts of lower rank together send an endpoint one request per turn. */
 #define Br_TURN_USEC (500 * Ck_USEC_PER_MSEC)
--- a/packages/policy/choose.c
+++ b/packages/policy/choose.c
@@ -60,7 +60,7 @@
     const char *version;         /* NULL: any trusted one */
     enum ch_health worst_health; /* of the candidates let in */
     int64_t now;
-    bool at_limit; /* set: one was left out only for its load */
+    bool at_limit; /* set: one was left out only for a limit on its load */
 };
 
 static bool
@@ -85,8 +85,8 @@
 
 /*
  * Whether this host must not send to a cold, or possibly cold, endpoint now:
- * other hosts serve the endpoint, or the gap since the last request of this
- * host is too short.
+ * other hosts serve the endpoint, or the interval since the last request of
+ * this host is too short.
  */
 static bool
 must_skip_cold(const struct ch_table *table, struct ch_endpoint *endpoint,
@@ -504,11 +504,11 @@
 static size_t
 predictive(struct ch_table *table, const struct ch_request *request,
            const struct ch_candidate *candidates, size_t count,
-           struct rn_random *random, bool *affine)
+           struct rn_random *random, bool *by_affinity)
 {
     size_t other = pick_of_two(candidates, count, random);
     size_t order[2];
-    *affine = false;
+    *by_affinity = false;
     if (request->prefix == 0) {
         return other;
     }
@@ -521,7 +521,7 @@
         if (preferred->load <
                 affine_bound(table, candidates, count, preferred->endpoint) &&
             later <= saved) {
-            *affine = true;
+            *by_affinity = true;
             return order[i];
         }
     }
@@ -531,7 +531,7 @@
 static size_t
 no_affinity(struct ch_table *table, const struct ch_request *request,
             const struct ch_candidate *candidates, size_t count,
-            struct rn_random *random, bool *affine)
+            struct rn_random *random, bool *by_affinity)
 {
     return pick_of_two(candidates, count, random);
 }
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -59,7 +59,8 @@
 /*
  * The share of new requests that a version gets.  A version that is not listed
  * gets none.  A listed version with share 0 is kept as a standby: it gets
- * requests only when every version with a share is distrusted.
+ * requests only when every version with a share is distrusted, or when they
+ * failed and another version is on trial (see Ch_SetTrial()).
  */
 struct ch_share {
     char version[Ch_NAME_MAX];
@@ -114,7 +115,8 @@
     int64_t base;        /* fixed processing time of a request */
     int64_t per_token;   /* time for a prompt token that is not cached */
     double load_bound;   /* cap on load with affinity, times the mean */
-    double panic_share;  /* ejects at most this share; more bad ones: panic */
+    /* At most this share of the endpoints is ejected; more bad ones: panic. */
+    double panic_share;
 };
 
 /* A balancing policy; "pick" returns the index of one candidate. */
@@ -122,7 +124,7 @@
     const char *name;
     size_t (*pick)(struct ch_table *table, const struct ch_request *request,
                    const struct ch_candidate *candidates, size_t count,
-                   struct rn_random *random, bool *affine);
+                   struct rn_random *random, bool *by_affinity);
 };
 
 const struct ch_ops *Ch_Predictive(void);
--- a/packages/policy/choose_baseline.c
+++ b/packages/policy/choose_baseline.c
@@ -7,7 +7,7 @@
 static size_t
 least_in_flight(struct ch_table *table, const struct ch_request *request,
                 const struct ch_candidate *candidates, size_t count,
-                struct rn_random *random, bool *affine)
+                struct rn_random *random, bool *by_affinity)
 {
     size_t best = 0;
     size_t ties = 1;
@@ -28,7 +28,7 @@
 static size_t
 round_robin(struct ch_table *table, const struct ch_request *request,
             const struct ch_candidate *candidates, size_t count,
-            struct rn_random *random, bool *affine)
+            struct rn_random *random, bool *by_affinity)
 {
     return (size_t)(table->round_robin_next++ % count);
 }
@@ -36,7 +36,7 @@
 static size_t
 at_random(struct ch_table *table, const struct ch_request *request,
           const struct ch_candidate *candidates, size_t count,
-          struct rn_random *random, bool *affine)
+          struct rn_random *random, bool *by_affinity)
 {
     return Rn_Below(random, (uint32_t)count);
 }
--- a/packages/policy/choose_flight.c
+++ b/packages/policy/choose_flight.c
@@ -175,9 +175,9 @@
     flight->endpoint->in_flight++;
     table->in_flight++;
     if (table->cold_per_sec > 0) {
-        struct wu_pacing part =
+        struct wu_pacing pacing =
             Wu_Pacing(table->cold_per_sec, table->hosts->count + 1);
-        Wu_Sent(&flight->endpoint->warmup, &part, now);
+        Wu_Sent(&flight->endpoint->warmup, &pacing, now);
     }
     Br_Sent(&flight->endpoint->brittle, now);
     add_net_starts(flight->endpoint, now, 1);
--- a/packages/policy/choose_internal.h
+++ b/packages/policy/choose_internal.h
@@ -53,15 +53,15 @@
     int64_t slowness_at;
     int slowness_count;
     struct ch_window window;
-    int consecutive_failures;
-    int fail_streak; /* failures since the last success */
+    int consecutive_failures; /* as fail_streak, but set by an ejection */
+    int fail_streak;          /* failures since the last success */
     int ejections;
     int64_t ejected_until;
     int64_t failing_until; /* independent of ejection */
     int64_t answered_at;   /* last first token to this router */
     int64_t suspect_since;
-    int64_t unreached_at; /* connect failed; a later report clears it */
-    int64_t unreachable_until;
+    int64_t unreached_at;      /* last failure to connect */
+    int64_t unreachable_until; /* 0 from a report after unreached_at on */
     int64_t returned_at;
     struct wu_warmup warmup;
     int64_t cold_report_at;
@@ -90,7 +90,8 @@
     uint64_t round_robin_next;
     double mean_service_usec;     /* from start to end of a request */
     struct ch_window completions; /* all ended requests, for the drain rate */
-    double cold_per_sec;          /* limit of a cold endpoint; 0: none */
+    /* Requests a second that a cold endpoint serves; 0: no limit. */
+    double cold_per_sec;
     int64_t cold_usec;
     const struct wu_hosts *hosts;
 };
--- a/packages/policy/choose_query.c
+++ b/packages/policy/choose_query.c
@@ -101,10 +101,10 @@
     return TAILQ_NEXT(endpoint, entry);
 }
 
-/* Sums the free places of endpoints of this health or a better one. */
+/* Sums the free slots of endpoints of this health or a better one. */
 static void
-count_places(const struct ch_table *table, enum ch_health worst, int64_t now,
-             struct ch_capacity *out)
+count_free_slots(const struct ch_table *table, enum ch_health worst,
+                 int64_t now, struct ch_capacity *out)
 {
     memset(out, 0, sizeof(*out));
     struct ch_endpoint *endpoint;
@@ -115,13 +115,13 @@
             continue;
         }
         out->endpoints++;
-        int places = (int)endpoint->limit - endpoint->in_flight;
-        out->free_places += places > 0 ? places : 0;
+        int free_slots = (int)endpoint->limit - endpoint->in_flight;
+        out->free_places += free_slots > 0 ? free_slots : 0;
     }
 }
 
 /*
- * Reports the free places and the drain rate to the queue in front of the
+ * Reports the free slots and the drain rate to the queue in front of the
  * table.  Counts the endpoints that Ch_Choose() would use: the healthy and the
  * unreachable ones, and worse ones too in panic or if there are no others.
  */
@@ -130,10 +130,10 @@
 {
     int worst =
         ch_is_panic(table, NULL, now) ? CH_UNRESPONSIVE : CH_UNREACHABLE;
-    count_places(table, (enum ch_health)worst, now, out);
+    count_free_slots(table, (enum ch_health)worst, now, out);
     while (out->endpoints == 0 && worst < CH_FAILING) {
         worst++;
-        count_places(table, (enum ch_health)worst, now, out);
+        count_free_slots(table, (enum ch_health)worst, now, out);
     }
     struct ch_window rate = table->completions;
     ch_window_roll(&rate, now);
@@ -159,7 +159,7 @@
 {
     const struct ch_table *table = endpoint->table;
     const struct wu_warmup *warmup = &endpoint->warmup;
-    bool left_to_others = table->cold_per_sec > 0 && !Wu_MaySend(warmup, now);
+    bool warmup_blocked = table->cold_per_sec > 0 && !Wu_MaySend(warmup, now);
     if (endpoint->state == CH_LEAVING) {
         return "leaving";
     }
@@ -178,10 +178,10 @@
     if (endpoint->unreachable_until > now) {
         return "shunned";
     }
-    if (left_to_others && Wu_MayBeCold(warmup, now)) {
+    if (warmup_blocked && Wu_MayBeCold(warmup, now)) {
         return "maybe-cold";
     }
-    if (left_to_others && Wu_IsCold(warmup, now)) {
+    if (warmup_blocked && Wu_IsCold(warmup, now)) {
         return "cold";
     }
     if (endpoint->in_flight >= (int)endpoint->limit) {
--- a/packages/policy/link.c
+++ b/packages/policy/link.c
@@ -19,8 +19,7 @@
  */
 #define Li_SLOW_WINDOW_USEC (2 * Ck_USEC_PER_SEC)
 
-/*
- * A peer that failed to connect is asked only after the others for this long.
+/* For this long, a peer that failed to connect is used only as a last resort.
  */
 #define Li_PEER_AVOID_USEC (2 * Ck_USEC_PER_SEC)
 
@@ -161,10 +160,10 @@
 }
 
 bool
-Li_IsSuspect(const struct li_link *link, int64_t sent_at, int64_t heard_at,
+Li_IsSuspect(const struct li_link *link, int64_t sent_at, int64_t last_byte_at,
              int64_t now)
 {
-    return heard_at < sent_at && now - sent_at >= Li_SILENCE_USEC &&
+    return last_byte_at < sent_at && now - sent_at >= Li_SILENCE_USEC &&
            Li_MayTest(link, now);
 }
 
--- a/packages/policy/link.h
+++ b/packages/policy/link.h
@@ -28,7 +28,7 @@
     int64_t slow_at;        /* a peer connected, this host's attempt did not */
     int64_t unreachable_at; /* both this host and a peer failed */
     int64_t probed_at;      /* last direct attempt while cut */
-    int64_t tested_at;      /* last test of the link because of its silence */
+    int64_t tested_at;      /* last test while not cut */
     int failed_probes;      /* failed direct attempts in a row while cut */
 };
 
@@ -63,8 +63,8 @@
 /* Outcome of a connection attempt. */
 enum li_outcome {
     LI_NOT_TRIED,
-    LI_CONNECTED, /* connected */
-    LI_OVERDUE,   /* still pending when the other attempt connected */
+    LI_CONNECTED,
+    LI_OVERDUE, /* still pending when the other attempt connected */
     LI_FAILED,
 };
 
@@ -94,11 +94,11 @@
 void Li_ProbeSoon(struct li_link *link);
 /*
  * Whether a request sent on a kept connection at "sent_at" has waited so long
- * without an answer that the link should be tested. "heard_at" is when any
- * endpoint of its service was last heard from directly.
+ * without an answer that the link should be tested. "last_byte_at" is when the
+ * last byte came directly from any endpoint of the service.
  */
 bool Li_IsSuspect(const struct li_link *link, int64_t sent_at,
-                  int64_t heard_at, int64_t now);
+                  int64_t last_byte_at, int64_t now);
 /* Whether the link may be tested again, for any reason. */
 bool Li_MayTest(const struct li_link *link, int64_t now);
 void Li_Tested(struct li_link *link, int64_t now);
--- a/packages/policy/move.c
+++ b/packages/policy/move.c
@@ -167,10 +167,10 @@
 }
 
 static bool
-tick_planned(struct mv_move *move, const struct mv_tick_input *view,
+tick_planned(struct mv_move *move, const struct mv_tick_input *input,
              int64_t now)
 {
-    if (view->new_endpoints > 0) {
+    if (input->new_endpoints > 0) {
         enter_phase(move, MV_SMALL, fmin(move->plan.first_share, 0.5), now);
         return true;
     }
@@ -201,15 +201,15 @@
  * same time.  It is larger at lower request rates.
  */
 static double
-control_share(const struct mv_tick_input *view)
+control_share(const struct mv_tick_input *input)
 {
     double share =
-        view->per_sec > 0 ? CONTROL_RATE_PER_SEC / view->per_sec : 1;
+        input->per_sec > 0 ? CONTROL_RATE_PER_SEC / input->per_sec : 1;
     return fmin(fmax(share, CONTROL_SHARE_MIN), CONTROL_SHARE_MAX);
 }
 
 static bool
-tick_growing(struct mv_move *move, const struct mv_tick_input *view,
+tick_growing(struct mv_move *move, const struct mv_tick_input *input,
              int64_t now)
 {
     int64_t step = clamp_time(span_usec(move) / STEP_DIVISOR, STEP_MIN_USEC,
@@ -218,9 +218,9 @@
         move->phase_since != move->step_since) {
         return false;
     }
-    double max_share = 1 - control_share(view);
+    double max_share = 1 - control_share(input);
     double next = fmin(move->share * GROWTH_FACTOR, max_share);
-    next = fmin(next, view->new_capacity);
+    next = fmin(next, input->new_capacity);
     if (next <= move->share) {
         return false;
     }
@@ -260,9 +260,9 @@
 /* Rolls the move back for causes that apply in any phase; true if it did. */
 static bool
 tick_rollback(struct mv_move *move, const struct mv_finding *finding,
-              const struct mv_tick_input *view, int64_t now)
+              const struct mv_tick_input *input, int64_t now)
 {
-    if (view->any_tripped) {
+    if (input->any_tripped) {
         roll_back(move, "routers saw requests fail one after another", now);
         return true;
     }
@@ -293,7 +293,7 @@
  */
 bool
 Mv_Tick(struct mv_move *move, const struct mv_evidence *evidence,
-        const struct mv_tick_input *view, int64_t now)
+        const struct mv_tick_input *input, int64_t now)
 {
     struct mv_finding finding;
     struct mv_totals totals;
@@ -304,15 +304,15 @@
     Mv_Finding(evidence, &finding);
     Mv_Totals(evidence, &totals);
     if (move->phase == MV_PROBATION &&
-        (view->peak_per_sec <= 0 ||
-         view->per_sec >= NEAR_PEAK_FRACTION * view->peak_per_sec)) {
+        (input->peak_per_sec <= 0 ||
+         input->per_sec >= NEAR_PEAK_FRACTION * input->peak_per_sec)) {
         move->peak_seen = true;
     }
-    if (tick_rollback(move, &finding, view, now)) {
+    if (tick_rollback(move, &finding, input, now)) {
         changed = true;
     }
     else if (move->phase == MV_PLANNED) {
-        changed = tick_planned(move, view, now);
+        changed = tick_planned(move, input, now);
     }
     else if (finding.e_value >= HOLD_E_VALUE) {
         return false; /* keep the share until the evidence is clear */
@@ -321,7 +321,7 @@
         changed = tick_small(move, &totals, now);
     }
     else if (move->phase == MV_GROWING) {
-        changed = tick_growing(move, view, now);
+        changed = tick_growing(move, input, now);
     }
     else if (move->phase == MV_PROBATION) {
         changed = tick_probation(move, now);
--- a/packages/policy/move.h
+++ b/packages/policy/move.h
@@ -171,7 +171,7 @@
 enum st_status Mv_Begin(struct mv_move *move, const struct mv_plan *plan,
                         int64_t now);
 bool Mv_Tick(struct mv_move *move, const struct mv_evidence *evidence,
-             const struct mv_tick_input *view, int64_t now);
+             const struct mv_tick_input *input, int64_t now);
 bool Mv_Revise(struct mv_move *move, const struct mv_plan *plan, int64_t now);
 bool Mv_IsOver(const struct mv_move *move);
 void Mv_Describe(const struct mv_move *move, char *out, size_t size);
--- a/packages/policy/overload.c
+++ b/packages/policy/overload.c
@@ -16,20 +16,21 @@
 #define Ov_OVERLOAD_AFTER_USEC (100 * Ck_USEC_PER_MSEC)
 
 void
-Ov_RecordTurn(struct ov_load *host, int64_t usec, int64_t now)
+Ov_RecordTurn(struct ov_load *load, int64_t usec, int64_t now)
 {
     if (usec < Ov_FAST_TURN_USEC) {
-        host->slow_since = 0;
+        load->slow_since = 0;
     }
-    else if (usec >= Ov_SLOW_TURN_USEC && host->slow_since == 0) {
-        host->slow_since = now;
+    else if (usec >= Ov_SLOW_TURN_USEC && load->slow_since == 0) {
+        load->slow_since = now;
     }
-    host->overloaded = host->slow_since != 0 &&
-                       now - host->slow_since >= Ov_OVERLOAD_AFTER_USEC;
+    load->overloaded = load->slow_since != 0 &&
+                       now - load->slow_since >= Ov_OVERLOAD_AFTER_USEC;
 }
 
 bool
-Ov_MayAccept(const struct ov_load *host, size_t connections, size_t most)
+Ov_MayAccept(const struct ov_load *load, size_t connections,
+             size_t connections_max)
 {
-    return !host->overloaded && connections < most;
+    return !load->overloaded && connections < connections_max;
 }
--- a/packages/policy/overload.h
+++ b/packages/policy/overload.h
@@ -20,16 +20,17 @@
 
 struct ov_load {
     int64_t slow_since; /* start of the current run of slow turns; 0: none */
-    bool overloaded;    /* overloaded: close new connections unread */
+    bool overloaded;    /* new connections are closed unread */
 };
 
 /* Records that a turn which took "usec" has ended. */
-void Ov_RecordTurn(struct ov_load *host, int64_t usec, int64_t now);
+void Ov_RecordTurn(struct ov_load *load, int64_t usec, int64_t now);
 /*
- * Whether to accept one more beside "connections" open ones; "most" is the
- * number for which descriptors are available.
+ * Whether to accept one more beside "connections" open ones; "connections_max"
+ * is the number for which descriptors are available.
  */
-bool Ov_MayAccept(const struct ov_load *host, size_t connections, size_t most);
+bool Ov_MayAccept(const struct ov_load *load, size_t connections,
+                  size_t connections_max);
 
 #ifdef __cplusplus
 }
--- a/packages/policy/poison.c
+++ b/packages/policy/poison.c
@@ -185,46 +185,47 @@
 struct pz_quarantine *
 pz_find_quarantine(struct pz_table *table, const struct pz_key *key)
 {
-    for (size_t i = 0; i < table->stop_count; i++) {
-        if (pz_same_key(&table->stops[i].key, key)) {
-            return &table->stops[i];
+    for (size_t i = 0; i < table->quarantine_count; i++) {
+        if (pz_same_key(&table->quarantines[i].key, key)) {
+            return &table->quarantines[i];
         }
     }
     return NULL;
 }
 
 bool
-pz_add_quarantine(struct pz_table *table, const struct pz_quarantine *stop)
+pz_add_quarantine(struct pz_table *table,
+                  const struct pz_quarantine *quarantine)
 {
-    if (table->stop_count == Pz_QUARANTINES_MAX) {
+    if (table->quarantine_count == Pz_QUARANTINES_MAX) {
         return false;
     }
-    table->stops[table->stop_count++] = *stop;
+    table->quarantines[table->quarantine_count++] = *quarantine;
     table->changed = true;
     return true;
 }
 
 static void
-lift(struct pz_table *table, struct pz_quarantine *stop, const char *why)
+lift(struct pz_table *table, struct pz_quarantine *quarantine, const char *why)
 {
-    struct pz_quarantine lifted = *stop;
-    *stop = table->stops[--table->stop_count];
+    struct pz_quarantine lifted = *quarantine;
+    *quarantine = table->quarantines[--table->quarantine_count];
     table->changed = true;
     table->ops->lifted(table->arg, &lifted, why);
 }
 
 /*
- * Lifts the stop of a part.  The part is recorded as answered, so that hosts
- * which still gossip a recent stop get a clear in return.
+ * Lifts the quarantine of a part.  The part is recorded as answered, so that
+ * hosts which still gossip a recent quarantine get a clear in return.
  */
 static void
 clear_and_lift(struct pz_table *table, const struct pz_key *key,
                const char *why, int64_t now)
 {
     pz_note_answer(table, key, 1, now);
-    struct pz_quarantine *stop = pz_find_quarantine(table, key);
-    if (stop != NULL) {
-        lift(table, stop, why);
+    struct pz_quarantine *quarantine = pz_find_quarantine(table, key);
+    if (quarantine != NULL) {
+        lift(table, quarantine, why);
     }
 }
 
@@ -232,8 +233,8 @@
 Pz_LiftService(struct pz_table *table, uint32_t service, const char *why,
                int64_t now)
 {
-    for (size_t i = table->stop_count; i > 0; i--) {
-        struct pz_key key = table->stops[i - 1].key;
+    for (size_t i = table->quarantine_count; i > 0; i--) {
+        struct pz_key key = table->quarantines[i - 1].key;
         if (key.service == service) {
             clear_and_lift(table, &key, why, now);
         }
@@ -243,9 +244,10 @@
 void
 pz_lift_cleared(struct pz_table *table, const struct pz_key *key)
 {
-    struct pz_quarantine *stop = pz_find_quarantine(table, key);
-    if (stop != NULL && pz_cleared_at(table, key) > stop->decided_at) {
-        lift(table, stop, "began");
+    struct pz_quarantine *quarantine = pz_find_quarantine(table, key);
+    if (quarantine != NULL &&
+        pz_cleared_at(table, key) > quarantine->decided_at) {
+        lift(table, quarantine, "began");
     }
 }
 
@@ -253,24 +255,26 @@
 Pz_FindQuarantine(struct pz_table *table, const struct pz_request *request,
                   int64_t now)
 {
-    for (size_t i = 0; i < request->count && table->stop_count > 0; i++) {
+    for (size_t i = 0; i < request->count && table->quarantine_count > 0;
+         i++) {
         struct pz_key key = {request->service, request->customer,
                              request->parts[i]};
         struct pz_key all = pz_all_customers(&key);
-        struct pz_quarantine *stop = pz_find_quarantine(table, &key);
-        stop = stop == NULL ? pz_find_quarantine(table, &all) : stop;
-        if (stop != NULL) {
-            stop->requested_at = now;
-            return stop;
+        struct pz_quarantine *quarantine = pz_find_quarantine(table, &key);
+        quarantine =
+            quarantine == NULL ? pz_find_quarantine(table, &all) : quarantine;
+        if (quarantine != NULL) {
+            quarantine->requested_at = now;
+            return quarantine;
         }
     }
     return NULL;
 }
 
 bool
-pz_is_current(const struct pz_quarantine *stop, int64_t now)
+pz_is_current(const struct pz_quarantine *quarantine, int64_t now)
 {
-    return now - stop->requested_at < Pz_QUARANTINE_TTL_USEC;
+    return now - quarantine->requested_at < Pz_QUARANTINE_TTL_USEC;
 }
 
 void
@@ -281,9 +285,9 @@
                Pz_CRASH_TTL_USEC) {
         remove_entry(table, TAILQ_FIRST(&table->crashes));
     }
-    for (size_t i = table->stop_count; i > 0; i--) {
-        if (!pz_is_current(&table->stops[i - 1], now)) {
-            lift(table, &table->stops[i - 1], "not asked for");
+    for (size_t i = table->quarantine_count; i > 0; i--) {
+        if (!pz_is_current(&table->quarantines[i - 1], now)) {
+            lift(table, &table->quarantines[i - 1], "not asked for");
         }
     }
 }
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -9,20 +9,20 @@
  * all parts of the request.  The first event of an answer clears all parts of
  * its request.  Hosts gossip both.
  *
- * A part is stopped, that is, requests with it are refused, when
+ * A part is quarantined, that is, requests with it are refused, when
  *  - a chain of endpoints crashed, each of which was sent a request with the
  *    part after the crash before,
  *  - no request with the part was answered on any host since, and
  *  - other requests were answered meanwhile.
- * A crash that a stopped part explains no longer implicates other parts.  If
- * several parts qualify, the one with the fewest answers is stopped; among
- * these the one with the longest chain, then the deepest one in the prompt,
- * which the fewest requests have.
+ * A crash that a quarantined part explains no longer implicates other parts.
+ * If several parts qualify, the one with the fewest answers is quarantined;
+ * among these the one with the longest chain, then the deepest one in the
+ * prompt, which the fewest requests have.
  *
- * A part is stopped for the customer that sent it, since callers choose the
- * parts of their prompts, and no customer may get another one's requests
- * refused.  When a part crashes endpoints in requests of several customers,
- * it is stopped for all.
+ * A part is quarantined for the customer that sent it, since callers choose
+ * the parts of their prompts, and no customer may get another one's requests
+ * refused.  When a part crashes endpoints in requests of several customers, it
+ * is quarantined for all of them.
  */
 #ifndef POLICY_POISON_H
 #define POLICY_POISON_H
@@ -39,7 +39,8 @@
 
 struct pz_key {
     uint32_t service;
-    uint32_t customer; /* never 0 in a request; 0 in a stop: all customers */
+    /* Never 0 in a request; 0 in a quarantine: all customers. */
+    uint32_t customer;
     uint32_t part;
 };
 
@@ -47,7 +48,7 @@
 struct pz_crash {
     struct pz_key key;
     uint32_t endpoint;  /* identifies one start of the endpoint */
-    uint32_t request;   /* the same for all repeats of a request */
+    uint32_t request;   /* the same for all retries of a request */
     int depth;          /* index of the part in the prompt, from 0 */
     bool head_received; /* the answer's headers had come, but no event */
     int64_t sent_at;
@@ -66,14 +67,14 @@
     int64_t requested_at; /* last request with the part */
 };
 
-/* Largest number of stopped parts. */
+/* Largest number of quarantines. */
 #define Pz_QUARANTINES_MAX 64
 /*
  * No endpoint restarts within this time after a crash, so an earlier sign of
  * life shows that the endpoint did not crash.
  */
 #define Pz_RESTART_MIN_USEC (1500 * Ck_USEC_PER_MSEC)
-/* A stop expires when no request with the part came for this long. */
+/* A quarantine expires when no request with the part came for this long. */
 #define Pz_QUARANTINE_TTL_USEC (600 * Ck_USEC_PER_SEC)
 
 #define Pz_PARTS_MAX 32
@@ -82,12 +83,12 @@
 struct pz_request {
     uint32_t service;
     uint32_t customer;
-    uint32_t id; /* the same for all repeats of a request */
+    uint32_t id; /* the same for all retries of a request */
     uint32_t parts[Pz_PARTS_MAX];
     size_t count;
 };
 
-/* Conditions for stopping a part; 0 and false switch a condition off. */
+/* Conditions for a quarantine; 0 and false switch a condition off. */
 struct pz_rule {
     int crashes_after_head; /* crashes after the headers of an answer */
     int crashes;            /* crashes at any time before the first event */
@@ -95,18 +96,21 @@
     int requests;           /* distinct requests: one may have been a victim */
     int other_answers;      /* other requests answered meanwhile */
     bool in_sequence;       /* each request was sent after the crash before */
-    bool explain_crashes;   /* a stopped part explains a crash */
+    bool explain_crashes;   /* a quarantined part explains a crash */
     int64_t startup_grace_usec; /* no decision this soon after the start */
 };
 
 struct pz_rule Pz_DefaultRule(void);
 
 struct pz_ops {
-    /* A part was stopped by this host or, if "from_peer", by another one. */
-    void (*stopped)(void *arg, const struct pz_quarantine *stop, int crashes,
-                    bool from_peer);
-    /* A stop was lifted. */
-    void (*lifted)(void *arg, const struct pz_quarantine *stop,
+    /*
+     * This host or, if "from_peer", another one put a part in quarantine.
+     * "crashes" is the length of the chain; 0 if the quarantine is a peer's.
+     */
+    void (*stopped)(void *arg, const struct pz_quarantine *quarantine,
+                    int crashes, bool from_peer);
+    /* A quarantine was lifted. */
+    void (*lifted)(void *arg, const struct pz_quarantine *quarantine,
                    const char *why);
 };
 
@@ -123,9 +127,9 @@
 void Pz_NoteCrash(struct pz_table *table, const struct pz_request *request,
                   const struct pz_crash *crash);
 /*
- * A connection may break although its endpoint is alive.  Its crash is
- * counted, and gossiped, once the endpoint is known to have ended or has shown
- * no sign of life for a while.  Pz_NoteAlive() reports a sign of life at "at".
+ * A connection may break although its endpoint is alive.  A crash is counted,
+ * and gossiped, once the endpoint is known to have ended or has shown no sign
+ * of life for a while.  Pz_NoteAlive() records a sign of life at "at".
  */
 void Pz_NoteAlive(struct pz_table *table, uint32_t endpoint, int64_t at);
 /* The link to the endpoint broke: drops the crashes that this host saw. */
@@ -133,8 +137,8 @@
 /* The endpoint is known to have ended. */
 void Pz_ConfirmDead(struct pz_table *table, uint32_t endpoint);
 /*
- * The stop that forbids to send the request, valid until the next call; NULL
- * if the request may be sent.
+ * The quarantine that forbids sending the request, valid until the next call;
+ * NULL if the request may be sent.
  */
 const struct pz_quarantine *Pz_FindQuarantine(struct pz_table *table,
                                               const struct pz_request *request,
@@ -146,12 +150,16 @@
 bool Pz_DeniesRetry(const struct pz_table *table,
                     const struct pz_request *request, int64_t now);
 /*
- * Decides which parts to stop.  To be called after changes and periodically,
- * since with time unconfirmed crashes begin to count and stops expire.
+ * Decides which parts to quarantine.  To be called after changes and
+ * periodically, since with time unconfirmed crashes begin to count and
+ * quarantines expire.
  */
 void Pz_Evaluate(struct pz_table *table, int64_t now);
 
-/* Rows to gossip, at most "most"; crashes and stops with the newest first. */
+/*
+ * Rows to gossip, at most "most" of each kind; crashes and quarantines with
+ * the newest first.
+ */
 size_t Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
                         size_t most, int64_t now);
 size_t Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
@@ -162,8 +170,9 @@
 void Pz_ImportCrash(struct pz_table *table, const struct pz_crash *crash);
 void Pz_ImportClear(struct pz_table *table, const struct pz_clear *clear);
 void Pz_ImportQuarantine(struct pz_table *table,
-                         const struct pz_quarantine *stop, int64_t now);
-/* Lifts all stops of a service, for instance at a change of its version. */
+                         const struct pz_quarantine *quarantine, int64_t now);
+/* Lifts the quarantines of a service, for instance when its version changes.
+ */
 void Pz_LiftService(struct pz_table *table, uint32_t service, const char *why,
                     int64_t now);
 
--- a/packages/policy/poison_gossip.c
+++ b/packages/policy/poison_gossip.c
@@ -55,9 +55,10 @@
 Pz_ExportQuarantines(const struct pz_table *table, struct pz_quarantine *out,
                      size_t most)
 {
-    size_t count = table->stop_count < most ? table->stop_count : most;
+    size_t count =
+        table->quarantine_count < most ? table->quarantine_count : most;
     for (size_t i = 0; i < count; i++) {
-        out[i] = table->stops[table->stop_count - 1 - i];
+        out[i] = table->quarantines[table->quarantine_count - 1 - i];
     }
     return count;
 }
@@ -92,26 +93,29 @@
 }
 
 /*
- * A stop is ignored if the part was answered after the decision.  The part is
- * noted as implicated, so that gossip messages clear it at the peers until
- * Pz_GOSSIP_USEC after the decision.
+ * A quarantine is ignored if the part was answered after the decision.  The
+ * part is noted as implicated, so that gossip messages clear it at the peers
+ * until Pz_GOSSIP_USEC after the decision.
  */
 void
-Pz_ImportQuarantine(struct pz_table *table, const struct pz_quarantine *stop,
-                    int64_t now)
+Pz_ImportQuarantine(struct pz_table *table,
+                    const struct pz_quarantine *quarantine, int64_t now)
 {
-    note_implicated(table, &stop->key, stop->decided_at);
-    if (pz_cleared_at(table, &stop->key) > stop->decided_at) {
+    note_implicated(table, &quarantine->key, quarantine->decided_at);
+    if (pz_cleared_at(table, &quarantine->key) > quarantine->decided_at) {
         return;
     }
-    struct pz_quarantine *existing = pz_find_quarantine(table, &stop->key);
+    struct pz_quarantine *existing =
+        pz_find_quarantine(table, &quarantine->key);
     if (existing != NULL) {
-        existing->requested_at = stop->requested_at > existing->requested_at
-                                     ? stop->requested_at
-                                     : existing->requested_at;
+        existing->requested_at =
+            quarantine->requested_at > existing->requested_at
+                ? quarantine->requested_at
+                : existing->requested_at;
         return;
     }
-    if (pz_is_current(stop, now) && pz_add_quarantine(table, stop)) {
-        table->ops->stopped(table->arg, stop, 0, true);
+    if (pz_is_current(quarantine, now) &&
+        pz_add_quarantine(table, quarantine)) {
+        table->ops->stopped(table->arg, quarantine, 0, true);
     }
 }
--- a/packages/policy/poison_internal.h
+++ b/packages/policy/poison_internal.h
@@ -24,8 +24,8 @@
     bool local;     /* the request was sent by this host */
     bool confirmed; /* the endpoint is known to have ended */
     /* Set by the last decision. */
-    bool stopped;
-    bool explained;
+    bool quarantined; /* the part is in quarantine */
+    bool explained;   /* a quarantined part explains the crash */
 };
 
 TAILQ_HEAD(pz_crash_list, pz_crash_entry);
@@ -35,7 +35,7 @@
     struct pz_key key;
     uint32_t count;
     int64_t answered_at;
-    int64_t implicated_at; /* last crash or stop that a peer reported */
+    int64_t implicated_at; /* last crash or quarantine that a peer reported */
 };
 
 /* Times of the last answers of a service to requests of this host. */
@@ -56,8 +56,8 @@
     struct pz_crash_list crashes; /* oldest first */
     struct pz_crash_list free_entries;
     struct pz_crash_entry pool[Pz_CRASHES_MAX];
-    struct pz_quarantine stops[Pz_QUARANTINES_MAX];
-    size_t stop_count;
+    struct pz_quarantine quarantines[Pz_QUARANTINES_MAX];
+    size_t quarantine_count;
     size_t service_count;
     struct pz_recent_answers recent_answers[Pz_SERVICES_MAX];
     struct pz_history history[Pz_SETS][Pz_WAYS];
@@ -94,33 +94,33 @@
                   bool local);
 struct pz_quarantine *pz_find_quarantine(struct pz_table *table,
                                          const struct pz_key *key);
-/* False: the table of stops is full. */
+/* False: the table of quarantines is full. */
 bool pz_add_quarantine(struct pz_table *table,
-                       const struct pz_quarantine *stop);
-/* Whether a request with the part came recently enough to keep the stop. */
-bool pz_is_current(const struct pz_quarantine *stop, int64_t now);
-/* Removes expired crashes and stops. */
+                       const struct pz_quarantine *quarantine);
+/* Whether a request with the part came recently enough to keep it in force. */
+bool pz_is_current(const struct pz_quarantine *quarantine, int64_t now);
+/* Removes expired crashes and quarantines. */
 void pz_expire(struct pz_table *table, int64_t now);
-/* Lifts the stop of a part that was answered after the decision. */
+/* Lifts the quarantine of a part that was answered after the decision. */
 void pz_lift_cleared(struct pz_table *table, const struct pz_key *key);
 
 /*
  * Successive crashes that implicate a part: no later answer clears the part,
- * and no stopped part explains them.
+ * and no quarantined part explains them.
  */
 struct pz_chain {
     int length;
-    int customers;
-    int requests;
+    int customers;     /* changes of the customer between crashes, plus one */
+    int requests;      /* changes of the request between crashes, plus one */
     uint32_t endpoint; /* of the last crash */
     int64_t first_at;
     int64_t last_at;
     int depth;
 };
 
-/* "begun": count only crashes after the headers of an answer. */
+/* "after_head": count only crashes after the headers of an answer. */
 struct pz_chain pz_find_chain(const struct pz_table *table,
-                              const struct pz_key *key, bool begun,
+                              const struct pz_key *key, bool after_head,
                               int64_t now);
 
 #ifdef __cplusplus
--- a/packages/policy/poison_judge.c
+++ b/packages/policy/poison_judge.c
@@ -1,4 +1,4 @@
-/* Decides which prompt parts to stop. */
+/* Decides which prompt parts to quarantine. */
 #include <stdlib.h>
 
 #include "policy/poison_internal.h"
@@ -7,8 +7,8 @@
 #define Pz_RETRY_CRASHES_MAX 2
 
 /*
- * A part is stopped for all customers when it crashed endpoints in requests of
- * at least this many.
+ * A part is quarantined for all customers when it crashed endpoints in
+ * requests of at least this many.
  */
 #define Pz_CUSTOMERS_MIN 2
 
@@ -16,7 +16,7 @@
 #define Pz_SIMULTANEOUS_USEC (50 * Ck_USEC_PER_MSEC)
 
 static bool
-is_stopped(struct pz_table *table, const struct pz_key *key)
+is_quarantined(struct pz_table *table, const struct pz_key *key)
 {
     struct pz_key all = pz_all_customers(key);
     return pz_find_quarantine(table, key) != NULL ||
@@ -24,15 +24,16 @@
 }
 
 /*
- * Whether a stopped part explains the crash that implicates another part.  It
- * does not when its own request had no headers yet and the other one had.
+ * Whether the crash of a quarantined part explains the one that implicates
+ * another part.  It does not when the request with the quarantined part had
+ * received no headers yet and the other request had.
  */
 static bool
-accounts_for(const struct pz_crash *stopped, const struct pz_crash *other)
+accounts_for(const struct pz_crash *quarantined, const struct pz_crash *other)
 {
-    return stopped->endpoint == other->endpoint &&
-           stopped->key.part != other->key.part &&
-           (stopped->head_received || !other->head_received);
+    return quarantined->endpoint == other->endpoint &&
+           quarantined->key.part != other->key.part &&
+           (quarantined->head_received || !other->head_received);
 }
 
 static void
@@ -40,14 +41,15 @@
 {
     struct pz_crash_entry *entry;
     TAILQ_FOREACH (entry, &table->crashes, link) {
-        entry->stopped = is_stopped(table, &entry->crash.key);
+        entry->quarantined = is_quarantined(table, &entry->crash.key);
         entry->explained = false;
         table->pending |= !pz_is_counted(entry, now);
     }
     struct pz_crash_entry *other;
     TAILQ_FOREACH (entry, &table->crashes, link) {
         TAILQ_FOREACH (other, &table->crashes, link) {
-            if (entry->stopped && accounts_for(&entry->crash, &other->crash)) {
+            if (entry->quarantined &&
+                accounts_for(&entry->crash, &other->crash)) {
                 other->explained = table->rule.explain_crashes;
             }
         }
@@ -74,7 +76,7 @@
 /* The counted crashes that implicate a part, ordered by time. */
 static size_t
 list_counted(const struct pz_table *table, const struct pz_key *key,
-             bool begun, struct pz_crash *out, int64_t now)
+             bool after_head, struct pz_crash *out, int64_t now)
 {
     size_t count = 0;
     int64_t cleared_at = pz_cleared_at(table, key);
@@ -82,7 +84,7 @@
     TAILQ_FOREACH (entry, &table->crashes, link) {
         if (matches_key(key, &entry->crash) &&
             entry->crash.ended_at > cleared_at &&
-            (entry->crash.head_received || !begun) && !entry->explained &&
+            (entry->crash.head_received || !after_head) && !entry->explained &&
             pz_is_counted(entry, now)) {
             out[count++] = entry->crash;
         }
@@ -110,12 +112,12 @@
 
 struct pz_chain
 pz_find_chain(const struct pz_table *table, const struct pz_key *key,
-              bool begun, int64_t now)
+              bool after_head, int64_t now)
 {
     static struct pz_crash crashes[Pz_CRASHES_MAX];
     struct pz_chain chain = {0};
     uint32_t last_request = 0;
-    size_t count = list_counted(table, key, begun, crashes, now);
+    size_t count = list_counted(table, key, after_head, crashes, now);
     for (size_t i = 0; i < count; i++) {
         const struct pz_crash *crash = &crashes[i];
         chain.customers +=
@@ -185,7 +187,8 @@
          struct suspect *likeliest, bool *found, int64_t now)
 {
     struct suspect suspect;
-    if (!is_stopped(table, key) && check_suspect(table, key, &suspect, now) &&
+    if (!is_quarantined(table, key) &&
+        check_suspect(table, key, &suspect, now) &&
         (!*found || is_likelier(&suspect, likeliest))) {
         *likeliest = suspect;
         *found = true;
@@ -238,12 +241,13 @@
     table->pending = false;
     struct suspect likeliest;
     while (find_likeliest(table, &likeliest, now)) {
-        struct pz_quarantine stop = {likeliest.key, likeliest.chain.last_at,
-                                     now};
-        if (!pz_add_quarantine(table, &stop)) {
+        struct pz_quarantine quarantine = {likeliest.key,
+                                           likeliest.chain.last_at, now};
+        if (!pz_add_quarantine(table, &quarantine)) {
             return;
         }
-        table->ops->stopped(table->arg, &stop, likeliest.chain.length, false);
+        table->ops->stopped(table->arg, &quarantine, likeliest.chain.length,
+                            false);
     }
 }
 
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -31,7 +31,7 @@
  */
 struct qu_item {
     enum qu_class service_class;
-    int64_t deadline; /* when the answer must have begun */
+    int64_t deadline; /* latest time for the first byte of the answer */
     size_t bytes;     /* memory that the request takes */
     double cost;      /* work, for instance tokens; 0 counts as 1 */
     void *request;    /* owned by the caller */
@@ -45,7 +45,7 @@
 struct qu_settings {
     int length_max;
     size_t bytes_max;
-    int patient_every; /* one of so many is patient, if any waits */
+    int patient_every; /* one of so many served is patient, if any waits */
 };
 
 /*
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -11,15 +11,15 @@
 #define BACKOFF_DOUBLINGS_MAX 5
 
 /*
- * Starts with a full budget of "most" tokens; each success adds "ratio" of a
- * token, and a retry takes one.
+ * Starts with a full budget of "capacity" tokens; each success adds "ratio" of
+ * a token, and a retry takes one.
  */
 void
-Rt_Init(struct rt_budget *budget, double ratio, double most)
+Rt_Init(struct rt_budget *budget, double ratio, double capacity)
 {
-    budget->tokens = most;
+    budget->tokens = capacity;
     budget->ratio = ratio;
-    budget->capacity = most;
+    budget->capacity = capacity;
 }
 
 /*
@@ -80,7 +80,7 @@
 
 /*
  * Returns why the attempt may not be followed by another; changes nothing. A
- * request that may have run is repeated only when it is idempotent. An
+ * request that may have run is retried only when it is idempotent. An
  * idempotency key is not enough: the endpoint may not know the key, and a
  * charge would be made twice.
  */
@@ -144,18 +144,18 @@
 }
 
 /*
- * Backoff before the next attempt, in microseconds, after "unreached"
+ * Backoff before the next attempt, in microseconds, after "connect_failures"
  * consecutive attempts that reached no endpoint: 0 at first, then doubled each
  * time up to a bound. Without it, all attempts are spent within a millisecond
  * where the only endpoint left refuses connections.
  */
 int64_t
-Rt_Backoff(int unreached)
+Rt_Backoff(int connect_failures)
 {
-    if (unreached <= 1) {
+    if (connect_failures <= 1) {
         return 0;
     }
-    int doublings = unreached - 2;
+    int doublings = connect_failures - 2;
     if (doublings > BACKOFF_DOUBLINGS_MAX) {
         doublings = BACKOFF_DOUBLINGS_MAX;
     }
--- a/packages/policy/retry.h
+++ b/packages/policy/retry.h
@@ -31,10 +31,10 @@
      * one.
      */
     int attempts;
-    int connect_failures; /* attempts in which no byte was sent, this one
-                             included */
-    int64_t time_left;    /* time until the deadline */
-    int64_t predicted;    /* predicted duration of a further attempt */
+    /* Attempts in which no byte was sent, this one included. */
+    int connect_failures;
+    int64_t time_left; /* time until the deadline */
+    int64_t predicted; /* predicted duration of a further attempt */
 };
 
 /* Why a failed attempt may not be followed by another. */
@@ -58,11 +58,11 @@
 /* Token bucket for a service's retries, filled by successful requests. */
 struct rt_budget {
     double tokens;
-    double ratio;    /* tokens that a success adds */
-    double capacity; /* capacity */
+    double ratio; /* tokens that a success adds */
+    double capacity;
 };
 
-void Rt_Init(struct rt_budget *budget, double ratio, double most);
+void Rt_Init(struct rt_budget *budget, double ratio, double capacity);
 void Rt_RaiseCapacity(struct rt_budget *budget, int in_flight);
 void Rt_Success(struct rt_budget *budget);
 enum rt_reason Rt_DenyReason(const struct rt_budget *budget,
@@ -70,7 +70,7 @@
 const char *Rt_ReasonName(enum rt_reason reason);
 enum rt_verdict Rt_Decide(struct rt_budget *budget,
                           const struct rt_attempt *attempt);
-int64_t Rt_Backoff(int unreached);
+int64_t Rt_Backoff(int connect_failures);
 bool Rt_Hedge(struct rt_budget *budget, const struct rt_attempt *attempt,
               int64_t waited, int64_t usual);
 
--- a/packages/policy/test/model/poison_model.cc
+++ b/packages/policy/test/model/poison_model.cc
@@ -29,7 +29,7 @@
 const double kFarMessagesPerSec = 100;
 const size_t kCrashRowsMax = 24;
 const size_t kClearRowsMax = 16;
-const size_t kStopRowsMax = 8;
+const size_t kQuarantineRowsMax = 8;
 const int kAttemptsMax = 3;
 const int kSessionRequests = 4;
 const uint32_t kPoisonPart = 1;
@@ -40,8 +40,8 @@
 struct Request {
     pz_request prompt;
     size_t host;
-    int poison;     // number of its poisonous part, from 1; 0: sound
-    bool is_repeat; // sent again by the caller
+    int poison;           // number of its poisonous part, from 1; 0: sound
+    bool is_client_retry; // sent again by the caller
     int attempts = 0;
     int64_t sent_at = 0;
     int64_t due = 0; // time of its first event
@@ -57,7 +57,7 @@
 struct Message {
     std::vector<pz_crash> crashes;
     std::vector<pz_clear> clears;
-    std::vector<pz_quarantine> stops;
+    std::vector<pz_quarantine> quarantines;
 };
 
 struct Host {
@@ -69,27 +69,29 @@
 };
 
 void
-OnStopped(void *arg, const pz_quarantine *stop, int crashes, bool from_peer)
+OnQuarantined(void *arg, const pz_quarantine *quarantine, int crashes,
+              bool from_peer)
 {
-    // A host's own stops are kept in the store, for hosts that restart.
+    // The store has the quarantines that hosts decided themselves; a host that
+    // restarts reads them back.
     if (!from_peer) {
-        static_cast<std::vector<pz_quarantine> *>(arg)->push_back(*stop);
+        static_cast<std::vector<pz_quarantine> *>(arg)->push_back(*quarantine);
     }
 }
 
 void
-OnLifted(void *arg, const pz_quarantine *stop, const char *why)
+OnLifted(void *arg, const pz_quarantine *quarantine, const char *why)
 {
     auto *store = static_cast<std::vector<pz_quarantine> *>(arg);
     for (size_t i = store->size(); i > 0; i--) {
-        if ((*store)[i - 1].key.part == stop->key.part &&
-            (*store)[i - 1].key.customer == stop->key.customer) {
+        if ((*store)[i - 1].key.part == quarantine->key.part &&
+            (*store)[i - 1].key.customer == quarantine->key.customer) {
             store->erase(store->begin() + static_cast<long>(i) - 1);
         }
     }
 }
 
-const pz_ops ops = {OnStopped, OnLifted};
+const pz_ops ops = {OnQuarantined, OnLifted};
 
 class Model {
   public:
@@ -206,9 +208,9 @@
         hosts_[i].started = now_;
         for (size_t k = 0; restore && policy_.gossip && k < store_.size();
              k++) {
-            pz_quarantine stop = store_[k];
-            stop.requested_at = At(i);
-            Pz_ImportQuarantine(hosts_[i].table, &stop, At(i));
+            pz_quarantine quarantine = store_[k];
+            quarantine.requested_at = At(i);
+            Pz_ImportQuarantine(hosts_[i].table, &quarantine, At(i));
         }
     }
 
@@ -252,9 +254,9 @@
         message->clears.resize(kClearRowsMax);
         message->clears.resize(Pz_ExportClears(table, message->clears.data(),
                                                kClearRowsMax, now));
-        message->stops.resize(kStopRowsMax);
-        message->stops.resize(
-            Pz_ExportQuarantines(table, message->stops.data(), kStopRowsMax));
+        message->quarantines.resize(kQuarantineRowsMax);
+        message->quarantines.resize(Pz_ExportQuarantines(
+            table, message->quarantines.data(), kQuarantineRowsMax));
         return message;
     }
 
@@ -268,7 +270,7 @@
         }
         const std::shared_ptr<Message> &message = host.message;
         if (message->crashes.size() + message->clears.size() +
-                    message->stops.size() ==
+                    message->quarantines.size() ==
                 0 ||
             Unit() < scenario_.message_loss) {
             return;
@@ -287,8 +289,8 @@
         for (const pz_clear &clear : message.clears) {
             Pz_ImportClear(table, &clear);
         }
-        for (const pz_quarantine &stop : message.stops) {
-            Pz_ImportQuarantine(table, &stop, At(to));
+        for (const pz_quarantine &quarantine : message.quarantines) {
+            Pz_ImportQuarantine(table, &quarantine, At(to));
         }
         for (const pz_crash &crash : message.crashes) {
             Pz_ImportCrash(table, &crash);
@@ -355,13 +357,13 @@
     void
     Admit(Request request)
     {
-        const pz_quarantine *stop = Pz_FindQuarantine(
+        const pz_quarantine *quarantine = Pz_FindQuarantine(
             hosts_[request.host].table, &request.prompt, At(request.host));
-        if (!request.poison && !request.is_repeat &&
+        if (!request.poison && !request.is_client_retry &&
             IsAfterDetection(request)) {
             result_.sound_requests++;
         }
-        if (stop != nullptr) {
+        if (quarantine != nullptr) {
             result_.sound_refused += !request.poison;
             result_.sound_refused_late +=
                 !request.poison && IsAfterDetection(request);
@@ -482,12 +484,12 @@
             if (request.attempts < kAttemptsMax && !no_retry) {
                 Send(request);
             }
-            else if (!request.is_repeat) {
-                Request repeat = request;
-                repeat.is_repeat = true;
-                repeat.attempts = 0;
-                repeat.host = random_() % hosts_.size();
-                Admit(repeat);
+            else if (!request.is_client_retry) {
+                Request retry = request;
+                retry.is_client_retry = true;
+                retry.attempts = 0;
+                retry.host = random_() % hosts_.size();
+                Admit(retry);
             }
         }
     }
--- a/packages/policy/test/model/poison_model.h
+++ b/packages/policy/test/model/poison_model.h
@@ -46,10 +46,10 @@
 struct PoisonResult {
     int crashes = 0;            // of endpoints, by poisonous parts
     int poison_sent_late = 0;   // late poison requests sent to an endpoint
-    int sound_requests = 0;     // late, without repeats
+    int sound_requests = 0;     // late, without retries by callers
     int sound_served = 0;       // late
-    int sound_refused = 0;      // by a stop, at any time
-    int sound_refused_late = 0; // by a stop, late
+    int sound_refused = 0;      // by a quarantine, at any time
+    int sound_refused_late = 0; // by a quarantine, late
 };
 
 PoisonResult SimulatePoison(const PoisonScenario &scenario,
--- a/packages/policy/test/poison_test.cc
+++ b/packages/policy/test/poison_test.cc
@@ -28,7 +28,7 @@
 const int kSentLateMax = 3;
 
 struct Event {
-    pz_quarantine stop;
+    pz_quarantine quarantine;
     int crashes;
     bool from_peer;
     bool lifted;
@@ -49,7 +49,7 @@
     void
     SetRule(const pz_rule &rule)
     {
-        static const pz_ops ops = {OnStopped, OnLifted};
+        static const pz_ops ops = {OnQuarantined, OnLifted};
         Pz_Destroy(table_);
         table_ = Pz_Create(&rule, &ops, &events_, kNow - 10 * kSecond);
     }
@@ -112,18 +112,18 @@
     }
 
     static void
-    OnStopped(void *arg, const pz_quarantine *stop, int crashes,
-              bool from_peer)
+    OnQuarantined(void *arg, const pz_quarantine *quarantine, int crashes,
+                  bool from_peer)
     {
         static_cast<std::vector<Event> *>(arg)->push_back(
-            {*stop, crashes, from_peer, false});
+            {*quarantine, crashes, from_peer, false});
     }
 
     static void
-    OnLifted(void *arg, const pz_quarantine *stop, const char *why)
+    OnLifted(void *arg, const pz_quarantine *quarantine, const char *why)
     {
         static_cast<std::vector<Event> *>(arg)->push_back(
-            {*stop, 0, false, true});
+            {*quarantine, 0, false, true});
     }
 
     std::vector<Event> events_;
@@ -141,8 +141,8 @@
     EXPECT_EQ(events_[0].crashes, 3);
 }
 
-// Guards against stopping a part that all requests of a customer have, and
-// with it all these requests.
+// Guards against a quarantine of a part that all requests of a customer have,
+// by which all these requests would be refused.
 TEST_F(Poison, APartThatWasAnsweredSinceIsNotStopped)
 {
     Answer(Request({kFirstPart}), kNow - kSecond, 5);
@@ -157,7 +157,7 @@
     EXPECT_TRUE(IsRefused(Request({kFirstPart, kPoisonPart})));
 }
 
-// Guards against stopping parts when all endpoints crash at once for another
+// Guards against a quarantine when all endpoints crash at once for another
 // reason.
 TEST_F(Poison, SimultaneousCrashesCountOnce)
 {
@@ -187,7 +187,7 @@
     EXPECT_TRUE(events_.empty());
 }
 
-// Guards against blaming parts when endpoints crash on every request.
+// Guards against implicating parts when endpoints crash on every request.
 TEST_F(Poison, NoPartIsStoppedWithoutOtherAnswers)
 {
     for (uint32_t i = 0; i < 9; i++) {
@@ -200,8 +200,8 @@
     EXPECT_EQ(events_.size(), 1u);
 }
 
-// Guards against blaming a sound request that was waiting at an endpoint which
-// another request crashed.
+// Guards against implicating a sound request that was waiting at an endpoint
+// which another request crashed.
 TEST_F(Poison, CrashesBeforeTheHeadersCountLess)
 {
     for (uint32_t i = 0; i < 5; i++) {
@@ -254,24 +254,24 @@
     EXPECT_EQ(events_.size(), 1u);
 }
 
-// Guards against a host with few requests that stops a part which is answered
-// on other hosts.
+// Guards against a host with few requests that quarantines a part which is
+// answered on other hosts.
 TEST_F(Poison, AnAnswerSeenByAPeerLiftsAStop)
 {
     CrashThree(Request({kPoisonPart}));
     pz_clear clear = {{kService, kCustomer, kPoisonPart}, kNow + 2 * kSecond};
     Pz_ImportClear(table_, &clear);
     EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
-    pz_quarantine stop = {clear.key, kNow + kSecond, kNow + kSecond};
-    Pz_ImportQuarantine(table_, &stop, kNow + 3 * kSecond);
+    pz_quarantine quarantine = {clear.key, kNow + kSecond, kNow + kSecond};
+    Pz_ImportQuarantine(table_, &quarantine, kNow + 3 * kSecond);
     EXPECT_FALSE(IsRefused(Request({kPoisonPart})));
-    // A peer that still gossips the stop gets a clear in return.
+    // A peer that still gossips the quarantine gets a clear in return.
     pz_clear rows[4];
     EXPECT_EQ(Pz_ExportClears(table_, rows, 4, kNow + 3 * kSecond), 1u);
 }
 
-// Guards against a customer that gets another one's part stopped by putting it
-// into poison requests.
+// Guards against a customer that gets another one's part quarantined by
+// putting it into poison requests.
 TEST_F(Poison, APartIsStoppedForItsCustomerOnly)
 {
     CrashThree(Request({kPoisonPart}));
@@ -288,8 +288,8 @@
     EXPECT_TRUE(IsRefused(Request({kPoisonPart}, kOtherCustomer + 1)));
 }
 
-// Guards against stopping the wrong part when one request and its repeats were
-// victims of the crashes of other requests.
+// Guards against a quarantine of the wrong part when one request and its
+// retries were victims of the crashes of other requests.
 TEST_F(Poison, ASingleRequestStopsNoPart)
 {
     pz_request request = Request({kPoisonPart, kDeepPart});
@@ -329,8 +329,8 @@
     EXPECT_TRUE(events_.empty());
 }
 
-// Guards against lifting stops periodically to probe them, since each probe
-// costs an endpoint.
+// Guards against lifting quarantines periodically to probe the parts, since
+// each probe crashes an endpoint.
 TEST_F(Poison, AStopLastsWhileThePartIsRequested)
 {
     CrashThree(Request({kPoisonPart}));
@@ -400,7 +400,7 @@
     return policy;
 }
 
-// A part is stopped by the number of crashes alone.
+// A part is quarantined by the number of crashes alone.
 PoisonPolicy
 CountOnlyPolicy()
 {
@@ -486,7 +486,7 @@
     ExpectHolds("other crashes", scenario, kSeeds);
 }
 
-// Guards against stopping parts for crashes with other causes.
+// Guards against quarantines for crashes with other causes.
 TEST(PoisonSimulation, NoPartIsStoppedForOtherCrashes)
 {
     PoisonScenario scenario;
@@ -514,7 +514,7 @@
               0);
 }
 
-// Guards against stopping parts when living endpoints reset connections, for
+// Guards against quarantines when living endpoints reset connections, for
 // instance because they have too many.
 TEST(PoisonSimulation, NoPartIsStoppedForResetsByLivingEndpoints)
 {
--- a/packages/policy/warmup.c
+++ b/packages/policy/warmup.c
@@ -62,12 +62,14 @@
  */
 size_t
 Wu_SenderCount(const struct wu_pacing *pacing,
-               const struct wu_completeness *view)
+               const struct wu_completeness *completeness)
 {
-    if (view->up_usec < DISCOVERY_USEC || view->heard * 2 < view->known) {
+    if (completeness->up_usec < DISCOVERY_USEC ||
+        completeness->heard * 2 < completeness->known) {
         return 0;
     }
-    if (view->first_start || view->up_usec >= PARTITION_MAX_USEC) {
+    if (completeness->first_start ||
+        completeness->up_usec >= PARTITION_MAX_USEC) {
         return pacing->senders;
     }
     return (pacing->senders + 1) / 2;
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -46,6 +46,7 @@
  * are the senders.
  */
 uint64_t Wu_Weight(uint64_t host, uint64_t endpoint);
+
 /* What is known about how complete a host's list of hosts is. */
 struct wu_completeness {
     int64_t up_usec;  /* time since this host started */
@@ -74,22 +75,20 @@
  * the list may lack hosts that it is partitioned from.
  */
 size_t Wu_SenderCount(const struct wu_pacing *pacing,
-                      const struct wu_completeness *view);
+                      const struct wu_completeness *completeness);
 
+/* Whether to call Wu_RenewSelection() again, because hosts join and leave. */
+bool Wu_SelectionIsStale(const struct wu_warmup *warmup, int64_t now);
 /*
  * Computes again whether this host is a sender of an endpoint that can serve
- * "per_sec" requests a second. To be repeated regularly, because hosts join
- * and leave.
+ * "per_sec" requests a second.
  */
-bool Wu_SelectionIsStale(const struct wu_warmup *warmup, int64_t now);
 void Wu_RenewSelection(struct wu_warmup *warmup, const struct wu_hosts *hosts,
                        double per_sec, uint64_t endpoint, int64_t now);
 
-/*
- * Whether the endpoint has reported that it is cold; whether it may be cold
- * because it may have restarted.
- */
+/* Whether the endpoint has reported that it is cold. */
 bool Wu_IsCold(const struct wu_warmup *warmup, int64_t now);
+/* Whether the endpoint may be cold because it may have restarted. */
 bool Wu_MayBeCold(const struct wu_warmup *warmup, int64_t now);
 /*
  * Records for how much longer the endpoint reports that it is cold; 0: warm.
@@ -102,7 +101,7 @@
  */
 void Wu_SuspectRestart(struct wu_warmup *warmup, int64_t cold_usec,
                        int64_t now);
-/* Whether this host may send to the endpoint now; records that it has sent. */
+/* Whether this host may send to the endpoint now, if that is cold. */
 bool Wu_MaySend(const struct wu_warmup *warmup, int64_t now);
 void Wu_Sent(struct wu_warmup *warmup, const struct wu_pacing *pacing,
              int64_t now);
