--- a/packages/policy/choose_flight.c
+++ b/packages/policy/choose_flight.c
@@ -34,15 +34,15 @@
 void
 ch_window_roll(struct ch_window *window, int64_t now)
 {
-    if (now - window->begun_at < CH_WINDOW_USEC) {
+    if (now - window->started_at < CH_WINDOW_USEC) {
         return;
     }
-    bool is_adjacent = now - window->begun_at < 2 * CH_WINDOW_USEC;
+    bool is_adjacent = now - window->started_at < 2 * CH_WINDOW_USEC;
     window->last_good = is_adjacent ? window->good : 0;
     window->last_failed = is_adjacent ? window->failed : 0;
     window->good = 0;
     window->failed = 0;
-    window->begun_at = now;
+    window->started_at = now;
 }
 
 static void
@@ -304,7 +304,7 @@
     endpoint->consecutive_failures = CONSECUTIVE_FAILURES_MAX - 1;
     endpoint->slowness = 1;
     endpoint->slowness_count = 0;
-    endpoint->window = (struct ch_window){.begun_at = now};
+    endpoint->window = (struct ch_window){.started_at = now};
 }
 
 struct siblings {
--- a/packages/policy/choose_internal.h
+++ b/packages/policy/choose_internal.h
@@ -26,7 +26,7 @@
 
 /* Outcomes in the current window and in the one before. */
 struct ch_window {
-    int64_t begun_at;
+    int64_t started_at;
     int good;
     int failed;
     int last_good;
--- a/packages/policy/choose_query.c
+++ b/packages/policy/choose_query.c
@@ -137,7 +137,7 @@
     }
     struct ch_window rate = table->completions;
     ch_window_roll(&rate, now);
-    int64_t span = now - rate.begun_at;
+    int64_t span = now - rate.started_at;
     if (rate.last_good > 0) {
         span += CH_WINDOW_USEC;
     }
--- a/packages/policy/fleet.h
+++ b/packages/policy/fleet.h
@@ -20,7 +20,7 @@
 #endif
 
 #define Ft_NAME_MAX 64
-#define Ft_SLOTS_PER_DAY 96
+#define Ft_QUARTERS_PER_DAY 96
 
 /* ---- the load to plan for ---- */
 
@@ -28,9 +28,9 @@
     double level;
     double trend; /* change of the level a second */
     int64_t updated_at;
-    double day[Ft_SLOTS_PER_DAY]; /* load at this time of earlier days, by
-                                     quarter of an hour */
-    bool has_data[Ft_SLOTS_PER_DAY];
+    /* Load at this time of earlier days, by quarter of an hour. */
+    double day[Ft_QUARTERS_PER_DAY];
+    bool has_data[Ft_QUARTERS_PER_DAY];
 };
 
 void Ft_Observe(struct ft_forecast *forecast, double per_sec, int64_t wall,
--- a/packages/policy/fleet_forecast.c
+++ b/packages/policy/fleet_forecast.c
@@ -13,10 +13,10 @@
 #define DAY_GAIN 0.3
 
 static int
-slot_of(int64_t wall)
+quarter_of(int64_t wall)
 {
     int64_t sec = wall / Ck_USEC_PER_SEC % DAY_SEC;
-    return (int)(sec * Ft_SLOTS_PER_DAY / DAY_SEC);
+    return (int)(sec * Ft_QUARTERS_PER_DAY / DAY_SEC);
 }
 
 /* Records the current load; "wall" is calendar time. */
@@ -24,8 +24,8 @@
 Ft_Observe(struct ft_forecast *forecast, double per_sec, int64_t wall,
            int64_t now)
 {
-    double *day = &forecast->day[slot_of(wall)];
-    bool *has_data = &forecast->has_data[slot_of(wall)];
+    double *day = &forecast->day[quarter_of(wall)];
+    bool *has_data = &forecast->has_data[quarter_of(wall)];
     *day = *has_data ? *day + (per_sec - *day) * DAY_GAIN * 0.1 : per_sec;
     *has_data = true;
     if (forecast->updated_at == 0) {
@@ -58,11 +58,11 @@
     double most = forecast->level;
     double sec = (double)ahead / 1e6;
     most = fmax(most, forecast->level + fmax(forecast->trend, 0) * sec);
-    int64_t step = DAY_SEC / Ft_SLOTS_PER_DAY * Ck_USEC_PER_SEC;
+    int64_t step = DAY_SEC / Ft_QUARTERS_PER_DAY * Ck_USEC_PER_SEC;
     for (int64_t at = 0; at < ahead + step; at += step) {
-        int slot = slot_of(wall + (at < ahead ? at : ahead));
-        if (forecast->has_data[slot]) {
-            most = fmax(most, forecast->day[slot]);
+        int quarter = quarter_of(wall + (at < ahead ? at : ahead));
+        if (forecast->has_data[quarter]) {
+            most = fmax(most, forecast->day[quarter]);
         }
     }
     return most;
--- a/packages/policy/link.c
+++ b/packages/policy/link.c
@@ -19,7 +19,9 @@
  */
 #define Li_SLOW_WINDOW_USEC (2 * Ck_USEC_PER_SEC)
 
-/* For this long, a peer that failed to connect is used only as a last resort.
+/*
+ * For this long after it failed to connect, a peer is used only if no other
+ * peer is left.
  */
 #define Li_PEER_AVOID_USEC (2 * Ck_USEC_PER_SEC)
 
--- a/packages/policy/move_trip.c
+++ b/packages/policy/move_trip.c
@@ -47,7 +47,7 @@
 };
 
 struct endpoint_tallies {
-    struct endpoint_tally of[Mv_TRIP_WINDOW];
+    struct endpoint_tally rows[Mv_TRIP_WINDOW];
     int count;
     int healthy_count;
     const struct endpoint_tally *worst;
@@ -132,11 +132,11 @@
 find_tally(struct endpoint_tallies *tallies, uint64_t endpoint)
 {
     for (int i = 0; i < tallies->count; i++) {
-        if (tallies->of[i].endpoint == endpoint) {
-            return &tallies->of[i];
+        if (tallies->rows[i].endpoint == endpoint) {
+            return &tallies->rows[i];
         }
     }
-    struct endpoint_tally *tally = &tallies->of[tallies->count++];
+    struct endpoint_tally *tally = &tallies->rows[tallies->count++];
     *tally = (struct endpoint_tally){.endpoint = endpoint};
     return tally;
 }
--- a/packages/policy/test/admit_test.cc
+++ b/packages/policy/test/admit_test.cc
@@ -147,7 +147,7 @@
 
 /*
  * Guards against a customer that gets twice its limit: in a network partition
- * each side divided the whole limit among the daemons it still received
+ * each side divides the whole limit among the daemons that it still receives
  * demands from.
  */
 TEST(Admit, PartitionsTogetherStayAtTheLimit)
@@ -373,7 +373,8 @@
                        messages.end());
     }
 
-    // Every daemon gets more requests than it may admit, and no request ends.
+    // Each daemon gets a request per tick, which is more than it may admit, and
+    // no request ends.
     void
     Tick()
     {
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -14,8 +14,8 @@
 const int64_t kMs = Ck_USEC_PER_MSEC;
 const int64_t kNow = 1000 * Ck_USEC_PER_SEC;
 
-// Guards against a host with seconds between two requests that forgets in
-// between that the endpoint is brittle.
+// Guards against an endpoint report that expires at a host with seconds
+// between two requests.
 TEST(Brittle, EndpointReportExpiresAfter30Seconds)
 {
     struct br_state state = {};
@@ -148,10 +148,10 @@
 
 // How hosts learn that endpoints are brittle.
 enum Learning {
-    kKnown,     // all hosts know it from the beginning
-    kForgetful, // from answers; forgotten after 3 s without one
-    kAnswers,   // from answers
-    kPeers,     // from answers, and from reports of other hosts
+    kKnown,        // all hosts know it from the beginning
+    kAnswersShort, // from answers; expires after 3 s without one
+    kAnswers,      // from answers
+    kPeers,        // from answers, and from reports of other hosts
 };
 
 struct Scene {
@@ -160,7 +160,7 @@
     int slots;
     int refusal_limit;
     double load;  // offered load as a share of all slots
-    int64_t lag;  // until other hosts' requests are known, us
+    int64_t lag;  // until peers' requests are known, us
     int64_t work; // mean time of a request, us
 };
 
@@ -214,7 +214,7 @@
     static const int64_t kDuration = 10 * Ck_USEC_PER_SEC;
     // If hosts have to learn of the limit, endpoints report it from then on.
     static const int64_t kBrittleAfter = 2 * Ck_USEC_PER_SEC;
-    static const int64_t kLearning = 3 * Ck_USEC_PER_SEC;
+    static const int64_t kLearningTime = 3 * Ck_USEC_PER_SEC;
     static const int64_t kPeerReportGap = 100 * Ck_USEC_PER_MSEC;
 
     struct Running {
@@ -295,7 +295,7 @@
             return true;
         }
         return Br_IsBrittle(state, now_) &&
-               (learning_ != kForgetful || Br_ShouldReport(state, now_));
+               (learning_ != kAnswersShort || Br_ShouldReport(state, now_));
     }
 
     // An answer reports the refusal limit; it holds for all endpoints.
@@ -331,7 +331,7 @@
     bool
     IsBrittle() const
     {
-        return learning_ == kKnown || now_ >= begins_ + kLearning;
+        return learning_ == kKnown || now_ >= begins_ + kLearningTime;
     }
 
     bool
@@ -450,8 +450,8 @@
     }
 }
 
-// Guards against hosts that send little, do not learn of the limit or forget
-// it, and overfill endpoints without a queue.
+// Guards against hosts that send few requests, do not learn of the limit or
+// let it expire, and overfill endpoints without a queue.
 TEST(BrittleModel, EndpointsSurviveHostsThatSendLittle)
 {
     const Scene scenes[] = {
@@ -462,13 +462,14 @@
     };
     for (const Scene &scene : scenes) {
         Sum known = RunScene(scene, kRanked, kKnown);
-        Sum forgetful = RunScene(scene, kRanked, kForgetful);
+        Sum answers_short = RunScene(scene, kRanked, kAnswersShort);
         Sum answers = RunScene(scene, kRanked, kAnswers);
         Sum peers = RunScene(scene, kRanked, kPeers);
-        std::cout << "failures " << known.worst << " / " << forgetful.worst
+        std::cout << "failures " << known.worst << " / " << answers_short.worst
                   << " / " << answers.worst << " / " << peers.worst
-                  << ", served " << known.served << " / " << forgetful.served
-                  << " / " << answers.served << " / " << peers.served << "\n";
+                  << ", served " << known.served << " / "
+                  << answers_short.served << " / " << answers.served << " / "
+                  << peers.served << "\n";
         EXPECT_LE(peers.worst, 2 + (int)scene.endpoints / 10);
     }
 }
--- a/packages/policy/test/choose_test.cc
+++ b/packages/policy/test/choose_test.cc
@@ -149,9 +149,9 @@
     for (int i = 0; i < 6; i++) {
         t.put("e" + std::to_string(i), "v1", "a", 1, 32);
     }
-    std::string home = t.run(CH_GOOD, 42);
+    std::string preferred = t.run(CH_GOOD, 42);
     for (int i = 0; i < 20; i++) {
-        EXPECT_EQ(home, t.run(CH_GOOD, 42));
+        EXPECT_EQ(preferred, t.run(CH_GOOD, 42));
     }
     struct ch_flight flights[30];
     std::map<std::string, int> used;
@@ -161,7 +161,7 @@
         Ch_Start(t.table, &flight, t.now);
     }
     EXPECT_GE(used.size(), 2u);
-    EXPECT_LE(used[home], 16);
+    EXPECT_LE(used[preferred], 16);
     for (auto &flight : flights) {
         Ch_End(t.table, &flight, CH_GOOD, t.now);
     }
--- a/packages/policy/test/link_test.cc
+++ b/packages/policy/test/link_test.cc
@@ -104,13 +104,13 @@
  * cut off from the endpoints. Measures the fraction of the cut hosts'
  * connections, from the third second on, that are made in time.
  */
-enum PeerChoice { kNoPeer, kSameZoneFirst, kRandomPeer, kPickPeer };
+enum PeerChoice { kNoPeer, kSameDataCentreFirst, kRandomPeer, kPickPeer };
 
 struct Scene {
     size_t hosts;
-    size_t zones;
-    bool silent; // connections time out; otherwise they are refused at once
-    bool whole;  // a whole data centre is cut off; otherwise each third host
+    size_t data_centres;
+    bool unresponsive; // connections time out; otherwise: refused at once
+    bool whole; // a whole data centre is cut off; otherwise each third host
     size_t endpoints;
 };
 
@@ -120,8 +120,9 @@
         : scene_(scene), choice_(choice), random_(seed), hosts_(scene.hosts)
     {
         for (size_t i = 0; i < hosts_.size(); i++) {
-            hosts_[i].zone = i % scene.zones;
-            hosts_[i].cut = scene.whole ? hosts_[i].zone == 0 : i % 3 == 0;
+            hosts_[i].data_centre = i % scene.data_centres;
+            hosts_[i].cut =
+                scene.whole ? hosts_[i].data_centre == 0 : i % 3 == 0;
             hosts_[i].links.resize(scene.endpoints);
             hosts_[i].failed.resize(scene.hosts);
         }
@@ -147,7 +148,7 @@
 
   private:
     struct Host {
-        size_t zone;
+        size_t data_centre;
         bool cut;
         bool knows_cut = false;
         bool reports_cut = false;
@@ -168,7 +169,8 @@
         std::vector<size_t> names;
         for (size_t i = 0; i < hosts_.size(); i++) {
             if (i != own) {
-                li_peer peer = {hosts_[i].zone == hosts_[own].zone,
+                li_peer peer = {hosts_[i].data_centre ==
+                                    hosts_[own].data_centre,
                                 hosts_[i].reports_cut, hosts_[own].failed[i]};
                 if (choice_ == kRandomPeer) {
                     peer = {false, false, 0};
@@ -177,14 +179,14 @@
                 names.push_back(i);
             }
         }
-        li_link seen = link;
-        seen.cut |= choice_ == kSameZoneFirst;
-        if (choice_ == kSameZoneFirst) {
+        li_link assumed = link;
+        assumed.cut |= choice_ == kSameDataCentreFirst;
+        if (choice_ == kSameDataCentreFirst) {
             for (li_peer &peer : peers) {
                 peer.failed_at = 0;
             }
         }
-        return names[Li_PickPeer(&seen, peers.data(), peers.size(), Unit(),
+        return names[Li_PickPeer(&assumed, peers.data(), peers.size(), Unit(),
                                  now)];
     }
 
@@ -197,23 +199,23 @@
         int64_t now = kNow + at;
         int64_t took = -1;
         enum li_order order = Li_Order(&link, now);
-        enum li_outcome direct = scene_.silent ? LI_OVERDUE : LI_FAILED;
+        enum li_outcome direct = scene_.unresponsive ? LI_OVERDUE : LI_FAILED;
         if (order == LI_PEER_FIRST) {
             direct = LI_NOT_TRIED;
         }
-        enum li_outcome peer_end = LI_NOT_TRIED;
+        enum li_outcome peer_outcome = LI_NOT_TRIED;
         if (choice_ != kNoPeer && order != LI_DIRECT_ONLY) {
             size_t peer = PickPeer(own, link, now);
-            peer_end = hosts_[peer].cut ? LI_FAILED : LI_CONNECTED;
+            peer_outcome = hosts_[peer].cut ? LI_FAILED : LI_CONNECTED;
             took = order == LI_PEER_FIRST ? 4 * kMs
-                   : scene_.silent        ? Li_FALLBACK_USEC + 4 * kMs
+                   : scene_.unresponsive  ? Li_FALLBACK_USEC + 4 * kMs
                                           : 6 * kMs;
-            if (peer_end == LI_FAILED) {
+            if (peer_outcome == LI_FAILED) {
                 host.failed[peer] = now;
                 took = -1;
             }
         }
-        Li_RecordOutcome(&link, direct, peer_end, now);
+        Li_RecordOutcome(&link, direct, peer_outcome, now);
         host.knows_cut |= link.cut;
         if (at >= 3000 * kMs) {
             attempts_++;
@@ -251,16 +253,16 @@
     };
     for (const Scene &scene : scenes) {
         double none = WorstFraction(scene, kNoPeer);
-        double near = WorstFraction(scene, kSameZoneFirst);
+        double same_data_centre = WorstFraction(scene, kSameDataCentreFirst);
         double any = WorstFraction(scene, kRandomPeer);
         double chosen = WorstFraction(scene, kPickPeer);
         std::cout << scene.hosts << " hosts, "
-                  << (scene.silent ? "silent" : "refused") << ", "
+                  << (scene.unresponsive ? "silent" : "refused") << ", "
                   << (scene.whole ? "a data centre" : "each third")
-                  << ": none " << none << ", near first " << near << ", any "
-                  << any << ", chosen " << chosen << "\n";
+                  << ": none " << none << ", near first " << same_data_centre
+                  << ", any " << any << ", chosen " << chosen << "\n";
         EXPECT_GE(chosen, 2.0 / 3);
-        EXPECT_GE(chosen, near);
+        EXPECT_GE(chosen, same_data_centre);
         EXPECT_GE(chosen, any);
     }
 }
--- a/packages/policy/test/model/poison_model.cc
+++ b/packages/policy/test/model/poison_model.cc
@@ -25,8 +25,8 @@
 const int64_t kResetsTo = 9 * kSecond;
 const size_t kCrashesToDetect = 5;
 const size_t kZones = 4;
-const double kNearMessagesPerSec = 120;
-const double kFarMessagesPerSec = 100;
+const double kSameZoneMessagesPerSec = 120;
+const double kOtherZoneMessagesPerSec = 100;
 const size_t kCrashRowsMax = 24;
 const size_t kClearRowsMax = 16;
 const size_t kQuarantineRowsMax = 8;
@@ -217,11 +217,12 @@
     void
     Schedule(size_t from, size_t to, bool first)
     {
-        bool near = from % kZones == to % kZones;
-        size_t peers = near ? hosts_.size() / kZones
-                            : hosts_.size() - hosts_.size() / kZones;
-        double gap = static_cast<double>(peers) /
-                     (near ? kNearMessagesPerSec : kFarMessagesPerSec);
+        bool same_zone = from % kZones == to % kZones;
+        size_t peers = same_zone ? hosts_.size() / kZones
+                                 : hosts_.size() - hosts_.size() / kZones;
+        double gap =
+            static_cast<double>(peers) /
+            (same_zone ? kSameZoneMessagesPerSec : kOtherZoneMessagesPerSec);
         gap = gap < 0.1 ? 0.1 : gap;
         double jitter = first ? Unit() : 0.8 + 0.4 * Unit();
         schedule_.push(
--- a/packages/policy/test/move_model.c
+++ b/packages/policy/test/move_model.c
@@ -193,13 +193,13 @@
         if (run.now % Mv_BLOCK_USEC == 0) {
             send_reports(&run, ++sequence);
         }
-        struct mv_tick_input view = {2, 1, false, per_sec, model->per_sec};
+        struct mv_tick_input input = {2, 1, false, per_sec, model->per_sec};
         for (int r = 0; r < model->routers; r++) {
-            view.any_tripped |= run.trips[r].tripped && !model->without_trip;
+            input.any_tripped |= run.trips[r].tripped && !model->without_trip;
         }
-        out->tripped = view.any_tripped;
+        out->tripped = input.any_tripped;
         out->share_at_end = out->move.share;
-        Mv_Tick(&out->move, run.evidence, &view, run.now + USEC_PER_SEC);
+        Mv_Tick(&out->move, run.evidence, &input, run.now + USEC_PER_SEC);
     }
     out->ended_at = run.now;
     Mv_EvidenceDestroy(run.evidence);
--- a/packages/policy/test/move_test.cc
+++ b/packages/policy/test/move_test.cc
@@ -15,7 +15,7 @@
 struct MoveRun {
     struct mv_evidence *evidence = Mv_EvidenceCreate(0.01);
     struct mv_move move;
-    struct mv_tick_input view = {2, 1, false, 10, 10};
+    struct mv_tick_input input = {2, 1, false, 10, 10};
     int64_t now = kSec;
     uint64_t sequence = 0;
 
@@ -56,12 +56,12 @@
             if (now % (10 * kSec) == 0) {
                 report(90, 0, 10, 0);
             }
-            Mv_Tick(&move, evidence, &view, now);
+            Mv_Tick(&move, evidence, &input, now);
         }
     }
 
     std::string
-    sentence()
+    description()
     {
         char out[512];
         Mv_Describe(&move, out, sizeof(out));
@@ -88,8 +88,8 @@
         EXPECT_GT(shares[i], shares[i - 1]);
         EXPECT_LE(shares[i], shares[i - 1] * 3 + 1e-9);
     }
-    EXPECT_NE(std::string::npos, m.sentence().find("is done, "));
-    EXPECT_NE(std::string::npos, m.sentence().find("before the deadline"));
+    EXPECT_NE(std::string::npos, m.description().find("is done, "));
+    EXPECT_NE(std::string::npos, m.description().find("before the deadline"));
 }
 
 // Guards against a router that, after ten successive failures of the new
@@ -269,28 +269,29 @@
         Mv_Merge(m.evidence, "r1", ++m.sequence, cells, 2);
         Mv_CloseBlock(m.evidence);
     }
-    EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
+    EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.input, m.now));
     EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
     EXPECT_EQ(0, m.move.share);
     EXPECT_STREQ("/seats", m.move.finding.route);
     EXPECT_EQ(1, m.move.finding.request_class);
-    EXPECT_NE(std::string::npos, m.sentence().find("taken back"));
-    EXPECT_NE(std::string::npos, m.sentence().find("on route /seats"));
-    EXPECT_NE(std::string::npos, m.sentence().find("All requests go to v1"));
+    EXPECT_NE(std::string::npos, m.description().find("taken back"));
+    EXPECT_NE(std::string::npos, m.description().find("on route /seats"));
+    EXPECT_NE(std::string::npos,
+              m.description().find("All requests go to v1"));
 }
 
 TEST(Move, ATrippedRouterRollsTheMoveBackInEveryPhase)
 {
     for (int phase = MV_PLANNED; phase <= MV_PROBATION; phase++) {
         MoveRun m;
-        m.view.new_endpoints = phase == MV_PLANNED ? 0 : 2;
+        m.input.new_endpoints = phase == MV_PLANNED ? 0 : 2;
         m.until((enum mv_phase)phase);
         ASSERT_EQ(phase, m.move.phase);
-        m.view.any_tripped = true;
-        EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
+        m.input.any_tripped = true;
+        EXPECT_TRUE(Mv_Tick(&m.move, m.evidence, &m.input, m.now));
         EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
-        m.view.any_tripped = false;
-        EXPECT_FALSE(Mv_Tick(&m.move, m.evidence, &m.view, m.now));
+        m.input.any_tripped = false;
+        EXPECT_FALSE(Mv_Tick(&m.move, m.evidence, &m.input, m.now));
     }
 }
 
@@ -299,14 +300,14 @@
 TEST(Move, ProbationLastsUntilALoadNearThePeak)
 {
     MoveRun m(8 * 3600 * kSec);
-    m.view.per_sec = 3;
+    m.input.per_sec = 3;
     m.until(MV_PROBATION);
     ASSERT_EQ(MV_PROBATION, m.move.phase);
     EXPECT_LT(m.move.share, 1);
     EXPECT_GE(m.move.share, 0.8);
     m.until(MV_DONE, 6000 * kSec);
     EXPECT_EQ(MV_PROBATION, m.move.phase);
-    m.view.per_sec = 9;
+    m.input.per_sec = 9;
     m.until(MV_DONE, 10 * kSec);
     EXPECT_EQ(MV_DONE, m.move.phase);
 }
@@ -314,20 +315,20 @@
 TEST(Move, TheDeadlineEndsAMoveThatIsNotReady)
 {
     MoveRun no_endpoint;
-    no_endpoint.view.new_endpoints = 0;
+    no_endpoint.input.new_endpoints = 0;
     no_endpoint.until(MV_DONE);
     EXPECT_EQ(MV_ROLLED_BACK, no_endpoint.move.phase);
     EXPECT_EQ(3601 * kSec, no_endpoint.now);
     MoveRun low_capacity;
-    low_capacity.view.new_capacity = 0.3;
+    low_capacity.input.new_capacity = 0.3;
     low_capacity.until(MV_DONE);
     EXPECT_EQ(MV_ROLLED_BACK, low_capacity.move.phase);
     MoveRun low_traffic;
-    low_traffic.view.per_sec = 1;
+    low_traffic.input.per_sec = 1;
     low_traffic.until(MV_DONE);
     EXPECT_EQ(MV_DONE, low_traffic.move.phase);
     EXPECT_NE(std::string::npos,
-              low_traffic.sentence().find("not yet carried"));
+              low_traffic.description().find("not yet carried"));
 }
 
 // Guards against a new target version that inherits the share of the previous
@@ -352,7 +353,7 @@
     plan.withdrawn = true;
     EXPECT_TRUE(Mv_Revise(&m.move, &plan, m.now));
     EXPECT_EQ(MV_ROLLED_BACK, m.move.phase);
-    EXPECT_NE(std::string::npos, m.sentence().find("withdrawn"));
+    EXPECT_NE(std::string::npos, m.description().find("withdrawn"));
     plan.withdrawn = false;
     plan.deadline += 60 * kSec;
     EXPECT_FALSE(Mv_Revise(&m.move, &plan, m.now));
@@ -393,7 +394,7 @@
 }
 
 struct Totals {
-    int taken_back = 0;
+    int rolled_back = 0;
     int done = 0;
     double delay = 0;
     double worst_share = 0;
@@ -409,7 +410,7 @@
                                    fault,          !trip,   stalls};
         struct move_outcome out;
         Move_Run(&model, &out);
-        sum.taken_back += out.move.phase == MV_ROLLED_BACK;
+        sum.rolled_back += out.move.phase == MV_ROLLED_BACK;
         sum.done += out.move.phase == MV_DONE;
         sum.delay += (double)(out.ended_at - out.fault_at) / 1e6 / seeds;
         sum.worst_share = std::max(sum.worst_share, out.share_at_end);
@@ -421,7 +422,7 @@
 {
     Totals good = run_seeds(FAULT_NONE, 100, 5, true);
     EXPECT_GE(good.done, 97);
-    EXPECT_EQ(100, good.done + good.taken_back);
+    EXPECT_EQ(100, good.done + good.rolled_back);
 }
 
 // Guards against rolling a good version back because its engines stall now and
@@ -430,16 +431,16 @@
 TEST(Move, EngineStallsRollNoGoodVersionBack)
 {
     const int kMoves = 100;
-    const int kStatedRate =
-        100; /* one good version in so many is rolled back */
+    /* One good version in so many is rolled back. */
+    const int kStatedRate = 100;
     const double kPerSec = 50;
     for (double stalls_per_min : {12.0, 30.0}) {
         Totals good =
             run_seeds(FAULT_NONE, kMoves, kPerSec, true, stalls_per_min);
-        EXPECT_LE(good.taken_back, kMoves / kStatedRate) << stalls_per_min;
+        EXPECT_LE(good.rolled_back, kMoves / kStatedRate) << stalls_per_min;
         Totals slow =
             run_seeds(FAULT_SLOWS, 10, kPerSec, true, stalls_per_min);
-        EXPECT_EQ(10, slow.taken_back) << stalls_per_min;
+        EXPECT_EQ(10, slow.rolled_back) << stalls_per_min;
     }
 }
 
@@ -447,7 +448,7 @@
 {
     for (int fault = FAULT_FAILS; fault < FAULT_KINDS; fault++) {
         Totals bad = run_seeds((enum move_fault)fault, 10, 10, true);
-        EXPECT_EQ(10, bad.taken_back) << fault;
+        EXPECT_EQ(10, bad.rolled_back) << fault;
     }
     EXPECT_LE(run_seeds(FAULT_FAILS, 10, 10, true).worst_share, 0.02);
 }
--- a/packages/policy/test/overload_test.cc
+++ b/packages/policy/test/overload_test.cc
@@ -16,35 +16,35 @@
 
 TEST(Crowd, NoConnectionsAfterASlowPeriod)
 {
-    ov_load host = {};
-    Ov_RecordTurn(&host, 50 * kMs, kNow);
-    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
-    Ov_RecordTurn(&host, 50 * kMs, kNow + 99 * kMs);
-    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
-    Ov_RecordTurn(&host, 30 * kMs, kNow + 100 * kMs);
-    EXPECT_FALSE(Ov_MayAccept(&host, 10, 100));
-    Ov_RecordTurn(&host, 19 * kMs, kNow + 120 * kMs);
-    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
+    ov_load load = {};
+    Ov_RecordTurn(&load, 50 * kMs, kNow);
+    EXPECT_TRUE(Ov_MayAccept(&load, 10, 100));
+    Ov_RecordTurn(&load, 50 * kMs, kNow + 99 * kMs);
+    EXPECT_TRUE(Ov_MayAccept(&load, 10, 100));
+    Ov_RecordTurn(&load, 30 * kMs, kNow + 100 * kMs);
+    EXPECT_FALSE(Ov_MayAccept(&load, 10, 100));
+    Ov_RecordTurn(&load, 19 * kMs, kNow + 120 * kMs);
+    EXPECT_TRUE(Ov_MayAccept(&load, 10, 100));
 }
 
-// Guards against a host that was frozen and turns callers away though no
+// Guards against a host that was frozen and refuses callers although no
 // request waits.
 TEST(Crowd, OneLongTurnIsNotOverload)
 {
-    ov_load host = {};
-    Ov_RecordTurn(&host, 5 * kSecond, kNow);
-    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
-    Ov_RecordTurn(&host, 1 * kMs, kNow + kSecond);
-    EXPECT_TRUE(Ov_MayAccept(&host, 10, 100));
+    ov_load load = {};
+    Ov_RecordTurn(&load, 5 * kSecond, kNow);
+    EXPECT_TRUE(Ov_MayAccept(&load, 10, 100));
+    Ov_RecordTurn(&load, 1 * kMs, kNow + kSecond);
+    EXPECT_TRUE(Ov_MayAccept(&load, 10, 100));
 }
 
 // Guards against callers that use up all descriptors, so that the host can
 // connect to no endpoint.
 TEST(Crowd, DescriptorsBoundConnections)
 {
-    ov_load host = {};
-    EXPECT_TRUE(Ov_MayAccept(&host, 99, 100));
-    EXPECT_FALSE(Ov_MayAccept(&host, 100, 100));
+    ov_load load = {};
+    EXPECT_TRUE(Ov_MayAccept(&load, 99, 100));
+    EXPECT_FALSE(Ov_MayAccept(&load, 100, 100));
 }
 
 // What an overloaded host does with connections it cannot read in time.
@@ -158,9 +158,9 @@
     CheckReadiness()
     {
         Host &host = hosts_[target_];
-        bool late = host.load.overloaded;
+        bool overloaded = host.load.overloaded;
         host.failed_checks =
-            policy_ == kNotReady && late ? host.failed_checks + 1 : 0;
+            policy_ == kNotReady && overloaded ? host.failed_checks + 1 : 0;
         if (host.failed_checks >= 2) {
             host.failed_checks = 0;
             target_ = (target_ + 1) % hosts_.size();
--- a/packages/policy/test/poison_test.cc
+++ b/packages/policy/test/poison_test.cc
@@ -71,11 +71,11 @@
     // An endpoint crashes 40 ms after the request was sent.
     void
     Crash(uint32_t endpoint, const pz_request &request, int64_t at,
-          bool begun = true)
+          bool head_received = true)
     {
         pz_crash crash = {};
         crash.endpoint = endpoint;
-        crash.head_received = begun;
+        crash.head_received = head_received;
         crash.sent_at = at - 40 * kMs;
         crash.ended_at = at;
         Pz_NoteCrash(table_, &request, &crash);
--- a/packages/policy/test/queue_test.cc
+++ b/packages/policy/test/queue_test.cc
@@ -314,8 +314,9 @@
     EXPECT_EQ(0, Rt_Backoff(1));
     int64_t before = 0;
     int64_t sum = 0;
-    for (int unreached = 2; unreached <= 16; unreached++) {
-        int64_t gap = Rt_Backoff(unreached);
+    for (int connect_failures = 2; connect_failures <= 16;
+         connect_failures++) {
+        int64_t gap = Rt_Backoff(connect_failures);
         EXPECT_GT(gap, 0);
         EXPECT_GE(gap, before);
         before = gap;
--- a/packages/policy/test/stream_test.cc
+++ b/packages/policy/test/stream_test.cc
@@ -45,8 +45,8 @@
 }
 
 /*
- * Guards against an answer that breaks off: its move was begun when less time
- * was left than the export takes, and the host was reclaimed during the
+ * Guards against an answer that breaks off: its move was started when less
+ * time was left than the export takes, and the host was reclaimed during the
  * export.
  */
 TEST(Stream, NoMoveIsStartedThatCannotEndInTime)
--- a/packages/policy/test/unknown_model.c
+++ b/packages/policy/test/unknown_model.c
@@ -37,14 +37,15 @@
     int64_t due;
     int64_t arrived;
     struct ch_flight flight;
-    int64_t answered; /* time of the first token of this attempt */
-    bool begun;       /* the caller has got a part of the answer */
+    int64_t answered;     /* time of the first token of this attempt */
+    bool partly_answered; /* the caller has part of the answer */
     enum next after_token;
     int attempts;
     int unreached;
     bool failed_on_trial;
     int failed;           /* attempts that failed otherwise */
-    int unreached_in_row; /* unreached attempts in a row */
+    int unreached_in_row; /* attempts and choices without an endpoint in a row
+                           */
     int full_in_row;      /* choices in a row with every engine full */
     uint64_t prefix;
     char tried[TRIED_MAX][Ch_NAME_MAX];
@@ -248,7 +249,7 @@
 static void
 choose_and_send(struct um_model *model, struct request *request)
 {
-    struct ch_request ask = {
+    struct ch_request choice_request = {
         .prefix = request->prefix,
         .prompt_tokens = model->prompt_tokens,
         .budget = request->arrived + DEADLINE_USEC - model->now,
@@ -257,15 +258,16 @@
         .tried = request->tried_list,
         .tried_count = request->tried_count,
     };
-    enum st_status status = Ch_Choose(model->table, &ask, model->now,
-                                      &model->random, &request->flight);
+    enum st_status status =
+        Ch_Choose(model->table, &choice_request, model->now, &model->random,
+                  &request->flight);
     bool waited = request->full_in_row >= UNREACHED_MAX;
     if (status != ST_OK && request->tried_count > 0 &&
         (status != ST_OVERLOAD || waited)) {
         request->tried_count = 0;
-        ask.tried_count = 0;
-        status = Ch_Choose(model->table, &ask, model->now, &model->random,
-                           &request->flight);
+        choice_request.tried_count = 0;
+        status = Ch_Choose(model->table, &choice_request, model->now,
+                           &model->random, &request->flight);
     }
     if (status == ST_OK) {
         Ch_Start(model->table, &request->flight, model->now);
@@ -332,7 +334,7 @@
         .time_left = request->arrived + DEADLINE_USEC - model->now,
     };
     bool ran = request->attempts > request->unreached;
-    if (!request->begun) {
+    if (!request->partly_answered) {
         enum rt_reason why = Rt_DenyReason(&model->retries, &attempt);
         if (Rt_Decide(&model->retries, &attempt) != RT_RETRY) {
             fail_request(model, request, why);
@@ -358,8 +360,10 @@
     choose_and_send(model, request);
 }
 
-/* Ends an attempt, as Re_EndFlight() and Mo_RecordOutcome() in packages/gate
- * do. */
+/*
+ * Ends an attempt, as Re_EndFlight() and Mo_RecordOutcome() in packages/gate
+ * do.
+ */
 static void
 end_flight(struct um_model *model, struct request *request,
            enum ch_outcome outcome)
@@ -390,7 +394,7 @@
         return;
     case NEXT_TOKEN:
         Ch_FirstToken(model->table, &request->flight, model->now);
-        request->begun = true;
+        request->partly_answered = true;
         request->next = request->after_token;
         request->due =
             model->now + draw(model, model->settings.whole_answer -
@@ -553,7 +557,7 @@
                 model->now);
 }
 
-/* Whether the router has distrusted the new version. */
+/* Whether the router's circuit breaker for the new version has tripped. */
 bool
 Um_Tripped(const struct um_model *model)
 {
--- a/packages/policy/test/warmup_test.cc
+++ b/packages/policy/test/warmup_test.cc
@@ -15,8 +15,8 @@
 
 constexpr int64_t kSec = 1000000;
 constexpr double kPerSec = 16;
-// A host counts as known for this long after it was last heard from.
-constexpr int64_t kForgetUsec = 60 * kSec;
+// A host counts as known for this long after a message of it was received.
+constexpr int64_t kKnownUsec = 60 * kSec;
 
 // Which hosts may send to a cold endpoint.
 enum class SendPolicy {
@@ -104,7 +104,7 @@
     struct Host {
         uint64_t hash = 0;
         bool side = false;
-        int64_t started = -kForgetUsec;
+        int64_t started = -kKnownUsec;
         std::vector<int64_t> heard; // -1: never
         std::vector<struct wu_warmup> warmups;
     };
@@ -126,7 +126,7 @@
     {
         return (size_t)std::count_if(
             host.heard.begin(), host.heard.end(),
-            [&](int64_t at) { return at >= 0 && now - at < kForgetUsec; });
+            [&](int64_t at) { return at >= 0 && now - at < kKnownUsec; });
     }
 
     bool
@@ -136,8 +136,7 @@
         size_t higher = 0;
         uint64_t own = Wu_Weight(host.hash, hashes_[endpoint]);
         for (size_t i = 0; i < hosts_.size(); i++) {
-            higher += host.heard[i] >= 0 &&
-                      now - host.heard[i] < kForgetUsec &&
+            higher += host.heard[i] >= 0 && now - host.heard[i] < kKnownUsec &&
                       Wu_Weight(hosts_[i].hash, hashes_[endpoint]) > own;
         }
         return higher < max_per_sec;
@@ -160,10 +159,10 @@
             size_t known = CountKnown(host, now);
             warmup.selected_at = now;
             struct wu_pacing pacing = Wu_Pacing(kPerSec, known);
-            struct wu_completeness view = {now - host.started, false, known,
-                                           known};
-            warmup.selected =
-                IsSender(host, endpoint, Wu_SenderCount(&pacing, &view), now);
+            struct wu_completeness completeness = {now - host.started, false,
+                                                   known, known};
+            warmup.selected = IsSender(
+                host, endpoint, Wu_SenderCount(&pacing, &completeness), now);
         }
         return Wu_MaySend(&warmup, now);
     }
@@ -223,8 +222,8 @@
     }
 }
 
-// Guards against hosts that start during a network partition, know nothing of
-// the other side and use all of what an endpoint can serve.
+// Guards against hosts that start during a network partition, do not know the
+// hosts of the other side and use all of what an endpoint can serve.
 TEST(Warmup, TotalRateIsBoundedWhenHostsStartPartitioned)
 {
     // One and a half times the rate and five requests are allowed.
@@ -279,8 +278,8 @@
     }
 }
 
-// Guards against invalid rates and times: no request without an interval, no
-// endpoint that stays cold for ever.
+// Guards against invalid rates and times that would allow requests without an
+// interval or keep an endpoint cold for ever.
 TEST(Warmup, InvalidInputIsBounded)
 {
     for (double per_sec : {0.0, -1.0, -1e300, 1e-300, 0.0 / 0.0}) {
