--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -128,13 +128,13 @@
                   const struct pz_crash *crash);
 /*
  * A connection may break although its endpoint is alive.  A crash is counted,
- * and gossiped, once the endpoint is known to have ended or has shown no sign
- * of life for a while.  Pz_NoteAlive() records a sign of life at "at".
+ * and gossiped, once the endpoint is known to have crashed or has shown no
+ * sign of life for a while.  Pz_NoteAlive() records a sign of life at "at".
  */
 void Pz_NoteAlive(struct pz_table *table, uint32_t endpoint, int64_t at);
 /* The link to the endpoint broke: drops the crashes that this host saw. */
 void Pz_DropLocalCrashes(struct pz_table *table, uint32_t endpoint);
-/* The endpoint is known to have ended. */
+/* The endpoint is known to have crashed. */
 void Pz_ConfirmDead(struct pz_table *table, uint32_t endpoint);
 /*
  * The quarantine that forbids sending the request, valid until the next call;
@@ -157,15 +157,15 @@
 void Pz_Evaluate(struct pz_table *table, int64_t now);
 
 /*
- * Rows to gossip, at most "most" of each kind; crashes and quarantines with
- * the newest first.
+ * Rows to gossip, at most "rows_max" of each kind; crashes and quarantines
+ * with the newest first.
  */
 size_t Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
-                        size_t most, int64_t now);
+                        size_t rows_max, int64_t now);
 size_t Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
-                       size_t most, int64_t now);
+                       size_t rows_max, int64_t now);
 size_t Pz_ExportQuarantines(const struct pz_table *table,
-                            struct pz_quarantine *out, size_t most);
+                            struct pz_quarantine *out, size_t rows_max);
 /* Rows received from other hosts. */
 void Pz_ImportCrash(struct pz_table *table, const struct pz_crash *crash);
 void Pz_ImportClear(struct pz_table *table, const struct pz_clear *clear);
--- a/packages/policy/poison_gossip.c
+++ b/packages/policy/poison_gossip.c
@@ -15,13 +15,13 @@
 
 size_t
 Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
-                 size_t most, int64_t now)
+                 size_t rows_max, int64_t now)
 {
     size_t count = 0;
     const struct pz_crash_entry *entry;
     TAILQ_FOREACH_REVERSE(entry, &table->crashes, pz_crash_list, link)
     {
-        if (count == most || !is_recent(entry->crash.ended_at, now)) {
+        if (count == rows_max || !is_recent(entry->crash.ended_at, now)) {
             break;
         }
         if (entry->local && pz_is_counted(entry, now) &&
@@ -35,11 +35,11 @@
 /* Parts that a peer reported as implicated and that were answered since. */
 size_t
 Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
-                size_t most, int64_t now)
+                size_t rows_max, int64_t now)
 {
     size_t count = 0;
     for (size_t set = 0; set < Pz_SETS; set++) {
-        for (size_t way = 0; way < Pz_WAYS && count < most; way++) {
+        for (size_t way = 0; way < Pz_WAYS && count < rows_max; way++) {
             const struct pz_history *history = &table->history[set][way];
             if (history->count > 0 && is_recent(history->implicated_at, now) &&
                 history->answered_at > history->implicated_at) {
@@ -53,10 +53,10 @@
 
 size_t
 Pz_ExportQuarantines(const struct pz_table *table, struct pz_quarantine *out,
-                     size_t most)
+                     size_t rows_max)
 {
-    size_t count =
-        table->quarantine_count < most ? table->quarantine_count : most;
+    size_t count = table->quarantine_count < rows_max ? table->quarantine_count
+                                                      : rows_max;
     for (size_t i = 0; i < count; i++) {
         out[i] = table->quarantines[table->quarantine_count - 1 - i];
     }
--- a/packages/policy/poison_internal.h
+++ b/packages/policy/poison_internal.h
@@ -22,7 +22,7 @@
     TAILQ_ENTRY(pz_crash_entry) link;
     struct pz_crash crash;
     bool local;     /* the request was sent by this host */
-    bool confirmed; /* the endpoint is known to have ended */
+    bool confirmed; /* the endpoint is known to have crashed */
     /* Set by the last decision. */
     bool quarantined; /* the part is in quarantine */
     bool explained;   /* a quarantined part explains the crash */
@@ -68,8 +68,8 @@
 
 struct pz_key pz_all_customers(const struct pz_key *key);
 /*
- * Whether the crash counts: the endpoint is known to have ended, or a sign of
- * life, which would have removed the entry, is overdue.
+ * Whether the crash counts: the endpoint is known to have crashed, or a sign
+ * of life, which would have removed the entry, is overdue.
  */
 bool pz_is_counted(const struct pz_crash_entry *entry, int64_t now);
 bool pz_same_key(const struct pz_key *a, const struct pz_key *b);
--- a/packages/policy/poison_pack.c
+++ b/packages/policy/poison_pack.c
@@ -72,19 +72,20 @@
 }
 
 static size_t
-count_rows(const msgpack_object *list, size_t width, size_t most)
+count_rows(const msgpack_object *list, size_t width, size_t rows_max)
 {
     if (list->type != MSGPACK_OBJECT_ARRAY) {
         return 0;
     }
     size_t rows = list->via.array.size / width;
-    return rows < most ? rows : most;
+    return rows < rows_max ? rows : rows_max;
 }
 
 size_t
-Pz_ReadCrashes(const msgpack_object *list, struct pz_crash *out, size_t most)
+Pz_ReadCrashes(const msgpack_object *list, struct pz_crash *out,
+               size_t rows_max)
 {
-    size_t count = count_rows(list, Pz_CRASH_FIELDS, most);
+    size_t count = count_rows(list, Pz_CRASH_FIELDS, rows_max);
     for (size_t i = 0; i < count; i++) {
         const msgpack_object *row = &list->via.array.ptr[i * Pz_CRASH_FIELDS];
         const msgpack_object *field = &row[Pz_KEY_FIELDS];
@@ -102,9 +103,10 @@
 }
 
 size_t
-Pz_ReadClears(const msgpack_object *list, struct pz_clear *out, size_t most)
+Pz_ReadClears(const msgpack_object *list, struct pz_clear *out,
+              size_t rows_max)
 {
-    size_t count = count_rows(list, Pz_CLEAR_FIELDS, most);
+    size_t count = count_rows(list, Pz_CLEAR_FIELDS, rows_max);
     for (size_t i = 0; i < count; i++) {
         const msgpack_object *row = &list->via.array.ptr[i * Pz_CLEAR_FIELDS];
         out[i] = (struct pz_clear){read_key(row), number(&row[Pz_KEY_FIELDS])};
@@ -114,9 +116,9 @@
 
 size_t
 Pz_ReadQuarantines(const msgpack_object *list, struct pz_quarantine *out,
-                   size_t most)
+                   size_t rows_max)
 {
-    size_t count = count_rows(list, Pz_QUARANTINE_FIELDS, most);
+    size_t count = count_rows(list, Pz_QUARANTINE_FIELDS, rows_max);
     for (size_t i = 0; i < count; i++) {
         const msgpack_object *row =
             &list->via.array.ptr[i * Pz_QUARANTINE_FIELDS];
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -164,9 +164,9 @@
 
 /*
  * Whether to send a second copy of a request that has waited longer than
- * "usual" (the time within which 95 of 100 requests begin to be answered);
- * true takes a token from the budget. Only idempotent requests without a key
- * are hedged: a stored outcome must be that of a single run.
+ * "usual" (the time within which 95 of 100 requests get the first byte of
+ * their answer); true takes a token from the budget. Only idempotent requests
+ * without a key are hedged: a stored outcome must be that of a single run.
  */
 bool
 Rt_Hedge(struct rt_budget *budget, const struct rt_attempt *attempt,
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -166,7 +166,7 @@
 
 struct Result {
     int failures = 0;
-    int asked = 0;
+    int requests = 0;
     int served = 0;
 };
 
@@ -349,7 +349,7 @@
     void
     Request(size_t host)
     {
-        result_.asked++;
+        result_.requests++;
         const size_t count = scene_.endpoints;
         const Endpoint *endpoints = endpoints_.data();
         const struct br_state *states = states_[host].data();
@@ -427,7 +427,7 @@
     for (unsigned seed = 1; seed <= seeds; seed++) {
         Result result = Model(scene, policy, learning, seed).Run();
         sum.worst = std::max(sum.worst, result.failures);
-        sum.served += (double)result.served / result.asked / seeds;
+        sum.served += (double)result.served / result.requests / seeds;
     }
     return sum;
 }
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -60,7 +60,7 @@
 /* The hosts that this host ranks by their hashes. */
 struct wu_hosts {
     uint64_t own; /* hash of this host */
-    size_t count; /* number of others */
+    size_t count; /* number of peers */
     uint64_t others[Wu_HOSTS_MAX];
     struct wu_completeness view;
 };
