--- a/packages/policy/poison_gossip.c
+++ b/packages/policy/poison_gossip.c
@@ -15,13 +15,13 @@
 
 size_t
 Pz_ExportCrashes(const struct pz_table *table, struct pz_crash *out,
-                 size_t most, int64_t now)
+                 size_t rows_max, int64_t now)
 {
     size_t count = 0;
     const struct pz_crash_entry *entry;
     TAILQ_FOREACH_REVERSE(entry, &table->crashes, pz_crash_list, link)
     {
-        if (count == most || !is_recent(entry->crash.ended_at, now)) {
+        if (count == rows_max || !is_recent(entry->crash.ended_at, now)) {
             break;
         }
         if (entry->local && pz_is_counted(entry, now) &&
@@ -35,11 +35,11 @@
 /* Parts that a peer reported as implicated and that were answered since. */
 size_t
 Pz_ExportClears(const struct pz_table *table, struct pz_clear *out,
-                size_t most, int64_t now)
+                size_t rows_max, int64_t now)
 {
     size_t count = 0;
     for (size_t set = 0; set < Pz_SETS; set++) {
-        for (size_t way = 0; way < Pz_WAYS && count < most; way++) {
+        for (size_t way = 0; way < Pz_WAYS && count < rows_max; way++) {
             const struct pz_history *history = &table->history[set][way];
             if (history->count > 0 && is_recent(history->implicated_at, now) &&
                 history->answered_at > history->implicated_at) {
@@ -53,11 +53,12 @@
 
 size_t
 Pz_ExportQuarantines(const struct pz_table *table, struct pz_quarantine *out,
-                     size_t most)
+                     size_t rows_max)
 {
-    size_t count = table->stop_count < most ? table->stop_count : most;
+    size_t count = table->quarantine_count < rows_max ? table->quarantine_count
+                                                      : rows_max;
     for (size_t i = 0; i < count; i++) {
-        out[i] = table->stops[table->stop_count - 1 - i];
+        out[i] = table->quarantines[table->quarantine_count - 1 - i];
     }
     return count;
 }
@@ -92,26 +93,29 @@
 }
 
 /*
- * A stop is ignored if the part was answered after the decision.  The part is
- * noted as implicated, so that gossip messages clear it at the peers until
- * Pz_GOSSIP_USEC after the decision.
+ * A quarantine is ignored if the part was answered after the decision.  The
+ * part is noted as implicated, so that gossip messages clear it at the peers
+ * until Pz_GOSSIP_USEC after the decision.
  */
 void
-Pz_ImportQuarantine(struct pz_table *table, const struct pz_quarantine *stop,
-                    int64_t now)
+Pz_ImportQuarantine(struct pz_table *table,
+                    const struct pz_quarantine *quarantine, int64_t now)
 {
-    note_implicated(table, &stop->key, stop->decided_at);
-    if (pz_cleared_at(table, &stop->key) > stop->decided_at) {
+    note_implicated(table, &quarantine->key, quarantine->decided_at);
+    if (pz_cleared_at(table, &quarantine->key) > quarantine->decided_at) {
         return;
     }
-    struct pz_quarantine *existing = pz_find_quarantine(table, &stop->key);
+    struct pz_quarantine *existing =
+        pz_find_quarantine(table, &quarantine->key);
     if (existing != NULL) {
-        existing->requested_at = stop->requested_at > existing->requested_at
-                                     ? stop->requested_at
-                                     : existing->requested_at;
+        existing->requested_at =
+            quarantine->requested_at > existing->requested_at
+                ? quarantine->requested_at
+                : existing->requested_at;
         return;
     }
-    if (pz_is_current(stop, now) && pz_add_quarantine(table, stop)) {
-        table->ops->stopped(table->arg, stop, 0, true);
+    if (pz_is_current(quarantine, now) &&
+        pz_add_quarantine(table, quarantine)) {
+        table->ops->stopped(table->arg, quarantine, 0, true);
     }
 }
