--- a/packages/edge/controller.c
+++ b/packages/edge/controller.c
@@ -1,7 +1,8 @@
 /*
- * Work of the lease holder: it reports usage and orders endpoints.  Both calls
- * carry its fence, and both can be repeated: a report is recorded before it is
- * sent, and an order names the number of endpoints and not a change.
+ * The lease holder's controller: it reports usage and orders endpoints.  Both
+ * calls carry the fence of its lease, and both can be repeated: a report is
+ * recorded before it is sent, and an order names the number of endpoints and
+ * not a change.
  */
 #include <bsd/string.h>
 #include <stdlib.h>
@@ -18,18 +19,18 @@
 struct co_controller *
 Co_Create(struct ga_gate *gate)
 {
-    struct co_controller *work = calloc(1, sizeof(*work));
-    if (work != NULL) {
-        work->gate = gate;
+    struct co_controller *controller = calloc(1, sizeof(*controller));
+    if (controller != NULL) {
+        controller->gate = gate;
     }
-    return work;
+    return controller;
 }
 
 /* The platform must not deliver any answer after this call. */
 void
-Co_Destroy(struct co_controller *work)
+Co_Destroy(struct co_controller *controller)
 {
-    free(work);
+    free(controller);
 }
 
 /* Returns the number of the usage window that contains a true time. */
@@ -64,31 +65,31 @@
 static void
 on_reported(void *arg, enum cl_status status)
 {
-    struct co_controller *work = arg;
-    struct ga_gate *gate = work->gate;
-    struct lr_usage *usage = Lr_Usage(gate->duty, work->report_window);
+    struct co_controller *controller = arg;
+    struct ga_gate *gate = controller->gate;
+    struct lr_usage *usage = Lr_Usage(gate->duty, controller->report_window);
     Ln_Log(status == CL_DONE ? LN_ORDINARY : LN_FAILURE, "usage.reported",
            "\"window\":%lld,\"status\":%d,\"fence\":%lld",
-           (long long)work->report_window, (int)status,
+           (long long)controller->report_window, (int)status,
            (long long)Lr_Fence(gate->duty));
-    work->report_window = 0;
+    controller->report_window = 0;
     if (status == CL_DONE && usage != NULL) {
         usage->reported = true;
         return;
     }
-    work->report_retry_at = Ga_Now(gate) + Co_RETRY_USEC;
+    controller->report_retry_at = Ga_Now(gate) + Co_RETRY_USEC;
     if (status == CL_FENCED) {
         Lr_FenceRefused(gate->duty);
     }
 }
 
 static void
-report(struct co_controller *work, struct lr_usage *usage)
+report(struct co_controller *controller, struct lr_usage *usage)
 {
-    struct ga_gate *gate = work->gate;
-    work->report_window = usage->window;
+    struct ga_gate *gate = controller->gate;
+    controller->report_window = usage->window;
     gate->options.cloud->ops->report(gate->options.cloud, Lr_Fence(gate->duty),
-                                     usage, on_reported, work);
+                                     usage, on_reported, controller);
 }
 
 static const char *
@@ -103,9 +104,9 @@
 }
 
 static void
-record_usage(struct co_controller *work, int64_t window)
+record_usage(struct co_controller *controller, int64_t window)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     const struct ec_config *config = Fe_Config(gate->feed);
     if (config == NULL) {
         return;
@@ -129,13 +130,14 @@
     }
 }
 
-/* Handles one completed window at a time, oldest first. */
+/* Handles one completed usage window at a time, oldest first. */
 static void
-tick_usage(struct co_controller *work)
+tick_usage(struct co_controller *controller)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     const struct nd_node *node = gate->options.node;
-    if (work->report_window != 0 || Ga_Now(gate) < work->report_retry_at) {
+    if (controller->report_window != 0 ||
+        Ga_Now(gate) < controller->report_retry_at) {
         return;
     }
     int64_t now = Tt_Now(gate->true_time);
@@ -144,11 +146,11 @@
     for (int64_t window = oldest; window <= newest; window++) {
         struct lr_usage *usage = Lr_Usage(gate->duty, window);
         if (usage == NULL) {
-            record_usage(work, window);
+            record_usage(controller, window);
             return;
         }
         if (!usage->reported) {
-            report(work, usage);
+            report(controller, usage);
             return;
         }
     }
@@ -172,19 +174,19 @@
 }
 
 void
-Co_Tick(struct co_controller *work)
+Co_Tick(struct co_controller *controller)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     exchange_recent(gate);
     if (!Lr_Holds(gate->duty)) {
         return;
     }
     if (gate->options.node->report_usage) {
-        tick_usage(work);
+        tick_usage(controller);
     }
-    co_tick_moves(work);
+    co_tick_moves(controller);
     if (gate->options.node->order_endpoints && Lr_Holds(gate->duty) &&
         gate->stopping_at == 0) {
-        co_tick_orders(work);
+        co_tick_orders(controller);
     }
 }
--- a/packages/edge/controller_internal.h
+++ b/packages/edge/controller_internal.h
@@ -1,4 +1,7 @@
-/* Declarations shared by work.c, orders.c and work_moves.c. */
+/*
+ * Declarations shared by controller.c, controller_orders.c and
+ * controller_moves.c.
+ */
 #ifndef EDGE_CONTROLLER_INTERNAL_H
 #define EDGE_CONTROLLER_INTERNAL_H
 
@@ -7,9 +10,10 @@
 
 #define Co_ORDERS_MAX 64
 #define Co_SERVICES_MAX 16
-/* delay before a failed call to the platform or the store is repeated */
+/* Delay before a failed call to the platform or the store is repeated. */
 #define Co_RETRY_USEC (700 * Ck_USEC_PER_MSEC)
 
+/* Latest order for one kind of endpoint of a service in a data centre. */
 struct order {
     char service[Ec_NAME_MAX];
     char zone[Ec_NAME_MAX];
@@ -18,13 +22,13 @@
     int confirmed;  /* -1: no order confirmed under this fence */
     int usable;     /* usable endpoints when last planned */
     int max_usable; /* maximum since no endpoint was usable */
-    /* when all endpoints that had been ordered were gone */
+    /* when all ordered endpoints had disappeared; 0: never */
     int64_t reclaimed_at;
     int64_t sent_at;
     int64_t increased_at; /* when a larger order was last confirmed */
     int64_t unavailable_until;
     bool in_flight;
-    struct co_controller *work;
+    struct co_controller *controller;
 };
 
 /* Endpoints that a service was found to need during this lease. */
@@ -34,7 +38,7 @@
     bool complete; /* all endpoints of the service have been discovered */
 };
 
-/* State of a move that operators were last told of. */
+/* State of a move that was last published to operators. */
 struct reported_move {
     bool published;
     int64_t order;
@@ -44,7 +48,7 @@
 struct co_controller {
     struct ga_gate *gate;
     struct reported_move reported[Ro_MOVES_MAX];
-    int64_t status_end; /* end of the operators' topic; -1: not known */
+    int64_t status_end; /* end of the topic AG_STATUS; -1: not known */
     int64_t publish_at;
     bool publishing;
     size_t publishing_index;
@@ -63,8 +67,8 @@
  * Plans every service whose endpoints may be ordered and sends an order
  * wherever the plan differs from the usable endpoints.
  */
-void co_tick_orders(struct co_controller *work);
-void co_tick_moves(struct co_controller *work);
-void co_restore_moves(struct co_controller *work);
+void co_tick_orders(struct co_controller *controller);
+void co_tick_moves(struct co_controller *controller);
+void co_restore_moves(struct co_controller *controller);
 
 #endif
--- a/packages/edge/controller_moves.c
+++ b/packages/edge/controller_moves.c
@@ -32,81 +32,83 @@
 static void
 on_published(void *arg, const struct ag_result *result)
 {
-    struct co_controller *work = arg;
-    work->publishing = false;
-    struct reported_move *reported = &work->reported[work->publishing_index];
+    struct co_controller *controller = arg;
+    controller->publishing = false;
+    struct reported_move *reported =
+        &controller->reported[controller->publishing_index];
     if (result->status == AG_OK) {
-        reported->order = work->publishing_order;
-        reported->state = work->publishing_state;
+        reported->order = controller->publishing_order;
+        reported->state = controller->publishing_state;
         reported->published = true;
-        work->status_end = result->offset + 1;
+        controller->status_end = result->offset + 1;
         Ln_Log(LN_STATE, "move.told", "\"order\":%lld,\"state\":\"%s\"",
                (long long)reported->order, Ro_StateName(reported->state));
         return;
     }
-    work->status_end = -1;
-    work->publish_at = Ga_Now(work->gate) + Co_RETRY_USEC;
+    controller->status_end = -1;
+    controller->publish_at = Ga_Now(controller->gate) + Co_RETRY_USEC;
 }
 
 static void
 on_status_end(void *arg, const struct ag_result *result)
 {
-    struct co_controller *work = arg;
-    work->publishing = false;
+    struct co_controller *controller = arg;
+    controller->publishing = false;
     if (result->status == AG_OK) {
-        work->status_end = result->end;
+        controller->status_end = result->end;
     }
     else {
-        work->publish_at = Ga_Now(work->gate) + Co_RETRY_USEC;
+        controller->publish_at = Ga_Now(controller->gate) + Co_RETRY_USEC;
     }
 }
 
 static void
-publish_state(struct co_controller *work, size_t index,
+publish_state(struct co_controller *controller, size_t index,
               const struct ro_move *move)
 {
-    struct ag_store *store = work->gate->options.store;
+    struct ag_store *store = controller->gate->options.store;
     struct ag_status_record record;
-    if (work->publishing || Ga_Now(work->gate) < work->publish_at) {
+    if (controller->publishing ||
+        Ga_Now(controller->gate) < controller->publish_at) {
         return;
     }
-    if (work->status_end < 0) {
-        work->publishing = true;
-        Ag_Newest(store, AG_STATUS, NULL, on_status_end, work);
+    if (controller->status_end < 0) {
+        controller->publishing = true;
+        Ag_Newest(store, AG_STATUS, NULL, on_status_end, controller);
         return;
     }
-    if (!work->gate->options.codec->move_status(move, &record)) {
+    if (!controller->gate->options.codec->move_status(move, &record)) {
         return;
     }
-    work->publishing = true;
-    work->publishing_index = index;
-    work->publishing_order = move->order.number;
-    work->publishing_state = move->state;
-    Ag_Append(store, AG_STATUS, work->status_end, record.key, record.value,
-              strlen(record.value), on_published, work);
+    controller->publishing = true;
+    controller->publishing_index = index;
+    controller->publishing_order = move->order.number;
+    controller->publishing_state = move->state;
+    Ag_Append(store, AG_STATUS, controller->status_end, record.key,
+              record.value, strlen(record.value), on_published, controller);
 }
 
 /*
- * A state is recorded in the lease log before operators are told of it: when
- * they read "succeeded", they stop the old endpoints, and the next holder must
- * not revert that state.
+ * A state is recorded in the lease log before it is published to operators:
+ * when they read "succeeded", they stop the old endpoints, and the next holder
+ * must not revert that state.
  */
 void
-co_tick_moves(struct co_controller *work)
+co_tick_moves(struct co_controller *controller)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     struct ro_move *move;
     for (size_t i = 0; (move = Ro_At(gate->moves, i)) != NULL; i++) {
         struct ro_endpoint_counts counts = count_endpoints(gate, move);
         Ro_Advance(gate->moves, move, &counts);
-        struct ro_status standing = Ro_Status(move);
-        if (!Lr_SetMove(gate->duty, &standing)) {
+        struct ro_status status = Ro_Status(move);
+        if (!Lr_SetMove(gate->duty, &status)) {
             continue;
         }
-        const struct reported_move *reported = &work->reported[i];
+        const struct reported_move *reported = &controller->reported[i];
         if (!reported->published || reported->order != move->order.number ||
             reported->state != move->state) {
-            publish_state(work, i, move);
+            publish_state(controller, i, move);
         }
     }
 }
@@ -116,14 +118,14 @@
  * published again.
  */
 void
-co_restore_moves(struct co_controller *work)
+co_restore_moves(struct co_controller *controller)
 {
-    struct ga_gate *gate = work->gate;
-    const struct ro_status *standings;
-    size_t count = Lr_Moves(gate->duty, &standings);
+    struct ga_gate *gate = controller->gate;
+    const struct ro_status *statuses;
+    size_t count = Lr_Moves(gate->duty, &statuses);
     for (size_t i = 0; i < count; i++) {
-        Ro_ApplyStatus(gate->moves, &standings[i], false);
+        Ro_ApplyStatus(gate->moves, &statuses[i], false);
     }
-    memset(work->reported, 0, sizeof(work->reported));
-    work->status_end = -1;
+    memset(controller->reported, 0, sizeof(controller->reported));
+    controller->status_end = -1;
 }
--- a/packages/edge/controller_orders.c
+++ b/packages/edge/controller_orders.c
@@ -36,25 +36,25 @@
 };
 
 static struct order *
-find_order(struct co_controller *work, const char *service, const char *zone,
-           bool spot)
+find_order(struct co_controller *controller, const char *service,
+           const char *zone, bool spot)
 {
-    for (size_t i = 0; i < work->order_count; i++) {
-        struct order *order = &work->orders[i];
+    for (size_t i = 0; i < controller->order_count; i++) {
+        struct order *order = &controller->orders[i];
         if (order->spot == spot && strcmp(order->service, service) == 0 &&
             strcmp(order->zone, zone) == 0) {
             return order;
         }
     }
-    if (work->order_count == Co_ORDERS_MAX) {
+    if (controller->order_count == Co_ORDERS_MAX) {
         return NULL;
     }
-    struct order *order = &work->orders[work->order_count++];
+    struct order *order = &controller->orders[controller->order_count++];
     strlcpy(order->service, service, sizeof(order->service));
     strlcpy(order->zone, zone, sizeof(order->zone));
     order->spot = spot;
     order->confirmed = -1;
-    order->work = work;
+    order->controller = controller;
     return order;
 }
 
@@ -62,7 +62,7 @@
 on_ordered(void *arg, enum cl_status status)
 {
     struct order *order = arg;
-    struct ga_gate *gate = order->work->gate;
+    struct ga_gate *gate = order->controller->gate;
     int64_t now = Ga_Now(gate);
     order->in_flight = false;
     Ln_Log(LN_STATE, "order.answered",
@@ -83,7 +83,7 @@
          */
         order->unavailable_until = now + Co_UNAVAILABLE_USEC;
         /* Plan at once: on-demand substitutes take seconds to start. */
-        order->work->planned_at = 0;
+        order->controller->planned_at = 0;
     }
     else if (status == CL_FENCED) {
         Lr_FenceRefused(gate->duty);
@@ -91,10 +91,10 @@
 }
 
 static void
-place_order(struct co_controller *work, struct order *order, int target,
+place_order(struct co_controller *controller, struct order *order, int target,
             int64_t boot_usec)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     int64_t now = Ga_Now(gate);
     int64_t repeat_after = order->usable < target
                                ? boot_usec + Co_READY_MARGIN_USEC
@@ -160,10 +160,10 @@
  * returns the rate that the previous lease holder recorded.
  */
 static double
-prefill_rate(const struct co_controller *work, const struct load_sum *sum,
-             uint32_t service)
+prefill_rate(const struct co_controller *controller,
+             const struct load_sum *sum, uint32_t service)
 {
-    const struct lr_need *need = Lr_FindNeed(work->gate->duty, service);
+    const struct lr_need *need = Lr_FindNeed(controller->gate->duty, service);
     if (sum->rate_count > 0) {
         return sum->rate_sum / sum->rate_count;
     }
@@ -172,10 +172,10 @@
 
 /* Returns the endpoints needed for the load of all daemons; 0: not known. */
 static int
-endpoints_needed(const struct co_controller *work,
+endpoints_needed(const struct co_controller *controller,
                  const struct ec_service *service)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     uint32_t hash = De_Hash(service->name);
     struct load_sum sum = {.load.slots = service->slots};
     struct de_rate own[De_SERVICES_MAX];
@@ -186,7 +186,7 @@
             add_rates(&sum, hash, peer->rates, peer->rate_count);
         }
     }
-    sum.load.prefill_rate = prefill_rate(work, &sum, hash);
+    sum.load.prefill_rate = prefill_rate(controller, &sum, hash);
     if (sum.load.prefill_rate <= 0) {
         return 0;
     }
@@ -204,18 +204,18 @@
  * no load.
  */
 static void
-record_need(struct co_controller *work, const struct ec_service *service,
+record_need(struct co_controller *controller, const struct ec_service *service,
             int endpoints)
 {
     uint32_t hash = De_Hash(service->name);
-    const struct lr_need *recorded = Lr_FindNeed(work->gate->duty, hash);
+    const struct lr_need *recorded = Lr_FindNeed(controller->gate->duty, hash);
     struct lr_need need = {hash, endpoints,
                            recorded == NULL ? 0 : recorded->prefill_rate};
-    double measured = De_PrefillRate(work->gate->demand, service->name);
+    double measured = De_PrefillRate(controller->gate->demand, service->name);
     if (measured > 0) {
         need.prefill_rate = measured;
     }
-    Lr_SetNeed(work->gate->duty, &need);
+    Lr_SetNeed(controller->gate->duty, &need);
 }
 
 static int
@@ -225,31 +225,32 @@
 }
 
 static struct service_estimate *
-find_estimate(struct co_controller *work, const struct ec_service *service)
+find_estimate(struct co_controller *controller,
+              const struct ec_service *service)
 {
-    for (size_t i = 0; i < work->estimate_count; i++) {
-        if (strcmp(work->estimates[i].service, service->name) == 0) {
-            return &work->estimates[i];
+    for (size_t i = 0; i < controller->estimate_count; i++) {
+        if (strcmp(controller->estimates[i].service, service->name) == 0) {
+            return &controller->estimates[i];
         }
     }
-    if (work->estimate_count == Co_SERVICES_MAX) {
+    if (controller->estimate_count == Co_SERVICES_MAX) {
         return NULL;
     }
     struct service_estimate *estimate =
-        &work->estimates[work->estimate_count++];
+        &controller->estimates[controller->estimate_count++];
     strlcpy(estimate->service, service->name, sizeof(estimate->service));
     const struct lr_need *need =
-        Lr_FindNeed(work->gate->duty, De_Hash(service->name));
+        Lr_FindNeed(controller->gate->duty, De_Hash(service->name));
     estimate->complete = false;
     Pn_StartEstimate(&estimate->estimate, need == NULL ? 0 : need->endpoints,
-                     Ga_Now(work->gate));
+                     Ga_Now(controller->gate));
     return estimate;
 }
 
 /*
  * Returns whether all endpoints of a service have been discovered.  Each
  * writes its entry about once per heartbeat, so some are missing just after
- * they or this daemon started; an order for the number seen would end the
+ * they or this daemon started; an order for the number seen would stop the
  * endpoints that are still missing.
  */
 static bool
@@ -355,10 +356,10 @@
  * evacuation ends, sooner than newly ordered ones could start.
  */
 static void
-survey_zones(struct co_controller *work, const struct ec_service *service,
-             struct zone_survey *survey)
+survey_zones(struct co_controller *controller,
+             const struct ec_service *service, struct zone_survey *survey)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     int64_t now = Ga_Now(gate);
     for (size_t i = 0; i < service->zone_count; i++) {
         if (Fl_IsEvacuated(gate->fleet, service->zones[i].zone)) {
@@ -369,10 +370,11 @@
         zone->price = service->zones[i].price;
         zone->on_demand = count_usable(gate, service->name, zone->zone, false);
         zone->spot = count_usable(gate, service->name, zone->zone, true);
-        struct order *spot = find_order(work, service->name, zone->zone, true);
+        struct order *spot =
+            find_order(controller, service->name, zone->zone, true);
         survey->reclaimed += survey_spot(service, spot, zone, now);
-        survey_on_demand(find_order(work, service->name, zone->zone, false),
-                         zone);
+        survey_on_demand(
+            find_order(controller, service->name, zone->zone, false), zone);
     }
 }
 
@@ -390,7 +392,8 @@
 }
 
 static void
-place_orders(struct co_controller *work, const struct ec_service *service,
+place_orders(struct co_controller *controller,
+             const struct ec_service *service,
              const struct zone_survey *survey, const struct pn_target *targets,
              bool complete)
 {
@@ -398,33 +401,34 @@
     for (size_t i = 0; i < survey->count; i++) {
         for (int spot = 0; spot <= 1; spot++) {
             struct order *order =
-                find_order(work, service->name, zones[i].zone, spot);
+                find_order(controller, service->name, zones[i].zone, spot);
             int target = spot ? targets[i].spot : targets[i].on_demand;
             bool confirmed = order != NULL && order->confirmed >= 0;
             int usable = spot ? zones[i].spot : zones[i].on_demand;
             if (order != NULL && (confirmed || target != usable) &&
                 (spot || complete)) {
-                place_order(work, order, target, service->boot_usec);
+                place_order(controller, order, target, service->boot_usec);
             }
         }
     }
 }
 
 static void
-plan_service(struct co_controller *work, const struct ec_service *service)
+plan_service(struct co_controller *controller,
+             const struct ec_service *service)
 {
-    struct ga_gate *gate = work->gate;
-    struct service_estimate *estimate = find_estimate(work, service);
+    struct ga_gate *gate = controller->gate;
+    struct service_estimate *estimate = find_estimate(controller, service);
     if (estimate == NULL) {
         return;
     }
     struct zone_survey survey = {0};
     struct pn_target targets[Ec_ZONES_MAX];
-    survey_zones(work, service, &survey);
-    Pn_UpdateEstimate(&estimate->estimate, endpoints_needed(work, service),
-                      usable_of_larger_kind(survey.zones, survey.count),
-                      Ga_Now(gate));
-    record_need(work, service, estimate->estimate.peak);
+    survey_zones(controller, service, &survey);
+    Pn_UpdateEstimate(
+        &estimate->estimate, endpoints_needed(controller, service),
+        usable_of_larger_kind(survey.zones, survey.count), Ga_Now(gate));
+    record_need(controller, service, estimate->estimate.peak);
     struct pn_service need = {
         .min = service->endpoints_min,
         .max = service->endpoints_max,
@@ -435,35 +439,36 @@
     };
     Pn_Plan(&need, survey.zones, survey.count, targets);
     log_plan(&need, service, &survey, targets);
-    place_orders(work, service, &survey, targets, is_complete(gate, estimate));
+    place_orders(controller, service, &survey, targets,
+                 is_complete(gate, estimate));
 }
 
 void
-Co_PlanSoon(struct co_controller *work)
+Co_PlanSoon(struct co_controller *controller)
 {
-    if (work != NULL) {
-        work->planned_at = 0;
+    if (controller != NULL) {
+        controller->planned_at = 0;
     }
 }
 
 void
-co_tick_orders(struct co_controller *work)
+co_tick_orders(struct co_controller *controller)
 {
-    struct ga_gate *gate = work->gate;
+    struct ga_gate *gate = controller->gate;
     int64_t now = Ga_Now(gate);
     const struct ec_config *config = Fe_Config(gate->feed);
     if (config == NULL || !Fl_HasEndpoints(gate->fleet) ||
-        now - work->planned_at < Co_PLAN_INTERVAL_USEC) {
+        now - controller->planned_at < Co_PLAN_INTERVAL_USEC) {
         return;
     }
-    work->planned_at = now;
+    controller->planned_at = now;
     for (size_t i = 0; i < config->service_count; i++) {
         const struct ro_move *move =
             Ro_Find(gate->moves, config->services[i].name);
         /* An order cannot name a version, so none is sent during a move. */
         bool moving = move != NULL && move->state == RO_RUNNING;
         if (config->services[i].scalable && !moving) {
-            plan_service(work, &config->services[i]);
+            plan_service(controller, &config->services[i]);
         }
     }
 }
--- a/packages/edge/demand.h
+++ b/packages/edge/demand.h
@@ -20,15 +20,15 @@
 #define De_SERVICES_MAX 16
 
 struct de_rate {
-    uint32_t service;        /* hash of the service's name */
-    double requests_per_sec; /* requests per second */
-    double
-        prompt_tokens_per_sec; /* prompt tokens per second that need prefill */
-    double
-        long_prompt_tokens_per_sec; /* portion of "reading" in long prompts */
+    uint32_t service; /* hash of the service's name */
+    double requests_per_sec;
+    /* prompt tokens per second that need prefill */
+    double prompt_tokens_per_sec;
+    /* portion of prompt_tokens_per_sec in long prompts */
+    double long_prompt_tokens_per_sec;
     double concurrency; /* mean number of concurrent requests at endpoints */
-    double
-        prefill_rate; /* measured prefill rate of one endpoint; 0: none yet */
+    /* measured for one endpoint, tokens per second; 0: not measured yet */
+    double prefill_rate;
 };
 
 struct de_demand;
--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -583,12 +583,12 @@
 Fe_ConfigBytes(const struct fe_feed *feed)
 {
     const struct reader *reader = &feed->config_reader;
-    size_t most = 0;
+    size_t largest = 0;
     struct cached *cached;
     RB_FOREACH (cached, record_tree, (struct record_tree *)&reader->records) {
-        most = cached->len > most ? cached->len : most;
+        largest = cached->len > largest ? cached->len : largest;
     }
-    return feed->config == NULL ? 0 : most;
+    return feed->config == NULL ? 0 : largest;
 }
 
 bool
--- a/packages/edge/feed.h
+++ b/packages/edge/feed.h
@@ -25,7 +25,7 @@
 struct fe_ops {
     void (*config)(void *arg, struct ec_config *config);
     void (*order)(void *arg, const struct ro_order *order);
-    /* A data centre is to be evacuated ("evacuate"), or is no longer. */
+    /* The evacuation of a data centre begins ("evacuate") or ends. */
     void (*evacuation)(void *arg, const char *zone, bool evacuate);
     void (*store)(void *arg, bool reached);
     /*
--- a/packages/edge/feed_internal.h
+++ b/packages/edge/feed_internal.h
@@ -98,8 +98,8 @@
                          const struct ag_result *result);
 int64_t fe_max(int64_t a, int64_t b);
 /*
- * Note the outcome of a call to the store, which determines when the next one
- * is made.
+ * Note the outcome of a call to the store, on which the time of the next call
+ * depends.
  */
 void fe_note_success(struct reader *reader);
 void fe_note_failure(struct reader *reader);
--- a/packages/edge/fleet.c
+++ b/packages/edge/fleet.c
@@ -257,7 +257,7 @@
     }
 }
 
-/* Returns the data centre's index, or the count if it is not evacuated. */
+/* Returns a data centre's index, or the count if it is not evacuated. */
 static size_t
 find_evacuated(const struct fl_fleet *fleet, const char *zone)
 {
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -52,9 +52,9 @@
     struct fl_entry entry;
     bool gone;      /* its entry was removed */
     bool evacuated; /* its data centre is evacuated: no new requests */
-    int64_t removal_held_since; /* removal on hold since then; 0: none */
-    int64_t last_entry_at;      /* when the last entry came */
-    int64_t first_entry_at;     /* when the first entry came */
+    int64_t removal_held_since; /* start of its removal's hold; 0: none */
+    int64_t last_entry_at;      /* when the last entry arrived */
+    int64_t first_entry_at;     /* when the first entry arrived */
     /* when its data centre's evacuation ended; 0: never */
     int64_t zone_restored_at;
     struct wu_warmup warmup;
@@ -63,12 +63,12 @@
     /* Requests that this daemon has sent and that have not ended. */
     int running;
     int connections;
-    int64_t
-        prefill_tokens; /* prompt tokens sent and awaiting their first event */
+    /* prompt tokens of requests that await their first event */
+    int64_t prefill_tokens;
     struct fl_idle_list idle;
     /*
-     * The same numbers for all other daemons, from their last reports; the
-     * "near" numbers are of the daemons in this data centre only.
+     * The same numbers for all other daemons, from their last messages; the
+     * zone_peers_ numbers are of the daemons in this data centre only.
      */
     int peers_running;
     int zone_peers_running;
@@ -90,8 +90,8 @@
     /* The link from this host to the endpoint, see paths.h. */
     bool probe_wanted;
     struct li_link link_state;
-    int64_t last_direct_byte_at; /* when bytes last arrived on a direct
-                                    connection */
+    /* when bytes last arrived on a direct connection */
+    int64_t last_direct_byte_at;
 };
 
 /* An idle connection kept for reuse. */
--- a/packages/edge/leader.c
+++ b/packages/edge/leader.c
@@ -28,74 +28,74 @@
 struct lr_lease *
 Lr_Create(const struct lr_options *options)
 {
-    struct lr_lease *duty = calloc(1, sizeof(*duty));
-    if (duty != NULL) {
-        duty->options = *options;
-        duty->started_at = Ck_Now(options->clock);
-        duty->end = -1;
+    struct lr_lease *lease = calloc(1, sizeof(*lease));
+    if (lease != NULL) {
+        lease->options = *options;
+        lease->started_at = Ck_Now(options->clock);
+        lease->end = -1;
     }
-    return duty;
+    return lease;
 }
 
 /* The store must not deliver any answer after this call. */
 void
-Lr_Destroy(struct lr_lease *duty)
+Lr_Destroy(struct lr_lease *lease)
 {
-    free(duty);
+    free(lease);
 }
 
 static int64_t
-now_of(const struct lr_lease *duty)
+now_of(const struct lr_lease *lease)
 {
-    return Ck_Now(duty->options.clock);
+    return Ck_Now(lease->options.clock);
 }
 
 bool
-Lr_Holds(const struct lr_lease *duty)
+Lr_Holds(const struct lr_lease *lease)
 {
-    return duty->fence != 0 &&
-           now_of(duty) < duty->lease_until -
-                              duty->options.lease_usec / Lr_MARGIN_DIVISOR;
+    return lease->fence != 0 &&
+           now_of(lease) < lease->lease_until -
+                               lease->options.lease_usec / Lr_MARGIN_DIVISOR;
 }
 
 int64_t
-Lr_Fence(const struct lr_lease *duty)
+Lr_Fence(const struct lr_lease *lease)
 {
-    return Lr_Holds(duty) ? duty->fence : 0;
+    return Lr_Holds(lease) ? lease->fence : 0;
 }
 
 static void
-end_lease(struct lr_lease *duty)
+end_lease(struct lr_lease *lease)
 {
-    if (duty->fence != 0) {
-        duty->fence = 0;
-        duty->options.changed(duty->options.arg, false, 0);
+    if (lease->fence != 0) {
+        lease->fence = 0;
+        lease->options.changed(lease->options.arg, false, 0);
     }
 }
 
 static void
-confirm_lease(struct lr_lease *duty, int64_t offset, int64_t sent_at)
+confirm_lease(struct lr_lease *lease, int64_t offset, int64_t sent_at)
 {
-    duty->lease_until = sent_at + duty->options.lease_usec;
-    if (duty->fence == 0) {
+    lease->lease_until = sent_at + lease->options.lease_usec;
+    if (lease->fence == 0) {
         /* offsets start at 0, which means no fence */
-        duty->fence = offset + 1;
-        duty->options.changed(duty->options.arg, true, duty->fence);
+        lease->fence = offset + 1;
+        lease->options.changed(lease->options.arg, true, lease->fence);
     }
 }
 
 struct lr_usage *
-Lr_Usage(struct lr_lease *duty, int64_t window)
+Lr_Usage(struct lr_lease *lease, int64_t window)
 {
-    struct lr_usage *usage = &duty->usages[(uint64_t)window % Lr_WINDOWS];
+    struct lr_usage *usage = &lease->usages[(uint64_t)window % Lr_WINDOWS];
     return usage->window == window && window != 0 ? usage : NULL;
 }
 
 static void
-store_usage(struct lr_lease *duty, const struct lr_usage *usage)
+store_usage(struct lr_lease *lease, const struct lr_usage *usage)
 {
     struct lr_usage *slot =
-        &duty->usages[(uint64_t)usage->window % Lr_WINDOWS];
+        &lease->usages[(uint64_t)usage->window % Lr_WINDOWS];
     /* The first record of a window is final. */
     if (slot->window < usage->window) {
         *slot = *usage;
@@ -104,93 +104,93 @@
 }
 
 static void
-apply_record(struct lr_lease *duty, const struct ag_record *record)
+apply_record(struct lr_lease *lease, const struct ag_record *record)
 {
     static struct lc_record decoded;
-    duty->end = record->offset + 1;
-    duty->end_changed_at = now_of(duty);
+    lease->end = record->offset + 1;
+    lease->end_changed_at = now_of(lease);
     if (!Lc_Decode(record->value, record->len, &decoded)) {
         return;
     }
     if (decoded.need_count > 0) {
-        duty->need_count = decoded.need_count;
-        memcpy(duty->needs, decoded.needs, sizeof(duty->needs));
+        lease->need_count = decoded.need_count;
+        memcpy(lease->needs, decoded.needs, sizeof(lease->needs));
     }
-    if (decoded.run != duty->options.run) {
-        duty->inherited_count = decoded.recent_count;
-        memcpy(duty->inherited, decoded.recent, sizeof(duty->inherited));
-        duty->move_count = decoded.move_count;
-        memcpy(duty->moves, decoded.moves, sizeof(duty->moves));
+    if (decoded.run != lease->options.run) {
+        lease->inherited_count = decoded.recent_count;
+        memcpy(lease->inherited, decoded.recent, sizeof(lease->inherited));
+        lease->move_count = decoded.move_count;
+        memcpy(lease->moves, decoded.moves, sizeof(lease->moves));
     }
     if (decoded.has_usage) {
-        store_usage(duty, &decoded.usage);
+        store_usage(lease, &decoded.usage);
     }
-    if (decoded.run != duty->options.run) {
-        end_lease(duty);
+    if (decoded.run != lease->options.run) {
+        end_lease(lease);
     }
-    else if (duty->append_unknown) {
+    else if (lease->append_unknown) {
         /*
          * The append whose answer was lost took effect, but not before it was
          * sent.
          */
-        duty->append_unknown = false;
-        confirm_lease(duty, record->offset, duty->unknown_sent_at);
+        lease->append_unknown = false;
+        confirm_lease(lease, record->offset, lease->unknown_sent_at);
     }
 }
 
 static void
 on_read(void *arg, const struct ag_result *result)
 {
-    struct lr_lease *duty = arg;
-    duty->in_flight = false;
-    duty->at_end = false;
+    struct lr_lease *lease = arg;
+    lease->in_flight = false;
+    lease->at_end = false;
     if (result->status == AG_EXPIRED) {
-        duty->end = result->offset;
-        duty->end_changed_at = now_of(duty);
+        lease->end = result->offset;
+        lease->end_changed_at = now_of(lease);
         return;
     }
     if (result->status != AG_OK) {
-        duty->retry_at = now_of(duty) + Lr_RETRY_USEC;
+        lease->retry_at = now_of(lease) + Lr_RETRY_USEC;
         return;
     }
     for (size_t i = 0; i < result->count; i++) {
-        apply_record(duty, &result->records[i]);
+        apply_record(lease, &result->records[i]);
     }
-    if (duty->end < 0) {
-        duty->end = 0;
+    if (lease->end < 0) {
+        lease->end = 0;
     }
-    duty->at_end = duty->end >= result->end;
-    if (!duty->at_end && result->count == 0) {
-        duty->end = result->end;
-        duty->end_changed_at = now_of(duty);
+    lease->at_end = lease->end >= result->end;
+    if (!lease->at_end && result->count == 0) {
+        lease->end = result->end;
+        lease->end_changed_at = now_of(lease);
     }
 }
 
 static void
-start_read(struct lr_lease *duty)
+start_read(struct lr_lease *lease)
 {
-    duty->in_flight = true;
-    duty->sent_at = now_of(duty);
-    Ag_Read(duty->options.store, AG_DUTY, duty->end < 0 ? 0 : duty->end, 0,
-            on_read, duty);
+    lease->in_flight = true;
+    lease->sent_at = now_of(lease);
+    Ag_Read(lease->options.store, AG_DUTY, lease->end < 0 ? 0 : lease->end, 0,
+            on_read, lease);
 }
 
 static void
 on_append(void *arg, const struct ag_result *result)
 {
-    struct lr_lease *duty = arg;
-    duty->in_flight = false;
+    struct lr_lease *lease = arg;
+    lease->in_flight = false;
     switch (result->status) {
     case AG_OK:
-        duty->append_unknown = false;
-        duty->end = result->offset + 1;
-        duty->end_changed_at = now_of(duty);
-        duty->at_end = true;
-        duty->moves_recorded |= duty->moves_sent;
-        if (duty->pending.window != 0) {
-            store_usage(duty, &duty->pending);
+        lease->append_unknown = false;
+        lease->end = result->offset + 1;
+        lease->end_changed_at = now_of(lease);
+        lease->at_end = true;
+        lease->moves_recorded |= lease->moves_sent;
+        if (lease->pending.window != 0) {
+            store_usage(lease, &lease->pending);
         }
-        confirm_lease(duty, result->offset, duty->sent_at);
+        confirm_lease(lease, result->offset, lease->sent_at);
         break;
     case AG_CONFLICT:
     case AG_EXPIRED:
@@ -198,51 +198,51 @@
          * Another record is at this offset, possibly an earlier one of this
          * daemon: read the log.
          */
-        duty->at_end = false;
+        lease->at_end = false;
         break;
     case AG_UNKNOWN:
         /*
          * The first of several unknown appends counts, so that the lease is
          * not overestimated.
          */
-        if (!duty->append_unknown) {
-            duty->append_unknown = true;
-            duty->unknown_sent_at = duty->sent_at;
+        if (!lease->append_unknown) {
+            lease->append_unknown = true;
+            lease->unknown_sent_at = lease->sent_at;
         }
-        duty->at_end = false;
+        lease->at_end = false;
         break;
     case AG_UNAVAILABLE:
-        duty->retry_at = now_of(duty) + Lr_RETRY_USEC;
+        lease->retry_at = now_of(lease) + Lr_RETRY_USEC;
         break;
     }
 }
 
 static void
-start_append(struct lr_lease *duty, const struct lr_usage *usage)
+start_append(struct lr_lease *lease, const struct lr_usage *usage)
 {
     static struct lc_record record;
     memset(&record, 0, sizeof(record));
-    record.run = duty->options.run;
-    record.need_count = duty->need_count;
-    memcpy(record.needs, duty->needs, sizeof(record.needs));
-    record.recent_count = duty->recent_count;
-    memcpy(record.recent, duty->recent, sizeof(record.recent));
-    duty->recorded_count = duty->recent_count;
-    memcpy(duty->recorded, duty->recent, sizeof(duty->recorded));
-    record.move_count = duty->move_count;
-    memcpy(record.moves, duty->moves, sizeof(record.moves));
-    duty->moves_sent = true;
+    record.run = lease->options.run;
+    record.need_count = lease->need_count;
+    memcpy(record.needs, lease->needs, sizeof(record.needs));
+    record.recent_count = lease->recent_count;
+    memcpy(record.recent, lease->recent, sizeof(record.recent));
+    lease->recorded_count = lease->recent_count;
+    memcpy(lease->recorded, lease->recent, sizeof(lease->recorded));
+    record.move_count = lease->move_count;
+    memcpy(record.moves, lease->moves, sizeof(record.moves));
+    lease->moves_sent = true;
     if (usage != NULL) {
         record.has_usage = true;
         record.usage = *usage;
     }
-    duty->pending = record.usage;
+    lease->pending = record.usage;
     char *data;
     size_t len = Lc_Encode(&record, &data);
-    duty->in_flight = true;
-    duty->sent_at = now_of(duty);
-    Ag_Append(duty->options.store, AG_DUTY, duty->end, NULL, data, len,
-              on_append, duty);
+    lease->in_flight = true;
+    lease->sent_at = now_of(lease);
+    Ag_Append(lease->options.store, AG_DUTY, lease->end, NULL, data, len,
+              on_append, lease);
     free(data);
 }
 
@@ -251,17 +251,17 @@
  * the log still ends at its own record, no other daemon has acted since.
  */
 static void
-tick_holder(struct lr_lease *duty)
+tick_holder(struct lr_lease *lease)
 {
-    int64_t now = now_of(duty);
-    if (!duty->at_end) {
-        start_read(duty);
+    int64_t now = now_of(lease);
+    if (!lease->at_end) {
+        start_read(lease);
         return;
     }
-    int64_t renew_at = duty->lease_until - duty->options.lease_usec +
-                       duty->options.lease_usec / Lr_RENEWALS_PER_LEASE;
-    if (now >= renew_at || lr_recent_increased(duty)) {
-        start_append(duty, NULL);
+    int64_t renew_at = lease->lease_until - lease->options.lease_usec +
+                       lease->options.lease_usec / Lr_RENEWALS_PER_LEASE;
+    if (now >= renew_at || lr_recent_increased(lease)) {
+        start_append(lease, NULL);
     }
 }
 
@@ -274,118 +274,119 @@
  * has not moved.
  */
 static bool
-is_lease_free(const struct lr_lease *duty, int64_t rank_delay)
+is_lease_free(const struct lr_lease *lease, int64_t rank_delay)
 {
-    int64_t now = now_of(duty);
-    if (duty->end == 0) {
+    int64_t now = now_of(lease);
+    if (lease->end == 0) {
         /*
          * All daemons start at once, and each ranks itself first until it
          * discovers the others.
          */
-        return now >= duty->started_at + Lr_DISCOVERY_USEC + rank_delay;
+        return now >= lease->started_at + Lr_DISCOVERY_USEC + rank_delay;
     }
-    if (duty->peer_fence != 0 && duty->end == duty->peer_end) {
-        return now >= duty->peer_until + rank_delay;
+    if (lease->peer_fence != 0 && lease->end == lease->peer_end) {
+        return now >= lease->peer_until + rank_delay;
     }
-    return now - duty->end_changed_at > duty->options.lease_usec + rank_delay;
+    return now - lease->end_changed_at >
+           lease->options.lease_usec + rank_delay;
 }
 
 static void
-tick_standby(struct lr_lease *duty)
+tick_standby(struct lr_lease *lease)
 {
-    int64_t now = now_of(duty);
+    int64_t now = now_of(lease);
     int64_t rank_delay =
-        (int64_t)duty->options.rank(duty->options.arg) * Lr_RANK_DELAY_USEC;
-    if (duty->peer_fence != 0 && now < duty->peer_until + rank_delay) {
+        (int64_t)lease->options.rank(lease->options.arg) * Lr_RANK_DELAY_USEC;
+    if (lease->peer_fence != 0 && now < lease->peer_until + rank_delay) {
         return;
     }
-    bool is_free = is_lease_free(duty, rank_delay);
-    if (duty->end >= 0 && duty->at_end && !is_free) {
+    bool is_free = is_lease_free(lease, rank_delay);
+    if (lease->end >= 0 && lease->at_end && !is_free) {
         return;
     }
-    if (duty->at_end && is_free &&
-        now - duty->sent_at <
-            duty->options.lease_usec / Lr_RENEWALS_PER_LEASE) {
+    if (lease->at_end && is_free &&
+        now - lease->sent_at <
+            lease->options.lease_usec / Lr_RENEWALS_PER_LEASE) {
         /* The log's end was confirmed recently. */
-        duty->at_end = false;
-        start_append(duty, NULL);
+        lease->at_end = false;
+        start_append(lease, NULL);
         return;
     }
-    start_read(duty);
+    start_read(lease);
 }
 
 void
-Lr_Tick(struct lr_lease *duty)
+Lr_Tick(struct lr_lease *lease)
 {
-    int64_t now = now_of(duty);
-    if (duty->stopped || duty->in_flight || now < duty->retry_at) {
+    int64_t now = now_of(lease);
+    if (lease->stopped || lease->in_flight || now < lease->retry_at) {
         return;
     }
-    if (duty->fence != 0) {
-        tick_holder(duty);
+    if (lease->fence != 0) {
+        tick_holder(lease);
     }
     else {
-        tick_standby(duty);
+        tick_standby(lease);
     }
 }
 
 void
-Lr_HandleNotice(struct lr_lease *duty, const struct lr_lease_notice *notice)
+Lr_HandleNotice(struct lr_lease *lease, const struct lr_lease_notice *notice)
 {
-    if (duty->fence != 0 && notice->fence > duty->fence) {
-        end_lease(duty);
-        duty->at_end = false;
+    if (lease->fence != 0 && notice->fence > lease->fence) {
+        end_lease(lease);
+        lease->at_end = false;
     }
-    if (notice->fence < duty->peer_fence) {
+    if (notice->fence < lease->peer_fence) {
         return;
     }
     /*
      * Each notice gives an upper bound for the end of the same lease; the
      * lowest bound counts.
      */
-    int64_t until = now_of(duty) + notice->remaining_usec;
-    if (notice->fence != duty->peer_fence ||
-        notice->log_end != duty->peer_end || until < duty->peer_until) {
-        duty->peer_until = until;
+    int64_t until = now_of(lease) + notice->remaining_usec;
+    if (notice->fence != lease->peer_fence ||
+        notice->log_end != lease->peer_end || until < lease->peer_until) {
+        lease->peer_until = until;
     }
-    duty->peer_fence = notice->fence;
-    duty->peer_end = notice->log_end;
+    lease->peer_fence = notice->fence;
+    lease->peer_end = notice->log_end;
 }
 
 struct lr_lease_notice
-Lr_LeaseNotice(const struct lr_lease *duty)
+Lr_LeaseNotice(const struct lr_lease *lease)
 {
-    if (!Lr_Holds(duty)) {
-        return duty->resigned;
+    if (!Lr_Holds(lease)) {
+        return lease->release_notice;
     }
     return (struct lr_lease_notice){
-        .fence = duty->fence,
-        .log_end = duty->end,
-        .remaining_usec = duty->lease_until - now_of(duty),
+        .fence = lease->fence,
+        .log_end = lease->end,
+        .remaining_usec = lease->lease_until - now_of(lease),
     };
 }
 
 bool
-Lr_RecordUsage(struct lr_lease *duty, const struct lr_usage *usage)
+Lr_RecordUsage(struct lr_lease *lease, const struct lr_usage *usage)
 {
-    if (duty->in_flight || !Lr_Holds(duty) || !duty->at_end) {
+    if (lease->in_flight || !Lr_Holds(lease) || !lease->at_end) {
         return false;
     }
     struct lr_usage *slot =
-        &duty->usages[(uint64_t)usage->window % Lr_WINDOWS];
+        &lease->usages[(uint64_t)usage->window % Lr_WINDOWS];
     if (slot->window >= usage->window) {
         return false;
     }
-    start_append(duty, usage);
+    start_append(lease, usage);
     return true;
 }
 
 void
-Lr_FenceRefused(struct lr_lease *duty)
+Lr_FenceRefused(struct lr_lease *lease)
 {
-    end_lease(duty);
-    duty->at_end = false;
-    duty->end_changed_at = now_of(duty);
+    end_lease(lease);
+    lease->at_end = false;
+    lease->end_changed_at = now_of(lease);
 }
 
 /*
@@ -393,16 +394,16 @@
  * progress.
  */
 void
-Lr_Release(struct lr_lease *duty)
+Lr_Release(struct lr_lease *lease)
 {
-    bool holds = Lr_Holds(duty);
-    if (holds && (duty->in_flight || !duty->at_end)) {
+    bool holds = Lr_Holds(lease);
+    if (holds && (lease->in_flight || !lease->at_end)) {
         return;
     }
     if (holds) {
-        duty->resigned = Lr_LeaseNotice(duty);
-        duty->resigned.remaining_usec = 0;
+        lease->release_notice = Lr_LeaseNotice(lease);
+        lease->release_notice.remaining_usec = 0;
     }
-    duty->stopped = true;
-    end_lease(duty);
+    lease->stopped = true;
+    end_lease(lease);
 }
--- a/packages/edge/leader.h
+++ b/packages/edge/leader.h
@@ -54,7 +54,7 @@
 /* Lease notice that a holder sends to its peers. */
 struct lr_lease_notice {
     int64_t fence; /* 0: no notice */
-    /* of the log, after the record that began or renewed the lease */
+    /* log offset after the record that began or renewed the lease */
     int64_t log_end;
     int64_t remaining_usec; /* until the lease ends; 0: it was released */
 };
@@ -68,7 +68,8 @@
     uint64_t run;     /* identifies this process */
     int64_t lease_usec;
     /*
-     * Rank of this daemon among the reachable ones; rank 0 tries first.
+     * Returns the rank of this daemon among the reachable ones; rank 0 tries
+     * first to acquire the lease.
      */
     unsigned (*rank)(void *arg);
     void (*changed)(void *arg, bool holder, int64_t fence);
@@ -76,50 +77,53 @@
 };
 
 struct lr_lease *Lr_Create(const struct lr_options *options);
-void Lr_Destroy(struct lr_lease *duty);
+void Lr_Destroy(struct lr_lease *lease);
 
 /* Called several times a second. */
-void Lr_Tick(struct lr_lease *duty);
+void Lr_Tick(struct lr_lease *lease);
 /* Handles a peer's notice of its current or released lease. */
-void Lr_HandleNotice(struct lr_lease *duty,
-                     const struct lr_lease_notice *told);
+void Lr_HandleNotice(struct lr_lease *lease,
+                     const struct lr_lease_notice *notice);
 /* Returns the notice of this daemon's current or released lease. */
-struct lr_lease_notice Lr_LeaseNotice(const struct lr_lease *duty);
+struct lr_lease_notice Lr_LeaseNotice(const struct lr_lease *lease);
 /* Records the usage of a window; returns false if that cannot begin now. */
-bool Lr_RecordUsage(struct lr_lease *duty, const struct lr_usage *usage);
-/* The platform rejected this daemon's fence: it has seen a higher one. */
-void Lr_FenceRefused(struct lr_lease *duty);
+bool Lr_RecordUsage(struct lr_lease *lease, const struct lr_usage *usage);
+/*
+ * To be called when the platform rejects this daemon's fence because it has
+ * seen a higher one.
+ */
+void Lr_FenceRefused(struct lr_lease *lease);
 /*
  * Releases the lease early; peers that receive the notice may take over at
  * once.
  */
-void Lr_Release(struct lr_lease *duty);
+void Lr_Release(struct lr_lease *lease);
 
-/* Sets a need to be recorded with the next renewals. */
-void Lr_SetNeed(struct lr_lease *duty, const struct lr_need *need);
-/* Returns the need recorded last, or NULL. */
-const struct lr_need *Lr_FindNeed(const struct lr_lease *duty,
+/* Sets a service's need, to be recorded with the next renewals. */
+void Lr_SetNeed(struct lr_lease *lease, const struct lr_need *need);
+/* Returns the need that was recorded last for a service, or NULL. */
+const struct lr_need *Lr_FindNeed(const struct lr_lease *lease,
                                   uint32_t service);
 /*
  * Sets what tenants recently spent, to be recorded with the next renewals; a
  * large increase brings the renewal forward.
  */
-void Lr_SetRecent(struct lr_lease *duty, const struct qt_recent *rows,
+void Lr_SetRecent(struct lr_lease *lease, const struct qt_recent *rows,
                   size_t count);
 /* Returns what tenants had spent by the last record of another daemon. */
-size_t Lr_InheritedRecent(const struct lr_lease *duty,
+size_t Lr_InheritedRecent(const struct lr_lease *lease,
                           const struct qt_recent **out);
 /*
  * Sets a move's status to be recorded with the next renewal.  Returns whether
- * it is recorded; operators must not be told of it before.
+ * it is recorded; operators must not see it before.
  */
-bool Lr_SetMove(struct lr_lease *duty, const struct ro_status *standing);
-size_t Lr_Moves(const struct lr_lease *duty, const struct ro_status **out);
+bool Lr_SetMove(struct lr_lease *lease, const struct ro_status *status);
+size_t Lr_Moves(const struct lr_lease *lease, const struct ro_status **out);
 
-bool Lr_Holds(const struct lr_lease *duty);
-int64_t Lr_Fence(const struct lr_lease *duty);
+bool Lr_Holds(const struct lr_lease *lease);
+int64_t Lr_Fence(const struct lr_lease *lease);
 /* Returns the recorded usage, or NULL if there is none. */
-struct lr_usage *Lr_Usage(struct lr_lease *duty, int64_t window);
+struct lr_usage *Lr_Usage(struct lr_lease *lease, int64_t window);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/leader_handover.c
+++ b/packages/edge/leader_handover.c
@@ -13,17 +13,17 @@
 #define Lr_RECENT_MIN_GROWTH 1.2
 
 bool
-lr_recent_increased(const struct lr_lease *duty)
+lr_recent_increased(const struct lr_lease *lease)
 {
-    for (size_t i = 0; i < duty->recent_count; i++) {
+    for (size_t i = 0; i < lease->recent_count; i++) {
         double recorded_spend = 0;
-        for (size_t j = 0; j < duty->recorded_count; j++) {
-            if (duty->recorded[j].tenant == duty->recent[i].tenant) {
-                recorded_spend = duty->recorded[j].past.newer;
+        for (size_t j = 0; j < lease->recorded_count; j++) {
+            if (lease->recorded[j].tenant == lease->recent[i].tenant) {
+                recorded_spend = lease->recorded[j].past.newer;
             }
         }
-        if (duty->recent[i].near_limit &&
-            duty->recent[i].past.newer >
+        if (lease->recent[i].near_limit &&
+            lease->recent[i].past.newer >
                 recorded_spend * Lr_RECENT_MIN_GROWTH) {
             return true;
         }
@@ -32,72 +32,73 @@
 }
 
 void
-Lr_SetNeed(struct lr_lease *duty, const struct lr_need *need)
+Lr_SetNeed(struct lr_lease *lease, const struct lr_need *need)
 {
-    for (size_t i = 0; i < duty->need_count; i++) {
-        if (duty->needs[i].service == need->service) {
-            duty->needs[i] = *need;
+    for (size_t i = 0; i < lease->need_count; i++) {
+        if (lease->needs[i].service == need->service) {
+            lease->needs[i] = *need;
             return;
         }
     }
-    if (duty->need_count < Lr_NEEDS_MAX) {
-        duty->needs[duty->need_count++] = *need;
+    if (lease->need_count < Lr_NEEDS_MAX) {
+        lease->needs[lease->need_count++] = *need;
     }
 }
 
 const struct lr_need *
-Lr_FindNeed(const struct lr_lease *duty, uint32_t service)
+Lr_FindNeed(const struct lr_lease *lease, uint32_t service)
 {
-    for (size_t i = 0; i < duty->need_count; i++) {
-        if (duty->needs[i].service == service) {
-            return &duty->needs[i];
+    for (size_t i = 0; i < lease->need_count; i++) {
+        if (lease->needs[i].service == service) {
+            return &lease->needs[i];
         }
     }
     return NULL;
 }
 
 void
-Lr_SetRecent(struct lr_lease *duty, const struct qt_recent *rows, size_t count)
+Lr_SetRecent(struct lr_lease *lease, const struct qt_recent *rows,
+             size_t count)
 {
-    duty->recent_count = count < Qt_RECENT_MAX ? count : Qt_RECENT_MAX;
-    memcpy(duty->recent, rows, duty->recent_count * sizeof(*rows));
+    lease->recent_count = count < Qt_RECENT_MAX ? count : Qt_RECENT_MAX;
+    memcpy(lease->recent, rows, lease->recent_count * sizeof(*rows));
 }
 
 size_t
-Lr_InheritedRecent(const struct lr_lease *duty, const struct qt_recent **out)
+Lr_InheritedRecent(const struct lr_lease *lease, const struct qt_recent **out)
 {
-    *out = duty->inherited;
-    return duty->inherited_count;
+    *out = lease->inherited;
+    return lease->inherited_count;
 }
 
 bool
-Lr_SetMove(struct lr_lease *duty, const struct ro_status *standing)
+Lr_SetMove(struct lr_lease *lease, const struct ro_status *status)
 {
     struct ro_status *found = NULL;
-    for (size_t i = 0; i < duty->move_count; i++) {
-        if (duty->moves[i].service == standing->service) {
-            found = &duty->moves[i];
+    for (size_t i = 0; i < lease->move_count; i++) {
+        if (lease->moves[i].service == status->service) {
+            found = &lease->moves[i];
         }
     }
     if (found == NULL) {
-        if (duty->move_count == Lr_MOVES_MAX) {
+        if (lease->move_count == Lr_MOVES_MAX) {
             return false;
         }
-        found = &duty->moves[duty->move_count++];
+        found = &lease->moves[lease->move_count++];
         memset(found, 0, sizeof(*found));
     }
-    if (found->order != standing->order || found->state != standing->state ||
-        found->service != standing->service) {
-        *found = *standing;
-        duty->moves_recorded = false;
-        duty->moves_sent = false;
+    if (found->order != status->order || found->state != status->state ||
+        found->service != status->service) {
+        *found = *status;
+        lease->moves_recorded = false;
+        lease->moves_sent = false;
     }
-    return duty->moves_recorded;
+    return lease->moves_recorded;
 }
 
 size_t
-Lr_Moves(const struct lr_lease *duty, const struct ro_status **out)
+Lr_Moves(const struct lr_lease *lease, const struct ro_status **out)
 {
-    *out = duty->moves;
-    return duty->move_count;
+    *out = lease->moves;
+    return lease->move_count;
 }
--- a/packages/edge/leader_internal.h
+++ b/packages/edge/leader_internal.h
@@ -1,4 +1,4 @@
-/* Declarations shared by duty.c and duty_handover.c. */
+/* Declarations shared by leader.c and leader_handover.c. */
 #ifndef EDGE_LEADER_INTERNAL_H
 #define EDGE_LEADER_INTERNAL_H
 
@@ -9,12 +9,11 @@
     int64_t started_at;
     int64_t end; /* log offset after the last record read; -1: nothing read */
     int64_t end_changed_at; /* when the log's end was last seen to move */
-    /* Lease of the peer whose notice came last. */
+    /* Lease of the peer whose notice arrived last. */
     int64_t peer_fence;
     int64_t peer_end;
     int64_t peer_until;
-    struct lr_lease_notice
-        resigned;  /* notice of a released lease of this daemon */
+    struct lr_lease_notice release_notice; /* after a release by this daemon */
     int64_t fence; /* this daemon's fence; 0: not the lease holder */
     int64_t lease_until;
     int64_t sent_at; /* when the append or read in progress was sent */
@@ -42,6 +41,6 @@
 };
 
 /* Returns whether a tenant has spent much more than the last record says. */
-bool lr_recent_increased(const struct lr_lease *duty);
+bool lr_recent_increased(const struct lr_lease *lease);
 
 #endif
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -78,7 +78,10 @@
     uint32_t count;
 };
 
-/* A service whose endpoints tell how many refusals a second they tolerate. */
+/*
+ * The refusal limit that endpoints of a service report: how many refusals a
+ * second they tolerate.
+ */
 struct ms_brittle {
     uint32_t service;
     int refusals_per_sec;
@@ -89,7 +92,7 @@
     char name[Nd_NAME_MAX];
     char ip[Nd_NAME_MAX];
     char zone[Nd_NAME_MAX];
-    /* Whether "spent" and "loads" are sums over the sender's data centre. */
+    /* Whether "usage" and "loads" are sums over the sender's data centre. */
     bool summary;
     uint64_t run;    /* of the process; differs after each restart */
     int64_t up_usec; /* since that start */
@@ -108,7 +111,7 @@
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
     size_t usage_count;
     struct ms_usage usage[Ms_SPENT_MAX];
-    size_t past_usage_count; /* 0: no daemon has just started */
+    size_t past_usage_count; /* 0 unless a daemon has just started */
     struct ms_past_usage past_usage[Ms_SPENT_MAX];
     size_t request_count_rows;
     struct ms_request_count request_counts[Ms_COUNTS_MAX];
@@ -169,9 +172,9 @@
 struct ms_ops {
     /* Fills in the state of this daemon. */
     void (*fill)(void *arg, struct ms_message *message);
-    /* Replaces the daemon's own sums by those of its data centre. */
+    /* Replaces the sums of this daemon by those of its data centre. */
     void (*summarize)(void *arg, struct ms_message *message);
-    /* A message has arrived; "peer" holds the state before it. */
+    /* Handles a message; "peer" still has its state from before it. */
     void (*message)(void *arg, const struct ms_peer *peer,
                     const struct ms_message *message);
 };
@@ -219,8 +222,8 @@
  */
 size_t Ms_CountAll(const struct ms_mesh *mesh);
 /*
- * Lists those peers for the selection of senders to cold endpoints. The caller
- * adds its own start time.
+ * Lists all known peers for the selection of senders to cold endpoints. The
+ * caller adds its own start time.
  */
 void Ms_ListSenders(const struct ms_mesh *mesh, struct wu_hosts *out);
 /* Whether a peer that is alive started less than "usec" ago. */
--- a/packages/edge/mesh_codec.c
+++ b/packages/edge/mesh_codec.c
@@ -16,16 +16,16 @@
 #define Ms_FORMAT 10
 #define Ms_MILLI 1000
 #define Ms_FIELDS 32
-#define Ms_EVIDENCE_FIELDS 7
-#define Ms_STANDING_FIELDS 4
+#define Ms_OUTCOME_FIELDS 7
+#define Ms_MOVE_STATUS_FIELDS 4
 #define Ms_RATE_FIELDS 6
-#define Ms_SPENT_FIELDS 3
-#define Ms_PAST_FIELDS 3
-#define Ms_COUNTED_FIELDS 3
-#define Ms_BRITTLE_FIELDS 2
+#define Ms_USAGE_FIELDS 3
+#define Ms_PAST_USAGE_FIELDS 3
+#define Ms_REQUEST_COUNT_FIELDS 3
+#define Ms_REFUSAL_LIMIT_FIELDS 2
 
 static void
-pack_text(msgpack_packer *packer, const char *text)
+pack_string(msgpack_packer *packer, const char *text)
 {
     size_t len = strlen(text);
     msgpack_pack_str(packer, len);
@@ -56,19 +56,19 @@
 /*
  * Packs the counts of three windows for each tenant: the newest window's
  * number, then for each row the distance of its window from the newest, and
- * the index of the tenant's row in "spent". A window number and a tenant's
+ * the index of the tenant's row in "usage". A window number and a tenant's
  * hash in each row would make up most of a message.
  */
 static void
-pack_counted(msgpack_packer *packer, const struct ms_message *message)
+pack_request_counts(msgpack_packer *packer, const struct ms_message *message)
 {
     int64_t newest = 0;
     for (size_t i = 0; i < message->request_count_rows; i++) {
         int64_t window = message->request_counts[i].window;
         newest = window > newest ? window : newest;
     }
-    msgpack_pack_array(packer,
-                       1 + message->request_count_rows * Ms_COUNTED_FIELDS);
+    msgpack_pack_array(packer, 1 + message->request_count_rows *
+                                       Ms_REQUEST_COUNT_FIELDS);
     msgpack_pack_int64(packer, newest);
     for (size_t i = 0; i < message->request_count_rows; i++) {
         const struct ms_request_count *row = &message->request_counts[i];
@@ -87,13 +87,13 @@
         msgpack_pack_int64(packer, message->loads[i].requests);
         msgpack_pack_int64(packer, message->loads[i].prefill_tokens);
     }
-    msgpack_pack_array(packer, message->usage_count * Ms_SPENT_FIELDS);
+    msgpack_pack_array(packer, message->usage_count * Ms_USAGE_FIELDS);
     for (size_t i = 0; i < message->usage_count; i++) {
         msgpack_pack_uint32(packer, message->usage[i].tenant);
         msgpack_pack_uint64(packer, message->usage[i].total);
         msgpack_pack_uint64(packer, message->usage[i].asked);
     }
-    pack_counted(packer, message);
+    pack_request_counts(packer, message);
     msgpack_pack_array(packer, message->rate_count * Ms_RATE_FIELDS);
     for (size_t i = 0; i < message->rate_count; i++) {
         msgpack_pack_uint32(packer, message->rates[i].service);
@@ -109,14 +109,15 @@
     }
     msgpack_pack_array(packer, message->address_count);
     for (size_t i = 0; i < message->address_count; i++) {
-        pack_text(packer, message->addresses[i]);
+        pack_string(packer, message->addresses[i]);
     }
 }
 
 static void
-pack_pasts(msgpack_packer *packer, const struct ms_message *message)
+pack_past_usage(msgpack_packer *packer, const struct ms_message *message)
 {
-    msgpack_pack_array(packer, message->past_usage_count * Ms_PAST_FIELDS);
+    msgpack_pack_array(packer,
+                       message->past_usage_count * Ms_PAST_USAGE_FIELDS);
     for (size_t i = 0; i < message->past_usage_count; i++) {
         msgpack_pack_uint32(packer, message->past_usage[i].tenant);
         msgpack_pack_uint64(packer, message->past_usage[i].older);
@@ -127,7 +128,7 @@
 static void
 pack_moves(msgpack_packer *packer, const struct ms_message *message)
 {
-    msgpack_pack_array(packer, message->evidence_count * Ms_EVIDENCE_FIELDS);
+    msgpack_pack_array(packer, message->evidence_count * Ms_OUTCOME_FIELDS);
     for (size_t i = 0; i < message->evidence_count; i++) {
         const struct ro_outcomes *row = &message->evidence[i];
         msgpack_pack_uint32(packer, row->service);
@@ -139,7 +140,7 @@
         msgpack_pack_uint32(packer, row->new_version.bad);
     }
     msgpack_pack_array(packer,
-                       message->move_status_count * Ms_STANDING_FIELDS);
+                       message->move_status_count * Ms_MOVE_STATUS_FIELDS);
     for (size_t i = 0; i < message->move_status_count; i++) {
         const struct ro_status *row = &message->move_statuses[i];
         msgpack_pack_uint32(packer, row->service);
@@ -150,9 +151,10 @@
 }
 
 static void
-pack_brittle(msgpack_packer *packer, const struct ms_message *message)
+pack_refusal_limits(msgpack_packer *packer, const struct ms_message *message)
 {
-    msgpack_pack_array(packer, message->brittle_count * Ms_BRITTLE_FIELDS);
+    msgpack_pack_array(packer,
+                       message->brittle_count * Ms_REFUSAL_LIMIT_FIELDS);
     for (size_t i = 0; i < message->brittle_count; i++) {
         msgpack_pack_uint32(packer, message->brittle[i].service);
         msgpack_pack_int(packer, message->brittle[i].refusals_per_sec);
@@ -176,8 +178,8 @@
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&packer, Ms_FIELDS);
     msgpack_pack_int(&packer, Ms_FORMAT);
-    pack_text(&packer, message->name);
-    pack_text(&packer, message->ip);
+    pack_string(&packer, message->name);
+    pack_string(&packer, message->ip);
     msgpack_pack_uint64(&packer, message->run);
     msgpack_pack_int(&packer, message->ready);
     msgpack_pack_int(&packer, message->stopping);
@@ -193,12 +195,12 @@
     msgpack_pack_int64(&packer, message->lease.log_end);
     msgpack_pack_int64(&packer, message->lease.remaining_usec);
     pack_moves(&packer, message);
-    pack_text(&packer, message->zone);
+    pack_string(&packer, message->zone);
     msgpack_pack_int(&packer, message->summary);
-    pack_pasts(&packer, message);
+    pack_past_usage(&packer, message);
     msgpack_pack_int(&packer, message->link_mbps);
     msgpack_pack_int(&packer, message->links_cut);
-    pack_brittle(&packer, message);
+    pack_refusal_limits(&packer, message);
     pack_poison(&packer, message);
     size_t len = buffer.size <= size ? buffer.size : 0;
     memcpy(out, buffer.data, len);
@@ -216,30 +218,30 @@
     return 0;
 }
 
-/* The number of rows of "width" values each, limited to "most". */
+/* The number of rows of "width" values each, at most "rows_max". */
 static size_t
-count_rows(const msgpack_object *object, size_t width, size_t most)
+count_rows(const msgpack_object *object, size_t width, size_t rows_max)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY) {
         return 0;
     }
     size_t rows = object->via.array.size / width;
-    return rows < most ? rows : most;
+    return rows < rows_max ? rows : rows_max;
 }
 
-/* Needs the "spent" rows, which are decoded first. */
+/* Needs the rows of "usage", which are decoded first. */
 static void
-get_counted(const msgpack_object *field, struct ms_message *out)
+get_request_counts(const msgpack_object *field, struct ms_message *out)
 {
     if (field->type != MSGPACK_OBJECT_ARRAY || field->via.array.size == 0) {
         return;
     }
     int64_t newest = get_number(&field->via.array.ptr[0]);
-    size_t rows = (field->via.array.size - 1) / Ms_COUNTED_FIELDS;
+    size_t rows = (field->via.array.size - 1) / Ms_REQUEST_COUNT_FIELDS;
     out->request_count_rows = rows < Ms_COUNTS_MAX ? rows : Ms_COUNTS_MAX;
     for (size_t i = 0; i < out->request_count_rows; i++) {
         const msgpack_object *row =
-            &field->via.array.ptr[1 + i * Ms_COUNTED_FIELDS];
+            &field->via.array.ptr[1 + i * Ms_REQUEST_COUNT_FIELDS];
         out->request_counts[i].window = newest - get_number(&row[0]);
         out->request_counts[i].tenant =
             tenant_of_row(out, (uint32_t)get_number(&row[1]));
@@ -257,15 +259,15 @@
         out->loads[i].requests = (int)get_number(&row[1]);
         out->loads[i].prefill_tokens = get_number(&row[2]);
     }
-    out->usage_count = count_rows(&field[1], Ms_SPENT_FIELDS, Ms_SPENT_MAX);
+    out->usage_count = count_rows(&field[1], Ms_USAGE_FIELDS, Ms_SPENT_MAX);
     for (size_t i = 0; i < out->usage_count; i++) {
         const msgpack_object *row =
-            &field[1].via.array.ptr[i * Ms_SPENT_FIELDS];
+            &field[1].via.array.ptr[i * Ms_USAGE_FIELDS];
         out->usage[i].tenant = (uint32_t)get_number(&row[0]);
         out->usage[i].total = (uint64_t)get_number(&row[1]);
         out->usage[i].asked = (uint64_t)get_number(&row[2]);
     }
-    get_counted(&field[2], out);
+    get_request_counts(&field[2], out);
     out->rate_count = count_rows(&field[3], Ms_RATE_FIELDS, Ms_RATES_MAX);
     for (size_t i = 0; i < out->rate_count; i++) {
         const msgpack_object *row =
@@ -278,8 +280,8 @@
         out->rates[i].requests_per_sec =
             (double)get_number(&row[5]) / Ms_MILLI;
     }
-    size_t hints = count_rows(&field[4], 1, Ms_HINTS_MAX);
-    for (size_t i = 0; i < hints; i++) {
+    size_t address_rows = count_rows(&field[4], 1, Ms_HINTS_MAX);
+    for (size_t i = 0; i < address_rows; i++) {
         if (Pk_CopyString(&field[4].via.array.ptr[i],
                           out->addresses[out->address_count], Nd_NAME_MAX)) {
             out->address_count++;
@@ -288,11 +290,13 @@
 }
 
 static void
-get_pasts(const msgpack_object *field, struct ms_message *out)
+get_past_usage(const msgpack_object *field, struct ms_message *out)
 {
-    out->past_usage_count = count_rows(field, Ms_PAST_FIELDS, Ms_SPENT_MAX);
+    out->past_usage_count =
+        count_rows(field, Ms_PAST_USAGE_FIELDS, Ms_SPENT_MAX);
     for (size_t i = 0; i < out->past_usage_count; i++) {
-        const msgpack_object *row = &field->via.array.ptr[i * Ms_PAST_FIELDS];
+        const msgpack_object *row =
+            &field->via.array.ptr[i * Ms_PAST_USAGE_FIELDS];
         out->past_usage[i].tenant = (uint32_t)get_number(&row[0]);
         out->past_usage[i].older = (uint64_t)get_number(&row[1]);
         out->past_usage[i].newer = (uint64_t)get_number(&row[2]);
@@ -303,10 +307,10 @@
 get_moves(const msgpack_object *field, struct ms_message *out)
 {
     out->evidence_count =
-        count_rows(&field[0], Ms_EVIDENCE_FIELDS, Ms_EVIDENCE_MAX);
+        count_rows(&field[0], Ms_OUTCOME_FIELDS, Ms_EVIDENCE_MAX);
     for (size_t i = 0; i < out->evidence_count; i++) {
         const msgpack_object *row =
-            &field[0].via.array.ptr[i * Ms_EVIDENCE_FIELDS];
+            &field[0].via.array.ptr[i * Ms_OUTCOME_FIELDS];
         out->evidence[i] = (struct ro_outcomes){
             .service = (uint32_t)get_number(&row[0]),
             .route = (uint32_t)get_number(&row[1]),
@@ -317,10 +321,11 @@
                             (uint32_t)get_number(&row[6])},
         };
     }
-    size_t standings = count_rows(&field[1], Ms_STANDING_FIELDS, Ro_MOVES_MAX);
-    for (size_t i = 0; i < standings; i++) {
+    size_t status_rows =
+        count_rows(&field[1], Ms_MOVE_STATUS_FIELDS, Ro_MOVES_MAX);
+    for (size_t i = 0; i < status_rows; i++) {
         const msgpack_object *row =
-            &field[1].via.array.ptr[i * Ms_STANDING_FIELDS];
+            &field[1].via.array.ptr[i * Ms_MOVE_STATUS_FIELDS];
         int64_t state = get_number(&row[2]);
         if (state < RO_RUNNING || state > RO_SUCCEEDED) {
             continue;
@@ -335,16 +340,17 @@
 }
 
 static void
-get_brittle(const msgpack_object *field, struct ms_message *out)
+get_refusal_limits(const msgpack_object *field, struct ms_message *out)
 {
-    out->brittle_count = count_rows(field, Ms_BRITTLE_FIELDS, Ms_BRITTLE_MAX);
+    out->brittle_count =
+        count_rows(field, Ms_REFUSAL_LIMIT_FIELDS, Ms_BRITTLE_MAX);
     for (size_t i = 0; i < out->brittle_count; i++) {
         const msgpack_object *row =
-            &field->via.array.ptr[i * Ms_BRITTLE_FIELDS];
-        int64_t most = get_number(&row[1]);
+            &field->via.array.ptr[i * Ms_REFUSAL_LIMIT_FIELDS];
+        int64_t limit = get_number(&row[1]);
         out->brittle[i].service = (uint32_t)get_number(&row[0]);
         out->brittle[i].refusals_per_sec =
-            most < 0 || most > INT_MAX ? 0 : (int)most;
+            limit < 0 || limit > INT_MAX ? 0 : (int)limit;
     }
 }
 
@@ -387,10 +393,10 @@
     out->lease.remaining_usec = get_number(&field[20]);
     get_moves(&field[21], out);
     out->summary = get_number(&field[24]) != 0;
-    get_pasts(&field[25], out);
+    get_past_usage(&field[25], out);
     out->link_mbps = (int)get_number(&field[26]);
     out->links_cut = get_number(&field[27]) != 0;
-    get_brittle(&field[28], out);
+    get_refusal_limits(&field[28], out);
     get_poison(&field[29], out);
     return Pk_CopyString(&field[23], out->zone, sizeof(out->zone));
 }
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -1,23 +1,24 @@
-/* Tells which daemons are there, from the messages they sent. */
+/* Tells which daemons are known, alive or reachable, from their messages. */
 #include <string.h>
 
 #include "edge/mesh_internal.h"
 
-/* A peer without a message for this long does not count as alive. */
+/* A peer that has sent no message for this long does not count as alive. */
 #define Ms_ALIVE_USEC (1500 * Ck_USEC_PER_MSEC)
-/* The timeout grows with the interval between messages. */
+/* The timeout is at least this many intervals between messages. */
 #define Ms_ALIVE_INTERVALS 5
 /*
  * A shorter timeout, where another daemon can take over at once; two lost
  * messages in a row are rare.
  */
 #define Ms_RECENT_USEC (500 * Ck_USEC_PER_MSEC)
-#define Ms_CLOSE_INTERVALS 3
+#define Ms_RESPONSIVE_INTERVALS 3
 /*
  * The usage of an unreachable peer must be accounted for at once. A false
  * alarm after a lost message costs a hundredth of the rate for a moment.
  */
 #define Ms_REACHABLE_INTERVALS 2
+
 struct ms_usage
 Ms_UsageIncrease(const struct ms_usage *now, const struct ms_usage *before,
                  size_t count)
@@ -55,7 +56,8 @@
 bool
 Ms_IsResponsive(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    return received_within(mesh, peer, Ms_RECENT_USEC, Ms_CLOSE_INTERVALS);
+    return received_within(mesh, peer, Ms_RECENT_USEC,
+                           Ms_RESPONSIVE_INTERVALS);
 }
 
 bool
--- a/packages/edge/mesh_schedule.c
+++ b/packages/edge/mesh_schedule.c
@@ -17,8 +17,8 @@
  * for the next one.
  */
 #define Ms_SUMMARY_MIN_USEC (200 * Ck_USEC_PER_MSEC)
-/* A silent peer still gets messages at this interval until it expires. */
-#define Ms_SILENT_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
+/* A peer that is not alive gets messages at this interval until it expires. */
+#define Ms_DEAD_INTERVAL_USEC (500 * Ck_USEC_PER_MSEC)
 #define Ms_EXPIRY_USEC (60 * Ck_USEC_PER_SEC)
 /*
  * How long a peer of which only the address is known is expected to send its
@@ -132,22 +132,22 @@
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, &mesh->peers, link) {
         bool running = !peer->stopping;
-        bool was_heard = peer->last_message_at != 0;
-        bool is_awaited =
-            !was_heard && mesh->now - peer->added_at < Ms_FIRST_MESSAGE_USEC;
+        bool has_sent = peer->last_message_at != 0;
+        bool is_expected =
+            !has_sent && mesh->now - peer->added_at < Ms_FIRST_MESSAGE_USEC;
         mesh->local_count += peer->same_zone;
         mesh->reachable_count += running && Ms_IsReachable(mesh, peer);
-        mesh->expected_count += was_heard ? running : is_awaited;
-        mesh->running_count += was_heard && running;
+        mesh->expected_count += has_sent ? running : is_expected;
+        mesh->running_count += has_sent && running;
     }
 }
 
 bool
 ms_is_expired(const struct ms_mesh *mesh, const struct ms_peer *peer)
 {
-    int64_t last_seen =
+    int64_t known_at =
         peer->last_message_at != 0 ? peer->last_message_at : peer->added_at;
-    return !Ms_Alive(mesh, peer) && mesh->now - last_seen > Ms_EXPIRY_USEC;
+    return !Ms_Alive(mesh, peer) && mesh->now - known_at > Ms_EXPIRY_USEC;
 }
 
 bool
@@ -158,7 +158,7 @@
     }
     int64_t interval = Ms_Alive(mesh, peer)
                            ? ms_send_interval(mesh, peer->same_zone)
-                           : Ms_SILENT_INTERVAL_USEC;
+                           : Ms_DEAD_INTERVAL_USEC;
     peer->due_at = next_due(mesh, interval);
     return true;
 }
--- a/packages/edge/mesh_send.c
+++ b/packages/edge/mesh_send.c
@@ -6,8 +6,12 @@
 
 #include "edge/mesh_internal.h"
 
+/*
+ * Adds the addresses of some peers that are alive, from a random one on, so
+ * that the receiver gets to know them.
+ */
 static void
-add_hints(struct ms_mesh *mesh, struct ms_message *message)
+add_addresses(struct ms_mesh *mesh, struct ms_message *message)
 {
     if (mesh->count == 0) {
         return;
@@ -26,7 +30,7 @@
     }
 }
 
-/* One datagram, built when the first peer is due, and its receivers. */
+/* One datagram, built when it is due for the first peer, and its receivers. */
 struct batch {
     bool summary;
     size_t len;
@@ -51,7 +55,7 @@
         message.summary = true;
         mesh->ops->summarize(mesh->arg, &message);
     }
-    add_hints(mesh, &message);
+    add_addresses(mesh, &message);
     out->len = Ms_Encode(&message, out->data, sizeof(out->data));
 }
 
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -35,18 +35,18 @@
 }
 
 static void
-fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t asked)
+fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t requested)
 {
     struct ms_message *message = arg;
     if (message->usage_count < Ms_SPENT_MAX) {
         message->usage[message->usage_count++] =
-            (struct ms_usage){tenant, total, asked};
+            (struct ms_usage){tenant, total, requested};
     }
 }
 
 /*
- * Sent only while some peer has just started, which has no count of the usage
- * before its start.
+ * Past usage is sent only while some peer has just started: that peer has no
+ * count of the usage before its start.
  */
 static void
 fill_past_usage(struct ga_gate *gate, struct ms_message *message)
@@ -159,7 +159,7 @@
     bool while_unreachable = same_run && returned;
     int64_t up_usec = Ga_Now(gate) - gate->started_at;
     if (peer->run == 0 && message->up_usec > up_usec + Pe_SAME_START_USEC) {
-        /* The peer admitted most of that before this daemon started. */
+        /* The peer admitted most of its usage before this daemon started. */
         return;
     }
     if (returned) {
@@ -252,7 +252,7 @@
 }
 
 static void
-sum_peer_evidence(struct ga_gate *gate)
+sum_peer_outcomes(struct ga_gate *gate)
 {
     Ro_ClearPeerOutcomes(gate->moves);
     const struct ms_peer *peer;
@@ -305,7 +305,7 @@
     Ms_Tick(peers->gate->mesh);
     Sv_Tick(peers->server);
     pe_sum_loads(peers->gate);
-    sum_peer_evidence(peers->gate);
+    sum_peer_outcomes(peers->gate);
     set_quota_share(peers->gate);
     pe_discover_peers(peers);
     pe_fetch_newer_state(peers);
--- a/packages/edge/peers_find.c
+++ b/packages/edge/peers_find.c
@@ -12,22 +12,22 @@
 #define Pe_LIST_INTERVAL_USEC (2 * Ck_USEC_PER_SEC)
 
 static void
-on_announced(void *arg, const struct ag_result *result)
+on_registered(void *arg, const struct ag_result *result)
 {
     struct pe_peers *peers = arg;
-    peers->announcing = false;
-    peers->announced = result->status == AG_OK;
+    peers->registering = false;
+    peers->registered = result->status == AG_OK;
 }
 
 static void
-announce(struct pe_peers *peers)
+register_address(struct pe_peers *peers)
 {
     struct ga_gate *gate = peers->gate;
     const struct nd_node *node = gate->options.node;
-    if (!peers->announced && !peers->announcing) {
-        peers->announcing = true;
+    if (!peers->registered && !peers->registering) {
+        peers->registering = true;
         Ag_Append(gate->options.store, AG_HOSTS, -1, node->name, node->ip,
-                  strlen(node->ip), on_announced, peers);
+                  strlen(node->ip), on_registered, peers);
     }
 }
 
@@ -50,7 +50,7 @@
         }
     }
     if (result->count < Pe_ADDRESSES_MIN) {
-        announce(peers);
+        register_address(peers);
     }
 }
 
@@ -70,7 +70,7 @@
     }
     bool alone = Ms_CountAlive(gate->mesh) <= 1;
     if (peers->listed && (alone || Ms_Rank(gate->mesh) < Pe_ADDRESSES_MIN)) {
-        announce(peers);
+        register_address(peers);
     }
     if ((!peers->listed || alone) && !peers->listing) {
         peers->listing = true;
--- a/packages/edge/peers_internal.h
+++ b/packages/edge/peers_internal.h
@@ -27,8 +27,8 @@
     int64_t listed_at;
     bool listing;
     bool listed; /* at least once, even without addresses */
-    bool announced;
-    bool announcing;
+    bool registered;
+    bool registering;
 };
 
 /* Finds other daemons through the store, and registers this one there. */
--- a/packages/edge/peers_loads.c
+++ b/packages/edge/peers_loads.c
@@ -9,12 +9,14 @@
  */
 static int64_t
 remaining_prefill(const struct ga_gate *gate,
-                  const struct fl_endpoint *endpoint, int64_t reading,
+                  const struct fl_endpoint *endpoint, int64_t prefill_tokens,
                   int64_t age_usec)
 {
     double processed = De_PrefillRate(gate->demand, endpoint->entry.service) *
                        (double)age_usec / (double)Ck_USEC_PER_SEC;
-    return (double)reading > processed ? reading - (int64_t)processed : 0;
+    return (double)prefill_tokens > processed
+               ? prefill_tokens - (int64_t)processed
+               : 0;
 }
 
 static void
@@ -25,13 +27,13 @@
     if (endpoint == NULL) {
         return;
     }
-    int64_t reading =
+    int64_t prefill_tokens =
         remaining_prefill(gate, endpoint, load->prefill_tokens, age_usec);
     endpoint->peers_running += load->requests;
-    endpoint->peers_prefill_tokens += reading;
+    endpoint->peers_prefill_tokens += prefill_tokens;
     if (same_zone) {
         endpoint->zone_peers_running += load->requests;
-        endpoint->zone_peers_prefill_tokens += reading;
+        endpoint->zone_peers_prefill_tokens += prefill_tokens;
     }
 }
 
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -12,13 +12,14 @@
 
 #define Pe_PATH_MAX 128
 #define Pe_STATE_PATH "/state?config="
-/* Limits of a fetch: without progress, as a whole, and between two starts. */
+/* Limit of the time that a fetch makes no progress. */
 #define Pe_FETCH_IDLE_USEC (500 * Ck_USEC_PER_MSEC)
 /*
- * A large state over a slow link takes longer than the idle limit but makes
- * progress.
+ * Limit of a whole fetch. A large state over a slow link takes longer than
+ * the idle limit but makes progress.
  */
 #define Pe_FETCH_MAX_USEC (4 * Ck_USEC_PER_SEC)
+/* Minimum interval between the starts of two fetches. */
 #define Pe_FETCH_INTERVAL_USEC (100 * Ck_USEC_PER_MSEC)
 #define Pe_STATE_MAX (16u << 20)
 #define Pe_COMPRESS_MIN_BYTES 1024
@@ -33,7 +34,7 @@
  */
 #define Pe_SMALL_CONFIG_BYTES ((size_t)64 << 10)
 #define Pe_CONFIG_GOSSIP_USEC (800 * Ck_USEC_PER_MSEC)
-/* An offset behind all others: this half of the state is not requested. */
+/* An offset beyond all others: this half of the state is not requested. */
 #define Pe_NOT_REQUESTED INT64_MAX
 
 /*
@@ -97,7 +98,10 @@
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    /* "CONFIG,ENTRIES": the offsets up to which the peer has both. */
+    /*
+     * The path ends in "CONFIG,ENTRIES", the offsets up to which the peer has
+     * the configuration and the entries.
+     */
     int64_t from[2] = {0, 0};
     size_t which = 0;
     for (size_t i = prefix; i < head->target.len && which < 2; i++) {
--- a/packages/edge/plan.c
+++ b/packages/edge/plan.c
@@ -375,7 +375,7 @@
     for (size_t i = 0; i < count; i++) {
         targets[i] = (struct pn_target){0, 0};
         if (offered) {
-            /* An order for fewer would end running spot endpoints. */
+            /* An order for fewer would stop running spot endpoints. */
             targets[i].spot =
                 zones[i].spot_unavailable ? zones[i].spot : service->min;
         }
--- a/packages/edge/quota.c
+++ b/packages/edge/quota.c
@@ -97,8 +97,8 @@
     }
     Wn_SetPast(&bucket->window, &past);
     if (recent != NULL) {
-        double most = fmin(bucket->burst, qt_window_room(bucket));
-        bucket->level = fmax(bucket->level, most);
+        double level_max = fmin(bucket->burst, qt_window_room(bucket));
+        bucket->level = fmax(bucket->level, level_max);
     }
 }
 
@@ -152,8 +152,8 @@
         }
         qt_fill(quota, bucket);
         struct wn_past past = Wn_Past(&bucket->window);
-        bool heavy = past.newer > qt_window_limit(quota, bucket) / 2;
-        out[count++] = (struct qt_recent){past, bucket->hash, heavy};
+        bool near_limit = past.newer > qt_window_limit(quota, bucket) / 2;
+        out[count++] = (struct qt_recent){past, bucket->hash, near_limit};
     }
     return count;
 }
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -32,8 +32,11 @@
 struct qt_recent {
     struct wn_past past;
     uint32_t tenant;
-    bool near_limit; /* more than half of the window's limit was spent in the
-                   newer half; not recorded */
+    /*
+     * Whether more than half of the window's limit was spent in its newer
+     * half; not recorded.
+     */
+    bool near_limit;
 };
 
 struct qt_quota;
@@ -77,10 +80,10 @@
 struct qt_usage Qt_Usage(struct qt_quota *quota, const char *tenant);
 /*
  * Calls "fn" for each tenant with the costs that this daemon has admitted
- * ("total") and was asked for ("asked") since its start.
+ * ("total") and of all requests for it ("requested") since its start.
  */
 typedef void (*qt_each_fn)(void *arg, uint32_t tenant, uint64_t total,
-                           uint64_t asked);
+                           uint64_t requested);
 void Qt_Each(const struct qt_quota *quota, qt_each_fn fn, void *arg);
 /* Adds the cost of requests that callers sent to a peer, admitted or not. */
 void Qt_AddPeerDemand(struct qt_quota *quota, uint32_t tenant, double cost);
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -8,8 +8,8 @@
 
 #define Ro_HASH_SEED 0x726f6c6c
 /*
- * A first byte is slow if it takes this many times the average and the margin
- * on top.  The margin keeps short stalls from counting as slow.
+ * A first byte is slow if it takes longer than this many times the average
+ * plus the margin.  The margin keeps short stalls from counting as slow.
  */
 #define Ro_SLOW_FACTOR 3.0
 #define Ro_SLOW_MARGIN_USEC 30000.0
@@ -283,18 +283,17 @@
 }
 
 void
-Ro_ApplyStatus(struct ro_table *table, const struct ro_status *standing,
+Ro_ApplyStatus(struct ro_table *table, const struct ro_status *status,
                bool from_holder)
 {
-    struct ro_move *move =
-        find_by_hash(table, standing->service, standing->order);
+    struct ro_move *move = find_by_hash(table, status->service, status->order);
     if (move == NULL) {
         return;
     }
     if (from_holder) {
-        set_share(move, standing->share);
+        set_share(move, status->share);
     }
-    set_state(move, standing->state, "told");
+    set_state(move, status->state, "told");
 }
 
 static void
@@ -352,7 +351,10 @@
     to->bad += addend->bad;
 }
 
-/* Compares the slow answers in the same way at the end of a window. */
+/*
+ * Compares the slow answers in the same way as the failures, at the end of a
+ * window.
+ */
 static void
 check_slowness(struct ro_move *move)
 {
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -48,7 +48,7 @@
 
 struct ro_count {
     uint32_t answers;
-    uint32_t bad; /* failed, or slow to the first byte, depending on the row */
+    uint32_t bad; /* failed, or slow to the first byte, as the row counts */
 };
 
 /*
@@ -57,7 +57,7 @@
  */
 struct ro_outcomes {
     uint32_t service; /* hash of the name */
-    /* see Ro_RowKey(); hash of the route and what is counted */
+    /* hash of the route and of what is counted, see Ro_RowKey() */
     uint32_t route;
     int64_t order;
     struct ro_count old_version;
@@ -144,7 +144,7 @@
  * Applies a status from a peer or from the previous lease holder's record.
  * The share is taken only from the lease holder.
  */
-void Ro_ApplyStatus(struct ro_table *table, const struct ro_status *standing,
+void Ro_ApplyStatus(struct ro_table *table, const struct ro_status *status,
                     bool from_holder);
 /* Compares the versions of all moves; called several times a second. */
 void Ro_Tick(struct ro_table *table);
@@ -173,12 +173,13 @@
 const char *Ro_StateName(enum ro_state state);
 
 /* Returns whether the new version is worse beyond chance. */
-bool Ro_IsWorse(const struct ro_count *old, const struct ro_count *next);
+bool Ro_IsWorse(const struct ro_count *old_count,
+                const struct ro_count *new_count);
 /* Adds the answers since the last window, with bounded weight. */
 void Ro_CloseWindow(struct ro_slow_counts *slow_counts,
                     const struct ro_count sums[2]);
-bool Ro_IsWorseWeighted(const struct ro_weighted_count *old,
-                        const struct ro_weighted_count *next);
+bool Ro_IsWorseWeighted(const struct ro_weighted_count *old_count,
+                        const struct ro_weighted_count *new_count);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/rollout_compare.c
+++ b/packages/edge/rollout_compare.c
@@ -9,7 +9,7 @@
  * are compared again and again: 40 moves between equally good versions with
  * one answer in seven failing must not be rolled back.
  */
-#define Ro_MIN_EVIDENCE 9.5
+#define Ro_MIN_LOG_RATIO 9.5
 /* Fewer bad answers are no evidence, whatever their rate. */
 #define Ro_MIN_BAD 4
 /*
@@ -26,11 +26,11 @@
 
 /* Kullback-Leibler divergence of the new version's rate from the old one's. */
 static double
-divergence(double next, double old)
+divergence(double new_rate, double old_rate)
 {
-    double result = next * log(next / old);
-    if (next < 1) {
-        result += (1 - next) * log((1 - next) / (1 - old));
+    double result = new_rate * log(new_rate / old_rate);
+    if (new_rate < 1) {
+        result += (1 - new_rate) * log((1 - new_rate) / (1 - old_rate));
     }
     return result;
 }
@@ -40,16 +40,17 @@
  * so that few answers without failure do not count as a rate of zero.
  */
 bool
-Ro_IsWorseWeighted(const struct ro_weighted_count *old,
-                   const struct ro_weighted_count *next)
+Ro_IsWorseWeighted(const struct ro_weighted_count *old_count,
+                   const struct ro_weighted_count *new_count)
 {
-    if (next->bad < Ro_MIN_BAD) {
+    if (new_count->bad < Ro_MIN_BAD) {
         return false;
     }
-    double old_share = (old->bad + 1) / (old->answers + 2);
-    double next_share = next->bad / next->answers;
-    return next_share - old_share >= Ro_MIN_DIFFERENCE &&
-           next->answers * divergence(next_share, old_share) > Ro_MIN_EVIDENCE;
+    double old_rate = (old_count->bad + 1) / (old_count->answers + 2);
+    double new_rate = new_count->bad / new_count->answers;
+    return new_rate - old_rate >= Ro_MIN_DIFFERENCE &&
+           new_count->answers * divergence(new_rate, old_rate) >
+               Ro_MIN_LOG_RATIO;
 }
 
 static struct ro_weighted_count
@@ -59,9 +60,10 @@
 }
 
 bool
-Ro_IsWorse(const struct ro_count *old, const struct ro_count *next)
+Ro_IsWorse(const struct ro_count *old_count, const struct ro_count *new_count)
 {
-    struct ro_weighted_count weights[2] = {unweighted(old), unweighted(next)};
+    struct ro_weighted_count weights[2] = {unweighted(old_count),
+                                           unweighted(new_count)};
     return Ro_IsWorseWeighted(&weights[0], &weights[1]);
 }
 
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -6,7 +6,7 @@
 
 /* The current reporter, and the one that takes over from it. */
 #define Zn_REPORTERS 2
-/* A reporter without a message for this long has stopped. */
+/* A reporter that has sent no summary for this long has stopped. */
 #define Zn_REPORTER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
 
 struct usage_rows {
@@ -17,7 +17,7 @@
 struct reporter {
     uint64_t run;    /* 0: none */
     int64_t up_usec; /* age of the process in its last summary */
-    int64_t heard_at;
+    int64_t last_summary_at;
     struct usage_rows received; /* from its last summary */
     struct usage_rows charged;  /* the part of "received" that was charged */
     size_t load_count;
@@ -27,7 +27,7 @@
 struct zone {
     TAILQ_ENTRY(zone) link;
     char name[Nd_NAME_MAX];
-    size_t current; /* the one whose summaries are used */
+    size_t current; /* index of the reporter whose summaries are used */
     struct reporter reporters[Zn_REPORTERS];
 };
 
@@ -36,7 +36,8 @@
 struct zn_zones {
     const struct ck_clock *clock;
     size_t peer_usage_count;
-    struct ms_usage peer_usage[Ms_SPENT_MAX]; /* of other daemons here */
+    /* of the other daemons in this data centre */
+    struct ms_usage peer_usage[Ms_SPENT_MAX];
     struct zone_list zones;
 };
 
@@ -110,8 +111,9 @@
 static bool
 is_active(const struct zn_zones *zones, const struct reporter *reporter)
 {
-    return reporter->run != 0 && Ck_Now(zones->clock) - reporter->heard_at <
-                                     Zn_REPORTER_TIMEOUT_USEC;
+    return reporter->run != 0 &&
+           Ck_Now(zones->clock) - reporter->last_summary_at <
+               Zn_REPORTER_TIMEOUT_USEC;
 }
 
 static struct zone *
@@ -176,7 +178,7 @@
     }
     reporter->run = summary->run;
     reporter->up_usec = summary->up_usec;
-    reporter->heard_at = now;
+    reporter->last_summary_at = now;
     reporter->load_count = summary->load_count;
     memcpy(reporter->loads, summary->loads, sizeof(reporter->loads));
 }
@@ -233,7 +235,7 @@
         if (!is_active(zones, reporter)) {
             continue;
         }
-        int64_t age = Ck_Now(zones->clock) - reporter->heard_at;
+        int64_t age = Ck_Now(zones->clock) - reporter->last_summary_at;
         for (size_t i = 0; i < reporter->load_count; i++) {
             fn(arg, &reporter->loads[i], age);
         }
