--- a/packages/edge/test/fake_store.h
+++ b/packages/edge/test/fake_store.h
@@ -23,8 +23,8 @@
         bool removed = false;
     };
 
-    // One for each daemon, so that a fault can be injected for a single
-    // daemon.
+    // The store as one daemon sees it, so that a fault can be injected for a
+    // single daemon.
     struct Client {
         struct ag_store base;
         FakeStore *store;
@@ -104,7 +104,7 @@
 
     // Drops the history; the newest record of each key stays.
     void
-    Forget(enum ag_topic topic)
+    DropHistory(enum ag_topic topic)
     {
         first_[topic] = static_cast<int64_t>(topics_[topic].size());
     }
@@ -191,8 +191,8 @@
             store->Fail(fn, arg, AG_UNAVAILABLE);
             return;
         }
-        std::string behind = after == nullptr ? "" : after;
-        store->answers_.push_back([store, topic, behind, fn, arg] {
+        std::string after_key = after == nullptr ? "" : after;
+        store->answers_.push_back([store, topic, after_key, fn, arg] {
             auto &records = store->topics_[topic];
             std::map<std::string, size_t> last;
             for (size_t i = 0; i < records.size(); i++) {
@@ -201,7 +201,7 @@
             std::vector<struct ag_record> views;
             struct ag_result result = {};
             for (auto &entry : last) {
-                if (entry.first <= behind && !behind.empty()) {
+                if (entry.first <= after_key && !after_key.empty()) {
                     continue;
                 }
                 if (views.size() == store->page) {
--- a/packages/edge/test/feed_codec.h
+++ b/packages/edge/test/feed_codec.h
@@ -67,14 +67,15 @@
 }
 
 inline bool
-TellMove(const struct ro_move *move, struct ag_status_record *out)
+EncodeMoveStatus(const struct ro_move *move, struct ag_status_record *out)
 {
     (void)move;
     (void)out;
     return false;
 }
 
-static const struct ag_codec codec = {DecodeConfig,     IsConfig, DecodeOrder,
-                                      DecodeEvacuation, TellMove, DecodeEntry};
+static const struct ag_codec codec = {DecodeConfig,     IsConfig,
+                                      DecodeOrder,      DecodeEvacuation,
+                                      EncodeMoveStatus, DecodeEntry};
 
 #endif
--- a/packages/edge/test/feed_model_test.cc
+++ b/packages/edge/test/feed_model_test.cc
@@ -23,7 +23,7 @@
 const int kSteps = 400;
 const int64_t kStepUsec = 8 * Ck_USEC_PER_MSEC;
 
-// A host that reads the store unless enough others do.
+// A host that reads the store unless enough of its peers do.
 class Host {
   public:
     Host(struct lp_loop *loop, FakeStore *store)
@@ -56,8 +56,8 @@
 
     struct fl_fleet *fleet;
     struct fe_feed *feed = nullptr;
-    bool others_read = false;
-    bool others_known = false;
+    bool peers_read = false;
+    bool peers_known = false;
 
   private:
     static void
@@ -73,14 +73,14 @@
     {
     }
     static bool
-    OthersReach(void *)
+    PeersReach(void *)
     {
         return true;
     }
     static bool
-    OthersRead(void *arg, enum ag_topic)
+    PeersRead(void *arg, enum ag_topic)
     {
-        return static_cast<Host *>(arg)->others_read;
+        return static_cast<Host *>(arg)->peers_read;
     }
 
     static void
@@ -89,14 +89,14 @@
     }
 
     static bool
-    OthersKnown(void *arg)
+    PeersKnown(void *arg)
     {
-        return static_cast<Host *>(arg)->others_known;
+        return static_cast<Host *>(arg)->peers_known;
     }
 
-    static constexpr struct fe_ops kOps = {
-        OnConfig,    OnOrder,    OnEvacuation, OnStore,
-        OthersReach, OthersRead, OthersKnown};
+    static constexpr struct fe_ops kOps = {OnConfig,  OnOrder,    OnEvacuation,
+                                           OnStore,   PeersReach, PeersRead,
+                                           PeersKnown};
 };
 
 class FeedModel : public testing::TestWithParam<uint64_t> {
@@ -191,10 +191,10 @@
     {
         // Results pending for the old process must not reach the new one.
         Log("host " + std::to_string(i) + " starts");
-        hosts_[i]->others_read = true;
+        hosts_[i]->peers_read = true;
         store_.Answer();
         hosts_[i] = std::make_unique<Host>(loop_, &store_);
-        hosts_[i]->others_known = Below(2) == 0;
+        hosts_[i]->peers_known = Below(2) == 0;
     }
 
     void
@@ -232,7 +232,7 @@
             Restart(Below(kHosts));
         }
         else if (drawn < 40) {
-            store_.Forget(AG_ENDPOINTS);
+            store_.DropHistory(AG_ENDPOINTS);
             Log("history dropped");
         }
         else if (drawn < 70) {
@@ -245,7 +245,7 @@
         }
         size_t readers = 0;
         for (auto &host : hosts_) {
-            host->others_read = readers >= kReaders;
+            host->peers_read = readers >= kReaders;
             readers += Fe_Reads(host->feed, AG_ENDPOINTS);
         }
         runner_->For(kStepUsec);
--- a/packages/edge/test/feed_test.cc
+++ b/packages/edge/test/feed_test.cc
@@ -14,13 +14,13 @@
 
 namespace {
 
-std::vector<struct ro_order> orders_seen;
+std::vector<struct ro_order> orders_received;
 
 void
 OnOrder(void *arg, const struct ro_order *order)
 {
     (void)arg;
-    orders_seen.push_back(*order);
+    orders_received.push_back(*order);
 }
 
 void
@@ -37,44 +37,45 @@
     (void)reached;
 }
 
-// Whether the peers of a test's daemon reach the store, and read it.
-bool others_reach;
-bool others_read;
+// What a daemon under test knows of its peers: whether they reach the store,
+// whether enough of them read it, and whether enough of them are known.
+bool peers_reach;
+bool peers_read;
 
 bool
-OthersReach(void *arg)
+PeersReach(void *arg)
 {
     (void)arg;
-    return others_reach;
+    return peers_reach;
 }
 
 bool
-OthersRead(void *arg, enum ag_topic topic)
+PeersRead(void *arg, enum ag_topic topic)
 {
     (void)arg;
     (void)topic;
-    return others_read;
+    return peers_read;
 }
 
-bool others_known;
+bool peers_known;
 
 bool
-OthersKnown(void *)
+PeersKnown(void *)
 {
-    return others_known;
+    return peers_known;
 }
 
 // The evacuation state of each data centre that was last reported.
 std::map<std::string, bool> evacuated;
 
 void
-OnEvacuation(void *, const char *zone, bool asked)
+OnEvacuation(void *, const char *zone, bool evacuate)
 {
-    evacuated[zone] = asked;
+    evacuated[zone] = evacuate;
 }
 
-const struct fe_ops ops = {OnConfig,    OnOrder,    OnEvacuation, OnStore,
-                           OthersReach, OthersRead, OthersKnown};
+const struct fe_ops ops = {OnConfig,   OnOrder,   OnEvacuation, OnStore,
+                           PeersReach, PeersRead, PeersKnown};
 
 struct Node {
     struct fl_fleet *fleet;
@@ -87,7 +88,7 @@
     void
     SetUp() override
     {
-        others_reach = others_read = others_known = false;
+        peers_reach = peers_read = peers_known = false;
         ASSERT_EQ(Lp_Create(&loop_), ST_OK);
         runner_ = new Runner(loop_);
     }
@@ -131,7 +132,7 @@
         });
     }
 
-    // Delivers results until the daemon has requested so many pages of
+    // Delivers results until the daemon has requested "pages" pages of
     // listings.
     bool
     UntilPage(const Node &node, int pages)
@@ -205,7 +206,7 @@
     node.client->down = true;
     store_.Remove(AG_ENDPOINTS, "b");
     store_.Put(AG_ENDPOINTS, "a", "ready");
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     node.client->down = false;
     EXPECT_TRUE(Until([&] { return Fl_Find(node.fleet, "b") == nullptr; }));
     EXPECT_NE(Fl_Find(node.fleet, "a"), nullptr);
@@ -232,13 +233,14 @@
     store_.Remove(AG_CONFIG, "evacuate/b");
     store_.Put(AG_CONFIG, "evacuate/c", "{}");
     store_.Put(AG_CONFIG, "config", "2");
-    store_.Forget(AG_CONFIG);
+    store_.DropHistory(AG_CONFIG);
     node.client->down = false;
     EXPECT_TRUE(Until([&] { return evacuated["c"] && !evacuated["b"]; }));
     EXPECT_EQ(Version(node), 2);
 }
 
-// The same for a daemon that learns of the change only from a peer.
+// Guards against an evacuation that is missed, or does not end, at a daemon
+// that learns of it only from a peer.
 TEST_F(Feed, APeerPassesAnEvacuationAndItsEndOn)
 {
     evacuated.clear();
@@ -278,7 +280,7 @@
     ASSERT_TRUE(Until([&] { return Fl_Find(node.fleet, "a") != nullptr; }));
     node.client->down = true;
     ASSERT_TRUE(Until([&] { return !Fe_Reached(node.feed); }));
-    others_reach = others_read = true;
+    peers_reach = peers_read = true;
     ASSERT_TRUE(Until([&] { return node.client->calls > 0; }));
     runner_->For(600 * Ck_USEC_PER_MSEC);
     store_.Answer();
@@ -289,7 +291,7 @@
     }
     EXPECT_EQ(node.client->calls, calls);
     // When the others stop reading, the daemon reads again and succeeds.
-    others_read = false;
+    peers_read = false;
     node.client->down = false;
     EXPECT_TRUE(Until([&] { return Fe_Reached(node.feed); }));
 }
@@ -313,7 +315,7 @@
     Node reader = Start();
     ASSERT_TRUE(
         Until([&] { return Fe_ChangesEnd(reader.feed, AG_ENDPOINTS) >= 0; }));
-    others_reach = others_read = true;
+    peers_reach = peers_read = true;
     char *packed;
     size_t len = Fe_PackState(reader.feed, 0, 0, &packed);
     Fe_ApplyState(node.feed, packed, len);
@@ -389,7 +391,7 @@
     node.client->down = true;
     store_.Put(AG_ENDPOINTS, "b", "draining");
     store_.Put(AG_ENDPOINTS, "a", "draining");
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     ASSERT_TRUE(runner_->Until([&] {
         if (!IsDraining(reader, "a")) {
             store_.AnswerOnce();
@@ -410,7 +412,7 @@
 // configuration from the store instead, once.
 TEST_F(Feed, ANewerConfigurationIsReadFromTheStore)
 {
-    others_reach = others_read = true;
+    peers_reach = peers_read = true;
     store_.Put(AG_CONFIG, "config", "1");
     Node node = Start();
     ASSERT_TRUE(Until([&] { return Version(node) == 1; }));
@@ -429,8 +431,8 @@
     runner_->For(300 * Ck_USEC_PER_MSEC);
     store_.Answer();
     EXPECT_EQ(node.client->calls, calls);
-    // The same holds while the store does not answer this host.
-    others_read = false;
+    // It also has to be fetched while the store does not answer this host.
+    peers_read = false;
     node.client->down = true;
     ASSERT_TRUE(Until([&] { return !Fe_Reached(node.feed); }));
     EXPECT_FALSE(Fe_Refresh(node.feed));
@@ -455,17 +457,17 @@
 // configuration or ignored, so that the new version never gets a request.
 TEST_F(Feed, OrdersAreReadBesideTheConfiguration)
 {
-    orders_seen.clear();
+    orders_received.clear();
     store_.Put(AG_CONFIG, "config", "4");
     store_.Put(AG_CONFIG, "other", "x");
     store_.Put(AG_CONFIG, "llm", "v2");
     Node node = Start();
-    ASSERT_TRUE(Until([&] { return !orders_seen.empty(); }));
-    EXPECT_STREQ(orders_seen[0].service, "llm");
-    EXPECT_STREQ(orders_seen[0].target, "v2");
-    EXPECT_EQ(orders_seen[0].number, 2);
+    ASSERT_TRUE(Until([&] { return !orders_received.empty(); }));
+    EXPECT_STREQ(orders_received[0].service, "llm");
+    EXPECT_STREQ(orders_received[0].target, "v2");
+    EXPECT_EQ(orders_received[0].number, 2);
     EXPECT_EQ(Version(node), 4);
-    EXPECT_EQ(orders_seen.size(), 1u);
+    EXPECT_EQ(orders_received.size(), 1u);
 }
 
 // Guards against an invalid entry from another writer that stops all other
@@ -528,8 +530,8 @@
     free(packed);
     EXPECT_TRUE(IsDraining(old, "a"));
     EXPECT_NE(Fl_Find(old.fleet, "c"), nullptr);
-    // Its records are passed on completely, and the reported offset does not
-    // grow beyond the last change.
+    // The old host passes the fresh host's records on completely, and its
+    // reported offset does not grow beyond the last change.
     Node far = Start();
     far.client->down = true;
     len = Fe_PackState(old.feed, INT64_MAX, old_end, &packed);
@@ -564,8 +566,8 @@
     EXPECT_TRUE(IsDraining(old, "b"));
 }
 
-// The same for a host that lists again: a later page held a newer record than
-// one that the host had yet to read.
+// Guards against requests to a stopping endpoint when a host lists again: a
+// later page held a newer record than one that the host had yet to read.
 TEST_F(Feed, ARecordOfALaterPageIsNotTheEndOfTheListing)
 {
     store_.page = 1;
@@ -580,7 +582,7 @@
     }));
     node.client->down = true;
     store_.Put(AG_ENDPOINTS, "b", "ready");
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     store_.Put(AG_ENDPOINTS, "b", "ready");
     ASSERT_TRUE(UntilPage(reader, reader.client->pages + 2));
     store_.Put(AG_ENDPOINTS, "a", "draining");
@@ -616,7 +618,7 @@
     reader.client->down = true;
     store_.Remove(AG_ENDPOINTS, "a");
     store_.Put(AG_ENDPOINTS, "b", "ready");
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     Node fresh = Start();
     ASSERT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "b") != nullptr; }));
     store_.Put(AG_ENDPOINTS, "c", "ready");
@@ -677,8 +679,8 @@
 }
 
 // Guards against a live endpoint that is removed because a peer's state,
-// applied between two pages of a listing, does not hold all records listed
-// before.
+// applied between two pages of a listing, lacks some records of the pages
+// before it.
 TEST_F(Feed, APeersStateRemovesNoPageOfAListing)
 {
     store_.page = 1;
@@ -697,7 +699,7 @@
     reader.client->down = true;
     store_.Put(AG_ENDPOINTS, "c", "draining");
     ASSERT_TRUE(Until([&] { return IsDraining(peer, "c"); }));
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     reader.client->down = false;
     ASSERT_TRUE(UntilPage(reader, reader.client->pages + 2));
     Fetch(reader, peer);
@@ -732,7 +734,7 @@
     ASSERT_NE(Fl_Find(far.fleet, "b"), nullptr);
     store_.Remove(AG_ENDPOINTS, "b");
     store_.Put(AG_ENDPOINTS, "a", "draining");
-    store_.Forget(AG_ENDPOINTS);
+    store_.DropHistory(AG_ENDPOINTS);
     pauser.client->down = false;
     ASSERT_TRUE(Until([&] {
         const struct fl_endpoint *a = Fl_Find(pauser.fleet, "a");
@@ -780,7 +782,7 @@
     Node old = Start();
     ASSERT_TRUE(
         Until([&] { return Fe_ChangesEnd(old.feed, AG_ENDPOINTS) > 0; }));
-    others_known = others_read = true;
+    peers_known = peers_read = true;
     Node fresh = Start();
     ASSERT_TRUE(Until([&] { return Fl_HasEndpoints(fresh.fleet); }));
     Fetch(fresh, old);
@@ -794,7 +796,7 @@
     // The readers are gone: changes since the peer's state are read from the
     // store.
     store_.Remove(AG_ENDPOINTS, "k0");
-    others_read = false;
+    peers_read = false;
     EXPECT_TRUE(Until([&] { return Fl_Find(fresh.fleet, "k0") == nullptr; }));
     EXPECT_EQ(fresh.client->pages, 1);
 }
@@ -807,7 +809,7 @@
     for (int i = 0; i < 9; i++) {
         store_.Put(AG_ENDPOINTS, "k" + std::to_string(i), "ready");
     }
-    others_known = others_read = true;
+    peers_known = peers_read = true;
     Node node = Start();
     EXPECT_TRUE(Until([&] { return Fl_Find(node.fleet, "k8") != nullptr; }));
 }
--- a/packages/edge/test/fleet_test.cc
+++ b/packages/edge/test/fleet_test.cc
@@ -11,14 +11,14 @@
 namespace {
 
 struct fl_entry
-Entry(const char *id, int64_t born = 1)
+Entry(const char *id, int64_t started_ms = 1)
 {
     struct fl_entry entry = {};
     snprintf(entry.id, sizeof(entry.id), "%s", id);
     snprintf(entry.service, sizeof(entry.service), "llm");
     snprintf(entry.address, sizeof(entry.address), "127.0.0.1:9");
     entry.slots = 8;
-    entry.started_ms = born;
+    entry.started_ms = started_ms;
     return entry;
 }
 
@@ -105,8 +105,8 @@
     EXPECT_TRUE(Usable("a"));
 }
 
-// Guards against a restarted endpoint that keeps the health and counters of
-// the one before.
+// Guards against a restarted endpoint that keeps the health and counters from
+// before the restart.
 TEST_F(Fleet, ARestartedEndpointStartsAfresh)
 {
     struct fl_entry entry = Entry("a");
@@ -142,10 +142,10 @@
     const int64_t half_life = 10 * Ck_USEC_PER_SEC;
     struct fl_endpoint endpoint = {};
     He_Note(&endpoint, HE_FAILED, Ck_USEC_PER_SEC);
-    double failing = He_FailureRate(&endpoint, Ck_USEC_PER_SEC);
+    double failure_rate = He_FailureRate(&endpoint, Ck_USEC_PER_SEC);
     He_Note(&endpoint, HE_REFUSED, half_life);
     EXPECT_DOUBLE_EQ(He_FailureRate(&endpoint, Ck_USEC_PER_SEC + half_life),
-                     failing / 2);
+                     failure_rate / 2);
 }
 
 // Guards against requests to an evacuated data centre, even at an endpoint
--- a/packages/edge/test/plan_test.cc
+++ b/packages/edge/test/plan_test.cc
@@ -64,7 +64,7 @@
 }
 
 // Guards against an order for zero spot endpoints in a data centre without
-// spot capacity: it ends those that still run there.
+// spot capacity: the platform would stop those that still run there.
 TEST(Plan, AnUnavailableZoneKeepsItsSpotEndpoints)
 {
     Fixture f;
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -39,7 +39,7 @@
 // A kind of request: its cost in tokens and its fraction of the requests.
 struct Kind {
     double cost;
-    double part;
+    double fraction;
 };
 
 constexpr Kind kKinds[] = {
@@ -57,8 +57,8 @@
     Replay(size_t daemons, int64_t every_usec, double rate = kRate)
         : rate_(rate), every_(every_usec), tenants_(rate, rate),
           quotas_(daemons, nullptr),
-          reported_(daemons, std::vector<uint64_t>(daemons, 0)),
-          asked_(daemons, std::vector<uint64_t>(daemons, 0)),
+          reported_admitted_(daemons, std::vector<uint64_t>(daemons, 0)),
+          reported_requested_(daemons, std::vector<uint64_t>(daemons, 0)),
           unreachable_(daemons, std::vector<bool>(daemons, false))
     {
         Start(true);
@@ -82,8 +82,8 @@
             if (first) {
                 Qt_Configure(quotas_[i], tenants_.config);
             }
-            reported_[i].assign(reported_[i].size(), 0);
-            asked_[i].assign(asked_[i].size(), 0);
+            reported_admitted_[i].assign(reported_admitted_[i].size(), 0);
+            reported_requested_[i].assign(reported_requested_[i].size(), 0);
         }
     }
 
@@ -127,8 +127,8 @@
             Qt_Configure(quotas_[i], tenants_.config);
             Qt_RestoreUsage(quotas_[i], record_, recorded_);
             for (size_t j = 0; j < quotas_.size(); j++) {
-                reported_[i][j] = 0;
-                asked_[i][j] = 0;
+                reported_admitted_[i][j] = 0;
+                reported_requested_[i][j] = 0;
             }
         }
         past_receivers_ = with_reports ? some : 0;
@@ -181,7 +181,7 @@
     double
     HighestWindow() const
     {
-        double most = 0;
+        double highest = 0;
         double sum = 0;
         size_t first = 0;
         for (const Admitted &request : log) {
@@ -189,29 +189,29 @@
             while (request.at - log[first].at >= kWindow) {
                 sum -= log[first++].cost;
             }
-            most = std::max(most, sum);
+            highest = std::max(highest, sum);
         }
-        return most;
+        return highest;
     }
 
     // Counts requests from now on.
     void
     Recount()
     {
-        memset(asked, 0, sizeof(asked));
+        memset(requested, 0, sizeof(requested));
         memset(served, 0, sizeof(served));
     }
 
     double
-    ServedPart() const
+    ServedFraction() const
     {
         int all = 0;
-        int fine = 0;
+        int admitted = 0;
         for (size_t kind = 0; kind < kKindCount; kind++) {
-            all += asked[kind];
-            fine += served[kind];
+            all += requested[kind];
+            admitted += served[kind];
         }
-        return (double)fine / all;
+        return (double)admitted / all;
     }
 
     // The cost admitted in the last window.
@@ -226,15 +226,15 @@
     }
 
     std::vector<Admitted> log;
-    int asked[kKindCount] = {};
+    int requested[kKindCount] = {};
     int served[kKindCount] = {};
-    // Daemons that the customer's callers are connected to; 0: all.
+    // Number of daemons that the customer's callers connect to; 0: all.
     size_t callers = 0;
 
   private:
     struct Totals {
         uint64_t admitted;
-        uint64_t asked;
+        uint64_t requested;
     };
 
     void
@@ -242,13 +242,13 @@
     {
         double draw = unit_(random_);
         size_t kind = 0;
-        while (kind + 1 < kKindCount && draw > kKinds[kind].part) {
-            draw -= kKinds[kind++].part;
+        while (kind + 1 < kKindCount && draw > kKinds[kind].fraction) {
+            draw -= kKinds[kind++].fraction;
         }
         size_t reached = callers > 0 ? callers : quotas_.size();
         size_t daemon = (size_t)(unit_(random_) * (double)reached);
         int64_t wait;
-        asked[kind]++;
+        requested[kind]++;
         if (Qt_Take(quotas_[daemon], "acme", kKinds[kind].cost, &wait)) {
             served[kind]++;
             log.push_back({clock_.boot, kKinds[kind].cost});
@@ -294,28 +294,32 @@
             Totals now{0, 0};
             Qt_Each(
                 quotas_[i],
-                [](void *arg, uint32_t, uint64_t all, uint64_t wanted) {
-                    *static_cast<Totals *>(arg) = {all, wanted};
+                [](void *arg, uint32_t, uint64_t total,
+                   uint64_t total_requested) {
+                    *static_cast<Totals *>(arg) = {total, total_requested};
                 },
                 &now);
             uint64_t total = now.admitted;
             for (size_t j = 0; j < quotas_.size(); j++) {
                 bool reachable = (i < partition_at_) == (j < partition_at_);
-                if (j != i && reachable && now.asked > asked_[i][j]) {
-                    Qt_AddPeerDemand(quotas_[j], Qt_Hash("acme"),
-                                     (double)(now.asked - asked_[i][j]));
-                    asked_[i][j] = now.asked;
+                if (j != i && reachable &&
+                    now.requested > reported_requested_[i][j]) {
+                    Qt_AddPeerDemand(
+                        quotas_[j], Qt_Hash("acme"),
+                        (double)(now.requested - reported_requested_[i][j]));
+                    reported_requested_[i][j] = now.requested;
                 }
-                if (j == i || !reachable || total <= reported_[i][j]) {
+                if (j == i || !reachable ||
+                    total <= reported_admitted_[i][j]) {
                     continue;
                 }
                 if (unreachable_[i][j]) {
                     Qt_PeerReturned(quotas_[j]);
                 }
                 Qt_AddPeerUsage(quotas_[j], Qt_Hash("acme"),
-                                (double)(total - reported_[i][j]),
+                                (double)(total - reported_admitted_[i][j]),
                                 unreachable_[i][j]);
-                reported_[i][j] = total;
+                reported_admitted_[i][j] = total;
                 unreachable_[i][j] = false;
             }
         }
@@ -328,8 +332,8 @@
     int64_t every_;
     Tenants tenants_;
     std::vector<struct qt_quota *> quotas_;
-    std::vector<std::vector<uint64_t>> reported_;
-    std::vector<std::vector<uint64_t>> asked_;
+    std::vector<std::vector<uint64_t>> reported_admitted_;
+    std::vector<std::vector<uint64_t>> reported_requested_;
     std::vector<std::vector<bool>> unreachable_;
     size_t partition_at_ = 0;
     size_t past_receivers_ = 0;
@@ -368,7 +372,7 @@
     Replay replay(7, 100 * Ck_USEC_PER_MSEC);
     replay.Run(40 * Ck_USEC_PER_SEC, 3);
     auto share = [&](size_t kind) {
-        return (double)replay.served[kind] / replay.asked[kind];
+        return (double)replay.served[kind] / replay.requested[kind];
     };
     EXPECT_GE(share(0), share(1) * 0.8);
     EXPECT_GE(share(0), share(2) * 0.5);
@@ -396,8 +400,9 @@
 }
 
 /*
- * The same while the store is unavailable. There is no record then, and the
- * daemons may not refuse every request for that reason.
+ * Guards against a limit that is granted twice when all daemons die while the
+ * store is unavailable, and against refusing every request because there is no
+ * record.
  */
 TEST(QuotaReplay, WithoutARecordTheWindowCountsAsFull)
 {
@@ -427,7 +432,7 @@
     replay.RestartAll(700 * Ck_USEC_PER_MSEC);
     replay.Recount();
     replay.Run(8 * Ck_USEC_PER_SEC, 0.5);
-    EXPECT_GE(replay.ServedPart(), 0.95);
+    EXPECT_GE(replay.ServedFraction(), 0.95);
 }
 
 /*
@@ -460,7 +465,7 @@
     replay.Run(Ck_USEC_PER_SEC, 0.6);
     replay.Recount();
     replay.Run(7 * Ck_USEC_PER_SEC, 0.6);
-    EXPECT_GE(replay.ServedPart(), 0.99);
+    EXPECT_GE(replay.ServedFraction(), 0.99);
 }
 
 /*
@@ -494,7 +499,7 @@
         replay.Run(10 * Ck_USEC_PER_SEC, 0.55);
         replay.Recount();
         replay.Run(20 * Ck_USEC_PER_SEC, 0.55);
-        EXPECT_GE(replay.ServedPart(), 0.99) << rate;
+        EXPECT_GE(replay.ServedFraction(), 0.99) << rate;
     }
 }
 
@@ -529,7 +534,7 @@
 {
     for (double part : {0.18, 0.35, 0.6}) {
         for (int64_t before : {500, 1500}) {
-            double most[2];
+            double highest[2];
             double served[2];
             for (bool with_reports : {false, true}) {
                 Replay replay(69, 500 * Ck_USEC_PER_MSEC, kLargeRate);
@@ -540,15 +545,15 @@
                                    with_reports);
                 replay.Recount();
                 replay.Run(11 * Ck_USEC_PER_SEC, 3);
-                most[with_reports] =
+                highest[with_reports] =
                     replay.HighestWindow() / Bound(kLargeRate);
-                served[with_reports] = replay.ServedPart();
+                served[with_reports] = replay.ServedFraction();
             }
             printf("%.2f of 69 killed after %lld ms: %.3f of the bound and "
                    "%.3f served, with reports %.3f and %.3f\n",
-                   part, (long long)before, most[0], served[0], most[1],
+                   part, (long long)before, highest[0], served[0], highest[1],
                    served[1]);
-            EXPECT_LE(most[1], 1) << part << " " << before;
+            EXPECT_LE(highest[1], 1) << part << " " << before;
         }
     }
 }
--- a/packages/edge/test/quota_test.cc
+++ b/packages/edge/test/quota_test.cc
@@ -22,15 +22,15 @@
     return taken;
 }
 
-struct Seen {
+struct Reported {
     uint64_t total = 0;
 };
 
 void
-Note(void *arg, uint32_t tenant, uint64_t total, uint64_t)
+RecordTotal(void *arg, uint32_t tenant, uint64_t total, uint64_t)
 {
     (void)tenant;
-    static_cast<Seen *>(arg)->total = total;
+    static_cast<Reported *>(arg)->total = total;
 }
 
 // Guards against a tenant that gets its quota once for each host. What other
@@ -44,11 +44,11 @@
     Qt_Configure(here, tenants.config);
     Qt_Configure(there, tenants.config);
     EXPECT_DOUBLE_EQ(TakeAll(here, 100), kBurst);
-    Seen seen;
-    Qt_Each(here, Note, &seen);
-    EXPECT_EQ(seen.total, 1000u);
-    Qt_AddPeerUsage(there, Qt_Hash("acme"), static_cast<double>(seen.total),
-                    false);
+    Reported reported;
+    Qt_Each(here, RecordTotal, &reported);
+    EXPECT_EQ(reported.total, 1000u);
+    Qt_AddPeerUsage(there, Qt_Hash("acme"),
+                    static_cast<double>(reported.total), false);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), 0);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), kRate);
@@ -186,19 +186,19 @@
 
 // Guards against a service that gets twice its load because every failed
 // request is sent to a second endpoint while all endpoints fail.
-TEST(Budget, RepeatsAreAFractionOfRequests)
+TEST(Budget, RetriesAreAFractionOfRequests)
 {
     FakeClock clock;
     struct bu_budget *budget =
         Bu_Create(&clock.clock, 0.2, 0, 10 * Ck_USEC_PER_SEC);
-    int repeats = 0;
+    int retries = 0;
     for (int i = 0; i < 1000; i++) {
         Bu_CountFirst(budget, "llm");
-        repeats += Bu_TakeRetry(budget, "llm");
+        retries += Bu_TakeRetry(budget, "llm");
         clock.Advance(5 * Ck_USEC_PER_MSEC);
     }
-    EXPECT_GT(repeats, 50);
-    EXPECT_LE(repeats, 200);
+    EXPECT_GT(retries, 50);
+    EXPECT_LE(retries, 200);
     Bu_Destroy(budget);
 }
 
@@ -210,14 +210,14 @@
     struct bu_budget *budget =
         Bu_Create(&clock.clock, 0, 70, 10 * Ck_USEC_PER_SEC);
     Bu_SetHosts(budget, 7);
-    int repeats = 0;
+    int retries = 0;
     while (Bu_CanRetry(budget, "llm")) {
         ASSERT_TRUE(Bu_TakeRetry(budget, "llm"));
-        repeats++;
+        retries++;
     }
     EXPECT_FALSE(Bu_TakeRetry(budget, "llm"));
-    EXPECT_GT(repeats, 0);
-    EXPECT_LE(repeats, 10);
+    EXPECT_GT(retries, 0);
+    EXPECT_LE(retries, 10);
     clock.Advance(11 * Ck_USEC_PER_SEC);
     EXPECT_TRUE(Bu_TakeRetry(budget, "llm"));
     Bu_Destroy(budget);
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -108,9 +108,9 @@
                     continue;
                 }
                 Ro_AddPeerOutcomes(tables_[i], rows[j].data(), rows[j].size());
-                struct ro_status standing;
-                if (Ro_Statuses(tables_[j], &standing, 1) == 1) {
-                    Ro_ApplyStatus(tables_[i], &standing, j == 0);
+                struct ro_status status;
+                if (Ro_Statuses(tables_[j], &status, 1) == 1) {
+                    Ro_ApplyStatus(tables_[i], &status, j == 0);
                 }
             }
         }
@@ -193,7 +193,7 @@
 }
 
 // Guards against counting answers on each host alone: no host saw enough of
-// them to detect the fault, and callers failed for the whole move.
+// them to detect the fault, and requests failed for the whole move.
 TEST_F(Move, ABadVersionIsRolledBackOnSummedCounts)
 {
     Start(80, 12);
@@ -207,7 +207,8 @@
         << new_version_requests_ << " of " << requests_;
 }
 
-// The version answers correctly but several times slower.
+// Guards against a new version that answers correctly but several times
+// slower.
 TEST_F(Move, ASlowVersionIsRolledBack)
 {
     Start(7, 12);
@@ -218,7 +219,8 @@
         << new_version_requests_ << " of " << requests_;
 }
 
-// One route fails with the new version, too rarely to show in the totals.
+// Guards against a new version that fails on one route only, too rarely to
+// show in the totals.
 TEST_F(Move, AFaultOnOneRouteIsDetected)
 {
     Start(7, 20);
--- a/packages/edge/test/zones_test.cc
+++ b/packages/edge/test/zones_test.cc
@@ -28,7 +28,7 @@
     }
 
     void
-    Summary(uint64_t reporter, uint64_t total, int64_t up_usec)
+    ApplySummary(uint64_t reporter, uint64_t total, int64_t up_usec)
     {
         memset(&message_, 0, sizeof(message_));
         strcpy(message_.zone, "dc-b");
@@ -38,11 +38,11 @@
         message_.usage[0] = {kTenant, total, 2 * total};
         message_.load_count = 1;
         message_.loads[0] = {1, (int)reporter, 0};
-        Zn_ApplySummary(zones_, &message_, Note, &charged_);
+        Zn_ApplySummary(zones_, &message_, OnUsage, &charged_);
     }
 
     static void
-    Note(void *arg, const struct ms_usage *more)
+    OnUsage(void *arg, const struct ms_usage *more)
     {
         Charged *charged = static_cast<Charged *>(arg);
         charged->total += more->total;
@@ -59,9 +59,9 @@
 // that has just started.
 TEST_F(Zones, FirstSummaryIsTheBaseline)
 {
-    Summary(1, 1000, 10);
+    ApplySummary(1, 1000, 10);
     EXPECT_EQ(0u, charged_.total);
-    Summary(1, 1200, 20);
+    ApplySummary(1, 1200, 20);
     EXPECT_EQ(200u, charged_.total);
     EXPECT_EQ(400u, charged_.asked);
 }
@@ -69,10 +69,10 @@
 // Guards against charging usage twice when two daemons report one data centre.
 TEST_F(Zones, OneReporterIsUsedAtATime)
 {
-    Summary(1, 1000, 10);
-    Summary(2, 5000, 10);
-    Summary(1, 1100, 20);
-    Summary(2, 5100, 20);
+    ApplySummary(1, 1000, 10);
+    ApplySummary(2, 5000, 10);
+    ApplySummary(1, 1100, 20);
+    ApplySummary(2, 5100, 20);
     EXPECT_EQ(100u, charged_.total);
 }
 
@@ -80,15 +80,15 @@
 // charged once its reporter has died.
 TEST_F(Zones, AnotherReporterTakesOver)
 {
-    Summary(1, 1000, 10);
-    Summary(2, 5000, 10);
+    ApplySummary(1, 1000, 10);
+    ApplySummary(2, 5000, 10);
     clock_.Advance(2 * Ck_USEC_PER_SEC);
     EXPECT_FALSE(Zn_IsReported(zones_, "dc-b"));
-    Summary(2, 5300, 20);
+    ApplySummary(2, 5300, 20);
     EXPECT_TRUE(Zn_IsReported(zones_, "dc-b"));
     EXPECT_EQ(300u, charged_.total);
-    Summary(3, 9000, 10);
-    Summary(2, 5400, 30);
+    ApplySummary(3, 9000, 10);
+    ApplySummary(2, 5400, 30);
     EXPECT_EQ(400u, charged_.total);
 }
 
@@ -96,13 +96,13 @@
 // summary of one reporter and the takeover by the next is never charged.
 TEST_F(Zones, UsageReportedBeforeATakeoverIsCharged)
 {
-    Summary(1, 1000, 10);
-    Summary(2, 5000, 10);
-    Summary(1, 1100, 20);
+    ApplySummary(1, 1000, 10);
+    ApplySummary(2, 5000, 10);
+    ApplySummary(1, 1100, 20);
     EXPECT_EQ(100u, charged_.total);
     for (int i = 1; i <= 4; i++) {
         clock_.Advance(Ck_USEC_PER_SEC / 2);
-        Summary(2, 5000 + 100 * (uint64_t)i, 10 + i);
+        ApplySummary(2, 5000 + 100 * (uint64_t)i, 10 + i);
     }
     EXPECT_EQ(500u, charged_.total);
 }
@@ -111,18 +111,18 @@
 // the two would be charged again.
 TEST_F(Zones, ALateSummaryIsDropped)
 {
-    Summary(1, 1000, 10);
-    Summary(1, 1500, 30);
-    Summary(1, 1200, 20);
-    Summary(1, 1600, 40);
+    ApplySummary(1, 1000, 10);
+    ApplySummary(1, 1500, 30);
+    ApplySummary(1, 1200, 20);
+    ApplySummary(1, 1600, 40);
     EXPECT_EQ(600u, charged_.total);
 }
 
 // Guards against using the loads of a data centre that no longer reports.
 TEST_F(Zones, LoadsAreThoseOfTheCurrentReporter)
 {
-    Summary(1, 1000, 10);
-    Summary(2, 1000, 10);
+    ApplySummary(1, 1000, 10);
+    ApplySummary(2, 1000, 10);
     auto sum = [](void *arg, const struct ms_load *load, int64_t) {
         *static_cast<int *>(arg) += load->requests;
     };
