--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -61,7 +61,7 @@
 
 RB_GENERATE(record_tree, cached, link, fe_compare);
 
-static void step(void *arg);
+static void on_timer(void *arg);
 
 struct cached *
 fe_find(struct reader *reader, const char *key)
@@ -451,7 +451,7 @@
 }
 
 static void
-step(void *arg)
+on_timer(void *arg)
 {
     struct reader *reader = arg;
     struct fe_feed *feed = reader->feed;
@@ -521,7 +521,7 @@
     reader->next_offset = -1;
     reader->changes_end = -1;
     RB_INIT(&reader->records);
-    reader->timer = Lp_TimerCreate(feed->options.loop, step, reader);
+    reader->timer = Lp_TimerCreate(feed->options.loop, on_timer, reader);
     if (reader->timer == NULL) {
         return false;
     }
--- a/packages/edge/feed_internal.h
+++ b/packages/edge/feed_internal.h
@@ -44,7 +44,7 @@
     bool state_applied;  /* a full state from a peer was applied */
     int64_t first_page_at; /* of the first listing */
     int64_t listed_at;
-    int64_t listing_end;
+    int64_t listing_end;         /* end of the topic when the listing began */
     int64_t listing_changes_end; /* offset behind the last change listed */
     int64_t answered_at;
     bool reading;          /* a call to the store is in progress */
--- a/packages/edge/leader.c
+++ b/packages/edge/leader.c
@@ -267,11 +267,11 @@
 
 /*
  * A lease counts from before its renewal was sent, and this daemon sees the
- * renewal later.  So the lease is free once the log has not changed for a
- * whole lease, as seen here.  If the log still ends at the record for which
- * the holder announced the lease's end, the lease is free at that end: a later
- * renewal would have moved the log's end, and the append succeeds only if it
- * has not moved.
+ * renewal later.  So the lease is free once this daemon has not seen the
+ * log change for the whole duration of a lease.  If the log still ends at the
+ * record for which the holder announced the lease's end, the lease is free at
+ * that end: a later renewal would have moved the log's end, and the append
+ * succeeds only if it has not moved.
  */
 static bool
 is_lease_free(const struct lr_lease *lease, int64_t rank_delay)
--- a/packages/edge/leader_internal.h
+++ b/packages/edge/leader_internal.h
@@ -26,6 +26,7 @@
     struct lr_usage usages[Lr_WINDOWS];
     size_t need_count;
     struct lr_need needs[Lr_NEEDS_MAX];
+    /* recent usage of tenants */
     size_t recent_count; /* for the next renewal */
     struct qt_recent recent[Qt_RECENT_MAX];
     size_t recorded_count; /* in this daemon's last record */
--- a/packages/edge/mesh_codec.c
+++ b/packages/edge/mesh_codec.c
@@ -33,7 +33,7 @@
 }
 
 /*
- * The index of a tenant's row in "spent", or the tenant's hash if it has none.
+ * The index of a tenant's row in "usage", or the tenant's hash if it has none.
  */
 static uint32_t
 tenant_row(const struct ms_message *message, uint32_t tenant)
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -8,7 +8,7 @@
 /* The timeout is at least this many intervals between messages. */
 #define Ms_ALIVE_INTERVALS 5
 /*
- * A shorter timeout, where another daemon can take over at once; two lost
+ * The timeout is shorter where another daemon can take over at once. Two lost
  * messages in a row are rare.
  */
 #define Ms_RECENT_USEC (500 * Ck_USEC_PER_MSEC)
--- a/packages/edge/mesh_schedule.c
+++ b/packages/edge/mesh_schedule.c
@@ -1,6 +1,6 @@
 /*
- * Decides when a message is due and to which peer. Does no input or output;
- * depends only on the clock and on random numbers.
+ * Decides when a message is due and to which peer. The functions do no input
+ * or output and depend only on the clock and on random numbers.
  */
 #include "base/hash.h"
 #include "edge/mesh_internal.h"
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -13,7 +13,8 @@
  * A daemon that reaches at least this fraction of the hosts uses the whole
  * rate; below that, two sides of a network partition share it. A few
  * unreachable hosts of many are more likely late messages than a partition,
- * and what they may spend is within the tenth that the bound allows.
+ * and what they may spend is within the tenth by which the bound exceeds a
+ * limit.
  */
 #define Pe_FULL_RATE_MIN_SHARE 0.95
 /*
--- a/packages/edge/plan.c
+++ b/packages/edge/plan.c
@@ -228,8 +228,8 @@
  * available, spot endpoints that are reclaimed cannot be replaced by others,
  * and on-demand endpoints take seconds to start, so they are ordered before
  * the reclaim.  If several data centres were reclaimed, as many more may
- * follow: two, and two more within eight seconds, left a service with 5 of 30
- * endpoints until on-demand endpoints had started.
+ * follow: the reclaim of two, and of two more within eight seconds, left a
+ * service with 5 of 30 endpoints until on-demand endpoints had started.
  */
 static int
 spot_at_risk(const struct pn_service *service, const struct pn_zone *zones,
@@ -328,10 +328,10 @@
 }
 
 /*
- * On-demand endpoints that fill every data centre to its limit would block the
- * spot endpoints that should replace them for good.  They are replaced step by
- * step, so that the number of serving endpoints falls by at most one step at a
- * time.
+ * On-demand endpoints that fill every data centre to its limit would
+ * permanently block the spot endpoints that should replace them.  They are
+ * replaced step by step, so that the number of serving endpoints falls by at
+ * most one step at a time.
  */
 static void
 make_spot_room(const struct pn_service *service, const struct pn_zone *zones,
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -6,10 +6,11 @@
  * Each daemon keeps a token bucket and a sliding window for every tenant. A
  * cost that this daemon admits is charged at once. A cost that a peer admits
  * is charged when the peer reports it, as a counter that only rises, so a
- * report may be lost or repeated. The slack that the bound allows covers the
- * delay of these reports. Peers that cannot be reached may be on the other
- * side of a network partition and still admit requests, so the daemons that
- * reach each other use only their share of the rate.
+ * report may be lost or repeated. The required bound on what a tenant spends
+ * allows some slack over the limit, which covers the delay of these reports.
+ * Peers that cannot be reached may be on the other side of a network partition
+ * and still admit requests, so the daemons that reach each other use only
+ * their share of the rate.
  */
 #ifndef EDGE_QUOTA_H
 #define EDGE_QUOTA_H
--- a/packages/edge/quota_peers.c
+++ b/packages/edge/quota_peers.c
@@ -37,18 +37,18 @@
  * that were left, so those tokens are reserved.
  */
 static void
-reserve_for_unreachable(struct qt_bucket *bucket, double part)
+reserve_for_unreachable(struct qt_bucket *bucket, double fraction)
 {
     if (bucket->level > 0) {
-        bucket->level *= 1 - part;
+        bucket->level *= 1 - fraction;
     }
     if (bucket->window.step_usec == 0) {
         return;
     }
     double room = qt_window_room(bucket);
     if (room > 0) {
-        Wn_Spend(&bucket->window, room * part);
-        bucket->window_reserve += room * part;
+        Wn_Spend(&bucket->window, room * fraction);
+        bucket->window_reserve += room * fraction;
     }
 }
 
--- a/packages/edge/quota_take.c
+++ b/packages/edge/quota_take.c
@@ -60,9 +60,9 @@
             fmin(bucket->cost_deviation * Qt_SMALL_DEVIATIONS,
                  qt_window_limit(quota, bucket) * quota->share *
                      Qt_SMALL_RESERVE_LIMITS);
-        double part =
+        double fraction =
             fmin(cost / (bucket->mean_cost * Qt_SMALL_MEAN_COSTS), 1);
-        need = part * (bucket->mean_cost + small_reserve);
+        need = fraction * (bucket->mean_cost + small_reserve);
     }
     /* One request may cost more than a bucket can ever hold. */
     return fmin(need, bucket_max);
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -70,7 +70,7 @@
 
 /*
  * The lowest bit tells rows of slow answers from rows of failures.  Daemons
- * that do not use the bit see one more route.
+ * that do not know the bit take such a row for one more route.
  */
 uint32_t
 Ro_RowKey(const char *route, bool slow)
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -113,7 +113,7 @@
     char value[Ec_NAME_MAX * 4];
 };
 
-/* Decodes records written by others, whose format the adapter knows. */
+/* Decodes records of other programs, whose format the adapter knows. */
 struct ag_codec {
     /* NULL: not a valid configuration. */
     struct ec_config *(*config)(const void *data, size_t len);
--- a/packages/edge/test/mesh_test.cc
+++ b/packages/edge/test/mesh_test.cc
@@ -77,8 +77,8 @@
         }
     }
 
-    // Lets one host read a change. Others fetch it on the first message that
-    // reports it.
+    // Lets one host read a change. The other hosts fetch it on the first
+    // message that reports it.
     void
     Update(size_t host, int64_t number)
     {
--- a/packages/edge/test/quota_replay_test.cc
+++ b/packages/edge/test/quota_replay_test.cc
@@ -54,8 +54,8 @@
 
 class Replay {
   public:
-    Replay(size_t daemons, int64_t every_usec, double rate = kRate)
-        : rate_(rate), every_(every_usec), tenants_(rate, rate),
+    Replay(size_t daemons, int64_t interval_usec, double rate = kRate)
+        : rate_(rate), interval_usec_(interval_usec), tenants_(rate, rate),
           quotas_(daemons, nullptr),
           reported_admitted_(daemons, std::vector<uint64_t>(daemons, 0)),
           reported_requested_(daemons, std::vector<uint64_t>(daemons, 0)),
@@ -78,7 +78,7 @@
             Qt_Destroy(quotas_[i]);
             quotas_[i] = Qt_Create(&clock_.clock, first);
             Qt_SetWindow(quotas_[i], kWindow);
-            Qt_SetPeers(quotas_[i], 0, every_);
+            Qt_SetPeers(quotas_[i], 0, interval_usec_);
             if (first) {
                 Qt_Configure(quotas_[i], tenants_.config);
             }
@@ -91,7 +91,7 @@
     void
     Record()
     {
-        recorded_ = Qt_RecentUsage(quotas_[0], record_);
+        record_count_ = Qt_RecentUsage(quotas_[0], record_);
     }
 
     // All daemons die and start again after "down"; the last record survives.
@@ -105,9 +105,9 @@
             Qt_SetShare(quota, 1.0 / (double)quotas_.size());
             Qt_Configure(quota, tenants_.config);
         }
-        shares_at_ = clock_.boot + 2 * every_;
+        shares_at_ = clock_.boot + 2 * interval_usec_;
         for (struct qt_quota *quota : quotas_) {
-            Qt_RestoreUsage(quota, record_, recorded_);
+            Qt_RestoreUsage(quota, record_, record_count_);
         }
     }
 
@@ -117,21 +117,21 @@
     void
     RestartSome(double part, int64_t down, double load, bool with_reports)
     {
-        size_t some = (size_t)((double)quotas_.size() * part);
+        size_t restarted = (size_t)((double)quotas_.size() * part);
         Run(down, load);
-        for (size_t i = 0; i < some; i++) {
+        for (size_t i = 0; i < restarted; i++) {
             Qt_Destroy(quotas_[i]);
             quotas_[i] = Qt_Create(&clock_.clock, false);
             Qt_SetWindow(quotas_[i], kWindow);
-            Qt_SetPeers(quotas_[i], 0, every_);
+            Qt_SetPeers(quotas_[i], 0, interval_usec_);
             Qt_Configure(quotas_[i], tenants_.config);
-            Qt_RestoreUsage(quotas_[i], record_, recorded_);
+            Qt_RestoreUsage(quotas_[i], record_, record_count_);
             for (size_t j = 0; j < quotas_.size(); j++) {
                 reported_admitted_[i][j] = 0;
                 reported_requested_[i][j] = 0;
             }
         }
-        past_receivers_ = with_reports ? some : 0;
+        past_receivers_ = with_reports ? restarted : 0;
     }
 
     // Partitions the first "part" of the daemons off. Each side adjusts its
@@ -140,7 +140,7 @@
     Partition(double part)
     {
         partition_at_ = (size_t)((double)quotas_.size() * part);
-        shares_at_ = clock_.boot + 2 * every_;
+        shares_at_ = clock_.boot + 2 * interval_usec_;
     }
 
     // Ends the partition.
@@ -154,7 +154,7 @@
             }
         }
         partition_at_ = 0;
-        shares_at_ = clock_.boot + every_;
+        shares_at_ = clock_.boot + interval_usec_;
     }
 
     // Sends requests for "load" times the limit's rate to random daemons.
@@ -262,7 +262,8 @@
         for (size_t i = 0; i < quotas_.size(); i++) {
             double share = i < partition_at_ ? first : 1 - first;
             size_t reachable = (size_t)(share * (double)quotas_.size() + 0.5);
-            Qt_SetPeers(quotas_[i], quotas_.size() - reachable, every_);
+            Qt_SetPeers(quotas_[i], quotas_.size() - reachable,
+                        interval_usec_);
             Qt_SetShare(quotas_[i], share);
         }
     }
@@ -287,7 +288,7 @@
     {
         int64_t step = clock_.boot / kStep;
         for (size_t i = 0; i < quotas_.size(); i++) {
-            if ((step + (int64_t)i * 7) % (every_ / kStep) != 0) {
+            if ((step + (int64_t)i * 7) % (interval_usec_ / kStep) != 0) {
                 continue;
             }
             ReportPast(i);
@@ -327,9 +328,9 @@
 
     FakeClock clock_;
     struct qt_recent record_[Qt_RECENT_MAX];
-    size_t recorded_ = 0;
+    size_t record_count_ = 0;
     double rate_;
-    int64_t every_;
+    int64_t interval_usec_;
     Tenants tenants_;
     std::vector<struct qt_quota *> quotas_;
     std::vector<std::vector<uint64_t>> reported_admitted_;
@@ -476,8 +477,8 @@
 TEST(QuotaReplay, APartitionAndItsEndGrantNothingTwice)
 {
     for (size_t daemons : {7, 91}) {
-        int64_t every = daemons == 7 ? 100 : 750;
-        Replay replay(daemons, every * Ck_USEC_PER_MSEC, kLargeRate);
+        int64_t interval_ms = daemons == 7 ? 100 : 750;
+        Replay replay(daemons, interval_ms * Ck_USEC_PER_MSEC, kLargeRate);
         replay.Run(10 * Ck_USEC_PER_SEC, 0.5);
         replay.Partition(0.35);
         replay.Run(6 * Ck_USEC_PER_SEC, 0.5);
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -232,8 +232,9 @@
         << new_version_requests_ << " of " << requests_;
 }
 
-// The version fails only once it has all requests.  Most of the duration has
-// passed by then, and the requests until the rollback must fit the limit.
+// Guards against a fault of the new version that shows only once it has all
+// requests.  Most of the duration has passed by then, and the requests until
+// the rollback must stay within the limit.
 TEST_F(Move, AFaultAtFullShareStaysWithinTheBound)
 {
     Start(7, 12);
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -187,9 +187,9 @@
  * Two reporters have counted since different times, so only one is used at a
  * time. The first summary of a new reporter is its baseline; only the increase
  * from there on is charged. When the current reporter stops, the other takes
- * over a second and a half later. What it reported in that time is then
- * charged, or a customer at its limit would get that much of the data centre's
- * usage again.
+ * over a second and a half later. What the other reported in that time is
+ * then charged; otherwise a customer at its limit would get that much of the
+ * data centre's usage again.
  */
 void
 Zn_ApplySummary(struct zn_zones *zones, const struct ms_message *summary,
