--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -79,8 +79,8 @@
     double failure_rate; /* fraction of recent answers that failed, 0 to 1 */
     double first_byte_usec; /* recent time to the first byte */
     int64_t ejected_until;
-    int64_t
-        silence_since; /* start of its last unresponsive period; 0: never */
+    /* start of its last unresponsive period; 0: never */
+    int64_t silence_since;
     int64_t answered_at;
     int64_t last_outcome_at; /* end of the last request, successful or not */
     int64_t last_first_byte_at; /* time of the last first byte; 0: none */
