--- a/packages/edge/feed_internal.h
+++ b/packages/edge/feed_internal.h
@@ -44,7 +44,7 @@
     bool state_applied;  /* a full state from a peer was applied */
     int64_t first_page_at; /* of the first listing */
     int64_t listed_at;
-    int64_t listing_end;
+    int64_t listing_end;         /* end of the topic when the listing began */
     int64_t listing_changes_end; /* offset behind the last change listed */
     int64_t answered_at;
     bool reading;          /* a call to the store is in progress */
@@ -98,8 +98,8 @@
                          const struct ag_result *result);
 int64_t fe_max(int64_t a, int64_t b);
 /*
- * Note the outcome of a call to the store, which determines when the next one
- * is made.
+ * Note the outcome of a call to the store, on which the time of the next call
+ * depends.
  */
 void fe_note_success(struct reader *reader);
 void fe_note_failure(struct reader *reader);
--- a/packages/edge/quota.h
+++ b/packages/edge/quota.h
@@ -6,10 +6,11 @@
  * Each daemon keeps a token bucket and a sliding window for every tenant. A
  * cost that this daemon admits is charged at once. A cost that a peer admits
  * is charged when the peer reports it, as a counter that only rises, so a
- * report may be lost or repeated. The slack that the bound allows covers the
- * delay of these reports. Peers that cannot be reached may be on the other
- * side of a network partition and still admit requests, so the daemons that
- * reach each other use only their share of the rate.
+ * report may be lost or repeated. The required bound on what a tenant spends
+ * allows some slack over the limit, which covers the delay of these reports.
+ * Peers that cannot be reached may be on the other side of a network partition
+ * and still admit requests, so the daemons that reach each other use only
+ * their share of the rate.
  */
 #ifndef EDGE_QUOTA_H
 #define EDGE_QUOTA_H
@@ -32,8 +33,11 @@
 struct qt_recent {
     struct wn_past past;
     uint32_t tenant;
-    bool near_limit; /* more than half of the window's limit was spent in the
-                   newer half; not recorded */
+    /*
+     * Whether more than half of the window's limit was spent in its newer
+     * half; not recorded.
+     */
+    bool near_limit;
 };
 
 struct qt_quota;
@@ -77,10 +81,10 @@
 struct qt_usage Qt_Usage(struct qt_quota *quota, const char *tenant);
 /*
  * Calls "fn" for each tenant with the costs that this daemon has admitted
- * ("total") and was asked for ("asked") since its start.
+ * ("total") and of all requests for it ("requested") since its start.
  */
 typedef void (*qt_each_fn)(void *arg, uint32_t tenant, uint64_t total,
-                           uint64_t asked);
+                           uint64_t requested);
 void Qt_Each(const struct qt_quota *quota, qt_each_fn fn, void *arg);
 /* Adds the cost of requests that callers sent to a peer, admitted or not. */
 void Qt_AddPeerDemand(struct qt_quota *quota, uint32_t tenant, double cost);
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -25,7 +25,7 @@
     AG_ENDPOINTS,   /* keyed; written by endpoints */
     AG_HOSTS,       /* keyed; addresses of daemons, by name */
     AG_STATUS,      /* keyed; written for operators */
-    AG_DUTY,        /* a log; leases and agreed usage */
+    AG_DUTY,        /* a log; leases and recorded usage */
     AG_QUARANTINES, /* keyed; prompt prefixes that are blocked */
     AG_TOPICS,
 };
@@ -113,7 +113,7 @@
     char value[Ec_NAME_MAX * 4];
 };
 
-/* Decodes records written by others, whose format the adapter knows. */
+/* Decodes records of other programs, whose format the adapter knows. */
 struct ag_codec {
     /* NULL: not a valid configuration. */
     struct ec_config *(*config)(const void *data, size_t len);
