--- a/packages/config/build.c
+++ b/packages/config/build.c
@@ -46,20 +46,20 @@
     return strcmp(*x, *y);
 }
 
-/* Makes room for what all parts hold together; the lists are still empty. */
+/* Allocates lists that hold the entries of all sections; counts stay 0. */
 static enum st_status
-reserve(const struct cf_part *const *parts, size_t count,
-        struct cf_config *config)
+alloc_lists(const struct cf_parsed_section *const *parsed, size_t count,
+            struct cf_config *config)
 {
     size_t data_centres = 1;
     size_t teams = 1;
     size_t customers = 1;
     size_t services = 1;
     for (size_t i = 0; i < count; i++) {
-        data_centres += parts[i]->data_centre_count;
-        teams += parts[i]->team_count;
-        customers += parts[i]->customer_count;
-        services += parts[i]->service_count;
+        data_centres += parsed[i]->data_centre_count;
+        teams += parsed[i]->team_count;
+        customers += parsed[i]->customer_count;
+        services += parsed[i]->service_count;
     }
     config->data_centres = calloc(data_centres, sizeof(struct cf_data_centre));
     config->teams = calloc(teams, sizeof(struct cf_team));
@@ -86,17 +86,17 @@
 }
 
 static void
-add_part(struct cf_config *config, const struct cf_part *part)
+add_section(struct cf_config *config, const struct cf_parsed_section *section)
 {
     add_list(config->data_centres, &config->data_centre_count,
-             part->data_centres, part->data_centre_count,
+             section->data_centres, section->data_centre_count,
              sizeof(struct cf_data_centre));
-    add_list(config->teams, &config->team_count, part->teams, part->team_count,
-             sizeof(struct cf_team));
-    add_list(config->customers, &config->customer_count, part->customers,
-             part->customer_count, sizeof(struct cf_customer));
-    add_list(config->services, &config->service_count, part->services,
-             part->service_count, sizeof(struct cf_service));
+    add_list(config->teams, &config->team_count, section->teams,
+             section->team_count, sizeof(struct cf_team));
+    add_list(config->customers, &config->customer_count, section->customers,
+             section->customer_count, sizeof(struct cf_customer));
+    add_list(config->services, &config->service_count, section->services,
+             section->service_count, sizeof(struct cf_service));
 }
 
 static void
@@ -112,9 +112,9 @@
           service_by_name);
 }
 
-/* Sorts the texts and returns one that stands twice, or NULL. */
+/* Sorts the texts and returns one that occurs twice, or NULL. */
 static const char *
-find_twice(const char **texts, size_t count)
+find_duplicate(const char **texts, size_t count)
 {
     qsort(texts, count, sizeof(texts[0]), pointer_by_text);
     for (size_t i = 1; i < count; i++) {
@@ -126,29 +126,31 @@
 }
 
 /*
- * Names that must be unlike across all sections.  A key that stands twice
- * would hand one customer's limits and answers to another.
+ * Checks that customer names, key digests and prefixes are unique across all
+ * sections.  If two customers had the same key, one of them would get the
+ * limits and the answers of the other.
  */
 static enum st_status
 check_unique(const struct cf_config *config)
 {
-    size_t most = config->team_count + config->customer_count +
-                  config->service_count + 1;
-    const char **texts = calloc(most, sizeof(texts[0]));
+    size_t max_count = config->team_count + config->customer_count +
+                       config->service_count + 1;
+    const char **texts = calloc(max_count, sizeof(texts[0]));
     if (texts == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory to check %zu names", most);
+        return St_Fail(ST_NO_MEMORY, "no memory to check %zu names",
+                       max_count);
     }
     enum st_status status = ST_OK;
     size_t n = 0;
     for (size_t i = 0; i < config->customer_count; i++) {
         texts[n++] = config->customers[i].name;
     }
-    const char *twice = find_twice(texts, n);
-    if (twice != NULL) {
+    const char *duplicate = find_duplicate(texts, n);
+    if (duplicate != NULL) {
         status = St_Fail(ST_INVALID,
                          "the customer %s stands in two sections: rename one "
                          "of them",
-                         twice);
+                         duplicate);
         goto out;
     }
     n = 0;
@@ -158,12 +160,12 @@
     for (size_t i = 0; i < config->team_count; i++) {
         texts[n++] = config->teams[i].key_digest;
     }
-    twice = find_twice(texts, n);
-    if (twice != NULL) {
+    duplicate = find_duplicate(texts, n);
+    if (duplicate != NULL) {
         status = St_Fail(ST_INVALID,
                          "the key digest %s is used twice: make a key of its "
                          "own for each with 'cornelctl key NAME'",
-                         twice);
+                         duplicate);
         goto out;
     }
     n = 0;
@@ -172,12 +174,12 @@
             texts[n++] = config->services[i].prefix;
         }
     }
-    twice = find_twice(texts, n);
-    if (twice != NULL) {
+    duplicate = find_duplicate(texts, n);
+    if (duplicate != NULL) {
         status = St_Fail(ST_INVALID,
                          "the prefix %s belongs to two services: give each "
                          "service a prefix of its own",
-                         twice);
+                         duplicate);
     }
 out:
     free(texts);
@@ -201,8 +203,8 @@
 }
 
 /*
- * A platform section without an operator would lock everybody out for good,
- * because only an operator may change it.
+ * Requires an operator: only an operator may change the platform section, so
+ * without one nobody could ever change it again.
  */
 static enum st_status
 check_operator(const struct cf_config *config)
@@ -218,13 +220,14 @@
 }
 
 static enum st_status
-check_owner(const struct cf_config *config, const struct cf_part *part)
+check_owner(const struct cf_config *config,
+            const struct cf_parsed_section *section)
 {
-    if (strcmp(part->section, Cf_PLATFORM) == 0) {
+    if (strcmp(section->name, Cf_PLATFORM) == 0) {
         return check_operator(config);
     }
-    const char *team = part->section + strlen(Cf_TEAM_PREFIX);
-    bool empty = part->customer_count == 0 && part->service_count == 0;
+    const char *team = section->name + strlen(Cf_TEAM_PREFIX);
+    bool empty = section->customer_count == 0 && section->service_count == 0;
     if (empty || Cf_TeamByName(config, team) != NULL) {
         return ST_OK;
     }
@@ -232,16 +235,16 @@
                    "section %s has customers or services, but the platform "
                    "section names no team %s: add the team there first, or "
                    "empty its section before removing the team",
-                   part->section, team);
+                   section->name, team);
 }
 
 /*
- * Puts typed sections together and checks them against each other.
- * ST_INVALID names the two that clash and the remedy.
+ * Merges parsed sections into a configuration and checks them against each
+ * other.  With ST_INVALID the message names the conflict and the remedy.
  */
 enum st_status
-Cf_Assemble(const struct cf_part *const *parts, size_t count, uint64_t offset,
-            struct cf_config **out)
+Cf_Assemble(const struct cf_parsed_section *const *parsed, size_t count,
+            uint64_t offset, struct cf_config **out)
 {
     struct cf_config *config = calloc(1, sizeof(*config));
     if (config == NULL) {
@@ -249,10 +252,10 @@
     }
     config->references = 1;
     config->offset = offset;
-    enum st_status status = reserve(parts, count, config);
+    enum st_status status = alloc_lists(parsed, count, config);
     if (status == ST_OK) {
         for (size_t i = 0; i < count; i++) {
-            add_part(config, parts[i]);
+            add_section(config, parsed[i]);
         }
         sort_lists(config);
         status = check_unique(config);
@@ -261,7 +264,7 @@
         status = check_services(config);
     }
     for (size_t i = 0; i < count && status == ST_OK; i++) {
-        status = check_owner(config, parts[i]);
+        status = check_owner(config, parsed[i]);
     }
     if (status != ST_OK) {
         Cf_Destroy(config);
@@ -272,7 +275,7 @@
 }
 
 static enum st_status
-parse_section(const struct cf_section *section, struct cf_part **out)
+parse_section(const struct cf_section *section, struct cf_parsed_section **out)
 {
     json_error_t error;
     json_t *body = json_loads(section->json, JSON_REJECT_DUPLICATES, &error);
@@ -281,44 +284,44 @@
                 section->name, error.line, error.text);
         return ST_INVALID;
     }
-    enum st_status status = Cf_KeyLists(section->name, body);
+    enum st_status status = Cf_KeyListsByName(section->name, body);
     if (status == ST_OK) {
-        status = Cf_PartParse(section->name, body, out);
+        status = Cf_ParseSection(section->name, body, out);
     }
     json_decref(body);
     return status;
 }
 
 /*
- * Builds a configuration from whole section documents, with one reference
- * for the caller.  ST_INVALID names the section and the remedy.
+ * Builds a configuration from whole section documents; the caller holds one
+ * reference.  With ST_INVALID the message names the section and the remedy.
  */
 enum st_status
 Cf_Build(const struct cf_section *sections, size_t count, uint64_t offset,
          struct cf_config **out)
 {
     enum st_status status = ST_OK;
-    struct cf_part **parts = calloc(count + 1, sizeof(*parts));
-    if (parts == NULL) {
+    struct cf_parsed_section **parsed = calloc(count + 1, sizeof(*parsed));
+    if (parsed == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for %zu sections", count);
     }
     for (size_t i = 0; i < count && status == ST_OK; i++) {
-        status = parse_section(&sections[i], &parts[i]);
+        status = parse_section(&sections[i], &parsed[i]);
     }
     if (status == ST_OK) {
-        status = Cf_Assemble((const struct cf_part *const *)parts, count,
-                             offset, out);
+        status = Cf_Assemble((const struct cf_parsed_section *const *)parsed,
+                             count, offset, out);
     }
     for (size_t i = 0; i < count; i++) {
-        Cf_PartDestroy(parts[i]);
+        Cf_ParsedSectionDestroy(parsed[i]);
     }
-    free(parts);
+    free(parsed);
     return status;
 }
 
 /*
- * Takes one more reference, so that a request can go on with the
- * configuration it began under; give it back with Cf_Destroy().
+ * Adds a reference, so that a request keeps the configuration under which it
+ * started.  Cf_Destroy() releases it.
  */
 struct cf_config *
 Cf_Ref(struct cf_config *config)
@@ -327,7 +330,7 @@
     return config;
 }
 
-/* Gives one reference back and frees with the last one; NULL is allowed. */
+/* Releases a reference and frees with the last one; NULL is allowed. */
 void
 Cf_Destroy(struct cf_config *config)
 {
--- a/packages/config/config.h
+++ b/packages/config/config.h
@@ -1,7 +1,7 @@
 /*
- * The configuration in force, as typed values.  It is put together from the
- * sections that teams publish on the platform's log; see state.h for how
- * sections are accepted.  A configuration is immutable once built.
+ * The configuration in force, as typed values.  It is built from the sections
+ * that teams publish on the platform's log; see sections.h for how sections
+ * are accepted.  A configuration is immutable once built.
  */
 #ifndef CONFIG_CONFIG_H
 #define CONFIG_CONFIG_H
@@ -20,16 +20,16 @@
 #define Cf_NAME_MAX 48
 #define Cf_PATH_MAX 128
 #define Cf_REGIONS_MAX 16
-#define Cf_SECTION_MAX 64          /* name of a section, with its NUL */
-#define Cf_SECTION_BYTES_MAX 60000 /* so that it fits one log record */
-#define Cf_PLATFORM "platform"     /* the section of all teams */
+#define Cf_SECTION_MAX 64          /* bytes of a section's name with NUL */
+#define Cf_SECTION_BYTES_MAX 60000 /* so that a section fits one record */
+#define Cf_PLATFORM "platform"     /* section shared by all teams */
 #define Cf_TEAM_PREFIX "team/"     /* team/NAME: the section of one team */
 /* Author of the first platform section, before any team has a key. */
 #define Cf_BOOTSTRAP "bootstrap"
 
 enum cf_kind {
     CF_ENGINE, /* a model engine behind the completions API */
-    CF_PLAIN,  /* a plain service behind a path prefix */
+    CF_PLAIN,  /* an HTTP service behind a path prefix */
 };
 
 enum cf_role {
@@ -41,10 +41,10 @@
 struct cf_data_centre {
     char name[Cf_NAME_MAX];
     char region[Cf_NAME_MAX];
-    bool evacuated; /* its endpoints get nothing new */
+    bool evacuated; /* no new requests go to its endpoints */
 };
 
-/* Regions that requests are bound to; none: any will do. */
+/* Allowed regions of requests; an empty list allows every region. */
 struct cf_regions {
     size_t count;
     char names[Cf_REGIONS_MAX][Cf_NAME_MAX];
@@ -60,20 +60,20 @@
     char name[Cf_NAME_MAX];
     char team[Cf_NAME_MAX];
     char key_digest[Hash_DIGEST_HEX]; /* digest of the bearer key */
-    double weight;                    /* share of a contended queue */
+    double weight;                    /* in the fair queue; 1 is usual */
     double requests_per_sec; /* over all daemons together; 0: no limit */
     int max_in_flight;       /* over all daemons together; 0: no limit */
     size_t body_max;         /* bytes */
     struct cf_regions regions;
 };
 
-/* The intended version of a service, and by when. */
+/* The target version of a service and the deadline of the move to it. */
 struct cf_move {
-    char from[Cf_NAME_MAX]; /* empty: no move, "to" carries everything */
+    char from[Cf_NAME_MAX]; /* empty: no move, all traffic to "to" */
     char to[Cf_NAME_MAX];
     double first_share;   /* share of traffic of the first step, e.g. 0.02 */
-    int64_t deadline_sec; /* calendar time; 0: none */
-    bool withdrawn;       /* the operator has taken the move back */
+    int64_t deadline_sec; /* seconds since 1970; 0: none */
+    bool withdrawn;       /* the operator rolled the move back */
 };
 
 struct cf_service {
@@ -81,26 +81,26 @@
     char team[Cf_NAME_MAX];
     enum cf_kind kind;
     char prefix[Cf_PATH_MAX]; /* plain: path prefix, e.g. "/box-office/" */
-    bool idempotent;          /* plain: every call may be repeated */
-    bool fenced;              /* endpoints refuse an old fencing number */
-    int64_t first_token_usec; /* target for 95 in 100 */
-    int64_t token_usec;       /* target between tokens for 95 in 100 */
-    int64_t deadline_usec;    /* when the caller names none */
-    int slots;                /* requests an endpoint runs at once */
+    bool idempotent;          /* plain: every request may be retried */
+    bool fenced;              /* endpoints refuse stale fencing tokens */
+    int64_t first_token_usec; /* target for the 95th percentile */
+    int64_t token_usec;       /* target between tokens, 95th percentile */
+    int64_t deadline_usec;    /* used if a request has no deadline */
+    int slots;                /* concurrent requests per endpoint */
     int replicas_min;
     int replicas_max;
     double headroom;        /* share of capacity kept free */
-    bool survive_dc_loss;   /* plan for losing the largest data centre */
-    double reclaimable_max; /* highest share on reclaimable hosts */
-    int64_t cold_usec;      /* an endpoint is cold after its start */
-    double cold_per_sec;    /* requests a cold one bears; 0: no limit */
+    bool survive_dc_loss;   /* plan for loss of the largest data centre */
+    double reclaimable_max; /* highest share on spot hosts */
+    int64_t cold_usec;      /* how long an endpoint is cold after start */
+    double cold_per_sec;    /* rate limit of a cold endpoint; 0: none */
     struct cf_regions regions;
     struct cf_move move;
 };
 
 /*
- * Customers and teams stand in the order of their key digests, services and
- * data centres in the order of their names.
+ * Customers and teams are sorted by key digest, services and data centres by
+ * name.
  */
 struct cf_config {
     uint64_t offset; /* log offset that this configuration reflects */
@@ -116,11 +116,11 @@
 };
 
 /*
- * A section as a JSON document: "platform" holds "data_centres" and "teams",
- * "team/NAME" holds "customers" and "services".  Each of these lists is an
- * object from name to fields (so that a merge patch can touch one entry), or
- * an array of objects with a "name".  Fields are named as in the structs
- * above; "team" and "offset" are not written; unknown fields are skipped.
+ * A section as a JSON document.  "platform" has the lists "data_centres" and
+ * "teams", "team/NAME" has "customers" and "services".  Each list is an object
+ * keyed by name, so that a merge patch can change one entry, or an array of
+ * objects with a "name".  The fields have the names of the struct fields above
+ * without "team" and "offset"; unknown fields are ignored.
  */
 struct cf_section {
     const char *name;
@@ -133,7 +133,7 @@
 void Cf_Destroy(struct cf_config *config);
 
 bool Cf_IsEvacuated(const struct cf_config *config, const char *data_centre);
-/* Whether a region is one of those, or there are none. */
+/* Whether the region is in the list, or the list is empty. */
 bool Cf_IsIn(const struct cf_regions *regions, const char *region);
 const struct cf_customer *Cf_CustomerByKey(const struct cf_config *config,
                                            const char *key_digest);
--- a/packages/config/evaluate.c
+++ b/packages/config/evaluate.c
@@ -1,6 +1,7 @@
 /*
- * The verdict on one record.  It depends on nothing but the state and the
- * record: every daemon that reads the same prefix reaches the same one.
+ * Decides whether a record is accepted.  The verdict depends only on the
+ * state and the record, so every daemon that has read the same prefix of the
+ * log reaches the same verdict.
  */
 #include <bsd/string.h>
 #include <inttypes.h>
@@ -10,7 +11,7 @@
 #include "config/patch.h"
 #include "config/sections_state.h"
 
-/* A record's fields; the texts are borrowed from the JSON value. */
+/* The fields of a record; the strings belong to the JSON value. */
 struct record {
     bool patch;
     const char *section;
@@ -21,7 +22,7 @@
 };
 
 static bool
-short_text(const json_t *value, size_t size)
+is_short_text(const json_t *value, size_t size)
 {
     const char *text = json_string_value(value);
     return text != NULL && text[0] != '\0' && strlen(text) < size;
@@ -36,12 +37,13 @@
     const json_t *base = json_object_get(json, "base");
     const char *kind = json_string_value(json_object_get(json, "kind"));
     record->body = json_object_get(json, "body");
-    bool whole = kind != NULL && strcmp(kind, "section") == 0;
+    bool is_section = kind != NULL && strcmp(kind, "section") == 0;
     record->patch = kind != NULL && strcmp(kind, "patch") == 0;
-    if ((!whole && !record->patch) || !short_text(section, Cf_SECTION_MAX) ||
-        !short_text(author, Cf_NAME_MAX) || !json_is_integer(base) ||
+    if ((!is_section && !record->patch) ||
+        !is_short_text(section, Cf_SECTION_MAX) ||
+        !is_short_text(author, Cf_NAME_MAX) || !json_is_integer(base) ||
         json_integer_value(base) < 0 || !json_is_object(record->body) ||
-        (id != NULL && !short_text(id, Sc_ID_MAX))) {
+        (id != NULL && !is_short_text(id, Sc_ID_MAX))) {
         St_Fail(ST_INVALID,
                 "the record is not a section or patch with section, "
                 "base, author and body: publish with 'cornelctl "
@@ -56,13 +58,13 @@
 }
 
 /*
- * Guards against a second effect of one publish.  A publisher whose append
- * was not answered appends the same record again; both may be in the log,
- * and the second could be accepted after other changes.  The ids of the last
- * verdicts are part of the state, so every reader passes over the second.
+ * Makes publishing idempotent.  A publisher that gets no answer to its append
+ * retries it, so the log may hold the same record twice, and the second copy
+ * could be accepted after other changes.  The ids of the last verdicts belong
+ * to the state, so every reader refuses the second copy.
  */
 static enum st_status
-check_id(const struct sc_state *state, const struct record *record)
+check_id_unused(const struct sc_state *state, const struct record *record)
 {
     if (record->id[0] == '\0') {
         return ST_OK;
@@ -109,7 +111,7 @@
                    record->section, offset, record->base);
 }
 
-/* The section's new body: a new reference, or NULL with the failure kept. */
+/* Returns a new reference to the new body; NULL: the failure is in status. */
 static json_t *
 make_body(const struct sc_entry *entry, const struct record *record,
           enum st_status *status)
@@ -125,7 +127,7 @@
             St_Fail(ST_NO_MEMORY, "no memory for section %s", record->section);
         return NULL;
     }
-    *status = Cf_KeyLists(record->section, after);
+    *status = Cf_KeyListsByName(record->section, after);
     if (*status != ST_OK) {
         json_decref(after);
         return NULL;
@@ -152,26 +154,28 @@
     return ST_OK;
 }
 
-/* The whole configuration with one section replaced or added. */
+/* Builds the configuration with one section replaced or added. */
 static enum st_status
 assemble(const struct sc_state *state, const struct sc_entry *replaced,
          uint64_t offset, struct sc_change *change)
 {
-    const struct cf_part **parts = calloc(state->count + 1, sizeof(*parts));
-    if (parts == NULL) {
+    const struct cf_parsed_section **sections =
+        calloc(state->count + 1, sizeof(*sections));
+    if (sections == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for %zu sections",
                        state->count);
     }
     size_t count = 0;
-    parts[count++] = change->part;
+    sections[count++] = change->parsed;
     const struct sc_entry *entry;
     TAILQ_FOREACH (entry, &state->entries, link) {
         if (entry != replaced) {
-            parts[count++] = entry->part;
+            sections[count++] = entry->parsed;
         }
     }
-    enum st_status status = Cf_Assemble(parts, count, offset, &change->config);
-    free(parts);
+    enum st_status status =
+        Cf_Assemble(sections, count, offset, &change->config);
+    free(sections);
     return status;
 }
 
@@ -180,7 +184,7 @@
          const struct record *record, struct sc_change *change)
 {
     struct sc_entry *entry = Sc_Find(state, record->section);
-    enum st_status status = check_id(state, record);
+    enum st_status status = check_id_unused(state, record);
     if (status == ST_OK) {
         status = check_author(state, record);
     }
@@ -196,7 +200,7 @@
     }
     status = write_body(body, record, change);
     if (status == ST_OK) {
-        status = Cf_PartParse(record->section, body, &change->part);
+        status = Cf_ParseSection(record->section, body, &change->parsed);
     }
     json_decref(body);
     if (status == ST_OK) {
@@ -206,8 +210,8 @@
 }
 
 /*
- * Works out what the record would do at this offset without doing it.  The
- * change is filled in either case and must be cleared.
+ * Computes the effect of the record at this offset without applying it.  The
+ * caller must clear the change also after a failure.
  */
 enum st_status
 Sc_Evaluate(const struct sc_state *state, uint64_t offset, const char *json,
@@ -233,12 +237,12 @@
     return status;
 }
 
-/* Frees what a change still holds. */
+/* Frees the contents that the change still owns. */
 void
 Sc_ChangeClear(struct sc_change *change)
 {
     free(change->body);
-    Cf_PartDestroy(change->part);
+    Cf_ParsedSectionDestroy(change->parsed);
     Cf_Destroy(change->config);
     memset(change, 0, sizeof(*change));
 }
--- a/packages/config/field.c
+++ b/packages/config/field.c
@@ -6,15 +6,15 @@
 
 #include "config/config.h"
 
-#define Fd_SHOWN_MAX 64 /* bytes of a wrong value repeated in a message */
+#define Fd_SHOWN_VALUE_BYTES 64 /* of an invalid value, in messages */
 #define Fd_NAME_BYTES                                                         \
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-"
-/* The bytes that a path may hold unescaped (RFC 3986). */
+/* The bytes that a path may contain unescaped (RFC 3986). */
 #define Fd_PATH_BYTES Fd_NAME_BYTES "/~!$&'()*+,;=:@"
 
 /*
- * A name is used as a label, a path element and a key of the log: letters,
- * digits, dot, underscore and hyphen, at most 47 bytes.
+ * Whether the text is a name: 1 to 47 letters, digits, dots, underscores and
+ * hyphens.  Names serve as metric labels, path elements and keys of the log.
  */
 bool
 Cf_IsName(const char *text)
@@ -23,7 +23,7 @@
     return len > 0 && len < Cf_NAME_MAX && strspn(text, Fd_NAME_BYTES) == len;
 }
 
-/* 32 lower-case hex digits, as Hash_Digest() prints them. */
+/* Whether the text is 32 lower-case hex digits, as Hash_Digest() writes. */
 bool
 Fd_IsDigest(const char *text)
 {
@@ -31,7 +31,7 @@
            strspn(text, "0123456789abcdef") == Hash_DIGEST_HEX - 1;
 }
 
-/* A path that begins and ends with a slash, not below /v1/. */
+/* Whether the text is a path with a slash at both ends, not below /v1/. */
 bool
 Fd_IsPrefix(const char *text)
 {
@@ -42,10 +42,10 @@
 }
 
 static enum st_status
-refuse(const char *where, const struct fd_field *field, const json_t *value)
+reject(const char *where, const struct fd_field *field, const json_t *value)
 {
     char *text = json_dumps(value, JSON_ENCODE_ANY | JSON_COMPACT);
-    char shown[Fd_SHOWN_MAX];
+    char shown[Fd_SHOWN_VALUE_BYTES];
     strlcpy(shown, text != NULL ? text : "?", sizeof(shown));
     free(text);
     return St_Fail(ST_INVALID, "%s.%s is %s: %s", where, field->name, shown,
@@ -58,23 +58,23 @@
 {
     const char *text = json_string_value(value);
     if (text == NULL) {
-        return refuse(where, field, value);
+        return reject(where, field, value);
     }
     size_t size = Cf_NAME_MAX;
-    bool good;
+    bool valid;
     if (field->type == FD_DIGEST) {
         size = Hash_DIGEST_HEX;
-        good = Fd_IsDigest(text);
+        valid = Fd_IsDigest(text);
     }
     else if (field->type == FD_PATH) {
         size = Cf_PATH_MAX;
-        good = Fd_IsPrefix(text);
+        valid = Fd_IsPrefix(text);
     }
     else {
-        good = Cf_IsName(text);
+        valid = Cf_IsName(text);
     }
-    if (!good && (text[0] != '\0' || field->required)) {
-        return refuse(where, field, value);
+    if (!valid && (text[0] != '\0' || field->required)) {
+        return reject(where, field, value);
     }
     strlcpy(out, text, size);
     return ST_OK;
@@ -105,15 +105,16 @@
 read_number(const char *where, const struct fd_field *field,
             const json_t *value, char *out)
 {
-    double number = field->preset;
+    double number = field->default_number;
     if (value != NULL) {
-        bool whole = field->type != FD_DOUBLE;
-        if (!json_is_number(value) || (whole && !json_is_integer(value))) {
-            return refuse(where, field, value);
+        bool is_integer = field->type != FD_DOUBLE;
+        if (!json_is_number(value) ||
+            (is_integer && !json_is_integer(value))) {
+            return reject(where, field, value);
         }
         number = json_number_value(value);
-        if (!(number >= field->least && number <= field->most)) {
-            return refuse(where, field, value);
+        if (!(number >= field->min && number <= field->max)) {
+            return reject(where, field, value);
         }
     }
     store_number(field, number, out);
@@ -125,14 +126,14 @@
           char *out)
 {
     if (!json_is_boolean(value)) {
-        return refuse(where, field, value);
+        return reject(where, field, value);
     }
     *(bool *)(void *)out = json_is_true(value);
     return ST_OK;
 }
 
 static enum st_status
-read_word(const char *where, const struct fd_field *field, const json_t *value,
+read_enum(const char *where, const struct fd_field *field, const json_t *value,
           char *out)
 {
     static const char *const kinds[] = {
@@ -141,11 +142,11 @@
                                         [CF_EDITOR] = "editor",
                                         [CF_OPERATOR] = "operator"};
     bool kind = field->type == FD_KIND;
-    const char *const *words = kind ? kinds : roles;
+    const char *const *names = kind ? kinds : roles;
     int count = kind ? 2 : 3;
     const char *text = json_string_value(value);
     for (int i = 0; text != NULL && i < count; i++) {
-        if (strcmp(text, words[i]) != 0) {
+        if (strcmp(text, names[i]) != 0) {
             continue;
         }
         if (kind) {
@@ -156,7 +157,7 @@
         }
         return ST_OK;
     }
-    return refuse(where, field, value);
+    return reject(where, field, value);
 }
 
 static enum st_status
@@ -166,14 +167,14 @@
     struct cf_regions *regions = (struct cf_regions *)(void *)out;
     size_t size = json_array_size(value);
     if (size == 0 || size > Cf_REGIONS_MAX) {
-        return refuse(where, field, value);
+        return reject(where, field, value);
     }
     size_t i;
     const json_t *entry;
     json_array_foreach (value, i, entry) {
         const char *text = json_string_value(entry);
         if (text == NULL || !Cf_IsName(text)) {
-            return refuse(where, field, value);
+            return reject(where, field, value);
         }
         strlcpy(regions->names[i], text, Cf_NAME_MAX);
     }
@@ -194,7 +195,7 @@
         return read_bool(where, field, value, out);
     case FD_KIND:
     case FD_ROLE:
-        return read_word(where, field, value, out);
+        return read_enum(where, field, value, out);
     case FD_REGIONS:
         return read_regions(where, field, value, out);
     default:
@@ -211,7 +212,8 @@
 
 /*
  * Fills the zeroed struct "out" from the object.  "where" names the object in
- * messages.  ST_INVALID names the field, its value and what to write.
+ * messages.  With ST_INVALID the message names the field, its value and the
+ * remedy.
  */
 enum st_status
 Fd_Read(const char *where, const json_t *object, const struct fd_field *fields,
--- a/packages/config/field.h
+++ b/packages/config/field.h
@@ -1,6 +1,6 @@
 /*
- * Reads the fields of a JSON object into a struct by a table, with bounds
- * and a remedy for each field.  For the modules of this package only.
+ * Reads the fields of a JSON object into a struct.  A table gives the type,
+ * the bounds and the remedy of each field.  Private to this package.
  */
 #ifndef CONFIG_FIELD_H
 #define CONFIG_FIELD_H
@@ -28,10 +28,10 @@
 struct fd_field {
     const char *name;
     size_t offset;
-    double least; /* numbers: lowest and highest value taken */
-    double most;
-    double preset;      /* numbers: the value when the field is absent */
-    const char *remedy; /* what to write */
+    double min; /* numbers: lowest and highest valid value */
+    double max;
+    double default_number; /* numbers: used when the field is absent */
+    const char *remedy;    /* what a user should write */
     enum fd_type type;
     bool required;
 };
--- a/packages/config/generate.c
+++ b/packages/config/generate.c
@@ -1,6 +1,6 @@
 /*
- * From answers to section documents.  Every rule by which an answer becomes
- * a value of the configuration stands here and in docs/QUESTIONNAIRE.md.
+ * Generates section documents from the answers of a questionnaire.
+ * docs/QUESTIONNAIRE.md describes the same rules for users.
  */
 #include <bsd/string.h>
 #include <math.h>
@@ -10,11 +10,11 @@
 #include "config/part.h"
 #include "config/questionnaire.h"
 
-/* A peak is an estimate: this much above it is still let in. */
-#define Qn_PEAK_MARGIN 1.25
+/* Rate limit over the expected peak, because the peak is an estimate. */
+#define Qn_PEAK_FACTOR 1.25
 #define Qn_IN_FLIGHT_MAX 1e6
-#define Qn_LEAST_WEIGHT 0.001
-#define Qn_MOST_WEIGHT 1000.0
+#define Qn_WEIGHT_MIN 0.001
+#define Qn_WEIGHT_MAX 1000.0
 #define Qn_USEC_PER_MSEC 1000.0
 #define Qn_USEC_PER_SEC 1000000.0
 
@@ -22,8 +22,8 @@
 static const double headroom[] = {
     [QN_LATENCY] = 0.35, [QN_BALANCE] = 0.25, [QN_COST] = 0.15};
 
-/* Highest share on reclaimable hosts, by preference and reclaims. */
-static const double reclaimable[][3] = {
+/* Highest share on spot hosts, by preference and frequency of reclaims. */
+static const double spot_max_share[][3] = {
     [QN_LATENCY] = {1.0, 0.7, 0.4},
     [QN_BALANCE] = {1.0, 0.85, 0.65},
     [QN_COST] = {1.0, 1.0, 0.85},
@@ -59,23 +59,22 @@
 }
 
 static double
-clamp(double value, double least, double most)
+clamp(double value, double min, double max)
 {
-    return fmin(fmax(value, least), most);
+    return fmin(fmax(value, min), max);
 }
 
 /*
- * The share of the budget becomes the weight in a contended queue, 1 being an
- * equal share.  By Little's law no more than peak times patience requests are
- * under way while nobody waits longer than it is patient.
+ * The share of the budget becomes the weight in the fair queue, where 1 is an
+ * equal share.  By Little's law at most rate times patience requests are in
+ * flight as long as no request takes longer than the caller's patience.
  */
 static json_t *
 make_caller(const struct qn_caller *caller, double budget_sum, size_t count)
 {
     double share = caller->budget_percent / budget_sum;
-    double weight =
-        clamp(share * (double)count, Qn_LEAST_WEIGHT, Qn_MOST_WEIGHT);
-    double limit = caller->peak_per_s * Qn_PEAK_MARGIN;
+    double weight = clamp(share * (double)count, Qn_WEIGHT_MIN, Qn_WEIGHT_MAX);
+    double limit = caller->peak_per_s * Qn_PEAK_FACTOR;
     double in_flight =
         clamp(ceil(limit * caller->patience_s), 1, Qn_IN_FLIGHT_MAX);
     return json_pack("{s:s, s:f, s:f, s:i, s:i}", "key_digest",
@@ -102,18 +101,19 @@
 }
 
 /*
- * Reclaimable hosts that cost as much as others everywhere bring nothing but
- * their risk.  Prices are known only where the platform is answered too.
+ * Whether spot hosts are cheaper than on-demand hosts in any data centre; if
+ * not, they add risk and save nothing.  Only a questionnaire with a platform
+ * group has prices; without prices spot hosts count as cheaper.
  */
 static bool
-reclaimable_pays(const struct qn_answers *answers)
+spot_is_cheaper(const struct qn_answers *answers)
 {
-    bool pays = answers->data_centre_count == 0;
+    bool cheaper = answers->data_centre_count == 0;
     for (size_t i = 0; i < answers->data_centre_count; i++) {
         const struct qn_data_centre *entry = &answers->data_centres[i];
-        pays |= entry->price_reclaimable < entry->price_on_demand;
+        cheaper |= entry->price_reclaimable < entry->price_on_demand;
     }
-    return pays;
+    return cheaper;
 }
 
 static json_t *
@@ -143,8 +143,8 @@
     enum qn_prefer prefer = service->prefer == QN_AS_RISKS
                                 ? answers->risks.prefer
                                 : service->prefer;
-    double share = reclaimable_pays(answers)
-                       ? reclaimable[prefer][answers->risks.reclaims]
+    double share = spot_is_cheaper(answers)
+                       ? spot_max_share[prefer][answers->risks.reclaims]
                        : 0;
     json_t *json = json_pack(
         "{s:s, s:b, s:i, s:i, s:i, s:f, s:f, s:b}", "kind",
@@ -184,14 +184,14 @@
     return list;
 }
 
-/* Adds a document after the check that every daemon makes too. */
+/* Adds a document if it passes the check that every daemon makes. */
 static enum st_status
 add_document(struct qn_documents *documents, const char *section, json_t *body)
 {
     struct qn_document *document = &documents->items[documents->count];
-    struct cf_part *part = NULL;
-    enum st_status status = Cf_PartParse(section, body, &part);
-    Cf_PartDestroy(part);
+    struct cf_parsed_section *parsed = NULL;
+    enum st_status status = Cf_ParseSection(section, body, &parsed);
+    Cf_ParsedSectionDestroy(parsed);
     if (status == ST_OK) {
         strlcpy(document->section, section, sizeof(document->section));
         document->body = json_dumps(body, JSON_INDENT(2) | JSON_SORT_KEYS |
@@ -205,9 +205,9 @@
     return status;
 }
 
-/* What every daemon checks between sections. */
+/* Makes the checks across sections that every daemon makes. */
 static enum st_status
-check_together(const struct qn_documents *documents)
+check_documents(const struct qn_documents *documents)
 {
     struct cf_section sections[2];
     for (size_t i = 0; i < documents->count; i++) {
@@ -221,8 +221,8 @@
 }
 
 /*
- * Makes the section documents of the answers, the platform section first
- * where it is answered.  Clear the documents in either case.
+ * Generates the section documents; the platform section comes first if the
+ * answers have one.  The caller must clear "out" also after a failure.
  */
 enum st_status
 Qn_Generate(const struct qn_answers *answers, struct qn_documents *out)
@@ -244,12 +244,11 @@
                                         make_services(answers)));
     }
     if (status == ST_OK && answers->has_platform) {
-        status = check_together(out);
+        status = check_documents(out);
     }
     return status;
 }
 
-/* Frees the documents. */
 void
 Qn_DocumentsClear(struct qn_documents *documents)
 {
--- a/packages/config/part.c
+++ b/packages/config/part.c
@@ -6,96 +6,96 @@
 
 #include "config/field.h"
 
-#define Cf_LIST_MAX 10000 /* entries of one list of one section */
-#define Cf_WHERE_MAX 192
+#define Cf_LIST_MAX 10000   /* entries of one list of one section */
+#define Cf_LOCATION_MAX 192 /* bytes of "SECTION.LIST.NAME" in messages */
 #define Cf_REMEDY_NAME                                                        \
     "give 1 to 47 letters, digits, dots, underscores or hyphens"
 #define Cf_REMEDY_DIGEST                                                      \
     "give the 32 hex digits that 'cornelctl key NAME' prints as the digest"
-#define Cf_BODY_MAX (16.0 * 1024 * 1024)
+#define Cf_BODY_MAX (16.0 * 1024 * 1024) /* bytes */
 #define Cf_REMEDY_REGIONS                                                     \
     "give a list of 1 to 16 names of regions, or leave it out for any"
 #define Cf_MINUTE_USEC 6e7
 #define Cf_TEN_MINUTES_USEC 6e8
 #define Cf_DAY_USEC 8.64e10
 
-#define AT(type, member) offsetof(struct type, member)
+#define OFFSET(type, member) offsetof(struct type, member)
 
 static const struct fd_field data_centre_fields[] = {
-    {"region", AT(cf_data_centre, region), 0, 0, 0, Cf_REMEDY_NAME, FD_NAME,
-     true},
-    {"evacuated", AT(cf_data_centre, evacuated), 0, 0, 0,
+    {"region", OFFSET(cf_data_centre, region), 0, 0, 0, Cf_REMEDY_NAME,
+     FD_NAME, true},
+    {"evacuated", OFFSET(cf_data_centre, evacuated), 0, 0, 0,
      "write true or false", FD_BOOL, false},
 };
 
 static const struct fd_field team_fields[] = {
-    {"key_digest", AT(cf_team, key_digest), 0, 0, 0, Cf_REMEDY_DIGEST,
+    {"key_digest", OFFSET(cf_team, key_digest), 0, 0, 0, Cf_REMEDY_DIGEST,
      FD_DIGEST, true},
-    {"role", AT(cf_team, role), 0, 0, 0,
+    {"role", OFFSET(cf_team, role), 0, 0, 0,
      "write \"viewer\", \"editor\" or \"operator\"", FD_ROLE, false},
 };
 
 static const struct fd_field customer_fields[] = {
-    {"key_digest", AT(cf_customer, key_digest), 0, 0, 0, Cf_REMEDY_DIGEST,
+    {"key_digest", OFFSET(cf_customer, key_digest), 0, 0, 0, Cf_REMEDY_DIGEST,
      FD_DIGEST, true},
-    {"weight", AT(cf_customer, weight), 0.001, 1000, 1,
+    {"weight", OFFSET(cf_customer, weight), 0.001, 1000, 1,
      "give a share from 0.001 to 1000, 1 being usual", FD_DOUBLE, false},
-    {"requests_per_sec", AT(cf_customer, requests_per_sec), 0, 1e6, 0,
+    {"requests_per_sec", OFFSET(cf_customer, requests_per_sec), 0, 1e6, 0,
      "give requests a second up to 1000000, 0 for no limit", FD_DOUBLE, false},
-    {"max_in_flight", AT(cf_customer, max_in_flight), 0, 1e6, 0,
+    {"max_in_flight", OFFSET(cf_customer, max_in_flight), 0, 1e6, 0,
      "give a whole number up to 1000000, 0 for no limit", FD_INT, false},
-    {"body_max", AT(cf_customer, body_max), 1, Cf_BODY_MAX, 1024.0 * 1024,
+    {"body_max", OFFSET(cf_customer, body_max), 1, Cf_BODY_MAX, 1024.0 * 1024,
      "give bytes from 1 to 16777216", FD_SIZE, false},
-    {"regions", AT(cf_customer, regions), 0, 0, 0, Cf_REMEDY_REGIONS,
+    {"regions", OFFSET(cf_customer, regions), 0, 0, 0, Cf_REMEDY_REGIONS,
      FD_REGIONS, false},
 };
 
 static const struct fd_field service_fields[] = {
-    {"kind", AT(cf_service, kind), 0, 0, 0, "write \"engine\" or \"plain\"",
-     FD_KIND, true},
-    {"prefix", AT(cf_service, prefix), 0, 0, 0,
+    {"kind", OFFSET(cf_service, kind), 0, 0, 0,
+     "write \"engine\" or \"plain\"", FD_KIND, true},
+    {"prefix", OFFSET(cf_service, prefix), 0, 0, 0,
      "give a path that begins and ends with a slash, such as "
      "\"/box-office/\", without escapes or query, and not below /v1/",
      FD_PATH, false},
-    {"idempotent", AT(cf_service, idempotent), 0, 0, 0, "write true or false",
+    {"idempotent", OFFSET(cf_service, idempotent), 0, 0, 0,
+     "write true or false", FD_BOOL, false},
+    {"fenced", OFFSET(cf_service, fenced), 0, 0, 0, "write true or false",
      FD_BOOL, false},
-    {"fenced", AT(cf_service, fenced), 0, 0, 0, "write true or false", FD_BOOL,
-     false},
-    {"first_token_usec", AT(cf_service, first_token_usec), 1000,
+    {"first_token_usec", OFFSET(cf_service, first_token_usec), 1000,
      Cf_TEN_MINUTES_USEC, 300000, "give microseconds from 1000 to 600000000",
      FD_INT64, false},
-    {"token_usec", AT(cf_service, token_usec), 100, Cf_TEN_MINUTES_USEC, 33000,
-     "give microseconds from 100 to 600000000", FD_INT64, false},
-    {"deadline_usec", AT(cf_service, deadline_usec), 10000, Cf_DAY_USEC, 60e6,
-     "give microseconds from 10000 to one day", FD_INT64, false},
-    {"slots", AT(cf_service, slots), 1, 4096, 8,
+    {"token_usec", OFFSET(cf_service, token_usec), 100, Cf_TEN_MINUTES_USEC,
+     33000, "give microseconds from 100 to 600000000", FD_INT64, false},
+    {"deadline_usec", OFFSET(cf_service, deadline_usec), 10000, Cf_DAY_USEC,
+     60e6, "give microseconds from 10000 to one day", FD_INT64, false},
+    {"slots", OFFSET(cf_service, slots), 1, 4096, 8,
      "give a whole number from 1 to 4096", FD_INT, false},
-    {"replicas_min", AT(cf_service, replicas_min), 0, 10000, 1,
+    {"replicas_min", OFFSET(cf_service, replicas_min), 0, 10000, 1,
      "give a whole number up to 10000", FD_INT, false},
-    {"replicas_max", AT(cf_service, replicas_max), 1, 10000, 10000,
+    {"replicas_max", OFFSET(cf_service, replicas_max), 1, 10000, 10000,
      "give a whole number from 1 to 10000", FD_INT, false},
-    {"headroom", AT(cf_service, headroom), 0, 0.9, 0.2,
+    {"headroom", OFFSET(cf_service, headroom), 0, 0.9, 0.2,
      "give a share from 0 to 0.9", FD_DOUBLE, false},
-    {"survive_dc_loss", AT(cf_service, survive_dc_loss), 0, 0, 0,
+    {"survive_dc_loss", OFFSET(cf_service, survive_dc_loss), 0, 0, 0,
      "write true or false", FD_BOOL, false},
-    {"reclaimable_max", AT(cf_service, reclaimable_max), 0, 1, 1,
+    {"reclaimable_max", OFFSET(cf_service, reclaimable_max), 0, 1, 1,
      "give a share from 0 to 1", FD_DOUBLE, false},
-    {"cold_usec", AT(cf_service, cold_usec), 0, Cf_MINUTE_USEC, 0,
+    {"cold_usec", OFFSET(cf_service, cold_usec), 0, Cf_MINUTE_USEC, 0,
      "give microseconds up to 60000000, 0 for none", FD_INT64, false},
-    {"cold_per_sec", AT(cf_service, cold_per_sec), 0, 1e6, 0,
+    {"cold_per_sec", OFFSET(cf_service, cold_per_sec), 0, 1e6, 0,
      "give requests a second up to 1000000, 0 for no limit", FD_DOUBLE, false},
-    {"regions", AT(cf_service, regions), 0, 0, 0, Cf_REMEDY_REGIONS,
+    {"regions", OFFSET(cf_service, regions), 0, 0, 0, Cf_REMEDY_REGIONS,
      FD_REGIONS, false},
 };
 
 static const struct fd_field move_fields[] = {
-    {"from", AT(cf_move, from), 0, 0, 0, Cf_REMEDY_NAME, FD_NAME, false},
-    {"to", AT(cf_move, to), 0, 0, 0, Cf_REMEDY_NAME, FD_NAME, true},
-    {"first_share", AT(cf_move, first_share), 0.0001, 0.5, 0.02,
+    {"from", OFFSET(cf_move, from), 0, 0, 0, Cf_REMEDY_NAME, FD_NAME, false},
+    {"to", OFFSET(cf_move, to), 0, 0, 0, Cf_REMEDY_NAME, FD_NAME, true},
+    {"first_share", OFFSET(cf_move, first_share), 0.0001, 0.5, 0.02,
      "give a share from 0.0001 to 0.5", FD_DOUBLE, false},
-    {"deadline_sec", AT(cf_move, deadline_sec), 0, 4e9, 0,
+    {"deadline_sec", OFFSET(cf_move, deadline_sec), 0, 4e9, 0,
      "give seconds since 1970, 0 for no deadline", FD_INT64, false},
-    {"withdrawn", AT(cf_move, withdrawn), 0, 0, 0, "write true or false",
+    {"withdrawn", OFFSET(cf_move, withdrawn), 0, 0, 0, "write true or false",
      FD_BOOL, false},
 };
 
@@ -105,13 +105,13 @@
                                    const char *name, const char *team,
                                    void *out);
 
-/* One list of a section: its field in the body and how to read an entry. */
+/* A list of a section: its field in the body and how an entry is read. */
 struct list_kind {
     const char *name;
-    bool platform;
+    bool in_platform;
     size_t entry_size;
-    size_t items_at; /* in struct cf_part */
-    size_t count_at;
+    size_t items_offset; /* in struct cf_parsed_section */
+    size_t count_offset;
     entry_fn read;
 };
 
@@ -164,7 +164,7 @@
                        "\"from\" for a move between two versions",
                        where);
     }
-    char inner[Cf_WHERE_MAX + 8];
+    char inner[Cf_LOCATION_MAX + 8];
     snprintf(inner, sizeof(inner), "%s.move", where);
     enum st_status status =
         Fd_Read(inner, move, move_fields, COUNT(move_fields), &service->move);
@@ -221,14 +221,16 @@
 
 static const struct list_kind lists[] = {
     {"data_centres", true, sizeof(struct cf_data_centre),
-     AT(cf_part, data_centres), AT(cf_part, data_centre_count),
-     read_data_centre},
-    {"teams", true, sizeof(struct cf_team), AT(cf_part, teams),
-     AT(cf_part, team_count), read_team},
-    {"customers", false, sizeof(struct cf_customer), AT(cf_part, customers),
-     AT(cf_part, customer_count), read_customer},
-    {"services", false, sizeof(struct cf_service), AT(cf_part, services),
-     AT(cf_part, service_count), read_service},
+     OFFSET(cf_parsed_section, data_centres),
+     OFFSET(cf_parsed_section, data_centre_count), read_data_centre},
+    {"teams", true, sizeof(struct cf_team), OFFSET(cf_parsed_section, teams),
+     OFFSET(cf_parsed_section, team_count), read_team},
+    {"customers", false, sizeof(struct cf_customer),
+     OFFSET(cf_parsed_section, customers),
+     OFFSET(cf_parsed_section, customer_count), read_customer},
+    {"services", false, sizeof(struct cf_service),
+     OFFSET(cf_parsed_section, services),
+     OFFSET(cf_parsed_section, service_count), read_service},
 };
 
 static enum st_status
@@ -248,7 +250,7 @@
 
 static enum st_status
 read_list(const char *section, const char *team, const struct list_kind *kind,
-          json_t *list, struct cf_part *part)
+          json_t *list, struct cf_parsed_section *parsed)
 {
     size_t total = json_object_size(list);
     if (total > Cf_LIST_MAX) {
@@ -260,7 +262,7 @@
         return St_Fail(ST_NO_MEMORY, "no memory for %zu entries of %s.%s",
                        total, section, kind->name);
     }
-    memcpy((char *)part + kind->items_at, &items, sizeof(items));
+    memcpy((char *)parsed + kind->items_offset, &items, sizeof(items));
     char prefix[Cf_SECTION_MAX + 32];
     snprintf(prefix, sizeof(prefix), "%s.%s", section, kind->name);
     const char *name;
@@ -271,7 +273,7 @@
         if (status != ST_OK) {
             return status;
         }
-        char where[Cf_WHERE_MAX];
+        char where[Cf_LOCATION_MAX];
         snprintf(where, sizeof(where), "%s.%.47s", prefix, name);
         status = kind->read(where, value, name, team,
                             items + count * kind->entry_size);
@@ -280,12 +282,11 @@
         }
         count++;
     }
-    memcpy((char *)part + kind->count_at, &count, sizeof(count));
+    memcpy((char *)parsed + kind->count_offset, &count, sizeof(count));
     return ST_OK;
 }
 
-/* Turns an array of objects with a "name" into an object from name to fields.
- */
+/* Turns an array of objects with a "name" into an object keyed by name. */
 static enum st_status
 key_list(const char *section, const char *list_name, json_t *body)
 {
@@ -319,11 +320,11 @@
 }
 
 /*
- * Brings the lists of a section into the form of objects keyed by name, in
- * place, so that a merge patch can touch one entry of a list.
+ * Turns the lists of a section into objects keyed by name, in place, so that
+ * a merge patch can change one entry of a list.
  */
 enum st_status
-Cf_KeyLists(const char *section, json_t *body)
+Cf_KeyListsByName(const char *section, json_t *body)
 {
     if (!json_is_object(body)) {
         return St_Fail(ST_INVALID,
@@ -340,7 +341,7 @@
     return ST_OK;
 }
 
-/* Checks a section's name; sets the team, empty for the platform section. */
+/* Checks a section's name; sets the team, "" for the platform section. */
 static enum st_status
 check_name(const char *section, const char **team)
 {
@@ -361,56 +362,57 @@
 }
 
 /*
- * Reads a section whose lists are keyed by name.  ST_INVALID names the
- * section, entry and field, and what to write.
+ * Parses a section whose lists are keyed by name.  With ST_INVALID the
+ * message names the section, the entry, the field and the remedy.
  */
 enum st_status
-Cf_PartParse(const char *section, const json_t *body, struct cf_part **out)
+Cf_ParseSection(const char *section, const json_t *body,
+                struct cf_parsed_section **out)
 {
     const char *team;
     enum st_status status = check_name(section, &team);
     if (status != ST_OK) {
         return status;
     }
-    struct cf_part *part = calloc(1, sizeof(*part));
-    if (part == NULL) {
+    struct cf_parsed_section *parsed = calloc(1, sizeof(*parsed));
+    if (parsed == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for section %s", section);
     }
-    strlcpy(part->section, section, sizeof(part->section));
+    strlcpy(parsed->name, section, sizeof(parsed->name));
     for (size_t i = 0; i < COUNT(lists) && status == ST_OK; i++) {
         json_t *list = json_object_get(body, lists[i].name);
         if (list == NULL) {
             continue;
         }
-        if (lists[i].platform != (team[0] == '\0')) {
+        if (lists[i].in_platform != (team[0] == '\0')) {
             status = St_Fail(ST_INVALID,
                              "section %s has a list \"%s\": it belongs into "
                              "%s",
                              section, lists[i].name,
-                             lists[i].platform ? "the platform section"
-                                               : "the section of a team");
+                             lists[i].in_platform ? "the platform section"
+                                                  : "the section of a team");
             continue;
         }
-        status = read_list(section, team, &lists[i], list, part);
+        status = read_list(section, team, &lists[i], list, parsed);
     }
     if (status != ST_OK) {
-        Cf_PartDestroy(part);
+        Cf_ParsedSectionDestroy(parsed);
         return status;
     }
-    *out = part;
+    *out = parsed;
     return ST_OK;
 }
 
-/* Frees a part; NULL is allowed. */
+/* NULL is allowed. */
 void
-Cf_PartDestroy(struct cf_part *part)
+Cf_ParsedSectionDestroy(struct cf_parsed_section *parsed)
 {
-    if (part == NULL) {
+    if (parsed == NULL) {
         return;
     }
-    free(part->data_centres);
-    free(part->teams);
-    free(part->customers);
-    free(part->services);
-    free(part);
+    free(parsed->data_centres);
+    free(parsed->teams);
+    free(parsed->customers);
+    free(parsed->services);
+    free(parsed);
 }
--- a/packages/config/part.h
+++ b/packages/config/part.h
@@ -1,7 +1,7 @@
 /*
- * One section in typed form.  A change of one section parses that section
- * alone; the parts of all sections are then put together and checked against
- * each other.  For the modules of this package only.
+ * A parsed section.  When a section changes, only that section is parsed
+ * again; the parsed sections are then merged into a configuration and checked
+ * against each other.  Private to this package.
  */
 #ifndef CONFIG_PART_H
 #define CONFIG_PART_H
@@ -10,8 +10,8 @@
 
 #include "config/config.h"
 
-struct cf_part {
-    char section[Cf_SECTION_MAX];
+struct cf_parsed_section {
+    char name[Cf_SECTION_MAX];
     struct cf_data_centre *data_centres;
     size_t data_centre_count;
     struct cf_team *teams;
@@ -22,11 +22,12 @@
     size_t service_count;
 };
 
-enum st_status Cf_PartParse(const char *section, const json_t *body,
-                            struct cf_part **out);
-void Cf_PartDestroy(struct cf_part *part);
-enum st_status Cf_Assemble(const struct cf_part *const *parts, size_t count,
-                           uint64_t offset, struct cf_config **out);
-enum st_status Cf_KeyLists(const char *section, json_t *body);
+enum st_status Cf_ParseSection(const char *section, const json_t *body,
+                               struct cf_parsed_section **out);
+void Cf_ParsedSectionDestroy(struct cf_parsed_section *parsed);
+enum st_status Cf_Assemble(const struct cf_parsed_section *const *parsed,
+                           size_t count, uint64_t offset,
+                           struct cf_config **out);
+enum st_status Cf_KeyListsByName(const char *section, json_t *body);
 
 #endif
--- a/packages/config/patch.c
+++ b/packages/config/patch.c
@@ -1,6 +1,6 @@
 #include "config/patch.h"
 
-/* Sets one member of the result from the patch's member; NULL: no memory. */
+/* Applies one member of the patch; nonzero without memory. */
 static int
 apply_member(json_t *result, const char *name, const json_t *patch)
 {
@@ -14,8 +14,8 @@
 
 /*
  * Returns a new value: the target (NULL for none) with the patch applied.  A
- * patch that is no object takes the target's place; members that are null
- * are removed.  NULL without memory.
+ * patch that is not an object replaces the target; a null member of the patch
+ * removes that member.  Returns NULL without memory.
  */
 json_t *
 Mp_Apply(const json_t *target, const json_t *patch)
@@ -46,8 +46,9 @@
 }
 
 /*
- * Returns the patch that makes "after" of "before", both objects without null
- * members; an empty object when they are equal, NULL without memory.
+ * Returns the patch that turns "before" into "after", both objects without
+ * null members.  Returns an empty object if they are equal, NULL without
+ * memory.
  */
 json_t *
 Mp_Diff(const json_t *before, const json_t *after)
@@ -61,11 +62,11 @@
         }
     }
     json_object_foreach ((json_t *)after, name, member) {
-        const json_t *old = json_object_get(before, name);
-        if (old != NULL && json_equal(old, member)) {
+        const json_t *previous = json_object_get(before, name);
+        if (previous != NULL && json_equal(previous, member)) {
             continue;
         }
-        json_t *change = diff_member(old, member);
+        json_t *change = diff_member(previous, member);
         if (json_object_set_new(patch, name, change) != 0) {
             json_decref(patch);
             return NULL;
--- a/packages/config/patch.h
+++ b/packages/config/patch.h
@@ -1,5 +1,5 @@
 /*
- * JSON merge patches (RFC 7386): a change as the fields that differ.
+ * JSON merge patches (RFC 7386).
  */
 #ifndef CONFIG_PATCH_H
 #define CONFIG_PATCH_H
--- a/packages/config/query.c
+++ b/packages/config/query.c
@@ -24,7 +24,6 @@
     return strcmp(key, service->name);
 }
 
-/* The customer with this key digest, or NULL. */
 const struct cf_customer *
 Cf_CustomerByKey(const struct cf_config *config, const char *key_digest)
 {
@@ -32,7 +31,6 @@
                    sizeof(struct cf_customer), key_to_customer);
 }
 
-/* The service with this name, or NULL. */
 const struct cf_service *
 Cf_ServiceByName(const struct cf_config *config, const char *name)
 {
@@ -40,7 +38,7 @@
                    sizeof(struct cf_service), name_to_service);
 }
 
-/* The plain service with the longest prefix of this path, or NULL. */
+/* Returns the plain service with the longest prefix of the path, or NULL. */
 const struct cf_service *
 Cf_ServiceByPath(const struct cf_config *config, const char *path)
 {
@@ -57,7 +55,6 @@
     return best;
 }
 
-/* The team with this key digest, or NULL. */
 const struct cf_team *
 Cf_TeamByKey(const struct cf_config *config, const char *key_digest)
 {
@@ -65,7 +62,6 @@
                    sizeof(struct cf_team), key_to_team);
 }
 
-/* The team with this name, or NULL. */
 const struct cf_team *
 Cf_TeamByName(const struct cf_config *config, const char *name)
 {
@@ -86,9 +82,9 @@
 }
 
 /*
- * Whether a team may publish a section: operators every one, editors their
- * own.  Before any team exists the bootstrap author may publish the platform
- * section, and nothing else.
+ * Whether a team may publish a section.  Operators may publish every section,
+ * editors the section of their team.  While no team exists, the bootstrap
+ * author may publish the platform section and no other.
  */
 bool
 Cf_MayPublish(const struct cf_config *config, const char *team,
@@ -104,7 +100,7 @@
     return entry->role == CF_OPERATOR || owns(team, section);
 }
 
-/* Whether a team may read a section: operators every one, others their own. */
+/* Operators may read every section, other teams only their own. */
 bool
 Cf_MayRead(const struct cf_config *config, const char *team,
            const char *section)
@@ -116,7 +112,7 @@
     return entry->role == CF_OPERATOR || owns(team, section);
 }
 
-/* True when an operator wants nothing new to go to a data centre. */
+/* Whether the configuration keeps new requests out of a data centre. */
 bool
 Cf_IsEvacuated(const struct cf_config *config, const char *data_centre)
 {
--- a/packages/config/question.c
+++ b/packages/config/question.c
@@ -9,9 +9,9 @@
 
 #include "config/field.h"
 
-#define Qu_VALUE_MAX 64 /* bytes of an answer repeated in a message */
+#define Qu_SHOWN_VALUE_BYTES 64 /* of an answer, in messages */
 
-/* Starts an empty list of problems; "file" is borrowed. */
+/* Makes an empty list; "file" must outlive it. */
 void
 Qn_ProblemsInit(struct qn_problems *problems, const char *file)
 {
@@ -20,7 +20,6 @@
     problems->file = file;
 }
 
-/* Frees the problems. */
 void
 Qn_ProblemsClear(struct qn_problems *problems)
 {
@@ -32,38 +31,42 @@
     problems->count = 0;
 }
 
-/* The answer as it was written, for a message. */
+/* Formats the answer as the user wrote it. */
 static void
-show_value(const config_setting_t *setting, char out[Qu_VALUE_MAX])
+show_value(const config_setting_t *setting, char out[Qu_SHOWN_VALUE_BYTES])
 {
     switch (config_setting_type(setting)) {
     case CONFIG_TYPE_STRING:
-        snprintf(out, Qu_VALUE_MAX, "\"%.50s\"",
+        snprintf(out, Qu_SHOWN_VALUE_BYTES, "\"%.50s\"",
                  config_setting_get_string(setting));
         break;
     case CONFIG_TYPE_INT:
     case CONFIG_TYPE_INT64:
-        snprintf(out, Qu_VALUE_MAX, "%lld", config_setting_get_int64(setting));
+        snprintf(out, Qu_SHOWN_VALUE_BYTES, "%lld",
+                 config_setting_get_int64(setting));
         break;
     case CONFIG_TYPE_FLOAT:
-        snprintf(out, Qu_VALUE_MAX, "%g", config_setting_get_float(setting));
+        snprintf(out, Qu_SHOWN_VALUE_BYTES, "%g",
+                 config_setting_get_float(setting));
         break;
     case CONFIG_TYPE_BOOL:
-        snprintf(out, Qu_VALUE_MAX, "%s",
+        snprintf(out, Qu_SHOWN_VALUE_BYTES, "%s",
                  config_setting_get_bool(setting) ? "true" : "false");
         break;
     default:
-        strlcpy(out, "a group or list", Qu_VALUE_MAX);
+        strlcpy(out, "a group or list", Qu_SHOWN_VALUE_BYTES);
         break;
     }
 }
 
 /*
- * Notes a problem with the answer "name" of the group; without such an
- * answer the problem is that it is missing.  NULL: with the group itself.
+ * Lists a problem with the answer "name" of the group.  If the group has no
+ * such answer, the message says that it is missing.  If "name" is NULL, the
+ * problem is with the group itself.
  */
 void
-Qu_Problem(const struct qu_group *group, const char *name, const char *remedy)
+Qu_AddProblem(const struct qu_group *group, const char *name,
+              const char *remedy)
 {
     struct qn_problem *problem = calloc(1, sizeof(*problem));
     if (problem == NULL) {
@@ -71,9 +74,9 @@
     }
     const config_setting_t *answer =
         name != NULL ? config_setting_get_member(group->setting, name) : NULL;
-    const config_setting_t *place = answer != NULL ? answer : group->setting;
+    const config_setting_t *source = answer != NULL ? answer : group->setting;
     const char *dot = group->where[0] != '\0' && name != NULL ? "." : "";
-    char value[Qu_VALUE_MAX + 4] = "";
+    char value[Qu_SHOWN_VALUE_BYTES + 4] = "";
     if (answer != NULL) {
         strlcpy(value, " is ", sizeof(value));
         show_value(answer, value + strlen(value));
@@ -82,7 +85,7 @@
         strlcpy(value, " is not answered", sizeof(value));
     }
     snprintf(problem->text, sizeof(problem->text), "%s:%u: %s%s%s%s: %s",
-             group->problems->file, config_setting_source_line(place),
+             group->problems->file, config_setting_source_line(source),
              group->where, dot, name != NULL ? name : "", value, remedy);
     STAILQ_INSERT_TAIL(&group->problems->list, problem, link);
     group->problems->count++;
@@ -114,15 +117,15 @@
     if (question->type == QU_NUMBER) {
         *(double *)(void *)out = number;
     }
-    else if (question->type == QU_WHOLE) {
+    else if (question->type == QU_INT) {
         *(int *)(void *)out = (int)number;
     }
     else if (question->type == QU_BOOL) {
         *(bool *)(void *)out = number != 0;
     }
     else if (question->type == QU_CHOICE) {
-        int place = (int)number;
-        memcpy(out, &place, sizeof(place));
+        int choice = (int)number;
+        memcpy(out, &choice, sizeof(choice));
     }
 }
 
@@ -131,9 +134,9 @@
             char *out)
 {
     int type = config_setting_type(answer);
-    bool whole = type == CONFIG_TYPE_INT || type == CONFIG_TYPE_INT64;
+    bool is_integer = type == CONFIG_TYPE_INT || type == CONFIG_TYPE_INT64;
     double number;
-    if (whole) {
+    if (is_integer) {
         number = (double)config_setting_get_int64(answer);
     }
     else if (type == CONFIG_TYPE_FLOAT && question->type == QU_NUMBER) {
@@ -142,7 +145,7 @@
     else {
         return false;
     }
-    if (!(number >= question->least && number <= question->most)) {
+    if (!(number >= question->min && number <= question->max)) {
         return false;
     }
     store_number(question, number, out);
@@ -154,8 +157,8 @@
             char *out)
 {
     const char *text = config_setting_get_string(answer);
-    for (int i = 0; text != NULL && question->words[i] != NULL; i++) {
-        if (strcmp(text, question->words[i]) == 0) {
+    for (int i = 0; text != NULL && question->choices[i] != NULL; i++) {
+        if (strcmp(text, question->choices[i]) == 0) {
             store_number(question, i, out);
             return true;
         }
@@ -167,16 +170,16 @@
 read_time(const config_setting_t *answer, char *out)
 {
     const char *text = config_setting_get_string(answer);
-    struct tm parts;
-    memset(&parts, 0, sizeof(parts));
+    struct tm fields;
+    memset(&fields, 0, sizeof(fields));
     if (text == NULL) {
         return false;
     }
-    const char *rest = strptime(text, "%Y-%m-%dT%H:%M:%SZ", &parts);
+    const char *rest = strptime(text, "%Y-%m-%dT%H:%M:%SZ", &fields);
     if (rest == NULL || *rest != '\0') {
         return false;
     }
-    *(int64_t *)(void *)out = timegm(&parts);
+    *(int64_t *)(void *)out = timegm(&fields);
     return true;
 }
 
@@ -190,7 +193,7 @@
     case QU_PATH:
         return read_text(question, answer, out);
     case QU_NUMBER:
-    case QU_WHOLE:
+    case QU_INT:
         return read_number(question, answer, out);
     case QU_CHOICE:
         return read_choice(question, answer, out);
@@ -214,23 +217,23 @@
 {
     const config_setting_t *answer =
         config_setting_get_member(group->setting, question->name);
-    char *place = (char *)out + question->offset;
+    char *field = (char *)out + question->offset;
     if (answer == NULL) {
-        store_number(question, question->preset, place);
+        store_number(question, question->default_number, field);
         if (question->required) {
-            Qu_Problem(group, question->name, question->remedy);
+            Qu_AddProblem(group, question->name, question->remedy);
         }
         return;
     }
-    if (!read_answer(question, answer, place)) {
-        Qu_Problem(group, question->name, question->remedy);
+    if (!read_answer(question, answer, field)) {
+        Qu_AddProblem(group, question->name, question->remedy);
     }
 }
 
-/* A misspelt question would leave its preset in force without a word. */
+/* Reports misspelt questions, which would silently keep their defaults. */
 static void
-check_known(const struct qu_group *group, const struct qu_question *questions,
-            size_t count)
+check_unknown_answers(const struct qu_group *group,
+                      const struct qu_question *questions, size_t count)
 {
     int members = config_setting_length(group->setting);
     for (int i = 0; i < members; i++) {
@@ -241,15 +244,15 @@
             known = strcmp(name, questions[j].name) == 0;
         }
         if (!known) {
-            Qu_Problem(group, name,
-                       "there is no such question here; see "
-                       "docs/QUESTIONNAIRE.md for the questions, or remove "
-                       "it");
+            Qu_AddProblem(group, name,
+                          "there is no such question here; see "
+                          "docs/QUESTIONNAIRE.md for the questions, or remove "
+                          "it");
         }
     }
 }
 
-/* Reads a group into the zeroed struct "out"; problems are noted. */
+/* Reads a group into the zeroed struct "out" and lists the problems. */
 void
 Qu_Read(const struct qu_group *group, const struct qu_question *questions,
         size_t count, void *out)
@@ -257,5 +260,5 @@
     for (size_t i = 0; i < count; i++) {
         read_question(group, &questions[i], out);
     }
-    check_known(group, questions, count);
+    check_unknown_answers(group, questions, count);
 }
--- a/packages/config/question.h
+++ b/packages/config/question.h
@@ -1,7 +1,7 @@
 /*
  * Reads the answers of one group of the questionnaire into a struct by a
- * table of questions, and notes every problem with the place of the answer
- * and the remedy.  For the modules of this package only.
+ * table of questions.  Every problem is listed with the line of the answer
+ * and the remedy.  Private to this package.
  */
 #ifndef CONFIG_QUESTION_H
 #define CONFIG_QUESTION_H
@@ -17,26 +17,26 @@
     QU_DIGEST, /* char[Hash_DIGEST_HEX] */
     QU_PATH,   /* char[Cf_PATH_MAX] */
     QU_NUMBER, /* double */
-    QU_WHOLE,  /* int */
+    QU_INT,    /* int */
     QU_BOOL,
-    QU_CHOICE, /* an int-sized enum: the place of the word */
+    QU_CHOICE, /* an int-sized enum: the index in "choices" */
     QU_TIME,   /* int64_t, seconds since 1970 */
-    QU_GROUP,  /* answers of their own, read by the caller */
+    QU_GROUP,  /* a nested group or list, read by the caller */
 };
 
 struct qu_question {
     const char *name;
     size_t offset;
-    double least; /* numbers: lowest and highest answer */
-    double most;
-    double preset;            /* the value when the question is left out */
-    const char *const *words; /* choices, NULL-terminated */
-    const char *remedy;       /* what to answer */
+    double min; /* numbers: lowest and highest valid answer */
+    double max;
+    double default_number;      /* used when there is no answer */
+    const char *const *choices; /* NULL-terminated */
+    const char *remedy;         /* what a user should answer */
     enum qu_type type;
     bool required;
 };
 
-/* One group being read. */
+/* A group of answers while it is read. */
 struct qu_group {
     struct qn_problems *problems;
     const config_setting_t *setting;
@@ -45,7 +45,7 @@
 
 void Qu_Read(const struct qu_group *group, const struct qu_question *questions,
              size_t count, void *out);
-void Qu_Problem(const struct qu_group *group, const char *name,
-                const char *remedy);
+void Qu_AddProblem(const struct qu_group *group, const char *name,
+                   const char *remedy);
 
 #endif
--- a/packages/config/questionnaire.c
+++ b/packages/config/questionnaire.c
@@ -10,7 +10,7 @@
 
 #define Qn_LIST_MAX 10000
 
-/* An answer that is no group or list where one is due, or NULL. */
+/* Returns the member, or NULL if it is missing or of another type. */
 static const config_setting_t *
 member_of_type(const struct qu_group *group, const char *name, int type,
                const char *remedy)
@@ -18,7 +18,7 @@
     const config_setting_t *member =
         config_setting_get_member(group->setting, name);
     if (member != NULL && config_setting_type(member) != type) {
-        Qu_Problem(group, name, remedy);
+        Qu_AddProblem(group, name, remedy);
         return NULL;
     }
     return member;
@@ -35,16 +35,17 @@
     }
 }
 
-/* Every entry begins with its name, which must differ from those before. */
+/* Every entry begins with its name, which must be unique in the list. */
 static void
-check_twice(const struct qu_group *group, const struct qn_list_kind *kind,
-            const char *entries, size_t count)
+check_duplicate_name(const struct qu_group *group,
+                     const struct qn_list_kind *kind, const char *entries,
+                     size_t count)
 {
     const char *name = entries + count * kind->entry_size;
     for (size_t i = 0; i < count && name[0] != '\0'; i++) {
         if (strcmp(entries + i * kind->entry_size, name) == 0) {
-            Qu_Problem(group, "name",
-                       "an entry before has this name: give each its own");
+            Qu_AddProblem(group, "name",
+                          "an entry before has this name: give each its own");
             return;
         }
     }
@@ -59,7 +60,7 @@
         "answer with a list of groups in round brackets: ( { ... } )");
     int length = list != NULL ? config_setting_length(list) : 0;
     if (length > Qn_LIST_MAX) {
-        Qu_Problem(parent, kind->name, "at most 10000 entries go in");
+        Qu_AddProblem(parent, kind->name, "at most 10000 entries go in");
         length = 0;
     }
     char *entries = calloc((size_t)length + 1, kind->entry_size);
@@ -72,7 +73,7 @@
         group.setting = config_setting_get_elem(list, (unsigned int)i);
         set_where(&group, kind->name, NULL, i);
         if (!config_setting_is_group(group.setting)) {
-            Qu_Problem(&group, NULL, "write this entry in braces: { ... }");
+            Qu_AddProblem(&group, NULL, "write this entry in braces: { ... }");
             continue;
         }
         const char *name = NULL;
@@ -81,7 +82,7 @@
         void *entry = entries + (size_t)i * kind->entry_size;
         Qu_Read(&group, kind->questions->questions, kind->questions->count,
                 entry);
-        check_twice(&group, kind, entries, (size_t)i);
+        check_duplicate_name(&group, kind, entries, (size_t)i);
         if (kind->check != NULL) {
             kind->check(&group, entry);
         }
@@ -180,7 +181,7 @@
 }
 
 static void
-note_syntax(struct qn_problems *problems, const config_t *config)
+add_syntax_problem(struct qn_problems *problems, const config_t *config)
 {
     struct qn_problem *problem = calloc(1, sizeof(*problem));
     if (problem == NULL) {
@@ -195,11 +196,11 @@
 }
 
 static enum st_status
-finish(const config_t *config, int parsed, struct qn_problems *problems,
-       struct qn_answers **out)
+read_answers(const config_t *config, int parsed, struct qn_problems *problems,
+             struct qn_answers **out)
 {
     if (parsed != CONFIG_TRUE) {
-        note_syntax(problems, config);
+        add_syntax_problem(problems, config);
     }
     else {
         *out = calloc(1, sizeof(**out));
@@ -218,8 +219,8 @@
 }
 
 /*
- * Reads and checks a questionnaire.  ST_INVALID: "problems" lists what is
- * wrong.  ST_NOT_FOUND: the file cannot be read.
+ * Reads and checks a questionnaire.  ST_INVALID: "problems" lists the invalid
+ * answers.  ST_NOT_FOUND: the file cannot be read.
  */
 enum st_status
 Qn_Read(const char *file, struct qn_problems *problems,
@@ -236,13 +237,13 @@
     config_t config;
     config_init(&config);
     int parsed = config_read(&config, stream);
-    enum st_status status = finish(&config, parsed, problems, out);
+    enum st_status status = read_answers(&config, parsed, problems, out);
     config_destroy(&config);
     fclose(stream);
     return status;
 }
 
-/* Like Qn_Read(), from a text. */
+/* Like Qn_Read(), but reads the questionnaire from a string. */
 enum st_status
 Qn_ReadText(const char *text, struct qn_problems *problems,
             struct qn_answers **out)
@@ -251,12 +252,12 @@
     config_t config;
     config_init(&config);
     int parsed = config_read_string(&config, text);
-    enum st_status status = finish(&config, parsed, problems, out);
+    enum st_status status = read_answers(&config, parsed, problems, out);
     config_destroy(&config);
     return status;
 }
 
-/* Frees the answers; NULL is allowed. */
+/* NULL is allowed. */
 void
 Qn_Destroy(struct qn_answers *answers)
 {
--- a/packages/config/questionnaire.h
+++ b/packages/config/questionnaire.h
@@ -1,8 +1,7 @@
 /*
- * The questionnaire: what a team answers about its callers, services, data
- * centres and risks, in the format of libconfig.  Answers are checked, each
- * problem naming file, line, answer and remedy, and turned into the section
- * documents of the configuration.
+ * The questionnaire: a libconfig file in which a team describes its callers,
+ * services, data centres and risks.  The answers are checked and turned into
+ * section documents.  Each problem names the file, line, answer and remedy.
  */
 #ifndef CONFIG_QUESTIONNAIRE_H
 #define CONFIG_QUESTIONNAIRE_H
@@ -21,15 +20,15 @@
 
 #define Qn_PROBLEM_MAX 512
 
-/* What matters more where the two pull apart. */
+/* What to favour where latency and cost conflict. */
 enum qn_prefer {
     QN_LATENCY,
     QN_BALANCE,
     QN_COST,
-    QN_AS_RISKS, /* of a service: what the risks prefer */
+    QN_AS_RISKS, /* of a service: same as risks.prefer */
 };
 
-/* How often reclaimable hosts are taken back. */
+/* How often the provider reclaims spot hosts. */
 enum qn_reclaims {
     QN_NEVER,
     QN_RARE,
@@ -92,7 +91,7 @@
 
 struct qn_answers {
     char team[Cf_NAME_MAX];
-    bool has_platform; /* data centres and teams are answered here */
+    bool has_platform; /* the file describes data centres and teams */
     struct qn_data_centre *data_centres;
     size_t data_centre_count;
     struct qn_team *teams;
@@ -109,15 +108,15 @@
     char text[Qn_PROBLEM_MAX]; /* "FILE:LINE: ANSWER is VALUE: REMEDY" */
 };
 
-STAILQ_HEAD(qn_list, qn_problem);
+STAILQ_HEAD(qn_problem_list, qn_problem);
 
 struct qn_problems {
-    struct qn_list list; /* in the order in which they were found */
+    struct qn_problem_list list; /* in the order of detection */
     size_t count;
-    const char *file; /* named in the texts */
+    const char *file; /* named in the messages */
 };
 
-/* A section made from the answers. */
+/* A section generated from the answers. */
 struct qn_document {
     char section[Cf_SECTION_MAX];
     char *body; /* JSON */
--- a/packages/config/questions.h
+++ b/packages/config/questions.h
@@ -1,24 +1,23 @@
 /*
- * The questions as tables, and the checks that one answer alone cannot make.
- * For the modules of the questionnaire only.
+ * The tables of questions, and the checks that compare several answers.
+ * Private to the questionnaire.
  */
 #ifndef CONFIG_QUESTIONS_H
 #define CONFIG_QUESTIONS_H
 
 #include "config/question.h"
 
-/* A group of questions. */
 struct qn_questions {
     const struct qu_question *questions;
     size_t count;
 };
 
-/* A list of groups: how large an entry is and what is asked in it. */
+/* A list of groups, each with the same questions. */
 struct qn_list_kind {
     const char *name;
     size_t entry_size;
     const struct qn_questions *questions;
-    /* What one question alone cannot see.  May be NULL. */
+    /* Compares several answers of an entry; may be NULL. */
     void (*check)(const struct qu_group *group, void *entry);
 };
 
--- a/packages/config/questions_check.c
+++ b/packages/config/questions_check.c
@@ -1,32 +1,33 @@
 /*
- * Checks that need more than one answer.  Each problem names the answer and
- * the remedy.
+ * Checks that compare several answers.  Each problem names the answer and the
+ * remedy.
  */
 #include <stdio.h>
 #include <string.h>
 
 #include "config/questions.h"
 
-#define Qn_PERCENT_SLACK 0.5
+#define Qn_TOLERANCE_PERCENT 0.5 /* that budgets may exceed 100 by */
 
-/* The name of the first key's author is no team's. */
+/* No team may have the name of the bootstrap author. */
 void
 Qn_CheckTeam(const struct qu_group *group, const struct qn_team *team)
 {
     if (strcmp(team->name, Cf_BOOTSTRAP) == 0) {
-        Qu_Problem(group, "name",
-                   "this name is kept for the first key: choose another");
+        Qu_AddProblem(group, "name",
+                      "this name is kept for the first key: choose another");
     }
 }
 
-/* A move needs two versions. */
+/* A move needs two different versions. */
 void
 Qn_CheckMove(const struct qu_group *group, const struct qn_move *move)
 {
     if (move->to[0] != '\0' && strcmp(move->from, move->to) == 0) {
-        Qu_Problem(group, "to",
-                   "the move goes to the version it comes from: name another "
-                   "one, or answer \"version\" in place of \"move\"");
+        Qu_AddProblem(
+            group, "to",
+            "the move goes to the version it comes from: name another "
+            "one, or answer \"version\" in place of \"move\"");
     }
 }
 
@@ -35,14 +36,15 @@
 {
     bool given = config_setting_get_member(group->setting, "path") != NULL;
     if (service->kind == CF_PLAIN && !given) {
-        Qu_Problem(group, "path",
-                   "a plain service is found by the path of its calls: "
-                   "answer with a prefix such as \"/box-office/\"");
+        Qu_AddProblem(group, "path",
+                      "a plain service is found by the path of its calls: "
+                      "answer with a prefix such as \"/box-office/\"");
     }
     if (service->kind == CF_ENGINE && given) {
-        Qu_Problem(group, "path",
-                   "a model engine is found by the name of its model: leave "
-                   "this out");
+        Qu_AddProblem(
+            group, "path",
+            "a model engine is found by the name of its model: leave "
+            "this out");
     }
 }
 
@@ -53,9 +55,10 @@
     bool given =
         config_setting_get_member(group->setting, "repeatable") != NULL;
     if (service->kind == CF_PLAIN && !given) {
-        Qu_Problem(group, "repeatable",
-                   "say whether every call may run twice without harm: true, "
-                   "or false where a call charges or orders");
+        Qu_AddProblem(
+            group, "repeatable",
+            "say whether every call may run twice without harm: true, "
+            "or false where a call charges or orders");
     }
 }
 
@@ -64,18 +67,19 @@
 {
     bool version = service->version[0] != '\0';
     if (version && service->moving) {
-        Qu_Problem(group, "version",
-                   "answer either \"version\" or \"move\": a move names both "
-                   "versions");
+        Qu_AddProblem(
+            group, "version",
+            "answer either \"version\" or \"move\": a move names both "
+            "versions");
     }
     if (service->kind == CF_ENGINE && !version && !service->moving) {
-        Qu_Problem(group, "version",
-                   "name the version that carries the traffic, or answer "
-                   "\"move\"");
+        Qu_AddProblem(group, "version",
+                      "name the version that carries the traffic, or answer "
+                      "\"move\"");
     }
 }
 
-/* How the answers on one service fit together. */
+/* Checks that the answers about a service are consistent. */
 void
 Qn_CheckService(const struct qu_group *group, const struct qn_service *service)
 {
@@ -84,50 +88,50 @@
     check_version(group, service);
     if (service->replicas_peak > 0 &&
         service->replicas_peak < service->replicas_quiet) {
-        Qu_Problem(group, "replicas_peak",
-                   "answer with at least replicas_quiet");
+        Qu_AddProblem(group, "replicas_peak",
+                      "answer with at least replicas_quiet");
     }
     if (service->kind == CF_ENGINE && service->answer_within_s > 0 &&
         service->first_token_ms >= 1000 * service->answer_within_s) {
-        Qu_Problem(group, "answer_within_s",
-                   "the whole answer takes longer than its first token: "
-                   "answer with more than first_token_ms");
+        Qu_AddProblem(group, "answer_within_s",
+                      "the whole answer takes longer than its first token: "
+                      "answer with more than first_token_ms");
     }
 }
 
-/* Somebody must be able to publish the platform section again. */
+/* Without an operator nobody could publish the platform section again. */
 void
 Qn_CheckPlatform(const struct qu_group *group,
                  const struct qn_answers *answers)
 {
     bool operator_found = false;
-    bool self_found = false;
+    bool own_team_found = false;
     for (size_t i = 0; i < answers->team_count; i++) {
         const struct qn_team *team = &answers->teams[i];
         operator_found |= team->role == CF_OPERATOR;
-        self_found |= strcmp(team->name, answers->team) == 0;
+        own_team_found |= strcmp(team->name, answers->team) == 0;
     }
     if (!operator_found) {
-        Qu_Problem(group, "teams",
-                   "no team is \"operator\", and nobody could change these "
-                   "answers again: give one team that role");
+        Qu_AddProblem(group, "teams",
+                      "no team is \"operator\", and nobody could change these "
+                      "answers again: give one team that role");
     }
-    if (!self_found) {
-        Qu_Problem(group, "teams",
-                   "your own team is not among them: add the team that "
-                   "answers this questionnaire");
+    if (!own_team_found) {
+        Qu_AddProblem(group, "teams",
+                      "your own team is not among them: add the team that "
+                      "answers this questionnaire");
     }
 }
 
-/* Two data centres at least are needed to survive the loss of one. */
+/* Surviving the loss of a data centre takes at least two of them. */
 void
 Qn_CheckRisks(const struct qu_group *group, const struct qn_answers *answers)
 {
     if (answers->risks.survive_data_centre_loss && answers->has_platform &&
         answers->data_centre_count < 2) {
-        Qu_Problem(group, "survive_data_centre_loss",
-                   "there is one data centre only: add another one, or "
-                   "answer false");
+        Qu_AddProblem(group, "survive_data_centre_loss",
+                      "there is one data centre only: add another one, or "
+                      "answer false");
     }
 }
 
@@ -138,17 +142,17 @@
     for (size_t i = 0; i < answers->caller_count; i++) {
         sum += answers->callers[i].budget_percent;
     }
-    if (sum > 100 + Qn_PERCENT_SLACK) {
+    if (sum > 100 + Qn_TOLERANCE_PERCENT) {
         char remedy[128];
         snprintf(remedy, sizeof(remedy),
                  "the answers to budget_percent add up to %g: lower some, "
                  "100 is the whole budget",
                  sum);
-        Qu_Problem(top, "callers", remedy);
+        Qu_AddProblem(top, "callers", remedy);
     }
 }
 
-/* One replica cannot stand in two data centres. */
+/* Surviving the loss of a data centre takes at least two replicas. */
 static void
 check_spread(const struct qu_group *top, const struct qn_answers *answers)
 {
@@ -166,38 +170,38 @@
                  "loss of a data centre: answer replicas_quiet with 2 or "
                  "more, or risks.survive_data_centre_loss with false",
                  service->name);
-        Qu_Problem(top, "services", remedy);
+        Qu_AddProblem(top, "services", remedy);
     }
 }
 
 /*
- * The same digest for two names would give one of them the other's limits
- * and answers.
+ * If two callers or teams had the same key digest, one of them would get the
+ * limits and the answers of the other.
  */
 static void
 check_keys(const struct qu_group *top, const struct qn_answers *answers)
 {
     for (size_t i = 0; i < answers->caller_count; i++) {
         const char *digest = answers->callers[i].key_digest;
-        bool twice = false;
+        bool duplicate = false;
         for (size_t j = 0; j < i; j++) {
-            twice |= strcmp(answers->callers[j].key_digest, digest) == 0;
+            duplicate |= strcmp(answers->callers[j].key_digest, digest) == 0;
         }
         for (size_t j = 0; j < answers->team_count; j++) {
-            twice |= strcmp(answers->teams[j].key_digest, digest) == 0;
+            duplicate |= strcmp(answers->teams[j].key_digest, digest) == 0;
         }
-        if (twice && digest[0] != '\0') {
+        if (duplicate && digest[0] != '\0') {
             char remedy[192];
             snprintf(remedy, sizeof(remedy),
                      "the key_digest of %s is used twice: make a key of its "
                      "own for each with 'cornelctl key NAME'",
                      answers->callers[i].name);
-            Qu_Problem(top, "callers", remedy);
+            Qu_AddProblem(top, "callers", remedy);
         }
     }
 }
 
-/* How the answers on callers, services and risks fit together. */
+/* Checks that callers, services and risks are consistent. */
 void
 Qn_CheckAll(const struct qu_group *top, const struct qn_answers *answers)
 {
--- a/packages/config/sections.c
+++ b/packages/config/sections.c
@@ -7,7 +7,7 @@
 
 #include "config/sections_state.h"
 
-/* Makes a state before the first record, with an empty configuration. */
+/* Creates a state before the first record, with an empty configuration. */
 enum st_status
 Sc_Create(struct sc_state **out)
 {
@@ -28,12 +28,12 @@
 static void
 entry_destroy(struct sc_entry *entry)
 {
-    Cf_PartDestroy(entry->part);
+    Cf_ParsedSectionDestroy(entry->parsed);
     free(entry->body);
     free(entry);
 }
 
-/* Frees the sections and the reference to the configuration. */
+/* Frees the sections and releases the configuration. */
 void
 Sc_Clear(struct sc_state *state)
 {
@@ -47,7 +47,7 @@
     state->config = NULL;
 }
 
-/* Frees the state and its reference to the configuration; NULL is allowed. */
+/* NULL is allowed. */
 void
 Sc_Destroy(struct sc_state *state)
 {
@@ -88,7 +88,7 @@
     return entry;
 }
 
-/* Puts an accepted change into force; the change gives its contents away. */
+/* Applies an accepted change; its contents move into the state. */
 static enum st_status
 commit(struct sc_state *state, uint64_t offset, struct sc_change *change)
 {
@@ -98,23 +98,23 @@
                        change->section);
     }
     free(entry->body);
-    Cf_PartDestroy(entry->part);
+    Cf_ParsedSectionDestroy(entry->parsed);
     entry->body = change->body;
-    entry->part = change->part;
+    entry->parsed = change->parsed;
     entry->offset = offset;
     Cf_Destroy(state->config);
     state->config = change->config;
     change->body = NULL;
-    change->part = NULL;
+    change->parsed = NULL;
     change->config = NULL;
     return ST_OK;
 }
 
 static void
-keep_verdict(struct sc_state *state, uint64_t offset, enum st_status status,
-             const struct sc_change *change)
+store_verdict(struct sc_state *state, uint64_t offset, enum st_status status,
+              const struct sc_change *change)
 {
-    size_t slot = state->verdict_count % Sc_VERDICTS;
+    size_t slot = state->verdict_count % Sc_VERDICTS_MAX;
     struct sc_verdict *verdict = &state->verdicts[slot];
     memset(verdict, 0, sizeof(*verdict));
     verdict->offset = offset;
@@ -128,17 +128,17 @@
 }
 
 /*
- * Guards against a node turned back or led past a record.  A log that answers
- * with a shorter tail, or a peer that started again with old state, offers
- * offsets that were seen: they have no effect.  An offset beyond the next one
- * means that records were missed (they expired, or a reader skipped them);
- * whoever went on would reach other verdicts than the rest.
+ * Checks that the record is the next one.  A log that answers with a shorter
+ * tail, or a peer that restarted with old state, sends offsets that were read
+ * before; those records have no effect.  An offset beyond the next one means
+ * that records are missing (they expired, or the reader skipped them).  A
+ * daemon that went on would reach other verdicts than its peers.
  */
 static enum st_status
-check_next(const struct sc_state *state, uint64_t offset, bool *seen)
+check_next(const struct sc_state *state, uint64_t offset, bool *already_read)
 {
-    *seen = offset <= state->offset;
-    if (*seen || offset == state->offset + 1) {
+    *already_read = offset <= state->offset;
+    if (*already_read || offset == state->offset + 1) {
         return ST_OK;
     }
     return St_Fail(ST_NOT_FOUND,
@@ -148,17 +148,17 @@
 }
 
 /*
- * Takes the record at this offset and keeps the verdict on it.  ST_OK says
- * that it was read, not that it was accepted: see Sc_VerdictAt().  Records
- * seen before have no effect.  ST_NOT_FOUND: records before it are missing.
- * ST_NO_MEMORY: not taken; give it again.
+ * Applies the record at this offset and stores its verdict.  ST_OK: the
+ * record was read, accepted or not; see Sc_VerdictAt().  A record that was
+ * read before has no effect.  ST_NOT_FOUND: records before this one are
+ * missing.  ST_NO_MEMORY: the record was not read; apply it again.
  */
 enum st_status
 Sc_Apply(struct sc_state *state, uint64_t offset, const char *json)
 {
-    bool seen;
-    enum st_status status = check_next(state, offset, &seen);
-    if (status != ST_OK || seen) {
+    bool already_read;
+    enum st_status status = check_next(state, offset, &already_read);
+    if (status != ST_OK || already_read) {
         return status;
     }
     struct sc_change change;
@@ -167,7 +167,7 @@
         status = commit(state, offset, &change);
     }
     if (status != ST_NO_MEMORY) {
-        keep_verdict(state, offset, status, &change);
+        store_verdict(state, offset, status, &change);
         state->offset = offset;
         status = ST_OK;
     }
@@ -176,9 +176,9 @@
 }
 
 /*
- * Says that every record up to this offset was read and that those not given
- * to Sc_Apply() are none for the sections: snapshots, and records that the
- * reader drops.  The caller vouches that none was missed.
+ * Advances the state to this offset without records: those in between are
+ * snapshots, or were dropped by the reader.  The caller guarantees that no
+ * record for the sections is among them.
  */
 void
 Sc_Pass(struct sc_state *state, uint64_t offset)
--- a/packages/config/sections.h
+++ b/packages/config/sections.h
@@ -1,17 +1,17 @@
 /*
- * The sections in force, as decided by the order of the records in the
- * "config" stream.  A record names the offset of the section it builds on; it
- * is accepted when that is the section's present offset, its author may
- * publish the section, and the result is valid.  Whoever reads the same
- * records reaches the same verdicts, so operators who race each other need
- * no arbiter.  No input or output here.
+ * The sections in force, a state machine over the records of the "config"
+ * stream.  A record names the offset of the section that it builds on.  It is
+ * accepted if that is the section's current offset, its author may publish
+ * the section, and the result is valid.  Every reader of the same records
+ * reaches the same verdicts, so concurrent changes need no coordinator.  This
+ * module does no input or output.
  *
  * A record's body is a JSON object:
  *   "kind"     "section" (a whole body) or "patch" (a merge patch, RFC 7386)
  *   "section"  name of the section
  *   "base"     offset of the section that it builds on, 0 when there is none
  *   "author"   name of the team that publishes
- *   "id"       names one intent of a publisher; optional
+ *   "id"       idempotency key of the publisher; optional
  *   "body"     the section, or the patch
  */
 #ifndef CONFIG_SECTIONS_H
@@ -29,12 +29,12 @@
 
 #define Sc_ID_MAX 40        /* bytes of a publisher's id, with its NUL */
 #define Sc_REASON_MAX 256   /* bytes of a verdict's reason, with its NUL */
-#define Sc_VERDICTS 64      /* verdicts kept */
+#define Sc_VERDICTS_MAX 64  /* the last verdicts are stored */
 #define Sc_RECORD_MAX 65536 /* bytes of one record of the log */
 
 struct sc_state;
 
-/* What became of one record. */
+/* Whether a record was accepted, and why not. */
 struct sc_verdict {
     uint64_t offset;
     char id[Sc_ID_MAX];
@@ -45,7 +45,7 @@
 
 struct sc_section {
     const char *name;
-    uint64_t offset;  /* of the record that made it; the base of the next */
+    uint64_t offset;  /* of its last record; base of the next change */
     const char *body; /* compact JSON, lists keyed by name */
 };
 
--- a/packages/config/sections_query.c
+++ b/packages/config/sections_query.c
@@ -4,7 +4,6 @@
 
 #include "config/sections_state.h"
 
-/* The entry of this name, or NULL. */
 struct sc_entry *
 Sc_Find(const struct sc_state *state, const char *name)
 {
@@ -18,8 +17,8 @@
 }
 
 /*
- * Whether a record would be accepted if it came next: ST_OK, or the kind and
- * message of its verdict.
+ * Checks whether a record would be accepted as the next one.  Returns the
+ * status that its verdict would have; the message is the reason.
  */
 enum st_status
 Sc_Check(const struct sc_state *state, const char *json)
@@ -31,7 +30,7 @@
     return status;
 }
 
-/* Offset of the last record read; 0 before the first. */
+/* Returns the offset of the last record read; 0 before the first. */
 uint64_t
 Sc_Offset(const struct sc_state *state)
 {
@@ -39,8 +38,8 @@
 }
 
 /*
- * The configuration in force; never NULL.  Its offset is that of the last
- * accepted record.  Use Cf_Ref() to keep it beyond the next record.
+ * Returns the configuration in force, never NULL.  Its offset is that of the
+ * last accepted record.  Use Cf_Ref() to keep it beyond the next record.
  */
 struct cf_config *
 Sc_Config(const struct sc_state *state)
@@ -48,14 +47,16 @@
     return state->config;
 }
 
-/* How many sections there are. */
 size_t
 Sc_SectionCount(const struct sc_state *state)
 {
     return state->count;
 }
 
-/* A section by its place in the order of names; index below the count. */
+/*
+ * Returns a section; the index counts in the order of names and is below
+ * Sc_SectionCount().
+ */
 struct sc_section
 Sc_SectionAt(const struct sc_state *state, size_t index)
 {
@@ -72,7 +73,7 @@
     return section;
 }
 
-/* The base for the next change of a section; 0 when there is none. */
+/* Returns the base for the next change; 0 if there is no such section. */
 uint64_t
 Sc_SectionOffset(const struct sc_state *state, const char *name)
 {
@@ -81,17 +82,17 @@
 }
 
 static size_t
-kept_verdicts(const struct sc_state *state)
+stored_verdict_count(const struct sc_state *state)
 {
-    return state->verdict_count < Sc_VERDICTS ? state->verdict_count
-                                              : Sc_VERDICTS;
+    return state->verdict_count < Sc_VERDICTS_MAX ? state->verdict_count
+                                                  : Sc_VERDICTS_MAX;
 }
 
-/* The verdict on the record at an offset, or NULL if no longer kept. */
+/* Returns the verdict on the record at this offset; NULL if overwritten. */
 const struct sc_verdict *
 Sc_VerdictAt(const struct sc_state *state, uint64_t offset)
 {
-    for (size_t i = 0; i < kept_verdicts(state); i++) {
+    for (size_t i = 0; i < stored_verdict_count(state); i++) {
         if (state->verdicts[i].offset == offset) {
             return &state->verdicts[i];
         }
@@ -99,12 +100,12 @@
     return NULL;
 }
 
-/* The first kept verdict on a record with this id, or NULL. */
+/* Returns the first stored verdict on a record with this id, or NULL. */
 const struct sc_verdict *
 Sc_VerdictOf(const struct sc_state *state, const char *id)
 {
     const struct sc_verdict *first = NULL;
-    for (size_t i = 0; i < kept_verdicts(state); i++) {
+    for (size_t i = 0; i < stored_verdict_count(state); i++) {
         const struct sc_verdict *verdict = &state->verdicts[i];
         if (strcmp(verdict->id, id) == 0 &&
             (first == NULL || verdict->offset < first->offset)) {
--- a/packages/config/sections_snapshot.c
+++ b/packages/config/sections_snapshot.c
@@ -1,6 +1,6 @@
 /*
- * Snapshots of the sections: what a node needs that cannot read the stream
- * from its beginning, or whose own path to the log is cut.
+ * Snapshots of the sections, for a daemon that cannot read the stream from
+ * its beginning or that cannot reach the log.
  */
 #include <bsd/string.h>
 #include <inttypes.h>
@@ -23,16 +23,17 @@
     return list;
 }
 
-/* The kept verdicts, oldest first. */
+/* Lists the stored verdicts, oldest first. */
 static json_t *
 verdicts_to_json(const struct sc_state *state)
 {
     json_t *list = json_array();
-    size_t first = state->verdict_count > Sc_VERDICTS
-                       ? state->verdict_count - Sc_VERDICTS
+    size_t first = state->verdict_count > Sc_VERDICTS_MAX
+                       ? state->verdict_count - Sc_VERDICTS_MAX
                        : 0;
     for (size_t i = first; i < state->verdict_count; i++) {
-        const struct sc_verdict *verdict = &state->verdicts[i % Sc_VERDICTS];
+        const struct sc_verdict *verdict =
+            &state->verdicts[i % Sc_VERDICTS_MAX];
         json_array_append_new(
             list, json_pack("{s:I, s:s, s:s, s:i, s:s}", "offset",
                             (json_int_t)verdict->offset, "id", verdict->id,
@@ -43,8 +44,8 @@
 }
 
 /*
- * The whole state as JSON text, to be freed by the caller; NULL without
- * memory.  The text may be longer than one record of the log.
+ * Returns the whole state as JSON, which the caller frees; NULL without
+ * memory.  The snapshot may be longer than a record of the log.
  */
 char *
 Sc_Snapshot(const struct sc_state *state)
@@ -59,7 +60,7 @@
 }
 
 static enum st_status
-wrong_snapshot(void)
+invalid_snapshot(void)
 {
     return St_Fail(ST_INVALID,
                    "the snapshot is not one of the sections: take another "
@@ -73,7 +74,7 @@
     const json_t *body = json_object_get(json, "body");
     json_int_t offset = json_integer_value(json_object_get(json, "offset"));
     if (name == NULL || !json_is_object(body) || offset <= 0) {
-        return wrong_snapshot();
+        return invalid_snapshot();
     }
     strlcpy(entry->name, name, sizeof(entry->name));
     entry->offset = (uint64_t)offset;
@@ -81,7 +82,7 @@
     if (entry->body == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for section %s", name);
     }
-    return Cf_PartParse(name, body, &entry->part);
+    return Cf_ParseSection(name, body, &entry->parsed);
 }
 
 static enum st_status
@@ -114,7 +115,7 @@
     json_int_t status = json_integer_value(json_object_get(json, "status"));
     if (id == NULL || section == NULL || reason == NULL || offset <= 0 ||
         status < ST_OK || status > ST_INTERNAL) {
-        return wrong_snapshot();
+        return invalid_snapshot();
     }
     verdict->offset = (uint64_t)offset;
     verdict->status = (enum st_status)status;
@@ -130,7 +131,7 @@
     size_t i;
     json_t *item;
     json_array_foreach (list, i, item) {
-        size_t slot = state->verdict_count % Sc_VERDICTS;
+        size_t slot = state->verdict_count % Sc_VERDICTS_MAX;
         enum st_status status = read_verdict(item, &state->verdicts[slot]);
         if (status != ST_OK) {
             return status;
@@ -141,23 +142,24 @@
 }
 
 static enum st_status
-build(struct sc_state *state, uint64_t in_force)
+build_config(struct sc_state *state, uint64_t in_force)
 {
-    const struct cf_part **parts = calloc(state->count + 1, sizeof(*parts));
-    if (parts == NULL) {
+    const struct cf_parsed_section **sections =
+        calloc(state->count + 1, sizeof(*sections));
+    if (sections == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for %zu sections",
                        state->count);
     }
     size_t count = 0;
     const struct sc_entry *entry;
     TAILQ_FOREACH (entry, &state->entries, link) {
-        parts[count++] = entry->part;
+        sections[count++] = entry->parsed;
     }
     Cf_Destroy(state->config);
     state->config = NULL;
     enum st_status status =
-        Cf_Assemble(parts, count, in_force, &state->config);
-    free(parts);
+        Cf_Assemble(sections, count, in_force, &state->config);
+    free(sections);
     return status;
 }
 
@@ -167,7 +169,7 @@
     json_int_t in_force =
         json_integer_value(json_object_get(json, "in_force"));
     if (in_force < 0) {
-        return wrong_snapshot();
+        return invalid_snapshot();
     }
     state->offset =
         (uint64_t)json_integer_value(json_object_get(json, "offset"));
@@ -177,14 +179,14 @@
         status = read_verdicts(json_object_get(json, "verdicts"), state);
     }
     if (status == ST_OK) {
-        status = build(state, (uint64_t)in_force);
+        status = build_config(state, (uint64_t)in_force);
     }
     return status;
 }
 
 /* Moves the contents of a fresh state into another one. */
 static void
-adopt(struct sc_state *state, struct sc_state *fresh)
+move_contents(struct sc_state *state, struct sc_state *fresh)
 {
     Sc_Clear(state);
     TAILQ_CONCAT(&state->entries, &fresh->entries, link);
@@ -206,16 +208,16 @@
     }
     status = read_state(json, fresh);
     if (status == ST_OK) {
-        adopt(state, fresh);
+        move_contents(state, fresh);
     }
     Sc_Destroy(fresh);
     return status;
 }
 
 /*
- * Takes a snapshot that covers more than the state does; an older one, from a
- * peer that lags, has no effect and is no failure.  ST_INVALID: the state is
- * as before.
+ * Replaces the state by a snapshot with a higher offset.  An older snapshot,
+ * from a peer that lags, has no effect and is not a failure.  After
+ * ST_INVALID the state is unchanged.
  */
 enum st_status
 Sc_Restore(struct sc_state *state, const char *snapshot)
@@ -226,7 +228,7 @@
     if (json == NULL || offset < 0 ||
         !json_is_array(json_object_get(json, "sections")) ||
         !json_is_array(json_object_get(json, "verdicts"))) {
-        status = wrong_snapshot();
+        status = invalid_snapshot();
     }
     else if ((uint64_t)offset > state->offset) {
         status = restore(state, json);
--- a/packages/config/sections_state.h
+++ b/packages/config/sections_state.h
@@ -1,4 +1,4 @@
-/* Shared by the modules of the sections only. */
+/* The state of the sections.  Private to evaluate.c and sections*.c. */
 #ifndef CONFIG_SECTIONS_STATE_H
 #define CONFIG_SECTIONS_STATE_H
 
@@ -8,30 +8,30 @@
 #include "config/sections.h"
 
 struct sc_entry {
-    TAILQ_ENTRY(sc_entry) link; /* in the order of names */
+    TAILQ_ENTRY(sc_entry) link; /* sorted by name */
     char name[Cf_SECTION_MAX];
     uint64_t offset;
     char *body;
-    struct cf_part *part;
+    struct cf_parsed_section *parsed;
 };
 
 TAILQ_HEAD(sc_entries, sc_entry);
 
 struct sc_state {
-    uint64_t offset; /* of the last record seen */
+    uint64_t offset; /* of the last record read */
     struct sc_entries entries;
     size_t count;
     struct cf_config *config;
-    struct sc_verdict verdicts[Sc_VERDICTS]; /* a ring */
-    size_t verdict_count;                    /* ever given */
+    struct sc_verdict verdicts[Sc_VERDICTS_MAX]; /* a ring */
+    size_t verdict_count; /* including overwritten ones */
 };
 
-/* The effect a record would have. */
+/* The effect that a record would have. */
 struct sc_change {
     char id[Sc_ID_MAX];
     char section[Cf_SECTION_MAX];
     char *body;
-    struct cf_part *part;
+    struct cf_parsed_section *parsed;
     struct cf_config *config;
 };
 
--- a/packages/config/test/build_test.cc
+++ b/packages/config/test/build_test.cc
@@ -50,7 +50,7 @@
     return Cf_Build(sections, 3, 7, out);
 }
 
-TEST(Build, ReadsEveryListAndFillsInPresets)
+TEST(Build, ReadsEveryListAndFillsInDefaults)
 {
     struct cf_config *config;
     ASSERT_EQ(ST_OK, build(team(""), &config)) << St_Message();
@@ -74,9 +74,9 @@
     Cf_Destroy(config);
 }
 
-// Guards against an evacuation, a warm-up or a region that is not read, and
-// against a region that is taken for any other.
-TEST(Build, ReadsWhereRequestsMayRun)
+// Guards against an evacuation, a cold start or a list of regions that is not
+// read, and against a region that matches another one.
+TEST(Build, ReadsEvacuationColdStartAndRegions)
 {
     struct cf_config *config;
     ASSERT_EQ(ST_OK, build(team(R"(,"cold_usec":3000000,"cold_per_sec":16,
@@ -94,10 +94,11 @@
     EXPECT_TRUE(Cf_IsIn(&office->regions, "south"));
     EXPECT_FALSE(Cf_IsEvacuated(config, "hobart"));
     Cf_Destroy(config);
-    std::string gone = platform();
+    std::string evacuated = platform();
     const std::string kRegion = "\"region\":\"tasmania\"";
-    gone.insert(gone.find(kRegion) + kRegion.size(), ",\"evacuated\":true");
-    struct cf_section section = {"platform", gone.c_str()};
+    evacuated.insert(evacuated.find(kRegion) + kRegion.size(),
+                     ",\"evacuated\":true");
+    struct cf_section section = {"platform", evacuated.c_str()};
     ASSERT_EQ(ST_OK, Cf_Build(&section, 1, 8, &config)) << St_Message();
     EXPECT_TRUE(Cf_IsEvacuated(config, "hobart"));
     EXPECT_FALSE(Cf_IsEvacuated(config, "burnie"));
@@ -134,14 +135,14 @@
     Cf_Destroy(config);
 }
 
-struct Wrong {
+struct InvalidCase {
     const char *derwent;
-    const char *names; /* the message names this */
+    const char *message_part; /* must be in the message */
 };
 
-class WrongSection : public ::testing::TestWithParam<Wrong> {};
+class InvalidSection : public ::testing::TestWithParam<InvalidCase> {};
 
-TEST_P(WrongSection, MessageNamesTheEntryAndTheRemedy)
+TEST_P(InvalidSection, MessageNamesTheEntryAndTheRemedy)
 {
     struct cf_config *config;
     std::string text = GetParam().derwent;
@@ -151,11 +152,12 @@
     }
     EXPECT_EQ(ST_INVALID, build(text, &config));
     std::string message = St_Message();
-    EXPECT_NE(std::string::npos, message.find(GetParam().names)) << message;
+    EXPECT_NE(std::string::npos, message.find(GetParam().message_part))
+        << message;
     EXPECT_NE(std::string::npos, message.find(": ")) << message;
 }
 
-const Wrong kWrong[] = {
+const InvalidCase kInvalidSections[] = {
     {"[]", "not an object"},
     {"{", "mend the JSON"},
     {R"({"customers":7})", "neither an object nor an array"},
@@ -202,18 +204,19 @@
      "names of regions"},
 };
 
-INSTANTIATE_TEST_SUITE_P(Table, WrongSection, ::testing::ValuesIn(kWrong));
+INSTANTIATE_TEST_SUITE_P(Table, InvalidSection,
+                         ::testing::ValuesIn(kInvalidSections));
 
 TEST(Build, SectionsAreCheckedAgainstEachOther)
 {
     struct cf_config *config;
-    std::string twice =
+    std::string same_service =
         R"({"services":{"rink":{"kind":"engine","move":{"to":"v1"}}}})";
-    EXPECT_EQ(ST_INVALID, build(team(""), &config, twice));
+    EXPECT_EQ(ST_INVALID, build(team(""), &config, same_service));
     EXPECT_NE(nullptr, strstr(St_Message(), "rename one"));
     std::string top = platform();
     struct cf_section stray[] = {{"platform", top.c_str()},
-                                 {"team/stray", twice.c_str()}};
+                                 {"team/stray", same_service.c_str()}};
     EXPECT_EQ(ST_INVALID, Cf_Build(stray, 2, 1, &config));
     EXPECT_NE(nullptr, strstr(St_Message(), "add the team there first"));
     struct cf_section locked[] = {{"platform", "{}"}};
--- a/packages/config/test/fuzz_test.cc
+++ b/packages/config/test/fuzz_test.cc
@@ -1,5 +1,5 @@
-// Mutated input, seeded: nothing crashes, and every refusal is typed and has
-// a message.  A failing seed is printed and repeats the run.
+// Seeded mutations of valid input: nothing crashes, and every refusal is
+// ST_INVALID with a message.  A failure prints the seed that reproduces it.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -11,8 +11,8 @@
 #include "config/questionnaire.h"
 #include "config/sections.h"
 
-// The scanner of libconfig leaks a string that was begun when a syntax error
-// follows; only these two of its functions are excused.
+// The scanner of libconfig leaks a partly scanned string on a syntax error;
+// only these two of its functions are suppressed.
 extern "C" const char *__lsan_default_suppressions(void);
 
 extern "C" const char *
@@ -25,17 +25,17 @@
 
 const int kRounds = 4000;
 
-const char *const kWords[] = {"null",       "{}",
-                              "[]",         "-1",
-                              "1e308",      "\"\"",
-                              "true",       "{",
-                              "}",          "(",
-                              ")",          ";",
-                              "\"",         "\\u0000",
-                              "0x7fffffff", "[[[[",
-                              ",",          ":",
-                              "=",          "name",
-                              "1e9",        "9223372036854775807L"};
+const char *const kTokens[] = {"null",       "{}",
+                               "[]",         "-1",
+                               "1e308",      "\"\"",
+                               "true",       "{",
+                               "}",          "(",
+                               ")",          ";",
+                               "\"",         "\\u0000",
+                               "0x7fffffff", "[[[[",
+                               ",",          ":",
+                               "=",          "name",
+                               "1e9",        "9223372036854775807L"};
 
 std::string
 mutate(struct rn_random *random, std::string text)
@@ -54,10 +54,11 @@
             text.insert(at, text.substr(at, len));
             break;
         case 3:
-            text.insert(at, kWords[Rn_Below(random, std::size(kWords))]);
+            text.insert(at, kTokens[Rn_Below(random, std::size(kTokens))]);
             break;
         default:
-            text.replace(at, len, kWords[Rn_Below(random, std::size(kWords))]);
+            text.replace(at, len,
+                         kTokens[Rn_Below(random, std::size(kTokens))]);
             break;
         }
     }
@@ -65,7 +66,7 @@
 }
 
 bool
-typed(enum st_status status)
+ok_or_invalid(enum st_status status)
 {
     return status == ST_OK ||
            (status == ST_INVALID && St_Message()[0] != '\0');
@@ -91,7 +92,7 @@
 
 TEST(Fuzz, SectionDocuments)
 {
-    int good = 0;
+    int accepted = 0;
     for (int seed = 1; seed <= kRounds; seed++) {
         struct rn_random random;
         Rn_Seed(&random, (uint64_t)seed);
@@ -102,11 +103,11 @@
             {"team/t", team.c_str()}};
         struct cf_config *config = nullptr;
         enum st_status status = Cf_Build(sections, 2, 1, &config);
-        ASSERT_TRUE(typed(status)) << "seed " << seed;
-        good += status == ST_OK ? 1 : 0;
+        ASSERT_TRUE(ok_or_invalid(status)) << "seed " << seed;
+        accepted += status == ST_OK ? 1 : 0;
         Cf_Destroy(config);
     }
-    EXPECT_GT(good, 20);
+    EXPECT_GT(accepted, 20);
 }
 
 TEST(Fuzz, RecordsPatchesAndSnapshots)
@@ -116,7 +117,7 @@
     std::string start =
         record("section", "platform", 0, "bootstrap", kPlatform);
     ASSERT_EQ(ST_OK, Sc_Apply(state, 1, start.c_str()));
-    int good = 0;
+    int accepted = 0;
     for (int seed = 1; seed <= kRounds; seed++) {
         struct rn_random random;
         Rn_Seed(&random, (uint64_t)seed);
@@ -129,21 +130,21 @@
         const struct sc_verdict *verdict = Sc_VerdictAt(state, offset);
         ASSERT_TRUE(verdict->status == ST_OK || verdict->reason[0] != '\0')
             << "seed " << seed;
-        good += verdict->status == ST_OK ? 1 : 0;
+        accepted += verdict->status == ST_OK ? 1 : 0;
         if (seed % 8 != 0) {
             continue;
         }
         char *snapshot = Sc_Snapshot(state);
-        std::string spoilt = mutate(&random, snapshot);
+        std::string mutated = mutate(&random, snapshot);
         struct sc_state *other;
         ASSERT_EQ(ST_OK, Sc_Create(&other));
-        ASSERT_TRUE(typed(Sc_Restore(other, spoilt.c_str())))
+        ASSERT_TRUE(ok_or_invalid(Sc_Restore(other, mutated.c_str())))
             << "seed " << seed;
         ASSERT_NE(nullptr, Sc_Config(other));
         Sc_Destroy(other);
         free(snapshot);
     }
-    EXPECT_GT(good, 20);
+    EXPECT_GT(accepted, 20);
     Sc_Destroy(state);
 }
 
@@ -152,7 +153,7 @@
     std::ifstream in(std::string(CG_SOURCE_DIR) + "/examples/derwent.cfg");
     std::stringstream sample;
     sample << in.rdbuf();
-    int good = 0;
+    int accepted = 0;
     for (int seed = 1; seed <= kRounds; seed++) {
         struct rn_random random;
         Rn_Seed(&random, (uint64_t)seed);
@@ -162,10 +163,10 @@
         struct qn_documents documents;
         Qn_ProblemsInit(&problems, "f.cfg");
         enum st_status status = Qn_ReadText(text.c_str(), &problems, &answers);
-        ASSERT_TRUE(typed(status)) << "seed " << seed;
+        ASSERT_TRUE(ok_or_invalid(status)) << "seed " << seed;
         ASSERT_EQ(status == ST_OK, problems.count == 0) << "seed " << seed;
         if (status == ST_OK) {
-            good++;
+            accepted++;
             ASSERT_EQ(ST_OK, Qn_Generate(answers, &documents))
                 << "seed " << seed << ": " << St_Message();
             Qn_DocumentsClear(&documents);
@@ -173,10 +174,10 @@
         Qn_ProblemsClear(&problems);
         Qn_Destroy(answers);
     }
-    EXPECT_GT(good, 20);
+    EXPECT_GT(accepted, 20);
 }
 
-TEST(Fuzz, DeepNestingIsRefusedOrTaken)
+TEST(Fuzz, DeepNestingIsRefused)
 {
     std::string deep;
     for (int i = 0; i < 5000; i++) {
--- a/packages/config/test/questionnaire_test.cc
+++ b/packages/config/test/questionnaire_test.cc
@@ -126,9 +126,9 @@
 }
 
 struct Change {
-    const char *before; /* expression, first match is replaced */
+    const char *before; /* regular expression; its first match is replaced */
     const char *after;
-    const char *problem; /* the answer named */
+    const char *problem; /* must be in the message, as is the remedy */
     const char *remedy;
 };
 
@@ -233,14 +233,14 @@
     EXPECT_GE(outcome.count, 6U);
 }
 
-TEST(Questionnaire, BrokenLineIsNamed)
+TEST(Questionnaire, SyntaxErrorNamesTheLine)
 {
     Outcome outcome = check("team = \"t\";\ncallers = {{\n");
     EXPECT_EQ(ST_INVALID, outcome.status);
     EXPECT_EQ(0U, outcome.problems.find("q.cfg:2: ")) << outcome.problems;
 }
 
-TEST(Questionnaire, DearReclaimableHostsAreNotUsed)
+TEST(Questionnaire, SpotHostsAreNotUsedUnlessCheaper)
 {
     std::string text = std::regex_replace(
         example("derwent.cfg"), std::regex("price_reclaimable = [0-9.]+"),
@@ -251,7 +251,7 @@
     Cf_Destroy(config);
 }
 
-TEST(Questionnaire, MissingFileIsSaid)
+TEST(Questionnaire, MissingFileIsReported)
 {
     struct qn_problems problems;
     struct qn_answers *answers;
--- a/packages/config/test/sections_test.cc
+++ b/packages/config/test/sections_test.cc
@@ -54,7 +54,7 @@
            R"("}}})";
 }
 
-struct Free {
+struct StateDeleter {
     void
     operator()(struct sc_state *state) const
     {
@@ -62,7 +62,7 @@
     }
 };
 
-using State = std::unique_ptr<struct sc_state, Free>;
+using State = std::unique_ptr<struct sc_state, StateDeleter>;
 
 State
 create()
@@ -73,7 +73,7 @@
 }
 
 enum st_status
-next(const State &state, const std::string &text)
+apply_next(const State &state, const std::string &text)
 {
     uint64_t offset = Sc_Offset(state.get()) + 1;
     EXPECT_EQ(ST_OK, Sc_Apply(state.get(), offset, text.c_str()));
@@ -82,13 +82,14 @@
 
 /* A state with the platform section at offset 1 and derwent's at offset 2. */
 State
-started()
+with_two_sections()
 {
     State state = create();
-    EXPECT_EQ(ST_OK, next(state, record("section", "platform", 0, "bootstrap",
-                                        platform())));
-    EXPECT_EQ(ST_OK, next(state, record("section", "team/derwent", 0,
-                                        "derwent", customers("clubs", 1))))
+    EXPECT_EQ(ST_OK, apply_next(state, record("section", "platform", 0,
+                                              "bootstrap", platform())));
+    EXPECT_EQ(ST_OK,
+              apply_next(state, record("section", "team/derwent", 0, "derwent",
+                                       customers("clubs", 1))))
         << Sc_VerdictAt(state.get(), 2)->reason;
     return state;
 }
@@ -102,16 +103,18 @@
     return copy;
 }
 
-TEST(Sections, PatchTouchesOneEntry)
+TEST(Sections, PatchChangesOneEntry)
 {
-    State state = started();
-    EXPECT_EQ(ST_OK, next(state, record("patch", "team/derwent", 2, "derwent",
-                                        customers("schools", 2))));
+    State state = with_two_sections();
+    EXPECT_EQ(ST_OK,
+              apply_next(state, record("patch", "team/derwent", 2, "derwent",
+                                       customers("schools", 2))));
     struct cf_config *config = Sc_Config(state.get());
     EXPECT_EQ(3U, config->offset);
     EXPECT_EQ(2U, config->customer_count);
-    EXPECT_EQ(ST_OK, next(state, record("patch", "team/derwent", 3, "ops",
-                                        R"({"customers":{"clubs":null}})")));
+    EXPECT_EQ(ST_OK,
+              apply_next(state, record("patch", "team/derwent", 3, "ops",
+                                       R"({"customers":{"clubs":null}})")));
     EXPECT_EQ(1U, Sc_Config(state.get())->customer_count);
     EXPECT_EQ(4U, Sc_SectionOffset(state.get(), "team/derwent"));
 }
@@ -146,64 +149,66 @@
 
 TEST(Sections, RefusalsNameTheRemedyAndChangeNothing)
 {
-    State state = started();
+    State state = with_two_sections();
     for (const Refused &row : kRefused) {
         auto text =
             record(row.kind, row.section, row.base, row.author, row.body);
         EXPECT_EQ(row.status, Sc_Check(state.get(), text.c_str())) << text;
-        EXPECT_EQ(row.status, next(state, text)) << text;
+        EXPECT_EQ(row.status, apply_next(state, text)) << text;
         auto *verdict = Sc_VerdictAt(state.get(), Sc_Offset(state.get()));
         EXPECT_NE(nullptr, strstr(verdict->reason, row.remedy))
             << verdict->reason;
         EXPECT_EQ(2U, Sc_Config(state.get())->offset);
     }
-    EXPECT_EQ(ST_INVALID, next(state, "not json"));
+    EXPECT_EQ(ST_INVALID, apply_next(state, "not json"));
 }
 
 TEST(Sections, LargeSectionIsRefused)
 {
-    State state = started();
+    State state = with_two_sections();
     std::string body = R"({"note":")" + std::string(60000, 'x') + "\"}";
-    EXPECT_EQ(ST_INVALID, next(state, record("section", "team/derwent", 2,
-                                             "derwent", body)));
+    EXPECT_EQ(ST_INVALID, apply_next(state, record("section", "team/derwent",
+                                                   2, "derwent", body)));
 }
 
 /*
- * A price change that was refused comes into force hours later by itself.
- * The publisher's append was not answered and was sent again, so the record
- * stands twice; the first was refused because its team did not exist, the
- * second would be accepted once the team does.
+ * Guards against a refused change that takes effect later.  The append got no
+ * answer and was retried, so the log has the record twice.  The first copy is
+ * refused because its team does not exist; the second copy must not be
+ * accepted once the team exists.
  */
-TEST(Sections, RepeatedRecordHasNoSecondVerdict)
+TEST(Sections, RetriedRecordIsRefused)
 {
     State state = create();
-    EXPECT_EQ(ST_OK, next(state, record("section", "platform", 0, "bootstrap",
-                                        platform())));
+    EXPECT_EQ(ST_OK, apply_next(state, record("section", "platform", 0,
+                                              "bootstrap", platform())));
     auto change = record("section", "team/later", 0, "ops",
                          customers("late", 1), "intent-1");
-    EXPECT_EQ(ST_INVALID, next(state, change));
+    EXPECT_EQ(ST_INVALID, apply_next(state, change));
     std::string team =
         R"({"teams":{"later":{"key_digest":")" + digest("l") + "\"}}}";
-    EXPECT_EQ(ST_OK, next(state, record("patch", "platform", 1, "ops", team)));
+    EXPECT_EQ(ST_OK,
+              apply_next(state, record("patch", "platform", 1, "ops", team)));
     State other = create();
     ASSERT_EQ(ST_OK, Sc_Restore(other.get(), snapshot(state).c_str()));
-    EXPECT_EQ(ST_CONFLICT, next(state, change));
-    EXPECT_EQ(ST_CONFLICT, next(other, change));
+    EXPECT_EQ(ST_CONFLICT, apply_next(state, change));
+    EXPECT_EQ(ST_CONFLICT, apply_next(other, change));
     EXPECT_EQ(2U, Sc_VerdictOf(state.get(), "intent-1")->offset);
     EXPECT_EQ(0U, Sc_Config(state.get())->customer_count);
 }
 
 /*
- * A customer that was removed can call again.  A daemon has read up to offset
- * 3; then the log answers with a shorter tail (or a peer restarts with old
- * state) and offers other records at offsets that were read before.
+ * Guards against the return of a removed customer.  After the daemon has read
+ * up to offset 3, the log answers with a shorter tail (or a peer restarts with
+ * old state), and other records come at offsets that were read before.
  */
-TEST(Sections, NeverTurnsBack)
+TEST(Sections, RecordsAndSnapshotsAlreadyReadHaveNoEffect)
 {
-    State state = started();
+    State state = with_two_sections();
     std::string old = snapshot(state);
-    EXPECT_EQ(ST_OK, next(state, record("patch", "team/derwent", 2, "derwent",
-                                        R"({"customers":{"clubs":null}})")));
+    EXPECT_EQ(ST_OK,
+              apply_next(state, record("patch", "team/derwent", 2, "derwent",
+                                       R"({"customers":{"clubs":null}})")));
     std::string now = snapshot(state);
     EXPECT_EQ(ST_OK, Sc_Restore(state.get(), old.c_str()));
     auto again =
@@ -215,13 +220,13 @@
 }
 
 /*
- * One daemon serves a configuration that no other has.  Records expired
- * while it was away, it went on behind the hole, and a later record met
- * another base there.
+ * Guards against a daemon whose configuration differs from that of its peers.
+ * Records expired while the daemon was down; if it went on after the gap, a
+ * later record would meet another base there than elsewhere.
  */
-TEST(Sections, RefusesToStepOverAHole)
+TEST(Sections, RefusesAGapInTheLog)
 {
-    State state = started();
+    State state = with_two_sections();
     std::string now = snapshot(state);
     auto text = record("section", "team/derwent", 2, "derwent", "{}");
     EXPECT_EQ(ST_NOT_FOUND, Sc_Apply(state.get(), 4, text.c_str()));
@@ -231,11 +236,11 @@
     EXPECT_EQ(ST_OK, Sc_VerdictAt(state.get(), 4)->status);
 }
 
-TEST(Sections, WrongSnapshotLeavesTheStateAlone)
+TEST(Sections, InvalidSnapshotLeavesTheStateUnchanged)
 {
-    State state = started();
+    State state = with_two_sections();
     std::string now = snapshot(state);
-    const char *wrong[] = {
+    const char *invalid[] = {
         "",
         "{}",
         "[]",
@@ -245,13 +250,13 @@
         R"({"offset":9,"in_force":1,"sections":[{"name":"team/derwent",
             "offset":1,"body":{"customers":{"a":{}}}}],"verdicts":[]})",
         R"({"offset":9,"in_force":1,"sections":[],"verdicts":[{}]})"};
-    for (const char *text : wrong) {
+    for (const char *text : invalid) {
         EXPECT_EQ(ST_INVALID, Sc_Restore(state.get(), text)) << text;
         EXPECT_EQ(now, snapshot(state));
     }
 }
 
-/* A random publish: right and wrong authors, fresh and stale bases. */
+/* A random record: permitted or other author, current or stale base. */
 std::string
 random_record(struct rn_random *random, const State &reader)
 {
@@ -281,10 +286,10 @@
 }
 
 /*
- * Two operators publish from two daemons at once, and one sees the other's
- * change undone: the daemons had decided the race differently.  Records are
- * delivered twice, late or by snapshot; every reader of the same prefix must
- * end in the same state.
+ * Guards against daemons that decide a race between two operators differently,
+ * so that one operator finds the other's change undone.  Records arrive twice,
+ * late or by snapshot; every reader of the same prefix must reach the same
+ * state.
  */
 TEST(Sections, ReadersOfTheSamePrefixAgree)
 {
@@ -293,8 +298,8 @@
         struct rn_random random;
         Rn_Seed(&random, seed);
         State plain = create();
-        State again = create();
-        State late = create();
+        State replayed = create();
+        State restored = create();
         std::vector<std::string> log = {
             record("section", "platform", 0, "bootstrap", platform())};
         std::map<std::string, uint64_t> winners;
@@ -309,22 +314,22 @@
             uint64_t back = 1 + Rn_Below(&random, offset);
             for (uint64_t at = back; at <= offset; at++) {
                 ASSERT_EQ(ST_OK,
-                          Sc_Apply(again.get(), at, log[at - 1].c_str()));
+                          Sc_Apply(replayed.get(), at, log[at - 1].c_str()));
             }
             if (Rn_Below(&random, 10) == 0) {
                 State copy = create();
                 ASSERT_EQ(ST_OK,
                           Sc_Restore(copy.get(), snapshot(plain).c_str()));
-                late = std::move(copy);
+                restored = std::move(copy);
             }
-            else if (Sc_Offset(late.get()) + 1 == offset) {
-                ASSERT_EQ(ST_OK, Sc_Apply(late.get(), offset, text));
+            else if (Sc_Offset(restored.get()) + 1 == offset) {
+                ASSERT_EQ(ST_OK, Sc_Apply(restored.get(), offset, text));
             }
             auto *verdict = Sc_VerdictAt(plain.get(), offset);
             accepted += verdict->status == ST_OK ? 1 : 0;
         }
-        ASSERT_EQ(snapshot(plain), snapshot(again)) << "seed " << seed;
-        ASSERT_EQ(snapshot(plain), snapshot(late)) << "seed " << seed;
+        ASSERT_EQ(snapshot(plain), snapshot(replayed)) << "seed " << seed;
+        ASSERT_EQ(snapshot(plain), snapshot(restored)) << "seed " << seed;
     }
     EXPECT_GT(accepted, 400);
 }
@@ -371,7 +376,7 @@
     const char *result;
 };
 
-/* Examples of appendix A of RFC 7386. */
+/* Examples from appendix A of RFC 7386. */
 const Example kExamples[] = {
     {R"({"a":"b"})", R"({"a":"c"})", R"({"a":"c"})"},
     {R"({"a":"b"})", R"({"b":"c"})", R"({"a":"b","b":"c"})"},
