--- a/packages/config/questionnaire.h
+++ b/packages/config/questionnaire.h
@@ -60,7 +60,7 @@
 struct qn_move {
     char from[Cf_NAME_MAX];
     char to[Cf_NAME_MAX];
-    int64_t by;
+    int64_t by; /* deadline, seconds since 1970 */
     double first_percent;
     bool take_back;
 };
--- a/packages/config/questions_check.c
+++ b/packages/config/questions_check.c
@@ -7,7 +7,8 @@
 
 #include "config/questions.h"
 
-#define Qn_TOLERANCE_PERCENT 0.5 /* that budgets may exceed 100 by */
+/* By how much the sum of all budgets may exceed 100. */
+#define Qn_TOLERANCE_PERCENT 0.5
 
 /* No team may have the name of the bootstrap author. */
 void
--- a/packages/config/sections.c
+++ b/packages/config/sections.c
@@ -176,9 +176,9 @@
 }
 
 /*
- * Advances the state to this offset without records: those in between are
- * snapshots, or were dropped by the reader.  The caller guarantees that no
- * record for the sections is among them.
+ * Advances the state to this offset without applying the records in between,
+ * which are snapshots or records that the reader drops.  The caller guarantees
+ * that it has read all of them and that none is for the sections.
  */
 void
 Sc_Pass(struct sc_state *state, uint64_t offset)
--- a/packages/config/sections.h
+++ b/packages/config/sections.h
@@ -29,7 +29,7 @@
 
 #define Sc_ID_MAX 40        /* bytes of a publisher's id, with its NUL */
 #define Sc_REASON_MAX 256   /* bytes of a verdict's reason, with its NUL */
-#define Sc_VERDICTS_MAX 64  /* the last verdicts are stored */
+#define Sc_VERDICTS_MAX 64  /* stored; older ones are overwritten */
 #define Sc_RECORD_MAX 65536 /* bytes of one record of the log */
 
 struct sc_state;
--- a/packages/config/test/sections_test.cc
+++ b/packages/config/test/sections_test.cc
@@ -256,7 +256,7 @@
     }
 }
 
-/* A random record: permitted or other author, current or stale base. */
+/* The author may lack permission and the base may be stale. */
 std::string
 random_record(struct rn_random *random, const State &reader)
 {
@@ -287,9 +287,9 @@
 
 /*
  * Guards against daemons that decide a race between two operators differently,
- * so that one operator finds the other's change undone.  Records arrive twice,
- * late or by snapshot; every reader of the same prefix must reach the same
- * state.
+ * so that one operator finds the other's change undone.  Records arrive once,
+ * repeatedly and late, or as part of a snapshot; every reader of the same
+ * prefix must reach the same state.
  */
 TEST(Sections, ReadersOfTheSamePrefixAgree)
 {
