--- a/packages/platform/engine.c
+++ b/packages/platform/engine.c
@@ -6,18 +6,24 @@
 
 #include "base/hash.h"
 
-/* The part of a prompt that decides which engine is likely to cache it. */
+/*
+ * Requests whose prompts begin with the same bytes are likely to find their
+ * prefix in the same engine's cache; this many bytes are hashed.
+ */
 #define En_PREFIX_BYTES 256
 #define En_MAX_TOKENS_LIMIT 1000000
 
 static const char *
-text_of(const json_t *object, const char *key)
+string_or_empty(const json_t *object, const char *key)
 {
     const char *text = json_string_value(json_object_get(object, key));
     return text != NULL ? text : "";
 }
 
-/* The first messages stand for a prompt that has too many. */
+/*
+ * Adds the hash of one part.  The last entry of the array is left for the
+ * hash of the whole prompt, so that parts past En_PARTS_MAX - 1 are dropped.
+ */
 static void
 add_part(struct en_prompt *out, uint64_t hash)
 {
@@ -26,9 +32,12 @@
     }
 }
 
-/* The whole of it: a request that is sent again. */
+/*
+ * Adds the hash of the whole prompt as the last entry; it recognizes a
+ * request that is sent again.
+ */
 static void
-end_parts(struct en_prompt *out, uint64_t hash)
+add_whole_prompt(struct en_prompt *out, uint64_t hash)
 {
     out->parts[out->part_count++] = (uint32_t)hash;
 }
@@ -37,9 +46,9 @@
 hash_text(struct en_prompt *out, const char *text)
 {
     size_t len = strlen(text);
-    size_t room =
+    size_t prefix_left =
         out->text_len < En_PREFIX_BYTES ? En_PREFIX_BYTES - out->text_len : 0;
-    size_t n = len < room ? len : room;
+    size_t n = len < prefix_left ? len : prefix_left;
     if (n > 0) {
         out->prefix_hash = Hash_Bytes(text, n, out->prefix_hash);
     }
@@ -51,7 +60,7 @@
 read_messages(const json_t *messages, struct en_prompt *out)
 {
     size_t i;
-    uint64_t whole = 0;
+    uint64_t whole_hash = 0;
     const json_t *message;
     json_array_foreach (messages, i, message) {
         const json_t *content = json_object_get(message, "content");
@@ -63,9 +72,9 @@
         }
         hash_text(out, json_string_value(content));
         add_part(out, Hash_String(json_string_value(content), 0));
-        whole = Hash_String(json_string_value(content), whole + 1);
+        whole_hash = Hash_String(json_string_value(content), whole_hash + 1);
     }
-    end_parts(out, whole);
+    add_whole_prompt(out, whole_hash);
     if (json_array_size(messages) == 0) {
         return St_Fail(ST_INVALID, "give at least one message");
     }
@@ -102,13 +111,14 @@
     }
     hash_text(out, json_string_value(prompt));
     add_part(out, out->prefix_hash);
-    end_parts(out, Hash_String(json_string_value(prompt), 1));
+    add_whole_prompt(out, Hash_String(json_string_value(prompt), 1));
     return ST_OK;
 }
 
 /*
- * Reads a caller's body.  ST_INVALID: the message names the field and what
- * it should be.  On success the caller owns the prompt.
+ * Parses the body of a caller's request.  Returns ST_INVALID with a message
+ * that names the wrong field and the value expected.  On success the prompt
+ * must be freed with En_PromptFree().
  */
 enum st_status
 En_ReadPrompt(const char *path, const char *body, size_t len,
@@ -129,7 +139,7 @@
     return status;
 }
 
-/* Frees what a prompt holds. */
+/* Releases the parsed body; the struct itself belongs to its owner. */
 void
 En_PromptFree(struct en_prompt *prompt)
 {
@@ -138,8 +148,9 @@
 }
 
 /*
- * Builds the body for an engine: always a stream, so that an answer begun
- * can be gone on with elsewhere.  The caller frees it; NULL without memory.
+ * Builds the body of a request to an engine.  It always asks for a stream,
+ * so that another engine can resume an answer after its first tokens.  The
+ * caller frees the body; NULL is returned when memory runs out.
  */
 char *
 En_BuildRequest(const struct en_prompt *prompt, int priority,
@@ -148,15 +159,19 @@
     json_t *body = json_copy(prompt->root);
     json_object_set_new(body, "stream", json_true());
     json_object_set_new(body, "priority", json_integer(priority));
-    /* These extensions are between this system and the engine only. */
+    /*
+     * "resume" and "kv" are extensions between this system and the engine;
+     * values from the caller are dropped.
+     */
     json_object_del(body, "resume");
     json_object_del(body, "kv");
     if (resume->text != NULL && resume->tokens > 0) {
-        json_t *from = json_object();
-        json_object_set_new(from, "text",
+        json_t *resume_object = json_object();
+        json_object_set_new(resume_object, "text",
                             json_stringn(resume->text, resume->text_len));
-        json_object_set_new(from, "tokens", json_integer(resume->tokens));
-        json_object_set_new(body, "resume", from);
+        json_object_set_new(resume_object, "tokens",
+                            json_integer(resume->tokens));
+        json_object_set_new(body, "resume", resume_object);
     }
     if (resume->kv != NULL) {
         json_object_set_new(body, "kv", json_string(resume->kv));
@@ -191,8 +206,9 @@
 }
 
 /*
- * Reads the data of one event.  ST_INVALID: it is neither the end mark nor
- * an event of the completions API.  On success free it with En_EventFree().
+ * Parses the data of one event.  Returns ST_INVALID for data that is neither
+ * "[DONE]" nor an event of the completions API.  On success the event must
+ * be freed with En_EventFree().
  */
 enum st_status
 En_ReadEvent(const char *data, size_t len, struct en_event *out)
@@ -209,7 +225,7 @@
         return St_Fail(ST_INVALID, "the engine sent an event that is no JSON "
                                    "object; check its version");
     }
-    out->id = text_of(out->root, "id");
+    out->id = string_or_empty(out->root, "id");
     if (json_object_get(out->root, "error") != NULL) {
         out->kind = EN_ERROR;
         return ST_OK;
@@ -222,7 +238,10 @@
         read_usage(usage, &out->usage);
         return ST_OK;
     }
-    /* Cut down to an int, a huge index could pass for the next one. */
+    /*
+     * A huge index, truncated to an int, could equal the index that is
+     * expected next.
+     */
     if (out->text == NULL || !json_is_integer(index) ||
         json_integer_value(index) < 0 ||
         json_integer_value(index) > En_MAX_TOKENS_LIMIT) {
@@ -235,7 +254,7 @@
     return ST_OK;
 }
 
-/* Frees what an event holds. */
+/* Releases the parsed event; the pointers in it become invalid. */
 void
 En_EventFree(struct en_event *event)
 {
@@ -244,8 +263,9 @@
 }
 
 /*
- * The event as the caller gets it, under this system's request id, so that
- * a stream that moved between engines reads as one.  The caller frees it.
+ * Serializes an event for the caller.  The id of the request replaces the id
+ * that the engine sent, so that a stream that moved between engines has one
+ * id throughout.  The result must be freed.
  */
 char *
 En_CallerEvent(const struct en_event *event, const char *request_id,
@@ -256,7 +276,10 @@
     return json_dumps(event->root, JSON_COMPACT);
 }
 
-/* The whole answer for a caller who asked for no stream. */
+/*
+ * Builds the complete answer for a request without "stream".  The result
+ * must be freed.
+ */
 char *
 En_CallerAnswer(const struct en_prompt *prompt, const char *request_id,
                 const char *text, size_t text_len,
--- a/packages/platform/engine.h
+++ b/packages/platform/engine.h
@@ -1,7 +1,7 @@
 /*
- * The completions API as spoken by callers and by model engines: reading a
- * caller's request, building the request to an engine, reading its events.
- * No input or output here.
+ * The completions API of callers and of model engines: parses a caller's
+ * request, builds the request to an engine and parses the engine's events.
+ * This module does no I/O.
  */
 #ifndef PLATFORM_ENGINE_H
 #define PLATFORM_ENGINE_H
@@ -17,10 +17,10 @@
 extern "C" {
 #endif
 
-#define En_NAME_MAX 48
-#define En_KV_MAX 128
+#define En_NAME_MAX 48 /* bytes of a model name, with the NUL */
+#define En_KV_MAX 128  /* bytes of a KV cache handle, with the NUL */
 
-/* Parts of a prompt that requests may share. */
+/* Hashed parts of a prompt; other requests may contain the same parts. */
 #define En_PARTS_MAX 32
 
 /* A caller's request. */
@@ -31,18 +31,21 @@
     bool stream;
     int max_tokens;       /* 0: not given */
     size_t text_len;      /* bytes of the prompt */
-    uint64_t prefix_hash; /* of the first part of the prompt */
-    /* Hashes of its messages, or of its head; the last: of the whole. */
+    uint64_t prefix_hash; /* of the first 256 bytes of the prompt */
+    /*
+     * A hash per message of a chat, or the hash of the first 256 bytes of a
+     * plain prompt.  The last entry is the hash of the whole prompt.
+     */
     uint32_t parts[En_PARTS_MAX];
     size_t part_count;
 };
 
-/* What an engine is asked to go on from. */
+/* The state from which an engine resumes an answer. */
 struct en_resume {
-    const char *text; /* tokens already given, joined; NULL: from the start */
+    const char *text; /* tokens sent so far, joined; NULL: start anew */
     size_t text_len;
-    int tokens;
-    const char *kv; /* handle of an imported cache; NULL: none */
+    int tokens;     /* number of tokens in text */
+    const char *kv; /* handle of an imported KV cache; NULL: none */
 };
 
 struct en_usage {
@@ -54,16 +57,16 @@
 
 enum en_event_kind {
     EN_TOKEN,
-    EN_USAGE, /* the event that ends the tokens */
+    EN_USAGE, /* token counts, sent after the last token */
     EN_DONE,
     EN_ERROR,
 };
 
-/* One event of an engine's stream.  Pointers live until En_EventFree(). */
+/* An event of an engine's stream; pointers are valid until En_EventFree(). */
 struct en_event {
     enum en_event_kind kind;
-    const char *id; /* the engine's echo of x-request-id, or "" */
-    int index;      /* number of the token within the whole answer */
+    const char *id; /* x-request-id as the engine returns it, or "" */
+    int index;      /* position of the token in the whole answer */
     const char *text;
     struct en_usage usage;
     json_t *root;
