--- a/packages/platform/jsoncall.c
+++ b/packages/platform/jsoncall.c
@@ -13,7 +13,10 @@
     void *arg;
 };
 
-/* Reads "IP:PORT"; ST_INVALID names the text and the form expected. */
+/*
+ * Parses "IP:PORT".  Returns ST_INVALID with a message that quotes the text
+ * and names the expected form.
+ */
 enum st_status
 Jc_ParseTarget(const char *text, struct jc_target *out)
 {
@@ -59,8 +62,8 @@
 static const struct hc_ops call_ops = {.done = call_done};
 
 /*
- * Starts a call; "done" comes exactly once, later, unless it is cancelled.
- * A body of NULL sends none.
+ * Starts a call.  "done" is called exactly once, after this function has
+ * returned, unless the call is cancelled.  A body of NULL sends no body.
  */
 enum st_status
 Jc_Start(struct lp_loop *loop, const struct jc_target *target,
@@ -103,7 +106,7 @@
     return status;
 }
 
-/* Gives a call up; "done" is not called. */
+/* Cancels a call and frees it; "done" is not called. */
 void
 Jc_Cancel(struct jc_call *call)
 {
--- a/packages/platform/jsoncall.h
+++ b/packages/platform/jsoncall.h
@@ -1,6 +1,6 @@
 /*
- * One JSON call over HTTP to an outside system: the piece that every adapter
- * of this package shares.
+ * A JSON request over HTTP to a service of the platform.  The adapters of
+ * this package use it, except the log client.
  */
 #ifndef PLATFORM_JSONCALL_H
 #define PLATFORM_JSONCALL_H
@@ -13,17 +13,17 @@
 extern "C" {
 #endif
 
-/* Where an outside system is found. */
+/* The address of a service. */
 struct jc_target {
     char address[64];
     int port;
 };
 
 struct jc_answer {
-    enum st_status status; /* ST_OK for any complete HTTP answer */
-    bool may_have_run;     /* false: no byte of the request has left */
+    enum st_status status; /* ST_OK for any complete HTTP response */
+    bool may_have_run;     /* false: no byte of the request was sent */
     int code;
-    const json_t *body; /* NULL when it was empty or not JSON */
+    const json_t *body; /* NULL when empty or not JSON */
 };
 
 struct jc_call;
--- a/packages/platform/kvmove.c
+++ b/packages/platform/kvmove.c
@@ -11,7 +11,7 @@
     struct jc_target source;
     struct jc_target target;
     struct jc_call *call;
-    int64_t deadline;
+    int64_t deadline_usec;
     char handle[En_KV_MAX];
     int tokens;
     kv_done_fn done;
@@ -39,7 +39,7 @@
         strlcpy(move->handle, handle, sizeof(move->handle)) >=
             sizeof(move->handle)) {
         return St_Fail(ST_UNAVAILABLE,
-                       "an engine did not move a cache (status %d); the "
+                       "an engine did not move a KV cache (HTTP %d); the "
                        "stream is resumed instead",
                        answer->code);
     }
@@ -57,14 +57,14 @@
 }
 
 static enum st_status
-ask(struct kv_move *move, const struct jc_target *at, const char *path,
-    json_t *body, jc_done_fn done)
+post(struct kv_move *move, const struct jc_target *engine, const char *path,
+     json_t *body, jc_done_fn done)
 {
-    int64_t left = move->deadline - Ck_Now(Ck_System());
+    int64_t left_usec = move->deadline_usec - Ck_Now(Ck_System());
     enum st_status status =
-        left > 0 ? Jc_Start(move->loop, at, "POST", path, body, left, done,
-                            move, &move->call)
-                 : St_Fail(ST_TIMEOUT, "no time left to move a cache");
+        left_usec > 0 ? Jc_Start(move->loop, engine, "POST", path, body,
+                                 left_usec, done, move, &move->call)
+                      : St_Fail(ST_TIMEOUT, "no time left to move a KV cache");
     json_decref(body);
     return status;
 }
@@ -79,9 +79,9 @@
         char from[sizeof(move->source.address) + 8];
         snprintf(from, sizeof(from), "%s:%d", move->source.address,
                  move->source.port);
-        status = ask(move, &move->target, "/v1/kv/import",
-                     json_pack("{s:s,s:s}", "kv", move->handle, "from", from),
-                     import_done);
+        status = post(move, &move->target, "/v1/kv/import",
+                      json_pack("{s:s,s:s}", "kv", move->handle, "from", from),
+                      import_done);
     }
     if (status != ST_OK) {
         finish(move, status);
@@ -89,27 +89,29 @@
 }
 
 /*
- * Starts a move; "done" comes exactly once, later, unless it is cancelled.
- * The source goes on with its stream meanwhile.
+ * Starts a move.  "done" is called exactly once, after this function has
+ * returned, unless the move is cancelled.  The source engine continues its
+ * stream during the move.
  */
 enum st_status
 Kv_Start(struct lp_loop *loop, const struct jc_target *source,
          const struct jc_target *target, const char *request,
-         int64_t limit_usec, kv_done_fn done, void *arg, struct kv_move **out)
+         int64_t timeout_usec, kv_done_fn done, void *arg,
+         struct kv_move **out)
 {
     struct kv_move *move = calloc(1, sizeof(*move));
     if (move == NULL) {
-        return St_Fail(ST_NO_MEMORY, "no memory to move a cache");
+        return St_Fail(ST_NO_MEMORY, "no memory to move a KV cache");
     }
     move->loop = loop;
     move->source = *source;
     move->target = *target;
-    move->deadline = Ck_Now(Ck_System()) + limit_usec;
+    move->deadline_usec = Ck_Now(Ck_System()) + timeout_usec;
     move->done = done;
     move->arg = arg;
     enum st_status status =
-        ask(move, source, "/v1/kv/export", json_pack("{s:s}", "id", request),
-            export_done);
+        post(move, source, "/v1/kv/export", json_pack("{s:s}", "id", request),
+             export_done);
     if (status != ST_OK) {
         free(move);
         return status;
@@ -118,7 +120,7 @@
     return ST_OK;
 }
 
-/* Gives a move up; "done" is not called. */
+/* Cancels a move and frees it; "done" is not called. */
 void
 Kv_Cancel(struct kv_move *move)
 {
--- a/packages/platform/kvmove.h
+++ b/packages/platform/kvmove.h
@@ -1,6 +1,6 @@
 /*
- * Moves the KV cache of one running request from an engine to another:
- * export at the source, import at the target.
+ * Moves the KV cache of one running request from one engine to another: the
+ * source engine exports the cache, then the target engine imports it.
  */
 #ifndef PLATFORM_KVMOVE_H
 #define PLATFORM_KVMOVE_H
@@ -16,15 +16,15 @@
 
 struct kv_result {
     enum st_status status; /* ST_OK: the target holds the cache */
-    const char *handle;    /* to name in the request to the target */
-    int tokens;            /* of the answer that the cache covers */
+    const char *handle;    /* for en_resume.kv of the request to the target */
+    int tokens;            /* tokens of the answer that the cache covers */
 };
 
 typedef void (*kv_done_fn)(void *arg, const struct kv_result *result);
 
 enum st_status Kv_Start(struct lp_loop *loop, const struct jc_target *source,
                         const struct jc_target *target, const char *request,
-                        int64_t limit_usec, kv_done_fn done, void *arg,
+                        int64_t timeout_usec, kv_done_fn done, void *arg,
                         struct kv_move **out);
 void Kv_Cancel(struct kv_move *move);
 
--- a/packages/platform/sse.c
+++ b/packages/platform/sse.c
@@ -13,7 +13,10 @@
     bool has_data;
 };
 
-/* Creates a parser; a longer event than event_max bytes is an error. */
+/*
+ * Creates a parser that accepts lines and events of at most event_max bytes.
+ * Returns NULL when memory runs out.
+ */
 struct ss_parser *
 Ss_Create(size_t event_max)
 {
@@ -31,7 +34,7 @@
     return parser;
 }
 
-/* Frees the parser; NULL is allowed. */
+/* Frees the parser, which may be NULL. */
 void
 Ss_Destroy(struct ss_parser *parser)
 {
@@ -46,12 +49,12 @@
 static enum st_status
 add_data(struct ss_parser *parser, const char *value, size_t len)
 {
-    size_t newline = parser->has_data ? 1 : 0;
-    if (parser->data_len + newline + len > parser->event_max) {
+    size_t separator = parser->has_data ? 1 : 0;
+    if (parser->data_len + separator + len > parser->event_max) {
         return St_Fail(ST_INVALID, "an event is longer than %zu bytes",
                        parser->event_max);
     }
-    if (newline != 0) {
+    if (separator != 0) {
         parser->data[parser->data_len++] = '\n';
     }
     memcpy(parser->data + parser->data_len, value, len);
@@ -86,8 +89,9 @@
 }
 
 /*
- * Takes bytes and calls "event" for each event that is now complete.  The
- * handler must not destroy the parser.  ST_INVALID: an event is too long.
+ * Parses the next bytes and calls "event" for each event that they complete.
+ * The callback must not destroy the parser.  Returns ST_INVALID when a line
+ * or an event exceeds event_max bytes.
  */
 enum st_status
 Ss_Feed(struct ss_parser *parser, const void *data, size_t len,
--- a/packages/platform/sse.h
+++ b/packages/platform/sse.h
@@ -1,6 +1,6 @@
 /*
- * Splits a stream of server-sent events, fed in pieces of any size, into the
- * data of its events.
+ * An incremental parser of server-sent events.  The input may be split at
+ * any byte; the parser passes the data of each complete event to a callback.
  */
 #ifndef PLATFORM_SSE_H
 #define PLATFORM_SSE_H
@@ -15,7 +15,7 @@
 
 struct ss_parser;
 
-/* One event's data, NUL-terminated, without the field name. */
+/* Receives the data of one event, NUL-terminated, without "data:". */
 typedef void (*ss_event_fn)(void *arg, const char *data, size_t len);
 
 struct ss_parser *Ss_Create(size_t event_max);
