--- a/packages/platform/hostlist.c
+++ b/packages/platform/hostlist.c
@@ -25,7 +25,7 @@
 };
 
 static void
-copy_text(const json_t *object, const char *key, char *out, size_t size)
+copy_string(const json_t *object, const char *key, char *out, size_t size)
 {
     const char *text = json_string_value(json_object_get(object, key));
     strlcpy(out, text != NULL ? text : "", size);
@@ -38,7 +38,7 @@
 }
 
 static bool
-text_is(const json_t *object, const char *key, const char *expected)
+string_is(const json_t *object, const char *key, const char *expected)
 {
     const char *text = json_string_value(json_object_get(object, key));
     return text != NULL && strcmp(text, expected) == 0;
@@ -47,14 +47,14 @@
 static void
 parse_host(const json_t *item, struct hl_host *host)
 {
-    copy_text(item, "id", host->id, sizeof(host->id));
-    copy_text(item, "address", host->address, sizeof(host->address));
-    copy_text(item, "data_centre", host->data_centre,
-              sizeof(host->data_centre));
-    copy_text(item, "region", host->region, sizeof(host->region));
-    copy_text(item, "service", host->service, sizeof(host->service));
-    copy_text(item, "version", host->version, sizeof(host->version));
-    copy_text(item, "class", host->host_class, sizeof(host->host_class));
+    copy_string(item, "id", host->id, sizeof(host->id));
+    copy_string(item, "address", host->address, sizeof(host->address));
+    copy_string(item, "data_centre", host->data_centre,
+                sizeof(host->data_centre));
+    copy_string(item, "region", host->region, sizeof(host->region));
+    copy_string(item, "service", host->service, sizeof(host->service));
+    copy_string(item, "version", host->version, sizeof(host->version));
+    copy_string(item, "class", host->host_class, sizeof(host->host_class));
     host->port = read_int(item, "port");
     host->peer_port = read_int(item, "peer_port");
     host->admin_port = read_int(item, "admin_port");
@@ -62,11 +62,14 @@
     host->cold_usec = (int64_t)read_int(item, "cold_ms") * Ck_USEC_PER_MSEC;
     host->price = json_number_value(json_object_get(item, "price"));
     host->reclaimable = json_is_true(json_object_get(item, "reclaimable"));
-    host->role = text_is(item, "role", "entry") ? HL_ENTRY : HL_ENDPOINT;
-    host->state = text_is(item, "state", "leaving") ? HL_LEAVING : HL_LIVE;
+    host->role = string_is(item, "role", "entry") ? HL_ENTRY : HL_ENDPOINT;
+    host->state = string_is(item, "state", "leaving") ? HL_LEAVING : HL_LIVE;
 }
 
-/* Parses the hosts; the caller frees them.  NULL without memory. */
+/*
+ * Parses the hosts.  The caller frees the array; NULL is returned when memory
+ * runs out.
+ */
 static struct hl_host *
 parse_hosts(const json_t *items, size_t *count)
 {
@@ -80,7 +83,7 @@
     json_array_foreach (items, i, item) {
         struct hl_host *host = &hosts[*count];
         parse_host(item, host);
-        /* A host without an id or an address is of no use. */
+        /* A host without an id or an address cannot be reached: drop it. */
         if (host->id[0] != '\0' && host->address[0] != '\0') {
             (*count)++;
         }
@@ -97,7 +100,7 @@
     size_t count = 0;
     enum st_status status = answer->status;
     if (status != ST_OK) {
-        St_Fail(status, "the host list did not answer; see its address");
+        St_Fail(status, "the host list did not answer; check its address");
     }
     else if (answer->code != 200 || !json_is_array(items)) {
         status =
@@ -140,7 +143,10 @@
     return ST_OK;
 }
 
-/* Fetches under way are given up: whoever waits for them is going too. */
+/*
+ * Cancels the pending fetches without calling "done": the owner of the list,
+ * which would receive the result, is being destroyed too.
+ */
 static void
 http_destroy(struct hl_list *list)
 {
@@ -159,7 +165,7 @@
     .destroy = http_destroy,
 };
 
-/* The host list over HTTP, as docs/INTERFACES.md section 3. */
+/* Creates a host list over HTTP (docs/INTERFACES.md section 3). */
 enum st_status
 Hl_HttpCreate(struct lp_loop *loop, const struct jc_target *target,
               struct hl_list **out)
--- a/packages/platform/hostlist.h
+++ b/packages/platform/hostlist.h
@@ -1,5 +1,6 @@
 /*
- * The platform's lagging list of live and leaving hosts.
+ * The platform's list of live and leaving hosts.  The list may lag behind the
+ * actual state of the hosts.
  */
 #ifndef PLATFORM_HOSTLIST_H
 #define PLATFORM_HOSTLIST_H
@@ -10,10 +11,10 @@
 extern "C" {
 #endif
 
-#define Hl_NAME_MAX 48
+#define Hl_NAME_MAX 48 /* bytes, with the NUL */
 
 enum hl_role {
-    HL_ENTRY,    /* a host of this system */
+    HL_ENTRY,    /* a host that runs the daemon */
     HL_ENDPOINT, /* a host that runs a model engine or a plain service */
 };
 
@@ -35,17 +36,23 @@
     char service[Hl_NAME_MAX];
     char version[Hl_NAME_MAX];
     char host_class[Hl_NAME_MAX];
-    double price; /* per hour */
-    bool reclaimable;
+    double price;     /* per hour */
+    bool reclaimable; /* a spot host, which the platform may reclaim */
     int slots;
-    int64_t cold_usec; /* how much longer it is cold after its start */
+    int64_t cold_usec; /* warm-up time that remains after its start */
 };
 
 struct hl_list;
 
-/* Behind a table, so that another platform's list is one file. */
+/*
+ * The operations of a host list.  An adapter for another platform implements
+ * them in one file.
+ */
 struct hl_ops {
-    /* Asks for the list; "done" gets ST_OK and the hosts, or a failure. */
+    /*
+     * Requests the list.  "done" gets ST_OK and the hosts, which are valid
+     * during the callback, or a failure.
+     */
     enum st_status (*fetch)(struct hl_list *list, int64_t timeout_usec,
                             void (*done)(void *arg, enum st_status status,
                                          const struct hl_host *hosts,
--- a/packages/platform/test/hostlist_test.cc
+++ b/packages/platform/test/hostlist_test.cc
@@ -12,19 +12,19 @@
 
 namespace {
 
-// A port that takes connections and never answers.
-class SilentPort {
+// A listening port that accepts connections and never answers.
+class UnresponsivePort {
   public:
-    SilentPort() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
+    UnresponsivePort() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
-        socklen_t len = sizeof(at_);
-        at_.sin_family = AF_INET;
-        at_.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        EXPECT_EQ(0, bind(fd_, (struct sockaddr *)&at_, len));
+        socklen_t len = sizeof(address_);
+        address_.sin_family = AF_INET;
+        address_.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        EXPECT_EQ(0, bind(fd_, (struct sockaddr *)&address_, len));
         EXPECT_EQ(0, listen(fd_, 8));
-        EXPECT_EQ(0, getsockname(fd_, (struct sockaddr *)&at_, &len));
+        EXPECT_EQ(0, getsockname(fd_, (struct sockaddr *)&address_, &len));
     }
-    ~SilentPort()
+    ~UnresponsivePort()
     {
         close(fd_);
     }
@@ -32,17 +32,17 @@
     int
     port() const
     {
-        return ntohs(at_.sin_port);
+        return ntohs(address_.sin_port);
     }
 
   private:
     int fd_;
-    struct sockaddr_in at_ = {};
+    struct sockaddr_in address_ = {};
 };
 
 void
-Count(void *arg, enum st_status status, const struct hl_host *hosts,
-      size_t count)
+CountCalls(void *arg, enum st_status status, const struct hl_host *hosts,
+           size_t count)
 {
     (void)status;
     (void)hosts;
@@ -50,22 +50,23 @@
     ++*static_cast<int *>(arg);
 }
 
-// Guards against a daemon that crashes at the end of a planned stop: the host
-// list that it was reading answered a watcher that was gone.
-TEST(HostList, AFetchEndsWithItsList)
+// Guards against a crash of the daemon at the end of a graceful stop: a
+// pending fetch of the host list called the watcher after the watcher had
+// been freed.
+TEST(HostList, DestroyCancelsPendingFetches)
 {
-    SilentPort silent;
+    UnresponsivePort listener;
     struct lp_loop *loop = nullptr;
     ASSERT_EQ(ST_OK, Lp_Create(&loop));
     struct jc_target target = {};
     snprintf(target.address, sizeof(target.address), "127.0.0.1");
-    target.port = silent.port();
+    target.port = listener.port();
     struct hl_list *list = nullptr;
     ASSERT_EQ(ST_OK, Hl_HttpCreate(loop, &target, &list));
-    int answers = 0;
+    int calls = 0;
     for (int i = 0; i < 2; i++) {
-        ASSERT_EQ(ST_OK, list->ops->fetch(list, 60 * Ck_USEC_PER_SEC, Count,
-                                          &answers));
+        ASSERT_EQ(ST_OK, list->ops->fetch(list, 60 * Ck_USEC_PER_SEC,
+                                          CountCalls, &calls));
     }
     {
         Runner runner(loop);
@@ -73,7 +74,7 @@
     }
     list->ops->destroy(list);
     Lp_Destroy(loop);
-    EXPECT_EQ(0, answers);
+    EXPECT_EQ(0, calls);
 }
 
 } // namespace
