--- a/packages/platform/plog.c
+++ b/packages/platform/plog.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * Appends records to a stream as one batch.  ST_INVALID when a record is
- * larger than the log takes; nothing is sent then.
+ * Appends records to a stream as one batch.  Returns ST_INVALID and sends
+ * nothing when a record exceeds Pl_RECORD_MAX.
  */
 enum st_status
 Pl_Append(struct pl_log *log, const char *stream, const char *const *texts,
@@ -21,7 +21,7 @@
     return log->ops->append(log, stream, texts, count, done, arg);
 }
 
-/* Reads at most "max" records of a stream, "from" being the first wanted. */
+/* Reads at most "max" records of a stream, starting at offset "from". */
 enum st_status
 Pl_Read(struct pl_log *log, const char *stream, uint64_t from, size_t max,
         pl_read_fn done, void *arg)
--- a/packages/platform/plog.h
+++ b/packages/platform/plog.h
@@ -1,8 +1,8 @@
 /*
- * The platform's append-only log behind a table of function pointers, and
- * its HTTP form (section 2 of docs/INTERFACES.md).  What the rest of the
- * system must know of an append is only which of three things is certain:
- * it was written, it was surely not written, or neither.
+ * The platform's append-only log as a table of operations, and its HTTP
+ * client (docs/INTERFACES.md section 2).  An append has one of three
+ * outcomes: the records are certainly written, they are certainly not
+ * written, or the outcome is unknown.
  */
 #ifndef PLATFORM_PLOG_H
 #define PLATFORM_PLOG_H
@@ -19,12 +19,12 @@
 #define Pl_STREAM_MAX 32
 #define Pl_RECORD_MAX ((size_t)64 << 10) /* bytes of one record */
 #define Pl_FIRST_OFFSET UINT64_C(1)
-#define Pl_LIMIT_USEC INT64_C(2000000) /* for an answer of the log's */
+#define Pl_LIMIT_USEC INT64_C(2000000) /* default timeout of a call */
 
 enum pl_append_kind {
-    PL_WRITTEN, /* the records stand at offset to offset + count - 1 */
-    PL_REFUSED, /* surely not written: over the rate, outage, never sent */
-    PL_UNKNOWN, /* the answer was lost: written, or not, or not yet */
+    PL_WRITTEN, /* the records have offset to offset + count - 1 */
+    PL_REFUSED, /* certainly not written: rate limit, outage or not sent */
+    PL_UNKNOWN, /* no clear answer: written, not written, or not yet */
 };
 
 struct pl_append {
@@ -34,9 +34,9 @@
 };
 
 enum pl_read_kind {
-    PL_READ,    /* records from the offset asked for, perhaps none */
+    PL_READ,    /* records from the requested offset on, perhaps none */
     PL_EXPIRED, /* the offset is below the oldest record kept */
-    PL_FAILED,  /* no usable answer; ask again later */
+    PL_FAILED,  /* no usable answer; try again later */
 };
 
 struct pl_record {
@@ -47,7 +47,7 @@
 struct pl_read {
     enum pl_read_kind kind;
     uint64_t oldest;
-    uint64_t next; /* offset the next append gets, as far as this answer */
+    uint64_t next; /* offset of the next append as of this answer */
     const struct pl_record *records; /* valid during the callback */
     size_t count;
 };
@@ -58,9 +58,9 @@
 struct pl_log;
 
 /*
- * "done" is called exactly once and never from within the call; when the
- * call itself fails (without memory) nothing was sent and "done" is not
- * called.  The texts are copied.
+ * "done" is called exactly once, after the operation has returned.  When the
+ * operation itself fails, for example without memory, nothing was sent and
+ * "done" is not called.  The texts are copied.
  */
 struct pl_ops {
     enum st_status (*append)(struct pl_log *log, const char *stream,
@@ -85,10 +85,10 @@
 struct lp_loop;
 
 struct pl_http_options {
-    const char *address; /* IP number of the log service */
+    const char *address; /* IP address of the log service */
     int port;
-    int64_t append_usec; /* limit for an append; 0: Pl_LIMIT_USEC */
-    int64_t read_usec;   /* limit for a read; 0: Pl_LIMIT_USEC */
+    int64_t append_usec; /* timeout of an append; 0: Pl_LIMIT_USEC */
+    int64_t read_usec;   /* timeout of a read; 0: Pl_LIMIT_USEC */
 };
 
 enum st_status Pl_HttpCreate(struct lp_loop *loop,
--- a/packages/platform/plog_http.c
+++ b/packages/platform/plog_http.c
@@ -10,7 +10,7 @@
 
 #define Pl_PATH_MAX 128
 #define Pl_ADDRESS_MAX 64
-#define Pl_ANSWER_MAX ((size_t)32 << 20)
+#define Pl_ANSWER_MAX ((size_t)32 << 20) /* bytes */
 #define Pl_CODE_OK 200
 #define Pl_CODE_GONE 410
 
@@ -41,13 +41,13 @@
 }
 
 /*
- * Only an answer that the log service gave for a request it did not take, or
- * a request of which no byte left, proves that nothing was written.  A
- * timeout or a closed connection proves nothing: the append may take effect
+ * Returns true when the append was certainly not written: no byte of the
+ * request was sent, or the log service answered that it refuses the request.
+ * After a timeout or a closed connection the append may still take effect,
  * even later.
  */
 static bool
-surely_refused(const struct hc_result *result)
+certainly_not_written(const struct hc_result *result)
 {
     if (result->stage == HC_CONNECTING) {
         return true;
@@ -58,7 +58,7 @@
 }
 
 static uint64_t
-get_offset(const json_t *object, const char *name)
+get_positive(const json_t *object, const char *name)
 {
     json_int_t value = json_integer_value(json_object_get(object, name));
     return value > 0 ? (uint64_t)value : 0;
@@ -71,14 +71,14 @@
     struct pl_append answer = {.kind = PL_UNKNOWN};
     size_t len;
     const char *body = Hc_Body(hc, &len);
-    if (surely_refused(result)) {
+    if (certainly_not_written(result)) {
         answer.kind = PL_REFUSED;
     }
     else if (result->status == ST_OK && result->code == Pl_CODE_OK &&
              body != NULL) {
         json_t *root = json_loadb(body, len, 0, NULL);
-        answer.offset = get_offset(root, "offset");
-        answer.count = (size_t)get_offset(root, "count");
+        answer.offset = get_positive(root, "offset");
+        answer.count = (size_t)get_positive(root, "count");
         json_decref(root);
         if (answer.offset > 0 && answer.count > 0) {
             answer.kind = PL_WRITTEN;
@@ -98,7 +98,7 @@
     json_t *item;
     json_array_foreach (list, i, item) {
         const char *text = json_string_value(json_object_get(item, "data"));
-        uint64_t offset = get_offset(item, "offset");
+        uint64_t offset = get_positive(item, "offset");
         if (text == NULL || offset == 0) {
             break;
         }
@@ -110,13 +110,13 @@
 }
 
 static void
-hand_over(const struct log_call *call, int code, const json_t *root)
+deliver_read(const struct log_call *call, int code, const json_t *root)
 {
     struct pl_read answer = {.kind = PL_FAILED};
     struct pl_record *records = NULL;
     const json_t *list = json_object_get(root, "records");
-    answer.oldest = get_offset(root, "oldest");
-    answer.next = get_offset(root, "next");
+    answer.oldest = get_positive(root, "oldest");
+    answer.next = get_positive(root, "next");
     if (code == Pl_CODE_GONE && answer.oldest > 0) {
         answer.kind = PL_EXPIRED;
     }
@@ -143,7 +143,7 @@
         root = json_loadb(body, len, 0, NULL);
     }
     TAILQ_REMOVE(&call->http->calls, call, link);
-    hand_over(call, result->code, root);
+    deliver_read(call, result->code, root);
     json_decref(root);
     free(call);
 }
@@ -158,16 +158,16 @@
     for (size_t i = 0; i < count; i++) {
         json_array_append_new(list, json_string(texts[i]));
     }
-    bool whole = json_array_size(list) == count;
+    bool complete = json_array_size(list) == count;
     json_t *root = json_pack("{s:o}", "records", list);
-    char *text = whole ? json_dumps(root, JSON_COMPACT) : NULL;
+    char *text = complete ? json_dumps(root, JSON_COMPACT) : NULL;
     json_decref(root);
     return text;
 }
 
 static enum st_status
-start(struct log_http *http, struct log_call *call,
-      const struct hc_request *request, const struct hc_ops *ops)
+start_call(struct log_http *http, struct log_call *call,
+           const struct hc_request *request, const struct hc_ops *ops)
 {
     call->http = http;
     TAILQ_INSERT_HEAD(&http->calls, call, link);
@@ -208,7 +208,7 @@
             .connect_usec = http->append_usec,
             .total_usec = http->append_usec,
         };
-        status = start(http, call, &request, &append_ops);
+        status = start_call(http, call, &request, &append_ops);
     }
     free(body);
     return status;
@@ -237,7 +237,7 @@
         .total_usec = http->read_usec,
         .collect_max = Pl_ANSWER_MAX,
     };
-    return start(http, call, &request, &read_ops);
+    return start_call(http, call, &request, &read_ops);
 }
 
 static const struct pl_ops http_ops = {
@@ -246,8 +246,8 @@
 };
 
 /*
- * Makes a client of the log service at an address.  It lives until
- * Pl_HttpDestroy(), which must come after its users are destroyed.
+ * Creates a client of the log service.  Destroy it with Pl_HttpDestroy()
+ * after the modules that use it are destroyed.
  */
 enum st_status
 Pl_HttpCreate(struct lp_loop *loop, const struct pl_http_options *options,
@@ -272,7 +272,7 @@
 }
 
 static void
-give_up(const struct log_call *call)
+fail_call(const struct log_call *call)
 {
     const struct pl_append unknown = {.kind = PL_UNKNOWN};
     const struct pl_read failed = {.kind = PL_FAILED};
@@ -284,7 +284,10 @@
     }
 }
 
-/* Closes the open calls; each ends as unknown or failed. */
+/*
+ * Destroys the client.  Pending appends end as PL_UNKNOWN, pending reads as
+ * PL_FAILED.
+ */
 void
 Pl_HttpDestroy(struct pl_log *log)
 {
@@ -296,7 +299,7 @@
     while ((call = TAILQ_FIRST(&http->calls)) != NULL) {
         TAILQ_REMOVE(&http->calls, call, link);
         Hc_Cancel(call->call);
-        give_up(call);
+        fail_call(call);
         free(call);
     }
     free(http);
--- a/packages/platform/test/fake_log.h
+++ b/packages/platform/test/fake_log.h
@@ -1,7 +1,7 @@
 /*
- * The log in memory, with faults, for the tests of every package that uses
- * the table of plog.h.  Answers wait in a queue until Run() or Step(), so
- * that a test decides their order.
+ * An in-memory log with fault injection, for tests of code that uses plog.h.
+ * Answers wait in a queue until the test calls Run() or Step(), so that
+ * a test controls their order.
  */
 #ifndef PLATFORM_TEST_FAKE_LOG_H
 #define PLATFORM_TEST_FAKE_LOG_H
@@ -16,7 +16,13 @@
 #include "platform/plog.h"
 
 struct FakeLog {
-    enum class Fault { kNone, kLost, kLostBefore, kLate, kRefused };
+    /*
+     * kLost: the records are written and the answer is lost.  kRequestLost:
+     * the request is lost.  kLate: the answer is lost and the records are
+     * written when DeliverLate() is called.  kRefused: nothing is
+     * written and the answer says so.
+     */
+    enum class Fault { kNone, kLost, kRequestLost, kLate, kRefused };
 
     struct Stream {
         uint64_t oldest = Pl_FIRST_OFFSET;
@@ -32,12 +38,15 @@
     struct pl_log log;
     std::map<std::string, Stream> streams;
     std::deque<std::function<void()>> answers;
-    std::deque<std::function<void()>> late; /* appends still on their way */
-    std::deque<Fault> faults;               /* for the next appends */
-    double lost_rate = 0;                   /* random faults, see Roll() */
+    std::deque<std::function<void()>> late; /* written by DeliverLate() */
+    std::deque<Fault> faults;               /* faults of the next appends */
+    /* Probabilities: kLost, kRequestLost or kLate; kRefused. */
+    double lost_rate = 0;
     double refused_rate = 0;
-    double short_rate = 0;   /* reads that show an older tail */
-    double overlap_rate = 0; /* reads that repeat earlier records */
+    /* Probability that a read omits the newest records. */
+    double short_rate = 0;
+    /* Probability that a read starts one record too early. */
+    double overlap_rate = 0;
     bool outage = false;
     int appends = 0;
     struct rn_random random;
@@ -48,7 +57,7 @@
     }
     FakeLog(const FakeLog &) = delete;
 
-    /* Every call ends, as the table promises. */
+    /* Delivers the pending answers: "done" is called for every call. */
     ~FakeLog()
     {
         Run();
@@ -107,7 +116,7 @@
     static const struct pl_ops kOps;
 
     Fault
-    Roll()
+    NextFault()
     {
         if (outage) {
             return Fault::kRefused;
@@ -125,7 +134,7 @@
             case 0:
                 return Fault::kLost;
             case 1:
-                return Fault::kLostBefore;
+                return Fault::kRequestLost;
             default:
                 return Fault::kLate;
             }
@@ -141,7 +150,7 @@
         std::string name = stream;
         std::vector<std::string> copy(texts, texts + count);
         self->appends++;
-        Fault fault = self->Roll();
+        Fault fault = self->NextFault();
         struct pl_append answer = {PL_UNKNOWN, 0, 0};
         auto write = [self, name, copy] {
             for (const std::string &text : copy) {
@@ -154,7 +163,7 @@
         else if (fault == Fault::kLate) {
             self->late.push_back(write);
         }
-        else if (fault != Fault::kLostBefore) {
+        else if (fault != Fault::kRequestLost) {
             uint64_t offset = self->streams[name].Next();
             write();
             if (fault == Fault::kNone) {
--- a/packages/platform/test/plog_test.cc
+++ b/packages/platform/test/plog_test.cc
@@ -13,9 +13,11 @@
 
 const int kClosedPort = 1;
 
-/* A log service that gives one prepared answer; code 0 closes unanswered,
- * -1 never answers. */
-struct Service {
+/*
+ * A log service with one prepared answer.  With code 0 it closes the
+ * connection without an answer, with code -1 it never answers.
+ */
+struct LogService {
     struct lp_loop *loop = nullptr;
     struct hs_server *server = nullptr;
     struct pl_log *log = nullptr;
@@ -33,7 +35,7 @@
 void
 on_request(void *arg, struct hs_request *request)
 {
-    auto *s = static_cast<Service *>(arg);
+    auto *s = static_cast<LogService *>(arg);
     size_t len;
     const char *body = Hs_Body(request, &len);
     char from[32] = "";
@@ -60,7 +62,7 @@
 void
 on_append(void *arg, const struct pl_append *result)
 {
-    auto *s = static_cast<Service *>(arg);
+    auto *s = static_cast<LogService *>(arg);
     s->append = *result;
     s->done++;
     Lp_Stop(s->loop);
@@ -69,7 +71,7 @@
 void
 on_read(void *arg, const struct pl_read *result)
 {
-    auto *s = static_cast<Service *>(arg);
+    auto *s = static_cast<LogService *>(arg);
     s->read = *result;
     for (size_t i = 0; i < result->count; i++) {
         s->texts.push_back(std::to_string(result->records[i].offset) + ":" +
@@ -96,9 +98,9 @@
         Hs_Destroy(s.server);
     }
 
-    /* "port" 0: that of the service. */
+    /* A port of 0 connects to the service. */
     void
-    Open(int port, int64_t usec = 0)
+    Open(int port, int64_t timeout_usec = 0)
     {
         ASSERT_EQ(ST_OK, Lp_Create(&s.loop));
         struct hs_options options = {};
@@ -107,12 +109,13 @@
         options.ops = &kOps;
         options.arg = &s;
         ASSERT_EQ(ST_OK, Hs_Create(s.loop, &options, &s.server));
-        struct pl_http_options log = {
-            "127.0.0.1", port != 0 ? port : Hs_Port(s.server), usec, usec};
+        struct pl_http_options log = {"127.0.0.1",
+                                      port != 0 ? port : Hs_Port(s.server),
+                                      timeout_usec, timeout_usec};
         ASSERT_EQ(ST_OK, Pl_HttpCreate(s.loop, &log, &s.log));
     }
 
-    /* Serves until the call ends; a loop runs only once. */
+    /* Runs the loop until the call ends; a loop can run only once. */
     void
     Serve()
     {
@@ -142,15 +145,15 @@
         return s.read.kind;
     }
 
-    Service s;
+    LogService s;
 };
 
 /*
- * A ticket is charged twice, because an append whose answer was lost was
- * taken for one that never happened.  Each way an append can end is mapped
- * to what is certain about it.
+ * Guards against a ticket that is charged twice: an append whose answer was
+ * lost was treated as not written.  Only an append that is certainly not
+ * written may be reported as PL_REFUSED.
  */
-TEST_F(Plog, AppendSaysOnlyWhatIsCertain)
+TEST_F(Plog, AppendIsRefusedOnlyIfCertainlyNotWritten)
 {
     struct {
         int code;
@@ -207,7 +210,7 @@
               Pl_Append(s.log, "control", texts, 1, on_append, &s));
 }
 
-TEST_F(Plog, DestroyEndsOpenCalls)
+TEST_F(Plog, DestroyFailsPendingCalls)
 {
     s.code = -1;
     const char *texts[] = {"a"};
