--- a/packages/platform/test/platform_parse_test.cc
+++ b/packages/platform/test/platform_parse_test.cc
@@ -16,35 +16,35 @@
     static_cast<std::vector<std::string> *>(arg)->emplace_back(data, len);
 }
 
-TEST(Sse, AnySplitGivesTheSameEvents)
+TEST(Sse, EventsDoNotDependOnTheSplit)
 {
     const std::string text = "data: one\r\n\r\nevent: x\ndata: two\ndata:2\n\n"
                              ": comment\n\ndata: [DONE]\n\n";
     const std::vector<std::string> want = {"one", "two\n2", "[DONE]"};
-    for (size_t cut = 1; cut < text.size(); cut++) {
+    for (size_t chunk_len = 1; chunk_len < text.size(); chunk_len++) {
         std::vector<std::string> got;
         struct ss_parser *parser = Ss_Create(64);
-        for (size_t at = 0; at < text.size(); at += cut) {
-            std::string part = text.substr(at, cut);
-            ASSERT_EQ(ST_OK, Ss_Feed(parser, part.data(), part.size(), collect,
-                                     &got));
+        for (size_t at = 0; at < text.size(); at += chunk_len) {
+            std::string chunk = text.substr(at, chunk_len);
+            ASSERT_EQ(ST_OK, Ss_Feed(parser, chunk.data(), chunk.size(),
+                                     collect, &got));
         }
-        EXPECT_EQ(want, got) << "cut " << cut;
+        EXPECT_EQ(want, got) << "chunk length " << chunk_len;
         Ss_Destroy(parser);
     }
 }
 
-TEST(Sse, RefusesAnEndlessEvent)
+TEST(Sse, RefusesAnOverlongLine)
 {
     std::vector<std::string> got;
     struct ss_parser *parser = Ss_Create(16);
-    std::string part = "data: 12345678901234567890";
+    std::string chunk = "data: 12345678901234567890";
     EXPECT_EQ(ST_INVALID,
-              Ss_Feed(parser, part.data(), part.size(), collect, &got));
+              Ss_Feed(parser, chunk.data(), chunk.size(), collect, &got));
     Ss_Destroy(parser);
 }
 
-TEST(Target, NamesWhatIsWrong)
+TEST(Target, RefusesMalformedAddresses)
 {
     struct jc_target target;
     EXPECT_EQ(ST_OK, Jc_ParseTarget("127.0.0.1:80", &target));
@@ -92,7 +92,7 @@
                           "\"content\":\"x\"}]}"));
 }
 
-TEST(Event, ReadsBothShapesAndRefusesOthers)
+TEST(Event, ReadsAChatTokenAndRefusesAnEventWithoutText)
 {
     struct en_event event;
     std::string token = "{\"id\":\"r1\",\"index\":3,\"choices\":[{\"delta\":"
