--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -33,14 +33,14 @@
            "\"tenant\":\"%s\",\"route\":\"%s\",\"cost\":%.0f,"
            "\"spent\":%.0f,\"limit\":%.0f,\"config\":%lld,"
            "\"daemons\":%zu",
-           found->ask->id, refusal->status, refusal->why,
+           found->info->id, refusal->status, refusal->why,
            (long long)(refusal->retry_usec / Ck_USEC_PER_MSEC), tenant,
            found->route == NULL ? "" : found->route->name, found->cost,
            use.spent, use.limit,
            config == NULL ? -1LL : (long long)config->version,
            Ms_CountAlive(gate->mesh));
     struct rf_refusal reply = {refusal->status, refusal->retry_usec,
-                               refusal->why, found->ask->id};
+                               refusal->why, found->info->id};
     Rf_Reply(gate, request, &reply);
 }
 
@@ -60,13 +60,14 @@
 }
 
 static double
-cost_of(const struct ec_tenant *tenant, const struct hd_request_info *ask)
+cost_of(const struct ec_tenant *tenant, const struct hd_request_info *info)
 {
     if (!tenant->counts_tokens) {
         return 1;
     }
-    return ask->has_token_counts ? (double)(ask->tokens_in + ask->tokens_out)
-                                 : (double)tenant->default_tokens;
+    return info->has_token_counts
+               ? (double)(info->tokens_in + info->tokens_out)
+               : (double)tenant->default_tokens;
 }
 
 /* Whether any endpoint may take the request; "why" is set if none may. */
@@ -101,7 +102,8 @@
         return false;
     }
     const struct h1_field *host = H1_Find(head, "host");
-    if (host == NULL || H1_CountOf(head, "host") != 1 || out->ask->many_keys) {
+    if (host == NULL || H1_CountOf(head, "host") != 1 ||
+        out->info->many_keys) {
         *refusal = (struct refusal){400, 0, "one host and one key, please"};
         return false;
     }
@@ -113,7 +115,7 @@
     }
     if (!out->route->keyless && config->tenant_count > 0) {
         out->tenant =
-            out->ask->has_key ? Ec_FindTenant(config, out->ask->key) : NULL;
+            out->info->has_key ? Ec_FindTenant(config, out->info->key) : NULL;
         if (out->tenant == NULL) {
             *refusal = not_allowed(gate, 401, "unknown key");
             return false;
@@ -136,11 +138,11 @@
 void
 Ad_Take(struct ga_gate *gate, struct sv_request *request)
 {
-    static struct hd_request_info ask;
+    static struct hd_request_info info;
     const struct h1_head *head = Sv_Head(request);
-    gate->options.wire->decode_request(head, &ask);
+    gate->options.wire->decode_request(head, &info);
     Mt_Add(gate->count.requests, 1);
-    struct xc_admitted admitted = {.ask = &ask};
+    struct xc_admitted admitted = {.info = &info};
     struct refusal refusal;
     if (!admit(gate, head, &admitted, &refusal)) {
         refuse(gate, request, &admitted, &refusal);
@@ -148,7 +150,7 @@
     }
     char why[Qn_WHY_MAX];
     struct pz_request prompt =
-        Qn_MakeRequest(admitted.service, admitted.tenant, &ask);
+        Qn_MakeRequest(admitted.service, admitted.tenant, &info);
     if (Qn_IsQuarantined(gate->quarantine, &prompt, why)) {
         refusal = (struct refusal){503, Qn_RETRY_USEC, why};
         refuse(gate, request, &admitted, &refusal);
@@ -156,7 +158,7 @@
     }
     if (admitted.tenant != NULL) {
         int64_t wait_usec;
-        admitted.cost = cost_of(admitted.tenant, &ask);
+        admitted.cost = cost_of(admitted.tenant, &info);
         if (!Qt_Take(gate->quota, admitted.tenant->name, admitted.cost,
                      &wait_usec)) {
             refusal = (struct refusal){429, wait_usec, "over the quota"};
--- a/packages/edge/brittle.c
+++ b/packages/edge/brittle.c
@@ -125,7 +125,7 @@
     }
 }
 
-/* Updates this host's claim rank on all usable endpoints of a service. */
+/* Updates this host's rank (see Wu_Rank()) at a service's endpoints. */
 static void
 update_ranks(const struct ga_gate *gate, const struct fl_endpoint *endpoint)
 {
@@ -159,16 +159,16 @@
 Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
-    const struct br_state *room = &endpoint->room;
-    if (!Br_IsBrittle(room, now)) {
+    const struct br_state *state = &endpoint->room;
+    if (!Br_IsBrittle(state, now)) {
         return false;
     }
-    if (Br_RankIsOld(room, now)) {
+    if (Br_RankIsOld(state, now)) {
         update_ranks(gate, endpoint);
     }
-    struct br_quota part = Br_Quota(
-        room->refusal_limit, Ms_CountAll(gate->mesh), room->endpoint_count);
-    return !Br_MaySend(room, &part,
+    struct br_quota quota = Br_Quota(
+        state->refusal_limit, Ms_CountAll(gate->mesh), state->endpoint_count);
+    return !Br_MaySend(state, &quota,
                        endpoint->running + endpoint->peers_running,
                        endpoint->entry.slots, now);
 }
--- a/packages/edge/brittle.h
+++ b/packages/edge/brittle.h
@@ -14,8 +14,8 @@
 
 /*
  * Takes the number of refusals in a second that the endpoint tolerates, as
- * reported by its answer to a request sent at "sent_at"; "most" below 0: the
- * answer does not report it.
+ * reported by its answer to a request sent at "sent_at"; "max_refusals" below
+ * 0: the answer does not report it.
  */
 void Bt_NoteAnswer(struct ga_gate *gate, struct fl_endpoint *endpoint,
                    int max_refusals, int64_t sent_at);
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -157,14 +157,14 @@
 }
 
 static bool
-is_allowed(const struct ec_regions *homes, const char *region)
+is_allowed(const struct ec_regions *allowed, const char *region)
 {
-    for (size_t i = 0; homes != NULL && i < homes->count; i++) {
-        if (strcmp(homes->regions[i], region) == 0) {
+    for (size_t i = 0; allowed != NULL && i < allowed->count; i++) {
+        if (strcmp(allowed->regions[i], region) == 0) {
             return true;
         }
     }
-    return homes == NULL;
+    return allowed == NULL;
 }
 
 bool
--- a/packages/edge/config.h
+++ b/packages/edge/config.h
@@ -46,10 +46,10 @@
     bool keyless; /* needs no key */
     bool resumable;
     int attempts; /* most endpoints that one caller's request may run on */
-    int priority; /* priority; 0 is the most urgent */
+    int priority; /* 0 is the most urgent */
     int64_t timeout_usec;
-    int64_t latency_target_usec; /* latency target of the first byte */
-    int64_t gap_target_usec;     /* latency target between two events */
+    int64_t latency_target_usec; /* time to the first byte */
+    int64_t gap_target_usec;     /* time between two events */
     struct ec_share shares[Ec_SPLIT_MAX];
     size_t share_count;
     struct ec_regions *allowed_regions; /* NULL: any region */
@@ -79,11 +79,10 @@
 
 struct ec_tenant {
     char name[Ec_NAME_MAX];
-    int priority;       /* priority; -1: that of the route */
-    bool counts_tokens; /* the quota counts tokens, not requests */
-    int64_t
-        default_tokens; /* tokens charged for a request without token counts */
-    double per_sec;     /* 0: no limit */
+    int priority;           /* -1: that of the route */
+    bool counts_tokens;     /* the quota counts tokens, not requests */
+    int64_t default_tokens; /* charged if a request gives no token counts */
+    double per_sec;         /* 0: no limit */
     double burst;
     struct ec_regions *allowed_regions; /* NULL: any region */
 };
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -18,7 +18,8 @@
 #define Xc_UNLOADED_DIVISOR 4
 /*
  * An attempt is given up when the endpoint has answered no request for this
- * many times the route's latency target: sound endpoints need well under one.
+ * many times the route's latency target: healthy endpoints need well under
+ * one.
  */
 #define Xc_SILENCE_TARGETS 2
 /* Time after which a slot is likely to be free when all are in use. */
@@ -33,7 +34,8 @@
 /* Waits of a stream that has no endpoint: two seconds in total, as long as
    callers tolerate a silent stream. */
 #define Xc_WAITS_MAX 12
-/* Offset into the retry gaps: the first retry, without a gap, was made. */
+/* Skips the start of the sequence of Rt_Backoff(): a stream has been retried
+   without a delay before it waits. */
 #define Xc_WAIT_GAP_OFFSET 2
 
 static void on_timer(void *arg);
@@ -50,7 +52,7 @@
         "\"version\":\"%s\",\"sends\":%d,"
         "\"ran\":%d,\"last_event\":%lld,\"first_ms\":%lld,"
         "\"aim_ms\":%lld,\"ms\":%lld,\"left_ms\":%lld",
-        exchange->ask.id, outcome, exchange->route->name,
+        exchange->info.id, outcome, exchange->route->name,
         (long long)exchange->config->version, attempt->status,
         attempt->endpoint == NULL ? "" : attempt->endpoint->entry.id,
         attempt->endpoint == NULL ? "" : attempt->endpoint->entry.version,
@@ -148,7 +150,7 @@
         return;
     }
     char id[Hd_ID_MAX];
-    strlcpy(id, exchange->ask.id, sizeof(id));
+    strlcpy(id, exchange->info.id, sizeof(id));
     struct ga_gate *gate = exchange->gate;
     struct rf_refusal refusal = {status, retry_usec, why, id};
     Sv_SetUser(request, NULL);
@@ -272,16 +274,16 @@
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     const struct fl_endpoint *endpoint = attempt->endpoint;
-    long long reading =
+    long long prefill_tokens =
         endpoint->prefill_tokens + endpoint->peers_prefill_tokens;
     Ln_Log(
         exchange->sends == 1 ? LN_ORDINARY : LN_FAILURE, "attempt.sent",
         "\"id\":\"%s\",\"endpoint\":\"%s\",\"tenant\":\"%s\",\"running\":%d,"
         "\"others\":%d,\"reading\":%lld,\"missing\":%lld,\"kept_conn\":%d,"
         "\"entry_age_ms\":%lld,\"config\":%lld",
-        exchange->ask.id, endpoint->entry.id,
+        exchange->info.id, endpoint->entry.id,
         exchange->tenant == NULL ? "" : exchange->tenant->name,
-        endpoint->running, endpoint->peers_running, reading,
+        endpoint->running, endpoint->peers_running, prefill_tokens,
         (long long)attempt->prefill_tokens, Cn_Used(attempt->channel),
         (long long)((attempt->sent_at - endpoint->last_entry_at) /
                     Ck_USEC_PER_MSEC),
@@ -318,7 +320,7 @@
     attempt->endpoint = Fl_Ref(endpoint);
     attempt->channel = channel;
     attempt->sent_at = now;
-    attempt->prefill_tokens = target->read_tokens;
+    attempt->prefill_tokens = target->prefill_tokens;
     int running = endpoint->running + endpoint->peers_running;
     attempt->unloaded =
         endpoint->prefill_tokens + endpoint->peers_prefill_tokens == 0 &&
@@ -335,9 +337,9 @@
     if (exchange->sends == 0) {
         De_RecordSent(gate->demand, exchange->service->name,
                       attempt->prefill_tokens,
-                      Pl_IsLong(exchange->ask.tokens_in));
+                      Pl_IsLong(exchange->info.tokens_in));
     }
-    Px_NoteSent(gate->prefixes, &exchange->ask, endpoint->hash, now);
+    Px_NoteSent(gate->prefixes, &exchange->info, endpoint->hash, now);
     exchange->tried[exchange->tried_count++] = endpoint->hash;
     exchange->sends++;
     exchange->endpoint_waits = 0;
@@ -469,7 +471,7 @@
             Ln_Log(LN_FAILURE, "attempt.failed",
                    "\"id\":\"%s\",\"endpoint\":\"%s\",\"why\":\"silent\","
                    "\"ran\":%d,\"sends\":%d,\"ms\":%lld",
-                   exchange->ask.id, attempt->endpoint->entry.id, sent,
+                   exchange->info.id, attempt->endpoint->entry.id, sent,
                    exchange->sends,
                    (long long)((now - attempt->sent_at) / Ck_USEC_PER_MSEC));
             Xc_ReleaseAttempt(exchange);
@@ -512,16 +514,16 @@
     exchange->route = admitted->route;
     exchange->tenant = admitted->tenant;
     exchange->service = admitted->service;
-    exchange->ask = *admitted->ask;
+    exchange->info = *admitted->info;
     exchange->cost = admitted->cost;
     exchange->charged = admitted->tenant != NULL;
     exchange->retryable = is_retryable(admitted->route);
-    exchange->last_event = admitted->ask->last_event;
+    exchange->last_event = admitted->info->last_event;
     exchange->arrived_at = Ga_Now(gate);
     int64_t limit = admitted->route->timeout_usec;
-    if (admitted->ask->deadline_usec >= 0 &&
-        admitted->ask->deadline_usec < limit) {
-        limit = admitted->ask->deadline_usec;
+    if (admitted->info->deadline_usec >= 0 &&
+        admitted->info->deadline_usec < limit) {
+        limit = admitted->info->deadline_usec;
     }
     exchange->deadline = exchange->arrived_at + limit;
     TAILQ_INSERT_TAIL(&gate->exchanges, exchange, link);
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -39,7 +39,7 @@
     const struct ec_route *route;
     const struct ec_tenant *tenant; /* NULL: the route needs no key */
     const struct ec_service *service;
-    struct hd_request_info ask;
+    struct hd_request_info info;
     struct lp_timer *timer;
     int64_t arrived_at;
     int64_t first_byte_at; /* first byte of a valid answer; 0: none yet */
@@ -68,7 +68,7 @@
     const struct ec_route *route;
     const struct ec_tenant *tenant;
     const struct ec_service *service;
-    const struct hd_request_info *ask;
+    const struct hd_request_info *info;
     double cost;
 };
 
@@ -77,7 +77,7 @@
 
 struct xc_target {
     struct fl_endpoint *endpoint;
-    int64_t read_tokens; /* prompt tokens the endpoint is expected to read */
+    int64_t prefill_tokens; /* prompt tokens it is expected to read */
 };
 
 enum pl_verdict Xc_Choose(struct xc_exchange *exchange, struct xc_target *out);
@@ -102,7 +102,10 @@
 /* Ends the current attempt; its connection is kept if it can be reused. */
 void Xc_ReleaseAttempt(struct xc_exchange *exchange);
 
-/* Notes that an endpoint may have begun to run the request. */
+/*
+ * Notes that an endpoint may have begun to run the request, and counts the
+ * request in the usage report.
+ */
 void Xc_CountRun(struct xc_exchange *exchange);
 
 /* Callbacks of the connection to the endpoint. */
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -43,14 +43,14 @@
 }
 
 /*
- * Prompts that share a part belong to one group, which has the same homes; any
- * other request is a group of its own.
+ * Prompts that share a part belong to one group, which prefers the same
+ * endpoints at all hosts; any other request is a group of its own.
  */
 static uint64_t
-group_of(const struct hd_request_info *ask)
+group_of(const struct hd_request_info *info)
 {
-    uint64_t group = Px_Group(ask);
-    return group != 0 ? group : Hash_String(ask->id, 0);
+    uint64_t group = Px_Group(info);
+    return group != 0 ? group : Hash_String(info->id, 0);
 }
 
 /* Values that are the same for all candidates of a request. */
@@ -72,18 +72,18 @@
         Wa_State(gate, endpoint, exchange->service, context->now);
     uint64_t home_key[2] = {context->group, endpoint->hash};
     uint64_t sample_key[2] = {context->request, endpoint->hash};
-    struct px_uncached missing = Px_CountUncached(
-        gate->prefixes, &exchange->ask, endpoint->hash, context->now);
+    struct px_uncached uncached = Px_CountUncached(
+        gate->prefixes, &exchange->info, endpoint->hash, context->now);
     struct pl_candidate candidate = {
         .slots = endpoint->entry.slots,
         .running = endpoint->running + endpoint->peers_running,
         .prefill_tokens =
             endpoint->prefill_tokens + endpoint->peers_prefill_tokens,
-        .uncached_tokens = missing.tokens,
-        .uncached_shared = missing.shared,
+        .uncached_tokens = uncached.tokens,
+        .uncached_shared = uncached.shared,
         .same_zone =
             strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
-        .shunned =
+        .last_resort =
             He_Shunned(endpoint, context->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
         .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
@@ -106,9 +106,9 @@
 
 /* Load of a service from all hosts, per second. */
 struct load {
-    double sent;    /* requests */
-    double reading; /* prompt tokens */
-    double in_long; /* prompt tokens of long prompts */
+    double requests;
+    double prompt_tokens;
+    double long_prompt_tokens; /* prompt tokens of long prompts */
 };
 
 static void
@@ -117,9 +117,9 @@
 {
     for (size_t i = 0; i < count; i++) {
         if (rates[i].service == service) {
-            load->sent += rates[i].requests_per_sec;
-            load->reading += rates[i].prompt_tokens_per_sec;
-            load->in_long += rates[i].long_prompt_tokens_per_sec;
+            load->requests += rates[i].requests_per_sec;
+            load->prompt_tokens += rates[i].prompt_tokens_per_sec;
+            load->long_prompt_tokens += rates[i].long_prompt_tokens_per_sec;
         }
     }
 }
@@ -142,7 +142,9 @@
 static double
 long_share(const struct load *load)
 {
-    return load->reading > 0 ? load->in_long / load->reading : 0;
+    return load->prompt_tokens > 0
+               ? load->long_prompt_tokens / load->prompt_tokens
+               : 0;
 }
 
 /* Usable endpoints of a service, of the versions that a pick allows. */
@@ -152,15 +154,15 @@
 };
 
 static bool
-version_allowed(enum ro_pick pick, bool next)
+version_allowed(enum ro_pick pick, bool is_new)
 {
     switch (pick) {
     case RO_OLD:
     case RO_OLD_ONLY:
     case RO_OLD_FIRST:
-        return !next;
+        return !is_new;
     case RO_NEW_FIRST:
-        return next;
+        return is_new;
     default:
         return true;
     }
@@ -203,18 +205,19 @@
     bool engine = exchange->service->engine;
     struct choice_context context = {
         .now = Ga_Now(gate),
-        .group = group_of(&exchange->ask),
-        .request = Hash_String(exchange->ask.id, 0),
+        .group = group_of(&exchange->info),
+        .request = Hash_String(exchange->info.id, 0),
         .mean_first_byte = mean_first_byte(gate, service),
     };
-    double drawn_part = 1;
+    double sampled_fraction = 1;
     if (engine) {
         struct load load = load_of(gate, service);
         double lag =
             (double)Ms_ReportDelay(gate->mesh) / (double)Ck_USEC_PER_SEC;
         context.long_fraction =
             Pl_LongLaneFraction(from->count, long_share(&load));
-        drawn_part = Pl_SampledFraction(from->count, load.sent * lag);
+        sampled_fraction =
+            Pl_SampledFraction(from->count, load.requests * lag);
     }
     for (size_t i = 0; i < from->count; i++) {
         candidates[i] = make_candidate(exchange, &context, from->endpoints[i]);
@@ -223,15 +226,15 @@
         .engine = engine,
         .fill_max = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
         .lanes = context.long_fraction > 0,
-        .is_long = Pl_IsLong(exchange->ask.tokens_in),
-        .sampled_fraction = drawn_part,
+        .is_long = Pl_IsLong(exchange->info.tokens_in),
+        .sampled_fraction = sampled_fraction,
     };
     struct pl_choice choice = {0, 0};
     enum pl_verdict verdict =
         Pl_Choose(candidates, from->count, &limits, &choice);
     if (verdict == PL_CHOSEN) {
         out->endpoint = from->endpoints[choice.index];
-        out->read_tokens = choice.prefill_tokens;
+        out->prefill_tokens = choice.prefill_tokens;
     }
     return verdict;
 }
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -259,8 +259,9 @@
 /*
  * Whether a peer can be relied on to pass on what it reads from the store.
  * Messages from a host in another data centre arrive seconds apart, and all
- * readers may be in a data centre that has failed.  The sums of a whole data
- * centre arrive more often, so that their absence shows the failure sooner.
+ * readers may be in a data centre that has failed.  The summaries of a
+ * whole data centre arrive more often, so that their absence shows the failure
+ * sooner.
  */
 static bool
 is_timely_reader(const struct ga_gate *gate, const struct ms_peer *peer)
@@ -581,7 +582,7 @@
         .ops = &feed_ops,
         .arg = gate,
     };
-    struct lr_options duty = {
+    struct lr_options lease = {
         .clock = options->clock,
         .store = options->store,
         .name = options->node->name,
@@ -595,7 +596,7 @@
     gate->breaks = Bk_Create(gate);
     gate->quarantine = Qn_Create(gate);
     gate->feed = Fe_Create(&feed);
-    gate->duty = Lr_Create(&duty);
+    gate->duty = Lr_Create(&lease);
     gate->work = Co_Create(gate);
     gate->tick = Lp_TimerCreate(options->loop, on_tick, gate);
     if (gate->paths == NULL || gate->breaks == NULL ||
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -37,7 +37,7 @@
     struct mt_metric *served;
     struct mt_metric *refused;
     struct mt_metric *failed;
-    struct mt_metric *closed_unread; /* callers' connections, overloaded */
+    struct mt_metric *closed_unread; /* callers' connections, under overload */
     struct mt_metric *retries;
     struct mt_metric *stream_waits;       /* waits for an endpoint */
     struct mt_metric *connections_opened; /* to endpoints */
@@ -116,12 +116,12 @@
 void Xc_CallerLeft(struct sv_request *request);
 void Xc_CallerDrained(struct sv_request *request);
 
-/* Work of the lease holder for all hosts: usage reports and orders. */
+/* The controller: usage reports and endpoint orders of the lease holder. */
 struct co_controller *Co_Create(struct ga_gate *gate);
-void Co_Destroy(struct co_controller *work);
-void Co_Tick(struct co_controller *work);
+void Co_Destroy(struct co_controller *controller);
+void Co_Tick(struct co_controller *controller);
 /* Has the numbers of endpoints planned again at the next tick. */
-void Co_PlanSoon(struct co_controller *work);
+void Co_PlanSoon(struct co_controller *controller);
 /* Whether the endpoint has the target version of the move. */
 bool Ga_HasTargetVersion(const struct ro_move *move,
                          const struct fl_endpoint *endpoint);
--- a/packages/edge/header_codec.h
+++ b/packages/edge/header_codec.h
@@ -30,10 +30,10 @@
     char id[Hd_ID_MAX];
     char key[Hd_KEY_MAX];
     bool has_key;
-    bool many_keys;        /* several keys: the request is to be refused */
+    bool many_keys; /* several keys or ids: the request is to be refused */
     int64_t deadline_usec; /* how long the caller waits; -1: not given */
     int64_t last_event;    /* the caller resumes after it; -1: no resume */
-    bool has_token_counts; /* the token counts are given */
+    bool has_token_counts; /* tokens_in and tokens_out are given */
     int64_t tokens_in;
     int64_t tokens_out;
     struct hd_part parts[Hd_PARTS_MAX];
@@ -56,14 +56,14 @@
     const char *endpoint; /* identity of the endpoint that must answer */
     const char *tenant;   /* NULL: none */
     int64_t left_usec;    /* time to the deadline */
-    int priority;         /* priority; 0 is the most urgent */
+    int priority;         /* 0 is the most urgent */
     int64_t resume_after; /* id of the last event passed on; -1: none */
     const char *version;  /* required version of the weights; NULL: any */
 };
 
 struct hd_wire {
     void (*decode_request)(const struct h1_head *head,
-                           struct hd_request_info *ask);
+                           struct hd_request_info *info);
     void (*decode_answer)(const struct h1_head *head, const char *id,
                           struct hd_answer *answer);
     /* Whether a field is dropped from callers' requests: only hosts set it. */
--- a/packages/edge/health.c
+++ b/packages/edge/health.c
@@ -5,13 +5,13 @@
 /* Weight of the newest answer in the moving average: 1/8. */
 #define He_WEIGHT 0.125
 /*
- * After a broken connection the endpoint is shunned for this long, doubled
+ * After a broken connection the endpoint is ejected for this long, doubled
  * for each further break in a row: a crashed endpoint restarts or is removed
  * from the list within a few seconds, and one request detects that.
  */
-#define He_SHUN_FIRST_USEC (400 * Ck_USEC_PER_MSEC)
-#define He_SHUN_DOUBLINGS 4
-/* A full endpoint is shunned until about 1/10 of its queue has drained. */
+#define He_EJECT_FIRST_USEC (400 * Ck_USEC_PER_MSEC)
+#define He_EJECT_DOUBLINGS 4
+/* A full endpoint is ejected until about 1/10 of its queue has drained. */
 #define He_FULL_USEC (100 * Ck_USEC_PER_MSEC)
 
 /* Half-lives of the averages while no answers arrive. */
@@ -22,7 +22,7 @@
 #define He_SILENCE_USEC (1 * Ck_USEC_PER_SEC)
 
 static void
-shun(struct fl_endpoint *endpoint, int64_t until)
+eject(struct fl_endpoint *endpoint, int64_t until)
 {
     if (endpoint->ejected_until < until) {
         endpoint->ejected_until = until;
@@ -70,15 +70,15 @@
         endpoint->answered_at = now;
         break;
     case HE_REFUSED:
-        shun(endpoint, now + He_FULL_USEC);
+        eject(endpoint, now + He_FULL_USEC);
         break;
     case HE_BROKE:
     case HE_SILENT:
-        if (endpoint->consecutive_breaks < He_SHUN_DOUBLINGS) {
+        if (endpoint->consecutive_breaks < He_EJECT_DOUBLINGS) {
             endpoint->consecutive_breaks++;
         }
-        shun(endpoint,
-             now + (He_SHUN_FIRST_USEC << (endpoint->consecutive_breaks - 1)));
+        eject(endpoint, now + (He_EJECT_FIRST_USEC
+                               << (endpoint->consecutive_breaks - 1)));
         break;
     }
 }
--- a/packages/edge/place.c
+++ b/packages/edge/place.c
@@ -31,7 +31,8 @@
 #define Pl_LONG_TOKENS 4096
 /*
  * Cost of an endpoint in the wrong lane.  A short prompt in the long lane may
- * itself be late; a long prompt in the short lane delays several others.
+ * itself miss its latency target; a long prompt in the short lane delays
+ * several others.
  */
 #define Pl_SHORT_WRONG_LANE_COST 6000.0
 #define Pl_LONG_WRONG_LANE_COST 12000.0
@@ -141,7 +142,7 @@
     }
     for (size_t i = 0; i < count; i++) {
         const struct pl_candidate *candidate = &candidates[i];
-        if (!is_eligible(candidate) || candidate->shunned ||
+        if (!is_eligible(candidate) || candidate->last_resort ||
             lane_cost(candidate, limits) > 0) {
             continue;
         }
@@ -170,14 +171,14 @@
 struct best {
     size_t index; /* the number of candidates: none chosen */
     double cost;
-    bool shunned;
+    bool last_resort;
     bool any_eligible; /* an endpoint may have a free slot later */
 };
 
 static struct best
 find_best(const struct pl_candidate *candidates, size_t count,
           const struct pl_limits *limits, const size_t homes[Pl_HOMES],
-          double drawn_part)
+          double sampled_fraction)
 {
     struct best best = {count, DBL_MAX, true, false};
     for (size_t i = 0; i < count; i++) {
@@ -188,26 +189,28 @@
         }
         best.any_eligible = true;
         size_t home = home_of(homes, i);
-        bool sampled = home < Pl_HOMES || candidate->sample_hash <= drawn_part;
+        bool sampled =
+            home < Pl_HOMES || candidate->sample_hash <= sampled_fraction;
         if (!sampled || at_limit(candidate, limits)) {
             continue;
         }
         double cost = health_cost(candidate);
         cost += limits->engine ? engine_cost(candidate, limits, home)
                                : plain_cost(candidate, home);
-        if (best.index == count || (best.shunned && !candidate->shunned) ||
-            (best.shunned == candidate->shunned && cost < best.cost)) {
+        if (best.index == count ||
+            (best.last_resort && !candidate->last_resort) ||
+            (best.last_resort == candidate->last_resort && cost < best.cost)) {
             best.index = i;
             best.cost = cost;
-            best.shunned = candidate->shunned;
+            best.last_resort = candidate->last_resort;
         }
     }
     return best;
 }
 
 /*
- * Chooses a shunned endpoint only when no other is available: if all endpoints
- * are shunned by mistake, callers must still be served.
+ * Chooses an endpoint marked as last resort only when no other is available:
+ * if all endpoints are ejected by mistake, callers must still be served.
  */
 enum pl_verdict
 Pl_Choose(const struct pl_candidate *candidates, size_t count,
@@ -217,7 +220,7 @@
     find_homes(candidates, count, limits, homes);
     struct best best =
         find_best(candidates, count, limits, homes, limits->sampled_fraction);
-    if ((best.index == count || best.shunned) &&
+    if ((best.index == count || best.last_resort) &&
         limits->sampled_fraction < 1) {
         best = find_best(candidates, count, limits, homes, 1);
     }
@@ -233,12 +236,12 @@
 }
 
 double
-Pl_SampledFraction(size_t endpoints, double unheard)
+Pl_SampledFraction(size_t endpoints, double unreported)
 {
-    if (endpoints <= Pl_SAMPLES_MIN || unheard <= Pl_SAMPLERS_MAX) {
+    if (endpoints <= Pl_SAMPLES_MIN || unreported <= Pl_SAMPLERS_MAX) {
         return 1;
     }
-    double fraction = Pl_SAMPLERS_MAX / unheard;
+    double fraction = Pl_SAMPLERS_MAX / unreported;
     double minimum = (double)Pl_SAMPLES_MIN / (double)endpoints;
     return fraction > minimum ? fraction : minimum;
 }
--- a/packages/edge/place.h
+++ b/packages/edge/place.h
@@ -20,19 +20,20 @@
     int64_t prefill_tokens;  /* prompt tokens queued there by all hosts */
     int64_t uncached_tokens; /* prompt tokens not in its cache, as this host
                                 knows */
-    int64_t
-        uncached_shared; /* of these, tokens in parts that requests share */
-    uint64_t home_hash; /* hash of group and endpoint; the highest are homes */
+    int64_t uncached_shared; /* of these, in parts that requests share */
+    /* Hash of prompt group and endpoint; the endpoints with the highest hashes
+       are the homes that the group prefers. */
+    uint64_t home_hash;
     double sample_hash; /* hash of request and endpoint, 0 to 1 */
     double failing;     /* fraction of recent answers that failed, 0 to 1 */
     double slowness;    /* time to the first byte / mean of the service */
     int slots;
-    int running;    /* requests there of all hosts */
-    bool same_zone; /* in this host's data centre */
-    bool shunned;
-    bool tried;     /* the request was sent there before */
-    bool full;      /* no connection left, or reserved for other hosts */
-    bool long_lane; /* in the group of endpoints for long prompts */
+    int running;      /* requests there of all hosts */
+    bool same_zone;   /* in this host's data centre */
+    bool last_resort; /* ejected, or may be cold: only if there is no other */
+    bool tried;       /* the request was sent there before */
+    bool full;        /* no connection left, or reserved for other hosts */
+    bool long_lane;   /* in the group of endpoints for long prompts */
 };
 
 enum pl_verdict {
@@ -54,8 +55,7 @@
 
 struct pl_choice {
     size_t index;
-    int64_t
-        prefill_tokens; /* prompt tokens the endpoint is expected to read */
+    int64_t prefill_tokens; /* prompt tokens it is expected to read */
 };
 
 enum pl_verdict Pl_Choose(const struct pl_candidate *candidates, size_t count,
@@ -69,12 +69,12 @@
  */
 double Pl_LongLaneFraction(size_t endpoints, double long_share);
 /*
- * Fraction of the endpoints that each request samples.  "unheard" is the
+ * Fraction of the endpoints that each request samples.  "unreported" is the
  * number of requests that all hosts send within the lag of their load reports.
  * All hosts see the same endpoint idle; if all chose it, it would get about a
  * second's requests of the whole service before the reports show it.
  */
-double Pl_SampledFraction(size_t endpoints, double unheard);
+double Pl_SampledFraction(size_t endpoints, double unreported);
 /* Whether a prompt of this size counts as long. */
 bool Pl_IsLong(int64_t tokens);
 
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -16,7 +16,8 @@
  * 1 ms, but a request that may have run cannot be retried.
  */
 #define Po_KEEP_ONCE_USEC (1000 * Ck_USEC_PER_MSEC)
-/* Hosts without contact that an endpoint's connections are shared with. */
+/* Hosts assumed beside the known ones when an endpoint's connections are
+   divided among all hosts. */
 #define Po_SPARE_HOSTS 2
 #define Po_CONNECTIONS_MIN 2
 
--- a/packages/edge/prefix.c
+++ b/packages/edge/prefix.c
@@ -48,12 +48,12 @@
 }
 
 void
-Px_NoteSent(struct px_table *table, const struct hd_request_info *ask,
+Px_NoteSent(struct px_table *table, const struct hd_request_info *info,
             uint32_t endpoint, int64_t now)
 {
     uint64_t chain = 0;
-    for (size_t i = 0; i < ask->part_count; i++) {
-        chain = extend(chain, ask->parts[i].id);
+    for (size_t i = 0; i < info->part_count; i++) {
+        chain = extend(chain, info->parts[i].id);
         uint64_t key = key_of(chain, endpoint);
         struct slot *slot = &table->slots[key & (Px_SLOTS - 1)];
         slot->key = key;
@@ -70,30 +70,30 @@
 
 struct px_uncached
 Px_CountUncached(const struct px_table *table,
-                 const struct hd_request_info *ask, uint32_t endpoint,
+                 const struct hd_request_info *info, uint32_t endpoint,
                  int64_t now)
 {
-    struct px_uncached missing = {.tokens = ask->tokens_in};
+    struct px_uncached uncached = {.tokens = info->tokens_in};
     uint64_t chain = 0;
     bool cached = true;
-    for (size_t i = 0; i < ask->part_count; i++) {
-        int tokens = ask->parts[i].tokens;
-        chain = extend(chain, ask->parts[i].id);
+    for (size_t i = 0; i < info->part_count; i++) {
+        int tokens = info->parts[i].tokens;
+        chain = extend(chain, info->parts[i].id);
         cached = cached && is_cached(table, key_of(chain, endpoint), now);
         if (cached) {
-            missing.tokens -= tokens;
+            uncached.tokens -= tokens;
         }
-        else if (i + 1 < ask->part_count) {
-            missing.shared += tokens;
+        else if (i + 1 < info->part_count) {
+            uncached.shared += tokens;
         }
     }
-    if (missing.tokens < 0) {
-        missing.tokens = 0;
+    if (uncached.tokens < 0) {
+        uncached.tokens = 0;
     }
-    if (missing.shared > missing.tokens) {
-        missing.shared = missing.tokens;
+    if (uncached.shared > uncached.tokens) {
+        uncached.shared = uncached.tokens;
     }
-    return missing;
+    return uncached;
 }
 
 uint32_t
@@ -104,7 +104,7 @@
 
 /* The last part is the request's own; the one before it is shared. */
 uint64_t
-Px_Group(const struct hd_request_info *ask)
+Px_Group(const struct hd_request_info *info)
 {
-    return ask->part_count < 2 ? 0 : ask->parts[ask->part_count - 2].id;
+    return info->part_count < 2 ? 0 : info->parts[info->part_count - 2].id;
 }
--- a/packages/edge/prefix.h
+++ b/packages/edge/prefix.h
@@ -27,17 +27,17 @@
 struct px_table *Px_Create(void);
 void Px_Destroy(struct px_table *table);
 /* Notes that the request's prompt was sent to the endpoint. */
-void Px_NoteSent(struct px_table *table, const struct hd_request_info *ask,
+void Px_NoteSent(struct px_table *table, const struct hd_request_info *info,
                  uint32_t endpoint, int64_t now);
 /* A part counts as cached only if all parts before it are cached. */
 struct px_uncached Px_CountUncached(const struct px_table *table,
-                                    const struct hd_request_info *ask,
+                                    const struct hd_request_info *info,
                                     uint32_t endpoint, int64_t now);
 /* Short id of a part for logs and peers; Px_SHORT_ID_LEN hex digits. */
 #define Px_SHORT_ID_LEN 8
 uint32_t Px_ShortId(const struct hd_part *part);
 /* Id of the group of requests that share a prompt prefix; 0: none. */
-uint64_t Px_Group(const struct hd_request_info *ask);
+uint64_t Px_Group(const struct hd_request_info *info);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -22,7 +22,7 @@
     struct pz_table *table;
     struct qr_records *records;
     struct lp_timer *refuse_timer;
-    struct mt_metric *stopped;
+    struct mt_metric *quarantined;
     struct mt_metric *refused;
     int64_t version_check_at;
     size_t service_count;
@@ -45,20 +45,20 @@
 struct pz_request
 Qn_MakeRequest(const struct ec_service *service,
                const struct ec_tenant *tenant,
-               const struct hd_request_info *ask)
+               const struct hd_request_info *info)
 {
     struct pz_request request = {
         .service = De_Hash(service->name),
         .customer = tenant == NULL ? Qn_NO_CUSTOMER : Qt_Hash(tenant->name),
     };
-    if (ask->part_count > 0) {
-        request.id = Px_ShortId(&ask->parts[ask->part_count - 1]);
+    if (info->part_count > 0) {
+        request.id = Px_ShortId(&info->parts[info->part_count - 1]);
     }
     request.customer =
         request.customer == 0 ? Qn_NO_CUSTOMER : request.customer;
-    while (request.count + 1 < ask->part_count &&
+    while (request.count + 1 < info->part_count &&
            request.count < Pz_PARTS_MAX) {
-        request.parts[request.count] = Px_ShortId(&ask->parts[request.count]);
+        request.parts[request.count] = Px_ShortId(&info->parts[request.count]);
         request.count++;
     }
     return request;
@@ -67,7 +67,8 @@
 static struct pz_request
 request_of(const struct xc_exchange *exchange)
 {
-    return Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
+    return Qn_MakeRequest(exchange->service, exchange->tenant,
+                          &exchange->info);
 }
 
 /*
@@ -82,37 +83,38 @@
 }
 
 static void
-on_stopped(void *arg, const struct pz_quarantine *stop, int crashes,
-           bool from_peer)
+on_quarantined(void *arg, const struct pz_quarantine *quarantined, int crashes,
+               bool from_peer)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.stopped",
            "\"part\":\"%08x\",\"service\":\"%08x\",\"customer\":\"%08x\","
            "\"crashes\":%d,\"by\":\"%s\"",
-           stop->key.part, stop->key.service, stop->key.customer, crashes,
-           from_peer ? "peer" : "own");
-    Mt_Add(quarantine->stopped, 1);
+           quarantined->key.part, quarantined->key.service,
+           quarantined->key.customer, crashes, from_peer ? "peer" : "own");
+    Mt_Add(quarantine->quarantined, 1);
     if (!from_peer) {
-        Qr_Keep(quarantine->records, stop);
+        Qr_Keep(quarantine->records, quarantined);
     }
     Lp_TimerSet(quarantine->refuse_timer, 0);
 }
 
 static void
-on_lifted(void *arg, const struct pz_quarantine *stop, const char *why)
+on_lifted(void *arg, const struct pz_quarantine *quarantined, const char *why)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.lifted",
            "\"part\":\"%08x\",\"service\":\"%08x\",\"customer\":\"%08x\","
            "\"why\":\"%s\"",
-           stop->key.part, stop->key.service, stop->key.customer, why);
+           quarantined->key.part, quarantined->key.service,
+           quarantined->key.customer, why);
     if (Ms_Rank(quarantine->gate->mesh) == 0) {
-        Qr_Remove(quarantine->records, &stop->key);
+        Qr_Remove(quarantine->records, &quarantined->key);
     }
 }
 
 static const struct pz_ops table_ops = {
-    .stopped = on_stopped,
+    .stopped = on_quarantined,
     .lifted = on_lifted,
 };
 
@@ -142,10 +144,10 @@
 }
 
 static void
-apply_stop(void *arg, const struct pz_quarantine *stop)
+import_quarantine(void *arg, const struct pz_quarantine *quarantined)
 {
     struct qn_quarantine *quarantine = arg;
-    Pz_ImportQuarantine(quarantine->table, stop, true_now(quarantine));
+    Pz_ImportQuarantine(quarantine->table, quarantined, true_now(quarantine));
 }
 
 struct qn_quarantine *
@@ -157,14 +159,14 @@
     }
     struct pz_rule rule = Pz_DefaultRule();
     quarantine->gate = gate;
-    quarantine->stopped = Mt_Get(gate->registry, MT_COUNTER,
-                                 "cornelgate_parts_stopped_total", "");
+    quarantine->quarantined = Mt_Get(gate->registry, MT_COUNTER,
+                                     "cornelgate_parts_stopped_total", "");
     quarantine->refused = Mt_Get(gate->registry, MT_COUNTER,
                                  "cornelgate_refused_for_part_total", "");
     quarantine->table =
         Pz_Create(&rule, &table_ops, quarantine, true_now(quarantine));
     quarantine->records = Qr_Create(gate->options.store, gate->options.clock,
-                                    apply_stop, quarantine);
+                                    import_quarantine, quarantine);
     quarantine->refuse_timer =
         Lp_TimerCreate(gate->options.loop, on_refuse_waiting, quarantine);
     if (quarantine->table == NULL || quarantine->records == NULL ||
@@ -189,8 +191,8 @@
 }
 
 void
-Qn_NoteBegun(struct qn_quarantine *quarantine,
-             const struct xc_exchange *exchange)
+Qn_NoteAnswer(struct qn_quarantine *quarantine,
+              const struct xc_exchange *exchange)
 {
     struct pz_request request = request_of(exchange);
     Pz_NoteAnswer(quarantine->table, &request, true_now(quarantine));
@@ -254,14 +256,14 @@
 Qn_IsQuarantined(struct qn_quarantine *quarantine,
                  const struct pz_request *request, char why[Qn_WHY_MAX])
 {
-    const struct pz_quarantine *stop =
+    const struct pz_quarantine *quarantined =
         Pz_FindQuarantine(quarantine->table, request, true_now(quarantine));
-    if (stop == NULL) {
+    if (quarantined == NULL) {
         return false;
     }
     Mt_Add(quarantine->refused, 1);
     snprintf(why, Qn_WHY_MAX, "part %08x of the prompt ends endpoints",
-             stop->key.part);
+             quarantined->key.part);
     return true;
 }
 
@@ -293,7 +295,7 @@
         Pz_ImportClear(quarantine->table, &message->clears[i]);
     }
     for (size_t i = 0; i < message->stop_count; i++) {
-        apply_stop(quarantine, &message->stops[i]);
+        import_quarantine(quarantine, &message->stops[i]);
     }
     for (size_t i = 0; i < message->crash_count; i++) {
         Pz_ImportCrash(quarantine->table, &message->crashes[i]);
@@ -385,11 +387,11 @@
         lift_on_new_version(quarantine);
     }
     Pz_Evaluate(quarantine->table, true_now(quarantine));
-    struct pz_quarantine stops[Pz_QUARANTINES_MAX];
+    struct pz_quarantine quarantines[Pz_QUARANTINES_MAX];
     size_t count = 0;
     if (Ms_Rank(quarantine->gate->mesh) == 0) {
-        count =
-            Pz_ExportQuarantines(quarantine->table, stops, Pz_QUARANTINES_MAX);
+        count = Pz_ExportQuarantines(quarantine->table, quarantines,
+                                     Pz_QUARANTINES_MAX);
     }
-    Qr_Tick(quarantine->records, stops, count);
+    Qr_Tick(quarantine->records, quarantines, count);
 }
--- a/packages/edge/quarantine.h
+++ b/packages/edge/quarantine.h
@@ -23,8 +23,8 @@
 void Qn_Tick(struct qn_quarantine *quarantine);
 
 /* The current attempt received its first event or its whole answer. */
-void Qn_NoteBegun(struct qn_quarantine *quarantine,
-                  const struct xc_exchange *exchange);
+void Qn_NoteAnswer(struct qn_quarantine *quarantine,
+                   const struct xc_exchange *exchange);
 /* The attempt's connection broke before the first event. */
 void Qn_NoteBroken(struct qn_quarantine *quarantine,
                    const struct xc_exchange *exchange);
@@ -51,7 +51,7 @@
 
 struct pz_request Qn_MakeRequest(const struct ec_service *service,
                                  const struct ec_tenant *tenant,
-                                 const struct hd_request_info *ask);
+                                 const struct hd_request_info *info);
 
 /* Write to, and read from, the gossip messages between hosts. */
 void Qn_FillMessage(const struct qn_quarantine *quarantine,
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -17,10 +17,10 @@
 
 /* A record as it is in the store or is to be written there. */
 struct record {
-    struct pz_quarantine stop;
-    int64_t written_seen; /* stop.seen_at as last written */
-    bool written;         /* the store is up to date */
-    bool removed;         /* the record is to be removed from the store */
+    struct pz_quarantine quarantine;
+    int64_t written_requested_at; /* quarantine.requested_at as last written */
+    bool written;                 /* the store is up to date */
+    bool removed; /* the record is to be removed from the store */
 };
 
 struct qr_records {
@@ -34,7 +34,7 @@
     bool writing;
     struct pz_key writing_key; /* key of the write in progress */
     bool writing_removal;      /* the write removes the record */
-    int64_t writing_seen;
+    int64_t writing_requested_at;
     size_t count;
     struct record records[Pz_QUARANTINES_MAX];
 };
@@ -63,7 +63,8 @@
 find(struct qr_records *records, const struct pz_key *key)
 {
     for (size_t i = 0; i < records->count; i++) {
-        if (memcmp(&records->records[i].stop.key, key, sizeof(*key)) == 0) {
+        if (memcmp(&records->records[i].quarantine.key, key, sizeof(*key)) ==
+            0) {
             return &records->records[i];
         }
     }
@@ -71,26 +72,26 @@
 }
 
 static struct record *
-find_or_add(struct qr_records *records, const struct pz_quarantine *stop)
+find_or_add(struct qr_records *records, const struct pz_quarantine *quarantine)
 {
-    struct record *record = find(records, &stop->key);
+    struct record *record = find(records, &quarantine->key);
     if (record == NULL && records->count < Pz_QUARANTINES_MAX) {
         record = &records->records[records->count++];
-        *record = (struct record){.stop = *stop};
+        *record = (struct record){.quarantine = *quarantine};
     }
     return record;
 }
 
 void
-Qr_Keep(struct qr_records *records, const struct pz_quarantine *stop)
+Qr_Keep(struct qr_records *records, const struct pz_quarantine *quarantine)
 {
-    struct record *record = find_or_add(records, stop);
+    struct record *record = find_or_add(records, quarantine);
     if (record == NULL) {
         Ln_Log(LN_FAILURE, "part.unrecorded", "\"part\":\"%08x\"",
-               stop->key.part);
+               quarantine->key.part);
         return;
     }
-    record->stop = *stop;
+    record->quarantine = *quarantine;
     record->removed = false;
     record->written = false;
 }
@@ -98,8 +99,8 @@
 void
 Qr_Remove(struct qr_records *records, const struct pz_key *key)
 {
-    struct pz_quarantine stop = {.key = *key};
-    struct record *record = find_or_add(records, &stop);
+    struct pz_quarantine quarantine = {.key = *key};
+    struct record *record = find_or_add(records, &quarantine);
     if (record != NULL) {
         record->removed = true;
         record->written = false;
@@ -113,18 +114,18 @@
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
     long long decided;
-    long long seen;
+    long long requested;
     snprintf(key, sizeof(key), "%.*s", (int)record->key_len, record->key);
     snprintf(value, sizeof(value), "%.*s", (int)record->len,
              (const char *)record->value);
     memset(out, 0, sizeof(*out));
     if (sscanf(key, Qr_KEY_FORMAT, &out->key.service, &out->key.customer,
                &out->key.part) != 3 ||
-        sscanf(value, Qr_VALUE_FORMAT, &decided, &seen) != 2) {
+        sscanf(value, Qr_VALUE_FORMAT, &decided, &requested) != 2) {
         return false;
     }
     out->decided_at = decided;
-    out->requested_at = seen;
+    out->requested_at = requested;
     return true;
 }
 
@@ -135,15 +136,15 @@
     records->listing = false;
     records->listed = result->status == AG_OK;
     for (size_t i = 0; records->listed && i < result->count; i++) {
-        struct pz_quarantine stop;
+        struct pz_quarantine quarantine;
         if (result->records[i].value != NULL &&
-            decode(&result->records[i], &stop)) {
-            struct record *record = find_or_add(records, &stop);
+            decode(&result->records[i], &quarantine)) {
+            struct record *record = find_or_add(records, &quarantine);
             if (record != NULL) {
                 record->written = true;
-                record->written_seen = stop.requested_at;
+                record->written_requested_at = quarantine.requested_at;
             }
-            records->loaded(records->arg, &stop);
+            records->loaded(records->arg, &quarantine);
         }
     }
 }
@@ -159,7 +160,7 @@
         return;
     }
     record->written = true;
-    record->written_seen = records->writing_seen;
+    record->written_requested_at = records->writing_requested_at;
     if (record->removed) {
         *record = records->records[--records->count];
     }
@@ -168,30 +169,32 @@
 static void
 write_record(struct qr_records *records, const struct record *record)
 {
-    const struct pz_quarantine *stop = &record->stop;
+    const struct pz_quarantine *quarantine = &record->quarantine;
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
-    snprintf(key, sizeof(key), Qr_KEY_FORMAT, stop->key.service,
-             stop->key.customer, stop->key.part);
+    snprintf(key, sizeof(key), Qr_KEY_FORMAT, quarantine->key.service,
+             quarantine->key.customer, quarantine->key.part);
     int len = record->removed ? 0
                               : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
-                                         (long long)stop->decided_at,
-                                         (long long)stop->requested_at);
+                                         (long long)quarantine->decided_at,
+                                         (long long)quarantine->requested_at);
     records->writing = true;
-    records->writing_key = stop->key;
+    records->writing_key = quarantine->key;
     records->writing_removal = record->removed;
-    records->writing_seen = stop->requested_at;
+    records->writing_requested_at = quarantine->requested_at;
     Ag_Append(records->store, AG_QUARANTINES, -1, key, value, (size_t)len,
               on_written, records);
 }
 
 static void
-update_seen(struct qr_records *records, const struct pz_quarantine *stop)
+update_requested_at(struct qr_records *records,
+                    const struct pz_quarantine *quarantine)
 {
-    struct record *record = find_or_add(records, stop);
+    struct record *record = find_or_add(records, quarantine);
     if (record != NULL && !record->removed) {
-        record->stop.requested_at = stop->requested_at;
-        if (stop->requested_at - record->written_seen > Qr_RENEW_USEC) {
+        record->quarantine.requested_at = quarantine->requested_at;
+        if (quarantine->requested_at - record->written_requested_at >
+            Qr_RENEW_USEC) {
             record->written = false;
         }
     }
@@ -209,11 +212,11 @@
 }
 
 void
-Qr_Tick(struct qr_records *records, const struct pz_quarantine *stops,
+Qr_Tick(struct qr_records *records, const struct pz_quarantine *quarantines,
         size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        update_seen(records, &stops[i]);
+        update_requested_at(records, &quarantines[i]);
     }
     int64_t now = Ck_Now(records->clock);
     bool backing_off = records->list_tried_at != 0 &&
--- a/packages/edge/quarantine_record.h
+++ b/packages/edge/quarantine_record.h
@@ -15,7 +15,7 @@
 struct qr_records;
 
 /* Called for each record that the store holds at the start. */
-typedef void (*qr_fn)(void *arg, const struct pz_quarantine *stop);
+typedef void (*qr_fn)(void *arg, const struct pz_quarantine *quarantine);
 
 /* Returns NULL when out of memory. */
 struct qr_records *Qr_Create(struct ag_store *store,
@@ -23,10 +23,11 @@
                              void *arg);
 /* The store must make no more callbacks. */
 void Qr_Destroy(struct qr_records *records);
-/* Starts due reads and writes; updates the records of "stops". */
-void Qr_Tick(struct qr_records *records, const struct pz_quarantine *stops,
-             size_t count);
-void Qr_Keep(struct qr_records *records, const struct pz_quarantine *stop);
+/* Starts due reads and writes; updates the records of "quarantines". */
+void Qr_Tick(struct qr_records *records,
+             const struct pz_quarantine *quarantines, size_t count);
+void Qr_Keep(struct qr_records *records,
+             const struct pz_quarantine *quarantine);
 void Qr_Remove(struct qr_records *records, const struct pz_key *key);
 
 #ifdef __cplusplus
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -111,11 +111,11 @@
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
     note_bytes(exchange);
-    exchange->gate->options.wire->decode_answer(head, exchange->ask.id,
+    exchange->gate->options.wire->decode_answer(head, exchange->info.id,
                                                 &attempt->answer);
     if (!attempt->answer.id_matches) {
         Ln_Log(LN_FAILURE, "answer.foreign",
-               "\"id\":\"%s\",\"endpoint\":\"%s\"", exchange->ask.id,
+               "\"id\":\"%s\",\"endpoint\":\"%s\"", exchange->info.id,
                attempt->endpoint->entry.id);
         return false;
     }
@@ -199,7 +199,7 @@
     struct xc_attempt *attempt = &exchange->attempt;
     if (attempt->first_event_at == 0) {
         attempt->first_event_at = Ga_Now(exchange->gate);
-        Qn_NoteBegun(exchange->gate->quarantine, exchange);
+        Qn_NoteAnswer(exchange->gate->quarantine, exchange);
     }
     if (attempt->events_missing) {
         return;
@@ -254,14 +254,14 @@
 
 /* Formats the ids of the shareable prompt parts for the log. */
 static const char *
-format_parts(const struct hd_request_info *ask)
+format_parts(const struct hd_request_info *info)
 {
     static char text[Hd_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
     size_t at = 0;
     text[0] = '\0';
-    for (size_t i = 0; i + 1 < ask->part_count; i++) {
+    for (size_t i = 0; i + 1 < info->part_count; i++) {
         at += (size_t)snprintf(text + at, sizeof(text) - at, "%s%08x",
-                               i == 0 ? "" : " ", Px_ShortId(&ask->parts[i]));
+                               i == 0 ? "" : " ", Px_ShortId(&info->parts[i]));
     }
     return text;
 }
@@ -276,19 +276,19 @@
            "\"id\":\"%s\",\"endpoint\":\"%s\",\"why\":\"%s\",\"ran\":%d,"
            "\"status\":%d,\"sends\":%d,\"ms\":%lld,\"events\":%d,"
            "\"parts\":\"%s\"",
-           exchange->ask.id, attempt->endpoint->entry.id, why, ran,
+           exchange->info.id, attempt->endpoint->entry.id, why, ran,
            attempt->status, exchange->sends,
            (long long)((Ga_Now(exchange->gate) - attempt->sent_at) /
                        Ck_USEC_PER_MSEC),
-           attempt->first_event_at != 0, format_parts(&exchange->ask));
-    char stop_why[Qn_WHY_MAX];
+           attempt->first_event_at != 0, format_parts(&exchange->info));
+    char quarantine_why[Qn_WHY_MAX];
     struct qn_quarantine *quarantine = exchange->gate->quarantine;
     struct pz_request prompt =
-        Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->ask);
+        Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->info);
     if (!exchange->head_sent &&
-        Qn_IsQuarantined(quarantine, &prompt, stop_why)) {
+        Qn_IsQuarantined(quarantine, &prompt, quarantine_why)) {
         Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC,
-                  stop_why);
+                  quarantine_why);
         return;
     }
     if (Xc_MayRetry(exchange, ran) && !Qn_ForbidsRetry(quarantine, &prompt)) {
@@ -373,7 +373,7 @@
     }
     else {
         He_Note(endpoint, HE_SERVED, now);
-        Qn_NoteBegun(exchange->gate->quarantine, exchange);
+        Qn_NoteAnswer(exchange->gate->quarantine, exchange);
     }
     pass_answer(exchange);
 }
--- a/packages/edge/test/place_replay_test.cc
+++ b/packages/edge/test/place_replay_test.cc
@@ -15,7 +15,7 @@
 
 constexpr int kSlots = 16;
 // Prompt tokens an engine reads in a second, between other requests' steps.
-constexpr double kReadRate = 60000;
+constexpr double kPrefillRate = 60000;
 
 struct Kind {
     int64_t own;
@@ -43,14 +43,14 @@
 // A host's knowledge of an engine's load.
 struct View {
     int running = 0;
-    int64_t reading = 0;
+    int64_t prefill_tokens = 0;
 };
 
 class Replay {
   public:
     Replay(size_t hosts, size_t engines, double per_sec, double lag_sec)
         : hosts_(hosts), per_sec_(per_sec), lag_sec_(lag_sec),
-          engines_(engines), seen_(engines), before_(engines),
+          engines_(engines), reported_(engines), before_(engines),
           own_(hosts, std::vector<View>(engines))
     {
     }
@@ -94,7 +94,8 @@
         View view;
         for (size_t i = 0; i < engine.ends.size(); i++) {
             view.running += engine.ends[i] > now;
-            view.reading += engine.firsts[i] > now ? engine.tokens[i] : 0;
+            view.prefill_tokens +=
+                engine.firsts[i] > now ? engine.tokens[i] : 0;
         }
         return view;
     }
@@ -103,7 +104,7 @@
     void
     UpdateViews(double now)
     {
-        seen_ = before_;
+        reported_ = before_;
         for (size_t i = 0; i < engines_.size(); i++) {
             before_[i] = Look(engines_[i], now);
         }
@@ -124,8 +125,9 @@
             uint64_t pair[2] = {group_hash, i};
             struct pl_candidate &candidate = candidates[i];
             candidate.slots = kSlots;
-            candidate.running = seen_[i].running + own[i].running;
-            candidate.prefill_tokens = seen_[i].reading + own[i].reading;
+            candidate.running = reported_[i].running + own[i].running;
+            candidate.prefill_tokens =
+                reported_[i].prefill_tokens + own[i].prefill_tokens;
             candidate.uncached_tokens = kind.own + kind.shared;
             candidate.uncached_shared = kind.shared;
             candidate.home_hash = Hash_Bytes(pair, sizeof(pair), 0);
@@ -141,7 +143,7 @@
             return now + 1e9;
         }
         own[choice.index].running++;
-        own[choice.index].reading += kind.own;
+        own[choice.index].prefill_tokens += kind.own;
         return Serve(&engines_[choice.index], kind, now);
     }
 
@@ -160,7 +162,7 @@
         if (running.size() >= kSlots) {
             start = running[running.size() - kSlots];
         }
-        double first = start + (double)kind.own / kReadRate;
+        double first = start + (double)kind.own / kPrefillRate;
         engine->read_until = first;
         engine->firsts.push_back(first);
         engine->ends.push_back(first + kind.runs_sec);
@@ -172,7 +174,7 @@
     double per_sec_;
     double lag_sec_;
     std::vector<Engine> engines_;
-    std::vector<View> seen_;
+    std::vector<View> reported_;
     std::vector<View> before_;
     std::vector<std::vector<View>> own_;
     std::mt19937_64 random_{7};
--- a/packages/edge/test/place_test.cc
+++ b/packages/edge/test/place_test.cc
@@ -150,14 +150,14 @@
     EXPECT_EQ(Choose(candidates), 1u);
 }
 
-// Guards against refusing all callers while every endpoint is shunned by
+// Guards against refusing all callers while every endpoint is ejected by
 // mistake.
 TEST(Place, ShunnedEndpointsAreUsedWhenAllAreShunned)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
-    candidates[0].shunned = true;
+    candidates[0].last_resort = true;
     EXPECT_EQ(Choose(candidates), 1u);
-    candidates[1].shunned = true;
+    candidates[1].last_resort = true;
     candidates[1].prefill_tokens = 5000;
     EXPECT_EQ(Choose(candidates), 0u);
 }
--- a/packages/edge/test/tables_test.cc
+++ b/packages/edge/test/tables_test.cc
@@ -143,20 +143,20 @@
 // must be rejected, corrupted ones must not crash the decoder.
 TEST(Mesh, OnlyWholeMessagesAreDecoded)
 {
-    static struct ms_message word = {};
-    strcpy(word.name, "front-1");
-    strcpy(word.ip, "10.0.0.1");
-    word.run = 99;
-    word.load_count = 1;
-    word.loads[0] = {7, 3, 1200};
-    word.rate_count = 1;
-    word.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
-    word.brittle_count = 1;
-    word.brittle[0] = {8, 5};
-    word.address_count = 1;
-    strcpy(word.addresses[0], "10.0.0.2");
+    static struct ms_message message = {};
+    strcpy(message.name, "front-1");
+    strcpy(message.ip, "10.0.0.1");
+    message.run = 99;
+    message.load_count = 1;
+    message.loads[0] = {7, 3, 1200};
+    message.rate_count = 1;
+    message.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
+    message.brittle_count = 1;
+    message.brittle[0] = {8, 5};
+    message.address_count = 1;
+    strcpy(message.addresses[0], "10.0.0.2");
     char bytes[4096];
-    size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t len = Ms_Encode(&message, bytes, sizeof(bytes));
     ASSERT_GT(len, 0u);
     static struct ms_message read;
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
@@ -183,35 +183,37 @@
 // hashes, and against counts that are decoded for the wrong tenant.
 TEST(Word, CountsOfThreeWindowsAreShort)
 {
-    static struct ms_message word;
+    static struct ms_message message;
     static struct ms_message read;
-    memset(&word, 0, sizeof(word));
+    memset(&message, 0, sizeof(message));
     const uint32_t kUnknown = 3000000000u;
     const size_t kTenants = 16;
     static char bytes[16384];
-    word.run = 1;
+    message.run = 1;
     for (uint32_t i = 0; i < kTenants; i++) {
-        word.usage[word.usage_count++] = {4000000000u + i, 1, 1};
+        message.usage[message.usage_count++] = {4000000000u + i, 1, 1};
     }
-    size_t without = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t without = Ms_Encode(&message, bytes, sizeof(bytes));
     for (int64_t window = 353445122; window > 353445119; window--) {
         for (uint32_t i = 0; i < kTenants; i++) {
-            word.request_counts[word.request_count_rows++] = {
+            message.request_counts[message.request_count_rows++] = {
                 window, 4000000000u + i, 100 + i};
         }
     }
-    size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
-    EXPECT_LE(len - without, word.request_count_rows * 4);
-    word.request_counts[word.request_count_rows++] = {353445120, kUnknown, 7};
-    len = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t len = Ms_Encode(&message, bytes, sizeof(bytes));
+    EXPECT_LE(len - without, message.request_count_rows * 4);
+    message.request_counts[message.request_count_rows++] = {353445120,
+                                                            kUnknown, 7};
+    len = Ms_Encode(&message, bytes, sizeof(bytes));
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
-    ASSERT_EQ(word.request_count_rows, read.request_count_rows);
-    for (size_t i = 0; i < word.request_count_rows; i++) {
-        EXPECT_EQ(word.request_counts[i].window,
+    ASSERT_EQ(message.request_count_rows, read.request_count_rows);
+    for (size_t i = 0; i < message.request_count_rows; i++) {
+        EXPECT_EQ(message.request_counts[i].window,
                   read.request_counts[i].window);
-        EXPECT_EQ(word.request_counts[i].tenant,
+        EXPECT_EQ(message.request_counts[i].tenant,
                   read.request_counts[i].tenant);
-        EXPECT_EQ(word.request_counts[i].count, read.request_counts[i].count);
+        EXPECT_EQ(message.request_counts[i].count,
+                  read.request_counts[i].count);
     }
 }
 
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -7,8 +7,8 @@
 }
 
 static void
-renew_claim(const struct ga_gate *gate, struct fl_endpoint *endpoint,
-            const struct ec_service *service, int64_t now)
+renew_selection(const struct ga_gate *gate, struct fl_endpoint *endpoint,
+                const struct ec_service *service, int64_t now)
 {
     struct wu_hosts hosts;
     Ms_ListSenders(gate->mesh, &hosts);
@@ -40,7 +40,7 @@
         return WA_OPEN;
     }
     if (Wu_SelectionIsStale(warmup, now)) {
-        renew_claim(gate, endpoint, service, now);
+        renew_selection(gate, endpoint, service, now);
     }
     if (Wu_MaySend(warmup, now)) {
         return WA_OPEN;
@@ -53,9 +53,9 @@
             const struct ec_service *service, int64_t now)
 {
     if (is_limited(service)) {
-        struct wu_pacing part =
+        struct wu_pacing pacing =
             Wu_Pacing(service->cold_per_sec, Ms_CountAll(gate->mesh));
-        Wu_Sent(&endpoint->warmup, &part, now);
+        Wu_Sent(&endpoint->warmup, &pacing, now);
     }
 }
 
