--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -31,8 +31,8 @@
 #define Ga_STOP_MARGIN_USEC (300 * Ck_USEC_PER_MSEC)
 /* Connections relayed for peers take two descriptors each, and at most 1/4 of
    all descriptors. */
-#define Ga_THROUGH_FDS_DIVISOR 8
-#define Ga_THROUGH_MAX 256
+#define Ga_TUNNEL_FDS_DIVISOR 8
+#define Ga_TUNNEL_MAX 256
 
 int64_t
 Ga_Now(const struct ga_gate *gate)
@@ -536,24 +536,24 @@
     Mt_Add(gate->count.made_for_peers, 1);
 }
 
-static const struct th_ops through_ops = {
+static const struct th_ops tunnel_ops = {
     .find = find_for_peer,
     .made = on_connected_for_peer,
 };
 
 static enum st_status
-create_through(struct ga_gate *gate)
+create_tunnel(struct ga_gate *gate)
 {
     const struct nd_node *node = gate->options.node;
     char address[Nd_NAME_MAX + 8];
     snprintf(address, sizeof(address), "%s:%d", node->ip, node->tunnel_port);
-    size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_DIVISOR;
+    size_t most = (size_t)node->max_fds / Ga_TUNNEL_FDS_DIVISOR;
     struct th_options options = {
         .loop = gate->options.loop,
         .clock = gate->options.clock,
         .address = address,
-        .most = most < Ga_THROUGH_MAX ? most : Ga_THROUGH_MAX,
-        .ops = &through_ops,
+        .most = most < Ga_TUNNEL_MAX ? most : Ga_TUNNEL_MAX,
+        .ops = &tunnel_ops,
         .arg = gate,
     };
     return Th_Create(&options, &gate->through);
@@ -567,7 +567,7 @@
     if (gate->peers == NULL) {
         return ST_UNAVAILABLE;
     }
-    enum st_status status = create_through(gate);
+    enum st_status status = create_tunnel(gate);
     if (status != ST_OK) {
         return status;
     }
--- a/packages/edge/test/place_replay_test.cc
+++ b/packages/edge/test/place_replay_test.cc
@@ -17,13 +17,14 @@
 // Prompt tokens an engine reads in a second, between other requests' steps.
 constexpr double kPrefillRate = 60000;
 
+// A kind of request.
 struct Kind {
-    int64_t own;
-    int64_t shared;
-    size_t groups;
-    double runs_sec;
-    double target_sec;
-    double fraction;
+    int64_t own;       // prompt tokens of the request itself
+    int64_t shared;    // prompt tokens that a group shares
+    size_t groups;     // number of groups
+    double runs_sec;   // from the first token to the last one
+    double target_sec; // latency target of the first token
+    double fraction;   // of all requests
 };
 
 constexpr Kind kKinds[] = {
--- a/packages/edge/test/place_test.cc
+++ b/packages/edge/test/place_test.cc
@@ -152,7 +152,7 @@
 
 // Guards against refusing all callers while every endpoint is ejected by
 // mistake.
-TEST(Place, ShunnedEndpointsAreUsedWhenAllAreShunned)
+TEST(Place, LastResortsAreUsedWhenThereIsNoOther)
 {
     std::vector<struct pl_candidate> candidates = {Idle(), Idle()};
     candidates[0].last_resort = true;
@@ -181,23 +181,23 @@
 TEST(Prefix, PartsCountFromTheBeginning)
 {
     struct px_table *table = Px_Create();
-    struct hd_request_info ask = {};
-    ask.tokens_in = 600;
-    ask.part_count = 3;
-    ask.parts[0] = {1, 100};
-    ask.parts[1] = {2, 200};
-    ask.parts[2] = {3, 300};
-    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 0).tokens, 600);
-    Px_NoteSent(table, &ask, 7, 0);
-    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 0).tokens, 0);
-    EXPECT_EQ(Px_CountUncached(table, &ask, 8, 0).tokens, 600);
-    struct hd_request_info other = ask;
+    struct hd_request_info info = {};
+    info.tokens_in = 600;
+    info.part_count = 3;
+    info.parts[0] = {1, 100};
+    info.parts[1] = {2, 200};
+    info.parts[2] = {3, 300};
+    EXPECT_EQ(Px_CountUncached(table, &info, 7, 0).tokens, 600);
+    Px_NoteSent(table, &info, 7, 0);
+    EXPECT_EQ(Px_CountUncached(table, &info, 7, 0).tokens, 0);
+    EXPECT_EQ(Px_CountUncached(table, &info, 8, 0).tokens, 600);
+    struct hd_request_info other = info;
     other.parts[0].id = 9;
     EXPECT_EQ(Px_CountUncached(table, &other, 7, 0).tokens, 600);
-    other = ask;
+    other = info;
     other.parts[2].id = 9;
     EXPECT_EQ(Px_CountUncached(table, &other, 7, 0).tokens, 300);
-    EXPECT_EQ(Px_CountUncached(table, &ask, 7, 60 * INT64_C(1000000)).tokens,
+    EXPECT_EQ(Px_CountUncached(table, &info, 7, 60 * INT64_C(1000000)).tokens,
               600);
     Px_Destroy(table);
 }
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -20,10 +20,10 @@
 
 /*
  * Endpoints of an evacuated data centre get no requests and are cold when the
- * data centre returns, whatever their entries said before.
+ * evacuation ends, whatever their entries said before.
  */
 static bool
-has_returned(const struct fl_endpoint *endpoint,
+was_restored(const struct fl_endpoint *endpoint,
              const struct ec_service *service, int64_t now)
 {
     return endpoint->zone_restored_at != 0 &&
@@ -35,7 +35,7 @@
          const struct ec_service *service, int64_t now)
 {
     struct wu_warmup *warmup = &endpoint->warmup;
-    bool cold = Wu_IsCold(warmup, now) || has_returned(endpoint, service, now);
+    bool cold = Wu_IsCold(warmup, now) || was_restored(endpoint, service, now);
     if (!is_limited(service) || (!cold && !Wu_MayBeCold(warmup, now))) {
         return WA_OPEN;
     }
