--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -241,9 +241,11 @@
 
 /*
  * Chooses an endpoint for the next attempt.  While a service moves to another
- * version, a random draw decides the version first.  If the endpoints of that
- * version are full, the other version is used instead, except for a version
- * that was rolled back.
+ * version, Ro_Pick() decides the version first.  If no endpoint of that
+ * version can take the request, the other version is used instead, with two
+ * exceptions: the new version is never used after it was rolled back
+ * (RO_OLD_ONLY), and does not stand in for full endpoints of the old one
+ * (RO_OLD).
  */
 enum pl_verdict
 Xc_Choose(struct xc_exchange *exchange, struct xc_target *out)
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -11,7 +11,7 @@
 /* A record is rewritten when its time of the last request is this old. */
 #define Qr_RENEW_USEC (120 * Ck_USEC_PER_SEC)
 #define Qr_TEXT_MAX 96
-/* "SERVICE-CUSTOMER-PART", and "DECIDED SEEN" in microseconds since 1970. */
+/* "SERVICE-CUSTOMER-PART", and "DECIDED REQUESTED" in usec since 1970. */
 #define Qr_KEY_FORMAT "%08x-%08x-%08x"
 #define Qr_VALUE_FORMAT "%lld %lld"
 
