--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -31,8 +31,8 @@
 #define Ga_STOP_MARGIN_USEC (300 * Ck_USEC_PER_MSEC)
 /* Connections relayed for peers take two descriptors each, and at most 1/4 of
    all descriptors. */
-#define Ga_THROUGH_FDS_DIVISOR 8
-#define Ga_THROUGH_MAX 256
+#define Ga_TUNNEL_FDS_DIVISOR 8
+#define Ga_TUNNEL_MAX 256
 
 int64_t
 Ga_Now(const struct ga_gate *gate)
@@ -259,8 +259,9 @@
 /*
  * Whether a peer can be relied on to pass on what it reads from the store.
  * Messages from a host in another data centre arrive seconds apart, and all
- * readers may be in a data centre that has failed.  The sums of a whole data
- * centre arrive more often, so that their absence shows the failure sooner.
+ * readers may be in a data centre that has failed.  The summaries of a
+ * whole data centre arrive more often, so that their absence shows the failure
+ * sooner.
  */
 static bool
 is_timely_reader(const struct ga_gate *gate, const struct ms_peer *peer)
@@ -535,24 +536,24 @@
     Mt_Add(gate->count.made_for_peers, 1);
 }
 
-static const struct th_ops through_ops = {
+static const struct th_ops tunnel_ops = {
     .find = find_for_peer,
     .made = on_connected_for_peer,
 };
 
 static enum st_status
-create_through(struct ga_gate *gate)
+create_tunnel(struct ga_gate *gate)
 {
     const struct nd_node *node = gate->options.node;
     char address[Nd_NAME_MAX + 8];
     snprintf(address, sizeof(address), "%s:%d", node->ip, node->tunnel_port);
-    size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_DIVISOR;
+    size_t most = (size_t)node->max_fds / Ga_TUNNEL_FDS_DIVISOR;
     struct th_options options = {
         .loop = gate->options.loop,
         .clock = gate->options.clock,
         .address = address,
-        .most = most < Ga_THROUGH_MAX ? most : Ga_THROUGH_MAX,
-        .ops = &through_ops,
+        .most = most < Ga_TUNNEL_MAX ? most : Ga_TUNNEL_MAX,
+        .ops = &tunnel_ops,
         .arg = gate,
     };
     return Th_Create(&options, &gate->through);
@@ -566,7 +567,7 @@
     if (gate->peers == NULL) {
         return ST_UNAVAILABLE;
     }
-    enum st_status status = create_through(gate);
+    enum st_status status = create_tunnel(gate);
     if (status != ST_OK) {
         return status;
     }
@@ -581,7 +582,7 @@
         .ops = &feed_ops,
         .arg = gate,
     };
-    struct lr_options duty = {
+    struct lr_options lease = {
         .clock = options->clock,
         .store = options->store,
         .name = options->node->name,
@@ -595,7 +596,7 @@
     gate->breaks = Bk_Create(gate);
     gate->quarantine = Qn_Create(gate);
     gate->feed = Fe_Create(&feed);
-    gate->duty = Lr_Create(&duty);
+    gate->duty = Lr_Create(&lease);
     gate->work = Co_Create(gate);
     gate->tick = Lp_TimerCreate(options->loop, on_tick, gate);
     if (gate->paths == NULL || gate->breaks == NULL ||
