--- a/apps/cornelctl/command_explain.c
+++ b/apps/cornelctl/command_explain.c
@@ -30,7 +30,7 @@
                                                "logs at once")
                        : ST_OK;
     for (size_t i = 0; i < options->file_count && status == ST_OK; i++) {
-        status = Ls_File(losses, options->files[i]);
+        status = Ls_AddFile(losses, options->files[i]);
     }
     if (status == ST_OK) {
         Ls_Finish(losses);
--- a/packages/base/buffer.c
+++ b/packages/base/buffer.c
@@ -11,19 +11,20 @@
     if (len == 0) {
         return true;
     }
-    if (buffer->len + len > buffer->size) {
-        size_t size = buffer->size == 0 ? Bf_FIRST_BYTES : buffer->size;
+    if (buffer->len + len > buffer->capacity) {
+        size_t size =
+            buffer->capacity == 0 ? Bf_FIRST_BYTES : buffer->capacity;
         while (size < buffer->len + len) {
             size *= 2;
         }
-        char *grown = realloc(buffer->at, size);
+        char *grown = realloc(buffer->data, size);
         if (grown == NULL) {
             return false;
         }
-        buffer->at = grown;
-        buffer->size = size;
+        buffer->data = grown;
+        buffer->capacity = size;
     }
-    memcpy(buffer->at + buffer->len, data, len);
+    memcpy(buffer->data + buffer->len, data, len);
     buffer->len += len;
     return true;
 }
@@ -31,6 +32,6 @@
 void
 Bf_Free(struct bf_buffer *buffer)
 {
-    free(buffer->at);
+    free(buffer->data);
     *buffer = (struct bf_buffer){0};
 }
--- a/packages/base/buffer.h
+++ b/packages/base/buffer.h
@@ -11,9 +11,9 @@
 
 /* A zeroed struct is an empty buffer. */
 struct bf_buffer {
-    char *at;
+    char *data;
     size_t len;
-    size_t size; /* allocated */
+    size_t capacity; /* allocated */
 };
 
 /* Appends data; if an allocation fails, returns false and changes nothing. */
--- a/packages/base/deflate.c
+++ b/packages/base/deflate.c
@@ -9,7 +9,7 @@
 #define Df_LEVEL 1
 
 bool
-Df_Pack(const void *data, size_t len, struct bf_buffer *out)
+Df_Compress(const void *data, size_t len, struct bf_buffer *out)
 {
     uLongf size = compressBound((uLong)len);
     unsigned char *packed = malloc(size);
@@ -25,7 +25,8 @@
 }
 
 bool
-Df_Unpack(const void *data, size_t len, size_t max_len, struct bf_buffer *out)
+Df_Decompress(const void *data, size_t len, size_t max_len,
+              struct bf_buffer *out)
 {
     const unsigned char *bytes = data;
     if (len < Df_LENGTH_BYTES) {
--- a/packages/base/deflate.h
+++ b/packages/base/deflate.h
@@ -12,14 +12,14 @@
 #endif
 
 /* Appends the compressed data to "out"; false if an allocation fails. */
-bool Df_Pack(const void *data, size_t len, struct bf_buffer *out);
+bool Df_Compress(const void *data, size_t len, struct bf_buffer *out);
 /*
  * Appends the uncompressed data to "out".  Returns false if the data is
  * invalid or longer than "max_len" bytes uncompressed, or if an allocation
  * fails.
  */
-bool Df_Unpack(const void *data, size_t len, size_t max_len,
-               struct bf_buffer *out);
+bool Df_Decompress(const void *data, size_t len, size_t max_len,
+                   struct bf_buffer *out);
 
 #ifdef __cplusplus
 }
--- a/packages/base/line.c
+++ b/packages/base/log_line.c
@@ -1,4 +1,4 @@
-#include "base/line.h"
+#include "base/log_line.h"
 
 #include <bsd/string.h>
 #include <poll.h>
@@ -46,7 +46,7 @@
 }
 
 static bool
-take_token(enum ln_weight weight)
+take_token(enum ln_class weight)
 {
     int64_t now = Ck_Now(out.clock);
     out.tokens +=
@@ -83,7 +83,7 @@
 }
 
 void
-Ln_Log(enum ln_weight weight, const char *event, const char *fmt, ...)
+Ln_Log(enum ln_class weight, const char *event, const char *fmt, ...)
 {
     if (!out.open) {
         return;
@@ -128,7 +128,7 @@
 }
 
 void
-Ln_Clean(char *text)
+Ln_Sanitize(char *text)
 {
     for (; *text != '\0'; text++) {
         unsigned char c = (unsigned char)*text;
--- a/packages/base/line.h
+++ b/packages/base/log_line.h
@@ -4,8 +4,8 @@
  * lines are suppressed, so that failures can still be logged.  A
  * "log.suppressed" line reports the number of suppressed lines.
  */
-#ifndef BASE_LINE_H
-#define BASE_LINE_H
+#ifndef BASE_LOG_LINE_H
+#define BASE_LOG_LINE_H
 
 #include "base/clock.h"
 
@@ -13,7 +13,7 @@
 extern "C" {
 #endif
 
-enum ln_weight {
+enum ln_class {
     LN_ORDINARY, /* expected, such as a successful request */
     LN_FAILURE,  /* a failed request or operation */
     LN_STATE,    /* a change in the process's view of the system */
@@ -21,7 +21,7 @@
 
 void Ln_Open(int fd, const struct ck_clock *clock, const char *node);
 /* "fmt" formats the JSON members that follow "ev", without braces. */
-void Ln_Log(enum ln_weight weight, const char *event, const char *fmt, ...)
+void Ln_Log(enum ln_class weight, const char *event, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
 /*
  * Writes buffered lines until the descriptor would block.  Call it about ten
@@ -29,7 +29,7 @@
  */
 void Ln_Flush(void);
 /* Replaces bytes that are unsafe inside a JSON string by '?'. */
-void Ln_Clean(char *text);
+void Ln_Sanitize(char *text);
 
 #ifdef __cplusplus
 }
--- a/packages/base/packscan.c
+++ b/packages/base/msgpack_check.c
@@ -4,7 +4,7 @@
  * five bytes that declare four billion elements made it request 256 GiB. Every
  * element takes at least one byte, so no count may exceed the bytes left.
  */
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 
 #define Mp_FIX_ARRAY 0x90
 #define Mp_FIX_MAP 0x80
@@ -75,7 +75,7 @@
 
 /* Returns true if the data is long enough for all lengths it declares. */
 bool
-Mp_CountsFit(const uint8_t *data, size_t len)
+Mp_LengthsFit(const uint8_t *data, size_t len)
 {
     uint64_t pending = 1; /* elements not read yet */
     size_t at = 0;
--- a/packages/base/packscan.h
+++ b/packages/base/msgpack_check.h
@@ -1,6 +1,6 @@
 /* Validation of msgpack lengths before the library unpacks the data. */
-#ifndef BASE_PACKSCAN_H
-#define BASE_PACKSCAN_H
+#ifndef BASE_MSGPACK_CHECK_H
+#define BASE_MSGPACK_CHECK_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -10,7 +10,7 @@
 extern "C" {
 #endif
 
-bool Mp_CountsFit(const uint8_t *data, size_t len);
+bool Mp_LengthsFit(const uint8_t *data, size_t len);
 
 #ifdef __cplusplus
 }
--- a/packages/base/test/buffer_test.cc
+++ b/packages/base/test/buffer_test.cc
@@ -15,9 +15,9 @@
         all += piece;
         ASSERT_TRUE(Bf_Add(&buffer, piece.data(), piece.size()));
     }
-    EXPECT_EQ(std::string(buffer.at, buffer.len), all);
+    EXPECT_EQ(std::string(buffer.data, buffer.len), all);
     Bf_Free(&buffer);
-    EXPECT_EQ(buffer.at, nullptr);
+    EXPECT_EQ(buffer.data, nullptr);
     EXPECT_EQ(buffer.len, 0u);
     ASSERT_TRUE(Bf_Add(&buffer, "x", 1));
     EXPECT_EQ(buffer.len, 1u);
@@ -34,17 +34,18 @@
                 "\",\"Host\":\"a.example\"}";
     }
     struct bf_buffer packed = {};
-    ASSERT_TRUE(Df_Pack(text.data(), text.size(), &packed));
+    ASSERT_TRUE(Df_Compress(text.data(), text.size(), &packed));
     EXPECT_LT(packed.len, text.size() / 5);
     struct bf_buffer raw = {};
-    ASSERT_TRUE(Df_Unpack(packed.at, packed.len, 1 << 20, &raw));
-    EXPECT_EQ(std::string(raw.at, raw.len), text);
+    ASSERT_TRUE(Df_Decompress(packed.data, packed.len, 1 << 20, &raw));
+    EXPECT_EQ(std::string(raw.data, raw.len), text);
     Bf_Free(&raw);
-    EXPECT_FALSE(Df_Unpack(packed.at, packed.len, text.size() - 1, &raw));
+    EXPECT_FALSE(
+        Df_Decompress(packed.data, packed.len, text.size() - 1, &raw));
     for (size_t cut = 0; cut < packed.len; cut += 97) {
-        EXPECT_FALSE(Df_Unpack(packed.at, cut, 1 << 20, &raw));
+        EXPECT_FALSE(Df_Decompress(packed.data, cut, 1 << 20, &raw));
     }
-    packed.at[9] = static_cast<char>(packed.at[9] ^ 0x5a);
-    EXPECT_FALSE(Df_Unpack(packed.at, packed.len, 1 << 20, &raw));
+    packed.data[9] = static_cast<char>(packed.data[9] ^ 0x5a);
+    EXPECT_FALSE(Df_Decompress(packed.data, packed.len, 1 << 20, &raw));
     Bf_Free(&packed);
 }
--- a/packages/config/build.c
+++ b/packages/config/build.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "config/part.h"
+#include "config/parsed_section.h"
 
 typedef int (*compare_fn)(const void *, const void *);
 
--- a/packages/config/config.h
+++ b/packages/config/config.h
@@ -134,7 +134,7 @@
 
 bool Cf_IsEvacuated(const struct cf_config *config, const char *data_centre);
 /* Whether the region is in the list, or the list is empty. */
-bool Cf_IsIn(const struct cf_regions *regions, const char *region);
+bool Cf_AllowsRegion(const struct cf_regions *regions, const char *region);
 const struct cf_customer *Cf_CustomerByKey(const struct cf_config *config,
                                            const char *key_digest);
 const struct cf_service *Cf_ServiceByName(const struct cf_config *config,
--- a/packages/config/generate.c
+++ b/packages/config/generate.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "config/part.h"
+#include "config/parsed_section.h"
 #include "config/questionnaire.h"
 
 /* Rate limit over the expected peak, because the peak is an estimate. */
--- a/packages/config/part.c
+++ b/packages/config/parsed_section.c
@@ -1,4 +1,4 @@
-#include "config/part.h"
+#include "config/parsed_section.h"
 
 #include <bsd/string.h>
 #include <stdlib.h>
--- a/packages/config/part.h
+++ b/packages/config/parsed_section.h
@@ -3,8 +3,8 @@
  * again; the parsed sections are then merged into a configuration and checked
  * against each other.  Private to this package.
  */
-#ifndef CONFIG_PART_H
-#define CONFIG_PART_H
+#ifndef CONFIG_PARSED_SECTION_H
+#define CONFIG_PARSED_SECTION_H
 
 #include <jansson.h>
 
--- a/packages/config/query.c
+++ b/packages/config/query.c
@@ -126,7 +126,7 @@
 }
 
 bool
-Cf_IsIn(const struct cf_regions *regions, const char *region)
+Cf_AllowsRegion(const struct cf_regions *regions, const char *region)
 {
     for (size_t i = 0; i < regions->count; i++) {
         if (strcmp(regions->names[i], region) == 0) {
--- a/packages/config/sections.c
+++ b/packages/config/sections.c
@@ -181,7 +181,7 @@
  * that it has read all of them and that none is for the sections.
  */
 void
-Sc_Pass(struct sc_state *state, uint64_t offset)
+Sc_SkipTo(struct sc_state *state, uint64_t offset)
 {
     if (offset > state->offset) {
         state->offset = offset;
--- a/packages/config/sections.h
+++ b/packages/config/sections.h
@@ -53,7 +53,7 @@
 void Sc_Destroy(struct sc_state *state);
 enum st_status Sc_Apply(struct sc_state *state, uint64_t offset,
                         const char *json);
-void Sc_Pass(struct sc_state *state, uint64_t offset);
+void Sc_SkipTo(struct sc_state *state, uint64_t offset);
 enum st_status Sc_Restore(struct sc_state *state, const char *snapshot);
 
 char *Sc_Snapshot(const struct sc_state *state);
@@ -65,8 +65,8 @@
 uint64_t Sc_SectionOffset(const struct sc_state *state, const char *name);
 const struct sc_verdict *Sc_VerdictAt(const struct sc_state *state,
                                       uint64_t offset);
-const struct sc_verdict *Sc_VerdictOf(const struct sc_state *state,
-                                      const char *id);
+const struct sc_verdict *Sc_VerdictById(const struct sc_state *state,
+                                        const char *id);
 
 #ifdef __cplusplus
 }
--- a/packages/config/evaluate.c
+++ b/packages/config/sections_evaluate.c
@@ -69,7 +69,7 @@
     if (record->id[0] == '\0') {
         return ST_OK;
     }
-    const struct sc_verdict *first = Sc_VerdictOf(state, record->id);
+    const struct sc_verdict *first = Sc_VerdictById(state, record->id);
     if (first == NULL) {
         return ST_OK;
     }
--- a/packages/config/sections_query.c
+++ b/packages/config/sections_query.c
@@ -102,7 +102,7 @@
 
 /* Returns the first stored verdict on a record with this id, or NULL. */
 const struct sc_verdict *
-Sc_VerdictOf(const struct sc_state *state, const char *id)
+Sc_VerdictById(const struct sc_state *state, const char *id)
 {
     const struct sc_verdict *first = NULL;
     for (size_t i = 0; i < stored_verdict_count(state); i++) {
--- a/packages/config/sections_state.h
+++ b/packages/config/sections_state.h
@@ -4,7 +4,7 @@
 
 #include <bsd/sys/queue.h>
 
-#include "config/part.h"
+#include "config/parsed_section.h"
 #include "config/sections.h"
 
 struct sc_entry {
--- a/packages/config/test/build_test.cc
+++ b/packages/config/test/build_test.cc
@@ -86,12 +86,12 @@
     const struct cf_service *rink = Cf_ServiceByName(config, "rink");
     EXPECT_EQ(3000000, rink->cold_usec);
     EXPECT_EQ(16, rink->cold_per_sec);
-    EXPECT_TRUE(Cf_IsIn(&rink->regions, "tasmania"));
-    EXPECT_FALSE(Cf_IsIn(&rink->regions, "south"));
-    EXPECT_FALSE(Cf_IsIn(&rink->regions, ""));
+    EXPECT_TRUE(Cf_AllowsRegion(&rink->regions, "tasmania"));
+    EXPECT_FALSE(Cf_AllowsRegion(&rink->regions, "south"));
+    EXPECT_FALSE(Cf_AllowsRegion(&rink->regions, ""));
     const struct cf_service *office = Cf_ServiceByName(config, "office");
     EXPECT_EQ(0, office->cold_per_sec);
-    EXPECT_TRUE(Cf_IsIn(&office->regions, "south"));
+    EXPECT_TRUE(Cf_AllowsRegion(&office->regions, "south"));
     EXPECT_FALSE(Cf_IsEvacuated(config, "hobart"));
     Cf_Destroy(config);
     std::string evacuated = platform();
--- a/packages/config/test/sections_test.cc
+++ b/packages/config/test/sections_test.cc
@@ -193,7 +193,7 @@
     ASSERT_EQ(ST_OK, Sc_Restore(other.get(), snapshot(state).c_str()));
     EXPECT_EQ(ST_CONFLICT, apply_next(state, change));
     EXPECT_EQ(ST_CONFLICT, apply_next(other, change));
-    EXPECT_EQ(2U, Sc_VerdictOf(state.get(), "intent-1")->offset);
+    EXPECT_EQ(2U, Sc_VerdictById(state.get(), "intent-1")->offset);
     EXPECT_EQ(0U, Sc_Config(state.get())->customer_count);
 }
 
@@ -215,7 +215,7 @@
         record("section", "team/derwent", 2, "derwent", customers("clubs", 1));
     EXPECT_EQ(ST_OK, Sc_Apply(state.get(), 2, again.c_str()));
     EXPECT_EQ(ST_OK, Sc_Apply(state.get(), 3, again.c_str()));
-    Sc_Pass(state.get(), 1);
+    Sc_SkipTo(state.get(), 1);
     EXPECT_EQ(now, snapshot(state));
 }
 
@@ -231,7 +231,7 @@
     auto text = record("section", "team/derwent", 2, "derwent", "{}");
     EXPECT_EQ(ST_NOT_FOUND, Sc_Apply(state.get(), 4, text.c_str()));
     EXPECT_EQ(now, snapshot(state));
-    Sc_Pass(state.get(), 3);
+    Sc_SkipTo(state.get(), 3);
     EXPECT_EQ(ST_OK, Sc_Apply(state.get(), 4, text.c_str()));
     EXPECT_EQ(ST_OK, Sc_VerdictAt(state.get(), 4)->status);
 }
--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -166,6 +166,6 @@
             return;
         }
     }
-    admitted.config = Ec_Hold(Fe_Config(gate->feed));
+    admitted.config = Ec_Ref(Fe_Config(gate->feed));
     Xc_Start(gate, request, &admitted);
 }
--- a/packages/edge/brittle.c
+++ b/packages/edge/brittle.c
@@ -22,16 +22,16 @@
              int max_refusals)
 {
     int64_t now = Ga_Now(gate);
-    if (!Br_IsBrittle(&endpoint->room, now)) {
+    if (!Br_IsBrittle(&endpoint->brittle, now)) {
         log_change(endpoint, max_refusals, "answer");
     }
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
         if (same_service(other, endpoint)) {
-            Br_NoteEndpointReport(&other->room, max_refusals, now);
+            Br_NoteEndpointReport(&other->brittle, max_refusals, now);
         }
     }
-    endpoint->room.self_reported = true;
+    endpoint->brittle.self_reported = true;
 }
 
 static void
@@ -41,7 +41,7 @@
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
         if (same_service(other, endpoint)) {
-            Br_Clear(&other->room);
+            Br_Clear(&other->brittle);
         }
     }
 }
@@ -53,7 +53,7 @@
     if (max_refusals >= 0) {
         mark_service(gate, endpoint, max_refusals);
     }
-    else if (Br_IsWithdrawn(&endpoint->room, sent_at)) {
+    else if (Br_IsWithdrawn(&endpoint->brittle, sent_at)) {
         clear_service(gate, endpoint);
     }
 }
@@ -61,8 +61,8 @@
 static bool
 is_listed(const struct ms_message *message, uint32_t service)
 {
-    for (size_t i = 0; i < message->brittle_count; i++) {
-        if (message->brittle[i].service == service) {
+    for (size_t i = 0; i < message->refusal_limit_count; i++) {
+        if (message->refusal_limits[i].service == service) {
             return true;
         }
     }
@@ -75,16 +75,17 @@
     int64_t now = Ga_Now(gate);
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (message->brittle_count == Ms_BRITTLE_MAX) {
+        if (message->refusal_limit_count == Ms_REFUSAL_LIMITS_MAX) {
             break;
         }
-        if (!Br_ShouldReport(&endpoint->room, now)) {
+        if (!Br_ShouldReport(&endpoint->brittle, now)) {
             continue;
         }
         uint32_t service = De_Hash(endpoint->entry.service);
         if (!is_listed(message, service)) {
-            message->brittle[message->brittle_count++] =
-                (struct ms_brittle){service, endpoint->room.refusal_limit};
+            message->refusal_limits[message->refusal_limit_count++] =
+                (struct ms_refusal_limit){service,
+                                          endpoint->brittle.refusal_limit};
         }
     }
 }
@@ -95,7 +96,7 @@
  * several times a second.
  */
 static void
-apply_report(struct ga_gate *gate, const struct ms_brittle *report,
+apply_report(struct ga_gate *gate, const struct ms_refusal_limit *report,
              int64_t now)
 {
     const struct fl_endpoint *first = NULL;
@@ -106,22 +107,22 @@
         }
         if (first == NULL) {
             first = endpoint;
-            if (Br_IsPeerReportRecent(&endpoint->room, now)) {
+            if (Br_IsPeerReportRecent(&endpoint->brittle, now)) {
                 return;
             }
-            if (!Br_IsBrittle(&endpoint->room, now)) {
+            if (!Br_IsBrittle(&endpoint->brittle, now)) {
                 log_change(endpoint, report->refusals_per_sec, "peer");
             }
         }
-        Br_NotePeerReport(&endpoint->room, report->refusals_per_sec, now);
+        Br_NotePeerReport(&endpoint->brittle, report->refusals_per_sec, now);
     }
 }
 
 void
 Bt_ApplyMessage(struct ga_gate *gate, const struct ms_message *message)
 {
-    for (size_t i = 0; i < message->brittle_count; i++) {
-        apply_report(gate, &message->brittle[i], Ga_Now(gate));
+    for (size_t i = 0; i < message->refusal_limit_count; i++) {
+        apply_report(gate, &message->refusal_limits[i], Ga_Now(gate));
     }
 }
 
@@ -142,16 +143,16 @@
         if (!same_service(other, endpoint) || !Fl_Usable(other)) {
             continue;
         }
-        other->room.rank = Wu_Rank(&hosts, other->hash);
-        other->room.rank_at = now;
-        other->room.best = false;
-        other->room.endpoint_count = count;
-        if (best == NULL || other->room.rank < best->room.rank) {
+        other->brittle.rank = Wu_Rank(&hosts, other->hash);
+        other->brittle.rank_at = now;
+        other->brittle.best = false;
+        other->brittle.endpoint_count = count;
+        if (best == NULL || other->brittle.rank < best->brittle.rank) {
             best = other;
         }
     }
     if (best != NULL) {
-        best->room.best = true;
+        best->brittle.best = true;
     }
 }
 
@@ -159,7 +160,7 @@
 Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
-    const struct br_state *state = &endpoint->room;
+    const struct br_state *state = &endpoint->brittle;
     if (!Br_IsBrittle(state, now)) {
         return false;
     }
@@ -176,11 +177,11 @@
 void
 Bt_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
-    Br_Sent(&endpoint->room, Ga_Now(gate));
+    Br_Sent(&endpoint->brittle, Ga_Now(gate));
 }
 
 void
 Bt_NoteRefused(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
-    Br_Refused(&endpoint->room, Ga_Now(gate));
+    Br_Refused(&endpoint->brittle, Ga_Now(gate));
 }
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -51,14 +51,14 @@
 }
 
 struct ec_config *
-Ec_Hold(struct ec_config *config)
+Ec_Ref(struct ec_config *config)
 {
     config->refs++;
     return config;
 }
 
 void
-Ec_Release(struct ec_config *config)
+Ec_Unref(struct ec_config *config)
 {
     if (config == NULL || --config->refs > 0) {
         return;
--- a/packages/edge/config.h
+++ b/packages/edge/config.h
@@ -116,8 +116,8 @@
 struct ec_config *Ec_Create(void);
 /* Sorts the tables for lookups; to be called when they are filled. */
 void Ec_Seal(struct ec_config *config);
-struct ec_config *Ec_Hold(struct ec_config *config);
-void Ec_Release(struct ec_config *config);
+struct ec_config *Ec_Ref(struct ec_config *config);
+void Ec_Unref(struct ec_config *config);
 const struct ec_route *Ec_FindRoute(const struct ec_config *config,
                                     const char *host, size_t host_len,
                                     const char *target, size_t target_len);
--- a/packages/edge/controller.c
+++ b/packages/edge/controller.c
@@ -46,19 +46,19 @@
     struct ga_gate *gate = arg;
     Ln_Log(LN_STATE, holder ? "duty.won" : "duty.lost", "\"fence\":%lld",
            (long long)fence);
-    if (holder && gate->work != NULL) {
+    if (holder && gate->controller != NULL) {
         /*
          * The estimates of an earlier lease of this daemon are older than the
          * recorded needs.  With old estimates, 25 endpoints were scaled down
          * to 6 after a restart of most hosts, because the low load seen at
          * first took effect at once.
          */
-        gate->work->estimate_count = 0;
-        co_restore_moves(gate->work);
+        gate->controller->estimate_count = 0;
+        co_restore_moves(gate->controller);
     }
-    for (size_t i = 0; gate->work != NULL && i < gate->work->order_count;
-         i++) {
-        gate->work->orders[i].confirmed = -1;
+    for (size_t i = 0;
+         gate->controller != NULL && i < gate->controller->order_count; i++) {
+        gate->controller->orders[i].confirmed = -1;
     }
 }
 
@@ -67,11 +67,11 @@
 {
     struct co_controller *controller = arg;
     struct ga_gate *gate = controller->gate;
-    struct lr_usage *usage = Lr_Usage(gate->duty, controller->report_window);
+    struct lr_usage *usage = Lr_Usage(gate->lease, controller->report_window);
     Ln_Log(status == CL_DONE ? LN_ORDINARY : LN_FAILURE, "usage.reported",
            "\"window\":%lld,\"status\":%d,\"fence\":%lld",
            (long long)controller->report_window, (int)status,
-           (long long)Lr_Fence(gate->duty));
+           (long long)Lr_Fence(gate->lease));
     controller->report_window = 0;
     if (status == CL_DONE && usage != NULL) {
         usage->reported = true;
@@ -79,7 +79,7 @@
     }
     controller->report_retry_at = Ga_Now(gate) + Co_RETRY_USEC;
     if (status == CL_FENCED) {
-        Lr_FenceRefused(gate->duty);
+        Lr_FenceRefused(gate->lease);
     }
 }
 
@@ -88,8 +88,9 @@
 {
     struct ga_gate *gate = controller->gate;
     controller->report_window = usage->window;
-    gate->options.cloud->ops->report(gate->options.cloud, Lr_Fence(gate->duty),
-                                     usage, on_reported, controller);
+    gate->options.cloud->ops->report(gate->options.cloud,
+                                     Lr_Fence(gate->lease), usage, on_reported,
+                                     controller);
 }
 
 static const char *
@@ -124,7 +125,7 @@
             tenant->count = counts[i].count;
         }
     }
-    if (Lr_RecordUsage(gate->duty, &usage)) {
+    if (Lr_RecordUsage(gate->lease, &usage)) {
         Ln_Log(LN_STATE, "usage.agreed", "\"window\":%lld,\"tenants\":%zu",
                (long long)window, usage.count);
     }
@@ -144,7 +145,7 @@
     int64_t newest = Co_UsageWindow(gate, now - Co_COUNTS_SETTLE_USEC) - 1;
     int64_t oldest = newest - node->usage_late_usec / node->usage_window_usec;
     for (int64_t window = oldest; window <= newest; window++) {
-        struct lr_usage *usage = Lr_Usage(gate->duty, window);
+        struct lr_usage *usage = Lr_Usage(gate->lease, window);
         if (usage == NULL) {
             record_usage(controller, window);
             return;
@@ -164,12 +165,12 @@
 exchange_recent(struct ga_gate *gate)
 {
     const struct qt_recent *inherited;
-    size_t count = Lr_InheritedRecent(gate->duty, &inherited);
+    size_t count = Lr_InheritedRecent(gate->lease, &inherited);
     Qt_RestoreUsage(gate->quota, inherited, count);
-    if (Lr_Holds(gate->duty)) {
+    if (Lr_Holds(gate->lease)) {
         struct qt_recent recent[Qt_RECENT_MAX];
         count = Qt_RecentUsage(gate->quota, recent);
-        Lr_SetRecent(gate->duty, recent, count);
+        Lr_SetRecent(gate->lease, recent, count);
     }
 }
 
@@ -178,14 +179,14 @@
 {
     struct ga_gate *gate = controller->gate;
     exchange_recent(gate);
-    if (!Lr_Holds(gate->duty)) {
+    if (!Lr_Holds(gate->lease)) {
         return;
     }
     if (gate->options.node->report_usage) {
         tick_usage(controller);
     }
     co_tick_moves(controller);
-    if (gate->options.node->order_endpoints && Lr_Holds(gate->duty) &&
+    if (gate->options.node->order_endpoints && Lr_Holds(gate->lease) &&
         gate->stopping_at == 0) {
         co_tick_orders(controller);
     }
--- a/packages/edge/controller_moves.c
+++ b/packages/edge/controller_moves.c
@@ -102,7 +102,7 @@
         struct ro_endpoint_counts counts = count_endpoints(gate, move);
         Ro_Advance(gate->moves, move, &counts);
         struct ro_status status = Ro_Status(move);
-        if (!Lr_SetMove(gate->duty, &status)) {
+        if (!Lr_SetMove(gate->lease, &status)) {
             continue;
         }
         const struct reported_move *reported = &controller->reported[i];
@@ -122,7 +122,7 @@
 {
     struct ga_gate *gate = controller->gate;
     const struct ro_status *statuses;
-    size_t count = Lr_Moves(gate->duty, &statuses);
+    size_t count = Lr_Moves(gate->lease, &statuses);
     for (size_t i = 0; i < count; i++) {
         Ro_ApplyStatus(gate->moves, &statuses[i], false);
     }
--- a/packages/edge/controller_orders.c
+++ b/packages/edge/controller_orders.c
@@ -86,7 +86,7 @@
         order->controller->planned_at = 0;
     }
     else if (status == CL_FENCED) {
-        Lr_FenceRefused(gate->duty);
+        Lr_FenceRefused(gate->lease);
     }
 }
 
@@ -111,7 +111,7 @@
     order->in_flight = true;
     struct cl_order request = {order->service, order->zone, order->spot,
                                target};
-    gate->options.cloud->ops->order(gate->options.cloud, Lr_Fence(gate->duty),
+    gate->options.cloud->ops->order(gate->options.cloud, Lr_Fence(gate->lease),
                                     &request, on_ordered, order);
 }
 
@@ -163,7 +163,7 @@
 prefill_rate(const struct co_controller *controller,
              const struct load_sum *sum, uint32_t service)
 {
-    const struct lr_need *need = Lr_FindNeed(controller->gate->duty, service);
+    const struct lr_need *need = Lr_FindNeed(controller->gate->lease, service);
     if (sum->rate_count > 0) {
         return sum->rate_sum / sum->rate_count;
     }
@@ -208,14 +208,15 @@
             int endpoints)
 {
     uint32_t hash = De_Hash(service->name);
-    const struct lr_need *recorded = Lr_FindNeed(controller->gate->duty, hash);
+    const struct lr_need *recorded =
+        Lr_FindNeed(controller->gate->lease, hash);
     struct lr_need need = {hash, endpoints,
                            recorded == NULL ? 0 : recorded->prefill_rate};
     double measured = De_PrefillRate(controller->gate->demand, service->name);
     if (measured > 0) {
         need.prefill_rate = measured;
     }
-    Lr_SetNeed(controller->gate->duty, &need);
+    Lr_SetNeed(controller->gate->lease, &need);
 }
 
 static int
@@ -240,7 +241,7 @@
         &controller->estimates[controller->estimate_count++];
     strlcpy(estimate->service, service->name, sizeof(estimate->service));
     const struct lr_need *need =
-        Lr_FindNeed(controller->gate->duty, De_Hash(service->name));
+        Lr_FindNeed(controller->gate->lease, De_Hash(service->name));
     estimate->complete = false;
     Pn_StartEstimate(&estimate->estimate, need == NULL ? 0 : need->endpoints,
                      Ga_Now(controller->gate));
--- a/packages/edge/event_stream.c
+++ b/packages/edge/event_stream.c
@@ -65,16 +65,16 @@
     size_t at = parser->scanned > from + 3 ? parser->scanned - 3 : from;
     while (at < parser->buffer.len) {
         const char *newline =
-            memchr(parser->buffer.at + at, '\n', parser->buffer.len - at);
+            memchr(parser->buffer.data + at, '\n', parser->buffer.len - at);
         if (newline == NULL) {
             break;
         }
-        size_t i = (size_t)(newline - parser->buffer.at) + 1;
-        if (i < parser->buffer.len && parser->buffer.at[i] == '\n') {
+        size_t i = (size_t)(newline - parser->buffer.data) + 1;
+        if (i < parser->buffer.len && parser->buffer.data[i] == '\n') {
             return i + 1;
         }
-        if (i + 1 < parser->buffer.len && parser->buffer.at[i] == '\r' &&
-            parser->buffer.at[i + 1] == '\n') {
+        if (i + 1 < parser->buffer.len && parser->buffer.data[i] == '\r' &&
+            parser->buffer.data[i + 1] == '\n') {
             return i + 2;
         }
         at = i;
@@ -94,12 +94,12 @@
     size_t from = 0;
     size_t end;
     while (!parser->failed && (end = find_end(parser, from)) != 0) {
-        emit(parser->buffer.at + from, end - from, fn, arg);
+        emit(parser->buffer.data + from, end - from, fn, arg);
         from = end;
     }
-    if (from > 0 && parser->buffer.at != NULL) {
+    if (from > 0 && parser->buffer.data != NULL) {
         parser->buffer.len -= from;
-        memmove(parser->buffer.at, parser->buffer.at + from,
+        memmove(parser->buffer.data, parser->buffer.data + from,
                 parser->buffer.len);
         parser->scanned = 0;
     }
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -134,7 +134,7 @@
     Xc_ReleaseAttempt(exchange);
     TAILQ_REMOVE(&exchange->gate->exchanges, exchange, link);
     Lp_TimerDestroy(exchange->timer);
-    Ec_Release(exchange->config);
+    Ec_Unref(exchange->config);
     free(exchange);
 }
 
@@ -503,7 +503,7 @@
             : Lp_TimerCreate(gate->options.loop, on_timer, exchange);
     if (timer == NULL) {
         free(exchange);
-        Ec_Release(admitted->config);
+        Ec_Unref(admitted->config);
         Sv_Reply(request, 503, "", "", 0);
         return;
     }
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -84,7 +84,7 @@
         .same_zone =
             strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
         .last_resort =
-            He_Shunned(endpoint, context->now) || warming == WA_MAYBE_COLD,
+            He_IsEjected(endpoint, context->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
         .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
                 Po_IsFull(gate, endpoint, exchange->service),
--- a/packages/edge/feed.c
+++ b/packages/edge/feed.c
@@ -153,10 +153,10 @@
         return;
     }
     if (feed->config != NULL && config->version <= feed->config->version) {
-        Ec_Release(config);
+        Ec_Unref(config);
         return;
     }
-    Ec_Release(feed->config);
+    Ec_Unref(feed->config);
     feed->config = config;
     feed->options.ops->config(feed->options.arg, config);
 }
@@ -567,7 +567,7 @@
     if (feed != NULL) {
         stop_reader(&feed->config_reader);
         stop_reader(&feed->entry_reader);
-        Ec_Release(feed->config);
+        Ec_Unref(feed->config);
         free(feed);
     }
 }
--- a/packages/edge/feed_pack.c
+++ b/packages/edge/feed_pack.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "edge/feed_internal.h"
 #include "edge/packed.h"
 
@@ -196,7 +196,7 @@
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    if (Mp_CountsFit((const uint8_t *)data, len) &&
+    if (Mp_LengthsFit((const uint8_t *)data, len) &&
         msgpack_unpack_next(&unpacked, data, len, NULL) ==
             MSGPACK_UNPACK_SUCCESS &&
         unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
--- a/packages/edge/fleet.c
+++ b/packages/edge/fleet.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/line.h"
+#include "base/log_line.h"
 
 #define Fl_HASH_SEED 0x666c6565
 
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -58,7 +58,7 @@
     /* when its data centre's evacuation ended; 0: never */
     int64_t zone_restored_at;
     struct wu_warmup warmup;
-    struct br_state room;
+    struct br_state brittle;
 
     /* Requests that this daemon has sent and that have not ended. */
     int running;
@@ -80,7 +80,7 @@
     double first_byte_usec; /* recent time to the first byte */
     int64_t ejected_until;
     /* start of its last unresponsive period; 0: never */
-    int64_t silence_since;
+    int64_t unresponsive_since;
     int64_t answered_at;
     int64_t last_outcome_at; /* end of the last request, successful or not */
     int64_t last_first_byte_at; /* time of the last first byte; 0: none */
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -229,7 +229,7 @@
     struct ga_gate *gate = arg;
     if (Fl_Evacuate(gate->fleet, zone, evacuate)) {
         /* The load of the other data centres rises or falls from now on. */
-        Co_PlanSoon(gate->work);
+        Co_PlanSoon(gate->controller);
     }
 }
 
@@ -368,7 +368,7 @@
 {
     int64_t elapsed = Ga_Now(gate) - gate->stopping_at;
     if (peers_serve(gate)) {
-        Lr_Release(gate->duty);
+        Lr_Release(gate->lease);
     }
     if (elapsed > Ga_STOP_IDLE_USEC) {
         Sv_CloseIdle(gate->callers, Ga_TICK_USEC);
@@ -377,7 +377,7 @@
     end_listening(gate, elapsed, limit);
     /* Callers that are already connected are answered first. */
     if ((gate->listening == GA_CLOSED && Sv_Connections(gate->callers) == 0 &&
-         Th_Count(gate->through) == 0) ||
+         Th_Count(gate->tunnel) == 0) ||
         elapsed > limit) {
         Ln_Log(LN_STATE, "process.stopped", "\"open\":%zu",
                Sv_Open(gate->callers));
@@ -408,10 +408,10 @@
     Pt_Tick(gate->paths);
     Bk_Tick(gate->breaks);
     Qn_Tick(gate->quarantine);
-    Th_Tick(gate->through);
+    Th_Tick(gate->tunnel);
     Ro_Tick(gate->moves);
-    Lr_Tick(gate->duty);
-    Co_Tick(gate->work);
+    Lr_Tick(gate->lease);
+    Co_Tick(gate->controller);
     if (gate->ticks % Ga_SWEEP_TICKS == 0) {
         Sv_Tick(gate->callers);
         Sv_Tick(gate->ready);
@@ -556,7 +556,7 @@
         .ops = &tunnel_ops,
         .arg = gate,
     };
-    return Th_Create(&options, &gate->through);
+    return Th_Create(&options, &gate->tunnel);
 }
 
 static enum st_status
@@ -596,12 +596,13 @@
     gate->breaks = Bk_Create(gate);
     gate->quarantine = Qn_Create(gate);
     gate->feed = Fe_Create(&feed);
-    gate->duty = Lr_Create(&lease);
-    gate->work = Co_Create(gate);
+    gate->lease = Lr_Create(&lease);
+    gate->controller = Co_Create(gate);
     gate->tick = Lp_TimerCreate(options->loop, on_tick, gate);
     if (gate->paths == NULL || gate->breaks == NULL ||
-        gate->quarantine == NULL || gate->feed == NULL || gate->duty == NULL ||
-        gate->work == NULL || gate->tick == NULL) {
+        gate->quarantine == NULL || gate->feed == NULL ||
+        gate->lease == NULL || gate->controller == NULL ||
+        gate->tick == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the daemon");
     }
     Lp_TimerSet(gate->tick, 0);
@@ -668,15 +669,15 @@
         return;
     }
     Lp_TimerDestroy(gate->tick);
-    Co_Destroy(gate->work);
-    Lr_Destroy(gate->duty);
+    Co_Destroy(gate->controller);
+    Lr_Destroy(gate->lease);
     Fe_Destroy(gate->feed);
     Pe_Destroy(gate->peers);
     Ms_Destroy(gate->mesh);
     Sv_Destroy(gate->callers);
     Sv_Destroy(gate->ready);
     Sv_Destroy(gate->metrics_server);
-    Th_Destroy(gate->through);
+    Th_Destroy(gate->tunnel);
     Bk_Destroy(gate->breaks);
     Qn_Destroy(gate->quarantine);
     Pt_Destroy(gate->paths);
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -3,7 +3,7 @@
 #define EDGE_GATE_INTERNAL_H
 
 #include "base/hash.h"
-#include "base/line.h"
+#include "base/log_line.h"
 #include "base/metric.h"
 #include "base/random.h"
 #include "edge/budget.h"
@@ -67,7 +67,7 @@
     struct ro_table *moves;
     struct de_demand *demand;
     struct tt_time *true_time;
-    struct lr_lease *duty;
+    struct lr_lease *lease;
     struct ms_mesh *mesh;
     struct zn_zones *zones;
     struct pe_peers *peers;
@@ -77,8 +77,8 @@
     struct ov_load overload;
     int64_t overload_logged_at;
     struct xc_list exchanges;
-    struct th_through *through;
-    struct co_controller *work;
+    struct th_through *tunnel;
+    struct co_controller *controller;
     struct mt_registry *registry;
     struct ga_counters count;
     struct lp_timer *tick;
--- a/packages/edge/health.c
+++ b/packages/edge/health.c
@@ -47,9 +47,9 @@
     if (outcome != HE_SILENT) {
         return false;
     }
-    bool same = endpoint->silence_since != 0 &&
-                now - endpoint->silence_since < He_SILENCE_USEC;
-    endpoint->silence_since = same ? endpoint->silence_since : now;
+    bool same = endpoint->unresponsive_since != 0 &&
+                now - endpoint->unresponsive_since < He_SILENCE_USEC;
+    endpoint->unresponsive_since = same ? endpoint->unresponsive_since : now;
     return same;
 }
 
@@ -117,7 +117,7 @@
 }
 
 bool
-He_Shunned(const struct fl_endpoint *endpoint, int64_t now)
+He_IsEjected(const struct fl_endpoint *endpoint, int64_t now)
 {
     return now < endpoint->ejected_until;
 }
--- a/packages/edge/health.h
+++ b/packages/edge/health.h
@@ -31,7 +31,7 @@
 double He_FailureRate(const struct fl_endpoint *endpoint, int64_t now);
 double He_FirstByteUsec(const struct fl_endpoint *endpoint, double mean,
                         int64_t now);
-bool He_Shunned(const struct fl_endpoint *endpoint, int64_t now);
+bool He_IsEjected(const struct fl_endpoint *endpoint, int64_t now);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/leader.c
+++ b/packages/edge/leader.c
@@ -171,7 +171,7 @@
 {
     lease->in_flight = true;
     lease->sent_at = now_of(lease);
-    Ag_Read(lease->options.store, AG_DUTY, lease->end < 0 ? 0 : lease->end, 0,
+    Ag_Read(lease->options.store, AG_LEASE, lease->end < 0 ? 0 : lease->end, 0,
             on_read, lease);
 }
 
@@ -241,7 +241,7 @@
     size_t len = Lc_Encode(&record, &data);
     lease->in_flight = true;
     lease->sent_at = now_of(lease);
-    Ag_Append(lease->options.store, AG_DUTY, lease->end, NULL, data, len,
+    Ag_Append(lease->options.store, AG_LEASE, lease->end, NULL, data, len,
               on_append, lease);
     free(data);
 }
--- a/packages/edge/leader_record.c
+++ b/packages/edge/leader_record.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "edge/packed.h"
 
 #define Lc_FIELDS 6
@@ -220,7 +220,7 @@
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool valid = Mp_CountsFit((const uint8_t *)data, len) &&
+    bool valid = Mp_LengthsFit((const uint8_t *)data, len) &&
                  msgpack_unpack_next(&unpacked, data, len, NULL) ==
                      MSGPACK_UNPACK_SUCCESS &&
                  decode(&unpacked.data, out);
--- a/packages/edge/mesh.c
+++ b/packages/edge/mesh.c
@@ -96,9 +96,9 @@
     peer->rate_count = message->rate_count;
     memcpy(peer->rates, message->rates,
            message->rate_count * sizeof(message->rates[0]));
-    peer->evidence_count = message->evidence_count;
-    memcpy(peer->evidence, message->evidence,
-           message->evidence_count * sizeof(message->evidence[0]));
+    peer->outcome_count = message->outcome_count;
+    memcpy(peer->outcomes, message->outcomes,
+           message->outcome_count * sizeof(message->outcomes[0]));
 }
 
 static void
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -33,12 +33,12 @@
 
 #define Ms_LOADS_MAX 48
 #define Ms_SUMMARY_LOADS_MAX 512
-#define Ms_SPENT_MAX 64
+#define Ms_USAGE_MAX 64
 #define Ms_COUNTS_MAX 192
-#define Ms_HINTS_MAX 4
+#define Ms_ADDRESSES_MAX 4
 #define Ms_RATES_MAX 16
-#define Ms_EVIDENCE_MAX 32
-#define Ms_BRITTLE_MAX 8
+#define Ms_OUTCOMES_MAX 32
+#define Ms_REFUSAL_LIMITS_MAX 8
 #define Ms_CRASHES_MAX 24
 #define Ms_CLEARS_MAX 16
 #define Ms_QUARANTINES_MAX 8
@@ -52,8 +52,8 @@
 
 struct ms_usage {
     uint32_t tenant;
-    uint64_t total; /* admitted since the daemon's start */
-    uint64_t asked; /* admitted or refused since then */
+    uint64_t total;     /* admitted since the daemon's start */
+    uint64_t requested; /* admitted or refused since then */
 };
 
 /*
@@ -82,7 +82,7 @@
  * The refusal limit that endpoints of a service report: how many refusals a
  * second they tolerate.
  */
-struct ms_brittle {
+struct ms_refusal_limit {
     uint32_t service;
     int refusals_per_sec;
 };
@@ -110,27 +110,28 @@
     size_t load_count;
     struct ms_load loads[Ms_SUMMARY_LOADS_MAX];
     size_t usage_count;
-    struct ms_usage usage[Ms_SPENT_MAX];
+    struct ms_usage usage[Ms_USAGE_MAX];
     size_t past_usage_count; /* 0 unless a daemon has just started */
-    struct ms_past_usage past_usage[Ms_SPENT_MAX];
+    struct ms_past_usage past_usage[Ms_USAGE_MAX];
     size_t request_count_rows;
     struct ms_request_count request_counts[Ms_COUNTS_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
-    size_t evidence_count;
-    struct ro_outcomes evidence[Ms_EVIDENCE_MAX];
+    size_t outcome_count;
+    struct ro_outcomes outcomes[Ms_OUTCOMES_MAX];
     size_t move_status_count;
     struct ro_status move_statuses[Ro_MOVES_MAX];
-    size_t brittle_count;
-    struct ms_brittle brittle[Ms_BRITTLE_MAX];
+    size_t refusal_limit_count;
+    struct ms_refusal_limit refusal_limits[Ms_REFUSAL_LIMITS_MAX];
     size_t crash_count;
     struct pz_crash crashes[Ms_CRASHES_MAX];
     size_t clear_count;
     struct pz_clear clears[Ms_CLEARS_MAX];
-    size_t stop_count;
-    struct pz_quarantine stops[Ms_QUARANTINES_MAX];
+    size_t quarantine_count;
+    struct pz_quarantine quarantines[Ms_QUARANTINES_MAX];
     size_t address_count;
-    char addresses[Ms_HINTS_MAX][Nd_NAME_MAX]; /* addresses of other daemons */
+    char addresses[Ms_ADDRESSES_MAX]
+                  [Nd_NAME_MAX]; /* addresses of other daemons */
 };
 
 struct ms_peer {
@@ -160,11 +161,11 @@
     size_t load_count;
     struct ms_load loads[Ms_LOADS_MAX];
     size_t usage_count;
-    struct ms_usage usage[Ms_SPENT_MAX];
+    struct ms_usage usage[Ms_USAGE_MAX];
     size_t rate_count;
     struct de_rate rates[Ms_RATES_MAX];
-    size_t evidence_count;
-    struct ro_outcomes evidence[Ms_EVIDENCE_MAX];
+    size_t outcome_count;
+    struct ro_outcomes outcomes[Ms_OUTCOMES_MAX];
 };
 
 TAILQ_HEAD(ms_peers, ms_peer);
--- a/packages/edge/mesh_codec.c
+++ b/packages/edge/mesh_codec.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "edge/mesh.h"
 #include "edge/packed.h"
 #include "policy/poison_pack.h"
@@ -91,7 +91,7 @@
     for (size_t i = 0; i < message->usage_count; i++) {
         msgpack_pack_uint32(packer, message->usage[i].tenant);
         msgpack_pack_uint64(packer, message->usage[i].total);
-        msgpack_pack_uint64(packer, message->usage[i].asked);
+        msgpack_pack_uint64(packer, message->usage[i].requested);
     }
     pack_request_counts(packer, message);
     msgpack_pack_array(packer, message->rate_count * Ms_RATE_FIELDS);
@@ -128,9 +128,9 @@
 static void
 pack_moves(msgpack_packer *packer, const struct ms_message *message)
 {
-    msgpack_pack_array(packer, message->evidence_count * Ms_OUTCOME_FIELDS);
-    for (size_t i = 0; i < message->evidence_count; i++) {
-        const struct ro_outcomes *row = &message->evidence[i];
+    msgpack_pack_array(packer, message->outcome_count * Ms_OUTCOME_FIELDS);
+    for (size_t i = 0; i < message->outcome_count; i++) {
+        const struct ro_outcomes *row = &message->outcomes[i];
         msgpack_pack_uint32(packer, row->service);
         msgpack_pack_uint32(packer, row->route);
         msgpack_pack_int64(packer, row->order);
@@ -154,10 +154,10 @@
 pack_refusal_limits(msgpack_packer *packer, const struct ms_message *message)
 {
     msgpack_pack_array(packer,
-                       message->brittle_count * Ms_REFUSAL_LIMIT_FIELDS);
-    for (size_t i = 0; i < message->brittle_count; i++) {
-        msgpack_pack_uint32(packer, message->brittle[i].service);
-        msgpack_pack_int(packer, message->brittle[i].refusals_per_sec);
+                       message->refusal_limit_count * Ms_REFUSAL_LIMIT_FIELDS);
+    for (size_t i = 0; i < message->refusal_limit_count; i++) {
+        msgpack_pack_uint32(packer, message->refusal_limits[i].service);
+        msgpack_pack_int(packer, message->refusal_limits[i].refusals_per_sec);
     }
 }
 
@@ -166,7 +166,8 @@
 {
     Pz_PackCrashes(packer, message->crashes, message->crash_count);
     Pz_PackClears(packer, message->clears, message->clear_count);
-    Pz_PackQuarantines(packer, message->stops, message->stop_count);
+    Pz_PackQuarantines(packer, message->quarantines,
+                       message->quarantine_count);
 }
 
 size_t
@@ -259,13 +260,13 @@
         out->loads[i].requests = (int)get_number(&row[1]);
         out->loads[i].prefill_tokens = get_number(&row[2]);
     }
-    out->usage_count = count_rows(&field[1], Ms_USAGE_FIELDS, Ms_SPENT_MAX);
+    out->usage_count = count_rows(&field[1], Ms_USAGE_FIELDS, Ms_USAGE_MAX);
     for (size_t i = 0; i < out->usage_count; i++) {
         const msgpack_object *row =
             &field[1].via.array.ptr[i * Ms_USAGE_FIELDS];
         out->usage[i].tenant = (uint32_t)get_number(&row[0]);
         out->usage[i].total = (uint64_t)get_number(&row[1]);
-        out->usage[i].asked = (uint64_t)get_number(&row[2]);
+        out->usage[i].requested = (uint64_t)get_number(&row[2]);
     }
     get_request_counts(&field[2], out);
     out->rate_count = count_rows(&field[3], Ms_RATE_FIELDS, Ms_RATES_MAX);
@@ -280,7 +281,7 @@
         out->rates[i].requests_per_sec =
             (double)get_number(&row[5]) / Ms_MILLI;
     }
-    size_t address_rows = count_rows(&field[4], 1, Ms_HINTS_MAX);
+    size_t address_rows = count_rows(&field[4], 1, Ms_ADDRESSES_MAX);
     for (size_t i = 0; i < address_rows; i++) {
         if (Pk_CopyString(&field[4].via.array.ptr[i],
                           out->addresses[out->address_count], Nd_NAME_MAX)) {
@@ -293,7 +294,7 @@
 get_past_usage(const msgpack_object *field, struct ms_message *out)
 {
     out->past_usage_count =
-        count_rows(field, Ms_PAST_USAGE_FIELDS, Ms_SPENT_MAX);
+        count_rows(field, Ms_PAST_USAGE_FIELDS, Ms_USAGE_MAX);
     for (size_t i = 0; i < out->past_usage_count; i++) {
         const msgpack_object *row =
             &field->via.array.ptr[i * Ms_PAST_USAGE_FIELDS];
@@ -306,12 +307,12 @@
 static void
 get_moves(const msgpack_object *field, struct ms_message *out)
 {
-    out->evidence_count =
-        count_rows(&field[0], Ms_OUTCOME_FIELDS, Ms_EVIDENCE_MAX);
-    for (size_t i = 0; i < out->evidence_count; i++) {
+    out->outcome_count =
+        count_rows(&field[0], Ms_OUTCOME_FIELDS, Ms_OUTCOMES_MAX);
+    for (size_t i = 0; i < out->outcome_count; i++) {
         const msgpack_object *row =
             &field[0].via.array.ptr[i * Ms_OUTCOME_FIELDS];
-        out->evidence[i] = (struct ro_outcomes){
+        out->outcomes[i] = (struct ro_outcomes){
             .service = (uint32_t)get_number(&row[0]),
             .route = (uint32_t)get_number(&row[1]),
             .order = get_number(&row[2]),
@@ -342,14 +343,14 @@
 static void
 get_refusal_limits(const msgpack_object *field, struct ms_message *out)
 {
-    out->brittle_count =
-        count_rows(field, Ms_REFUSAL_LIMIT_FIELDS, Ms_BRITTLE_MAX);
-    for (size_t i = 0; i < out->brittle_count; i++) {
+    out->refusal_limit_count =
+        count_rows(field, Ms_REFUSAL_LIMIT_FIELDS, Ms_REFUSAL_LIMITS_MAX);
+    for (size_t i = 0; i < out->refusal_limit_count; i++) {
         const msgpack_object *row =
             &field->via.array.ptr[i * Ms_REFUSAL_LIMIT_FIELDS];
         int64_t limit = get_number(&row[1]);
-        out->brittle[i].service = (uint32_t)get_number(&row[0]);
-        out->brittle[i].refusals_per_sec =
+        out->refusal_limits[i].service = (uint32_t)get_number(&row[0]);
+        out->refusal_limits[i].refusals_per_sec =
             limit < 0 || limit > INT_MAX ? 0 : (int)limit;
     }
 }
@@ -359,8 +360,8 @@
 {
     out->crash_count = Pz_ReadCrashes(&field[0], out->crashes, Ms_CRASHES_MAX);
     out->clear_count = Pz_ReadClears(&field[1], out->clears, Ms_CLEARS_MAX);
-    out->stop_count =
-        Pz_ReadQuarantines(&field[2], out->stops, Ms_QUARANTINES_MAX);
+    out->quarantine_count =
+        Pz_ReadQuarantines(&field[2], out->quarantines, Ms_QUARANTINES_MAX);
 }
 
 static bool
@@ -407,7 +408,7 @@
     memset(out, 0, sizeof(*out));
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
-    bool decoded = Mp_CountsFit((const uint8_t *)data, len) &&
+    bool decoded = Mp_LengthsFit((const uint8_t *)data, len) &&
                    msgpack_unpack_next(&unpacked, data, len, NULL) ==
                        MSGPACK_UNPACK_SUCCESS &&
                    get_message(&unpacked.data, out);
--- a/packages/edge/mesh_query.c
+++ b/packages/edge/mesh_query.c
@@ -28,7 +28,9 @@
         const struct ms_usage *row = &before[i];
         if (row->tenant == now->tenant) {
             more.total = now->total > row->total ? now->total - row->total : 0;
-            more.asked = now->asked > row->asked ? now->asked - row->asked : 0;
+            more.requested = now->requested > row->requested
+                                 ? now->requested - row->requested
+                                 : 0;
             break;
         }
     }
@@ -116,14 +118,14 @@
 {
     out->own = mesh->hash;
     out->count = 0;
-    out->view.heard = 1;
-    out->view.known = Ms_CountAll(mesh);
+    out->completeness.received_from = 1;
+    out->completeness.known = Ms_CountAll(mesh);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, &mesh->peers, link) {
         if (out->count < Wu_HOSTS_MAX) {
-            out->others[out->count++] = peer->hash;
+            out->peers[out->count++] = peer->hash;
         }
-        out->view.heard += peer->last_message_at != 0;
+        out->completeness.received_from += peer->last_message_at != 0;
     }
 }
 
--- a/packages/edge/mesh_send.c
+++ b/packages/edge/mesh_send.c
@@ -23,7 +23,8 @@
             skip--;
             continue;
         }
-        if (Ms_Alive(mesh, peer) && message->address_count < Ms_HINTS_MAX) {
+        if (Ms_Alive(mesh, peer) &&
+            message->address_count < Ms_ADDRESSES_MAX) {
             strlcpy(message->addresses[message->address_count++], peer->ip,
                     Nd_NAME_MAX);
         }
--- a/packages/edge/peers.c
+++ b/packages/edge/peers.c
@@ -39,7 +39,7 @@
 fill_usage(void *arg, uint32_t tenant, uint64_t total, uint64_t requested)
 {
     struct ms_message *message = arg;
-    if (message->usage_count < Ms_SPENT_MAX) {
+    if (message->usage_count < Ms_USAGE_MAX) {
         message->usage[message->usage_count++] =
             (struct ms_usage){tenant, total, requested};
     }
@@ -58,7 +58,7 @@
                             gate->options.node->quota_window_usec)) {
         count = Qt_RecentUsage(gate->quota, rows);
     }
-    for (size_t i = 0; i < count && message->past_usage_count < Ms_SPENT_MAX;
+    for (size_t i = 0; i < count && message->past_usage_count < Ms_USAGE_MAX;
          i++) {
         const struct wn_past *past = &rows[i].past;
         if (past->older + past->newer >= 1) {
@@ -98,7 +98,7 @@
     message->reads_entries = Fe_Reads(gate->feed, AG_ENDPOINTS);
     message->config_changes_end = Fe_ChangesEnd(gate->feed, AG_CONFIG);
     message->entries_changes_end = Fe_ChangesEnd(gate->feed, AG_ENDPOINTS);
-    message->lease = Lr_LeaseNotice(gate->duty);
+    message->lease = Lr_LeaseNotice(gate->lease);
     fill_loads(gate, message);
     Qt_Each(gate->quota, fill_usage, message);
     fill_past_usage(gate, message);
@@ -106,8 +106,8 @@
     Bt_FillMessage(gate, message);
     Qn_FillMessage(gate->quarantine, message);
     message->rate_count = De_LocalRates(gate->demand, message->rates);
-    message->evidence_count =
-        Ro_LocalOutcomes(gate->moves, message->evidence, Ms_EVIDENCE_MAX);
+    message->outcome_count =
+        Ro_LocalOutcomes(gate->moves, message->outcomes, Ms_OUTCOMES_MAX);
     message->move_status_count =
         Ro_Statuses(gate->moves, message->move_statuses, Ro_MOVES_MAX);
 }
@@ -120,7 +120,7 @@
     Zn_Summarize(gate->zones, message);
     message->request_count_rows = 0;
     message->rate_count = 0;
-    message->evidence_count = 0;
+    message->outcome_count = 0;
     message->load_count = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
@@ -138,8 +138,8 @@
 charge_peer_usage(struct ga_gate *gate, const struct ms_usage *more,
                   bool while_unreachable)
 {
-    if (more->asked > 0) {
-        Qt_AddPeerDemand(gate->quota, more->tenant, (double)more->asked);
+    if (more->requested > 0) {
+        Qt_AddPeerDemand(gate->quota, more->tenant, (double)more->requested);
     }
     if (more->total > 0) {
         Qt_AddPeerUsage(gate->quota, more->tenant, (double)more->total,
@@ -221,7 +221,7 @@
     Bt_ApplyMessage(gate, message);
     Qn_ApplyMessage(gate->quarantine, message);
     if (message->lease.fence > 0) {
-        Lr_HandleNotice(gate->duty, &message->lease);
+        Lr_HandleNotice(gate->lease, &message->lease);
     }
     for (size_t i = 0; i < message->move_status_count; i++) {
         Ro_ApplyStatus(gate->moves, &message->move_statuses[i],
@@ -259,8 +259,8 @@
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         if (Ms_Alive(gate->mesh, peer)) {
-            Ro_AddPeerOutcomes(gate->moves, peer->evidence,
-                               peer->evidence_count);
+            Ro_AddPeerOutcomes(gate->moves, peer->outcomes,
+                               peer->outcome_count);
         }
     }
 }
--- a/packages/edge/peers_state.c
+++ b/packages/edge/peers_state.c
@@ -53,7 +53,7 @@
         char *state;
         size_t len = Fe_PackState(feed, from, Pe_NOT_REQUESTED, &state);
         Bf_Free(&compressed->bytes);
-        bool compressed_ok = Df_Pack(state, len, &compressed->bytes);
+        bool compressed_ok = Df_Compress(state, len, &compressed->bytes);
         free(state);
         if (!compressed_ok) {
             Bf_Free(&compressed->bytes);
@@ -63,7 +63,7 @@
         compressed->from = from;
         compressed->changes_end = changes_end;
     }
-    Sv_Reply(request, 200, "", compressed->bytes.at, compressed->bytes.len);
+    Sv_Reply(request, 200, "", compressed->bytes.data, compressed->bytes.len);
 }
 
 /*
@@ -77,8 +77,8 @@
     size_t len =
         Fe_PackState(peers->gate->feed, Pe_NOT_REQUESTED, from, &state);
     struct bf_buffer compressed = {0};
-    if (len > Pe_COMPRESS_MIN_BYTES && Df_Pack(state, len, &compressed)) {
-        Sv_Reply(request, 200, "", compressed.at, compressed.len);
+    if (len > Pe_COMPRESS_MIN_BYTES && Df_Compress(state, len, &compressed)) {
+        Sv_Reply(request, 200, "", compressed.data, compressed.len);
     }
     else {
         Sv_Reply(request, 200, "", state, len);
@@ -164,9 +164,9 @@
 apply_compressed(struct pe_peers *peers)
 {
     struct bf_buffer state = {0};
-    if (Df_Unpack(peers->response.at, peers->response.len, Pe_STATE_MAX,
-                  &state)) {
-        Fe_ApplyState(peers->gate->feed, state.at, state.len);
+    if (Df_Decompress(peers->response.data, peers->response.len, Pe_STATE_MAX,
+                      &state)) {
+        Fe_ApplyState(peers->gate->feed, state.data, state.len);
     }
     else {
         Ln_Log(LN_FAILURE, "state.unreadable", "\"bytes\":%zu",
@@ -183,12 +183,12 @@
                     !peers->response_truncated;
     bool compressed =
         peers->response.len > 0 &&
-        !Fe_IsPackedState(peers->response.at, peers->response.len);
+        !Fe_IsPackedState(peers->response.data, peers->response.len);
     if (complete && compressed) {
         apply_compressed(peers);
     }
     else if (complete) {
-        Fe_ApplyState(peers->gate->feed, peers->response.at,
+        Fe_ApplyState(peers->gate->feed, peers->response.data,
                       peers->response.len);
     }
     pe_end_fetch(peers);
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -114,7 +114,7 @@
 }
 
 static const struct pz_ops table_ops = {
-    .stopped = on_quarantined,
+    .quarantined = on_quarantined,
     .lifted = on_lifted,
 };
 
@@ -283,8 +283,8 @@
         quarantine->table, message->crashes, Ms_CRASHES_MAX, now);
     message->clear_count = Pz_ExportClears(quarantine->table, message->clears,
                                            Ms_CLEARS_MAX, now);
-    message->stop_count = Pz_ExportQuarantines(
-        quarantine->table, message->stops, Ms_QUARANTINES_MAX);
+    message->quarantine_count = Pz_ExportQuarantines(
+        quarantine->table, message->quarantines, Ms_QUARANTINES_MAX);
 }
 
 void
@@ -294,8 +294,8 @@
     for (size_t i = 0; i < message->clear_count; i++) {
         Pz_ImportClear(quarantine->table, &message->clears[i]);
     }
-    for (size_t i = 0; i < message->stop_count; i++) {
-        import_quarantine(quarantine, &message->stops[i]);
+    for (size_t i = 0; i < message->quarantine_count; i++) {
+        import_quarantine(quarantine, &message->quarantines[i]);
     }
     for (size_t i = 0; i < message->crash_count; i++) {
         Pz_ImportCrash(quarantine->table, &message->crashes[i]);
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/line.h"
+#include "base/log_line.h"
 
 /* Delay before the records are read again after a failed read. */
 #define Qr_RETRY_USEC (1 * Ck_USEC_PER_SEC)
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -313,7 +313,8 @@
     attempt->body = (struct bf_buffer){0};
     Sv_SetUser(request, NULL);
     Xc_End(exchange, served ? "served" : "endpoint failed");
-    Sv_Reply(request, status, fields == NULL ? "" : fields, body.at, body.len);
+    Sv_Reply(request, status, fields == NULL ? "" : fields, body.data,
+             body.len);
     free(fields);
     Bf_Free(&body);
 }
--- a/packages/edge/rollout.c
+++ b/packages/edge/rollout.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/line.h"
+#include "base/log_line.h"
 
 #define Ro_HASH_SEED 0x726f6c6c
 /*
--- a/packages/edge/store.c
+++ b/packages/edge/store.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-#include "base/line.h"
+#include "base/log_line.h"
 
 #define Ag_LABELS_MAX 64
 
@@ -36,7 +36,7 @@
     static const char *const names[AG_TOPICS] = {
         [AG_CONFIG] = "config", [AG_ENDPOINTS] = "endpoints",
         [AG_HOSTS] = "hosts",   [AG_STATUS] = "status",
-        [AG_DUTY] = "duty",     [AG_QUARANTINES] = "stops",
+        [AG_LEASE] = "duty",    [AG_QUARANTINES] = "stops",
     };
     return names[topic];
 }
@@ -87,6 +87,6 @@
            sum_calls(store, AG_CONFIG),
            (long long)store->calls[AG_ENDPOINTS][AG_NEWEST],
            (long long)store->calls[AG_ENDPOINTS][AG_READ],
-           sum_calls(store, AG_HOSTS), sum_calls(store, AG_DUTY),
+           sum_calls(store, AG_HOSTS), sum_calls(store, AG_LEASE),
            sum_calls(store, AG_STATUS));
 }
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -25,7 +25,7 @@
     AG_ENDPOINTS,   /* keyed; written by endpoints */
     AG_HOSTS,       /* keyed; addresses of daemons, by name */
     AG_STATUS,      /* keyed; written for operators */
-    AG_DUTY,        /* a log; leases and recorded usage */
+    AG_LEASE,       /* a log; leases and recorded usage */
     AG_QUARANTINES, /* keyed; prompt prefixes that are blocked */
     AG_TOPICS,
 };
--- a/packages/edge/test/fleet_test.cc
+++ b/packages/edge/test/fleet_test.cc
@@ -125,14 +125,14 @@
     Fl_Apply(fleet_, &entry);
     struct fl_endpoint *endpoint = Fl_Find(fleet_, "a");
     He_Note(endpoint, HE_BROKE, 0);
-    EXPECT_TRUE(He_Shunned(endpoint, 399 * Ck_USEC_PER_MSEC));
-    EXPECT_FALSE(He_Shunned(endpoint, 401 * Ck_USEC_PER_MSEC));
+    EXPECT_TRUE(He_IsEjected(endpoint, 399 * Ck_USEC_PER_MSEC));
+    EXPECT_FALSE(He_IsEjected(endpoint, 401 * Ck_USEC_PER_MSEC));
     He_Note(endpoint, HE_BROKE, 0);
-    EXPECT_TRUE(He_Shunned(endpoint, 799 * Ck_USEC_PER_MSEC));
+    EXPECT_TRUE(He_IsEjected(endpoint, 799 * Ck_USEC_PER_MSEC));
     He_Note(endpoint, HE_SERVED, 0);
     endpoint->ejected_until = 0;
     He_Note(endpoint, HE_BROKE, 0);
-    EXPECT_FALSE(He_Shunned(endpoint, 401 * Ck_USEC_PER_MSEC));
+    EXPECT_FALSE(He_IsEjected(endpoint, 401 * Ck_USEC_PER_MSEC));
 }
 
 // Guards against a full endpoint whose refusals keep its failure rate from
--- a/packages/edge/test/leader_test.cc
+++ b/packages/edge/test/leader_test.cc
@@ -226,9 +226,9 @@
     first->client->down = true;
     Run(10 * Ck_USEC_PER_SEC);
     ASSERT_TRUE(Lr_Holds(second->lease));
-    size_t records = store_.Topic(AG_DUTY).size();
+    size_t records = store_.Topic(AG_LEASE).size();
     store_.RunLate();
-    EXPECT_EQ(store_.Topic(AG_DUTY).size(), records);
+    EXPECT_EQ(store_.Topic(AG_LEASE).size(), records);
 }
 
 // Guards against reporting a window's usage twice with different counts: a
--- a/packages/edge/test/rollout_test.cc
+++ b/packages/edge/test/rollout_test.cc
@@ -366,15 +366,15 @@
     strcpy(message.name, "front-1");
     strcpy(message.ip, "10.0.0.1");
     message.run = 1;
-    message.evidence_count = 1;
-    message.evidence[0] = {1, 2, 70, {30, 1}, {12, 4}};
+    message.outcome_count = 1;
+    message.outcomes[0] = {1, 2, 70, {30, 1}, {12, 4}};
     message.move_status_count = 1;
     message.move_statuses[0] = {1, 70, RO_ROLLED_BACK, 50};
     char datagram[4096];
     len = Ms_Encode(&message, datagram, sizeof(datagram));
     static struct ms_message decoded;
     ASSERT_TRUE(Ms_Decode(datagram, len, &decoded));
-    EXPECT_EQ(decoded.evidence[0].new_version.bad, 4u);
+    EXPECT_EQ(decoded.outcomes[0].new_version.bad, 4u);
     EXPECT_EQ(decoded.move_statuses[0].state, RO_ROLLED_BACK);
     EXPECT_EQ(decoded.move_statuses[0].share, 50);
 }
--- a/packages/edge/test/tables_test.cc
+++ b/packages/edge/test/tables_test.cc
@@ -52,7 +52,7 @@
     EXPECT_EQ(Match(config, "a.example", "/y/"), "none");
     EXPECT_EQ(Match(config, "b.example", "/anything"), "/");
     EXPECT_EQ(Match(config, "c.example", "/x/"), "none");
-    Ec_Release(config);
+    Ec_Unref(config);
 }
 
 struct Event {
@@ -151,8 +151,8 @@
     message.loads[0] = {7, 3, 1200};
     message.rate_count = 1;
     message.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
-    message.brittle_count = 1;
-    message.brittle[0] = {8, 5};
+    message.refusal_limit_count = 1;
+    message.refusal_limits[0] = {8, 5};
     message.address_count = 1;
     strcpy(message.addresses[0], "10.0.0.2");
     char bytes[4096];
@@ -165,9 +165,9 @@
     EXPECT_DOUBLE_EQ(read.rates[0].requests_per_sec, 12.5);
     EXPECT_DOUBLE_EQ(read.rates[0].long_prompt_tokens_per_sec, 3000);
     EXPECT_DOUBLE_EQ(read.rates[0].concurrency, 2.5);
-    ASSERT_EQ(read.brittle_count, 1u);
-    EXPECT_EQ(read.brittle[0].service, 8u);
-    EXPECT_EQ(read.brittle[0].refusals_per_sec, 5);
+    ASSERT_EQ(read.refusal_limit_count, 1u);
+    EXPECT_EQ(read.refusal_limits[0].service, 8u);
+    EXPECT_EQ(read.refusal_limits[0].refusals_per_sec, 5);
     EXPECT_STREQ(read.addresses[0], "10.0.0.2");
     for (size_t cut = 0; cut < len; cut++) {
         EXPECT_FALSE(Ms_Decode(bytes, cut, &read));
--- a/packages/edge/test/tenants.h
+++ b/packages/edge/test/tenants.h
@@ -23,7 +23,7 @@
 
     ~Tenants()
     {
-        Ec_Release(config);
+        Ec_Unref(config);
     }
 
     Tenants(const Tenants &) = delete;
--- a/packages/edge/test/zones_test.cc
+++ b/packages/edge/test/zones_test.cc
@@ -46,7 +46,7 @@
     {
         Charged *charged = static_cast<Charged *>(arg);
         charged->total += more->total;
-        charged->asked += more->asked;
+        charged->asked += more->requested;
     }
 
     FakeClock clock_;
@@ -148,7 +148,7 @@
     Zn_Summarize(zones_, &message_);
     ASSERT_EQ(1u, message_.usage_count);
     EXPECT_EQ(65u, message_.usage[0].total);
-    EXPECT_EQ(86u, message_.usage[0].asked);
+    EXPECT_EQ(86u, message_.usage[0].requested);
 }
 
 } // namespace
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -12,8 +12,8 @@
 {
     struct wu_hosts hosts;
     Ms_ListSenders(gate->mesh, &hosts);
-    hosts.view.up_usec = now - gate->started_at;
-    hosts.view.first_start = gate->options.node->first_start;
+    hosts.completeness.up_usec = now - gate->started_at;
+    hosts.completeness.first_start = gate->options.node->first_start;
     Wu_RenewSelection(&endpoint->warmup, &hosts, service->cold_per_sec,
                       endpoint->hash, now);
 }
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -11,7 +11,7 @@
 
 struct usage_rows {
     size_t count;
-    struct ms_usage rows[Ms_SPENT_MAX];
+    struct ms_usage rows[Ms_USAGE_MAX];
 };
 
 struct reporter {
@@ -37,7 +37,7 @@
     const struct ck_clock *clock;
     size_t peer_usage_count;
     /* of the other daemons in this data centre */
-    struct ms_usage peer_usage[Ms_SPENT_MAX];
+    struct ms_usage peer_usage[Ms_USAGE_MAX];
     struct zone_list zones;
 };
 
@@ -76,7 +76,7 @@
             return &rows[i];
         }
     }
-    if (*count == Ms_SPENT_MAX) {
+    if (*count == Ms_USAGE_MAX) {
         return NULL;
     }
     rows[*count] = (struct ms_usage){tenant, 0, 0};
@@ -89,7 +89,7 @@
     struct ms_usage *row = find_or_add_usage(rows, count, more->tenant);
     if (row != NULL) {
         row->total += more->total;
-        row->asked += more->asked;
+        row->requested += more->requested;
     }
 }
 
--- a/packages/gate/admin_publish.c
+++ b/packages/gate/admin_publish.c
@@ -245,7 +245,8 @@
     json_t *record = make_record(request, "", section, false);
     const char *id = json_string_value(json_object_get(record, "id"));
     const struct sc_verdict *verdict =
-        id != NULL ? Sc_VerdictOf(admin->ops->sections(admin->arg), id) : NULL;
+        id != NULL ? Sc_VerdictById(admin->ops->sections(admin->arg), id)
+                   : NULL;
     json_decref(record);
     return verdict != NULL && strcmp(verdict->section, section) == 0;
 }
@@ -277,7 +278,7 @@
         return ST_INVALID;
     }
     const char *id = json_string_value(json_object_get(record, "id"));
-    const struct sc_verdict *verdict = Sc_VerdictOf(state, id);
+    const struct sc_verdict *verdict = Sc_VerdictById(state, id);
     enum st_status status = ST_OK;
     if (verdict != NULL) {
         answer_verdict(request, section, verdict);
@@ -325,7 +326,7 @@
     struct ad_publish *publish;
     struct ad_publish *next;
     TAILQ_FOREACH_SAFE (publish, &admin->publishes, link, next) {
-        const struct sc_verdict *verdict = Sc_VerdictOf(state, publish->id);
+        const struct sc_verdict *verdict = Sc_VerdictById(state, publish->id);
         if (publish->request == NULL || verdict == NULL) {
             continue;
         }
--- a/packages/gate/confstream.c
+++ b/packages/gate/confstream.c
@@ -70,11 +70,11 @@
 {
     struct cs_stream *stream = arg;
     /* The replica passes all records but snapshots, so offsets have gaps. */
-    Sc_Pass(stream->sections, record->offset - 1);
+    Sc_SkipTo(stream->sections, record->offset - 1);
     char *body = json_dumps(record->body, JSON_COMPACT);
     if (body == NULL ||
         Sc_Apply(stream->sections, record->offset, body) != ST_OK) {
-        Sc_Pass(stream->sections, record->offset);
+        Sc_SkipTo(stream->sections, record->offset);
     }
     free(body);
     stream->age_usec = age_of(stream, record);
--- a/packages/gate/daemon.c
+++ b/packages/gate/daemon.c
@@ -269,17 +269,17 @@
     daemon->next_warmup_hosts = now + Dm_HOSTS_PERIOD_USEC;
     hosts->own = Hash_String(own, 0);
     hosts->count = 0;
-    hosts->view =
-        (struct wu_completeness){.up_usec = now - daemon->started, .heard = 1};
+    hosts->completeness = (struct wu_completeness){
+        .up_usec = now - daemon->started, .received_from = 1};
     const struct mb_record *member = Mb_First(members);
     for (; member != NULL; member = Mb_Next(member)) {
         if (strcmp(member->id, own) == 0 || hosts->count == Wu_HOSTS_MAX) {
             continue;
         }
-        hosts->others[hosts->count++] = Hash_String(member->id, 0);
-        hosts->view.heard += member->state != MB_DEAD;
+        hosts->peers[hosts->count++] = Hash_String(member->id, 0);
+        hosts->completeness.received_from += member->state != MB_DEAD;
     }
-    hosts->view.known = hosts->count + 1;
+    hosts->completeness.known = hosts->count + 1;
 }
 
 static void
--- a/packages/gate/endpoints.c
+++ b/packages/gate/endpoints.c
@@ -375,7 +375,7 @@
     Ch_Put(service->table, &info);
     if (fresh) {
         /* The list lags, so its warm-up time only counts the first time. */
-        Ch_SetCold(service->table, host->id, host->cold_usec,
+        Ch_SetCold(service->table, host->id, host->warmup_left_usec,
                    Ck_Now(pool->gate->clock));
     }
     /*
--- a/packages/gate/intake.c
+++ b/packages/gate/intake.c
@@ -283,7 +283,7 @@
      */
     bool skip_queue = capacity.endpoints == 0 || service_queue == NULL;
     if (skip_queue ||
-        (Qu_Length(service_queue->queue) == 0 && capacity.free_places > 0)) {
+        (Qu_Length(service_queue->queue) == 0 && capacity.free_slots > 0)) {
         intake->start(request);
         return;
     }
@@ -334,7 +334,7 @@
     while (table != NULL && Qu_Length(service_queue->queue) > 0) {
         struct ch_capacity capacity;
         Ch_Capacity(table, now, &capacity);
-        bool may_start = capacity.free_places > 0 || capacity.endpoints == 0;
+        bool may_start = capacity.free_slots > 0 || capacity.endpoints == 0;
         struct qu_item *item =
             may_start ? Qu_Pop(service_queue->queue, now) : NULL;
         if (item == NULL) {
--- a/packages/gate/peer_poison.c
+++ b/packages/gate/peer_poison.c
@@ -3,7 +3,7 @@
 #include <msgpack.h>
 #include <string.h>
 
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "policy/poison_pack.h"
 
 size_t
@@ -53,7 +53,7 @@
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     memset(out, 0, sizeof(*out));
-    bool good = Mp_CountsFit(value, len) &&
+    bool good = Mp_LengthsFit(value, len) &&
                 msgpack_unpack_next(&unpacked, value, len, NULL) ==
                     MSGPACK_UNPACK_SUCCESS &&
                 unpacked.data.type == MSGPACK_OBJECT_ARRAY;
--- a/packages/gate/peers.c
+++ b/packages/gate/peers.c
@@ -223,12 +223,13 @@
 serve_links(struct pe_peers *peers)
 {
     struct lk_links *links = Nd_Links(peers->node);
-    enum st_status status = Lk_Handle(links, "config", serve_config, peers);
+    enum st_status status =
+        Lk_SetHandler(links, "config", serve_config, peers);
     if (status == ST_OK) {
-        status = Lk_Handle(links, "claim", serve_claim, peers);
+        status = Lk_SetHandler(links, "claim", serve_claim, peers);
     }
     if (status == ST_OK) {
-        status = Lk_Handle(links, "evidence", serve_move_report, peers);
+        status = Lk_SetHandler(links, "evidence", serve_move_report, peers);
     }
     return status;
 }
@@ -317,7 +318,7 @@
 }
 
 static void
-publish(struct pe_peers *peers, const struct fc_post *post)
+publish(struct pe_peers *peers, const struct fc_publication *post)
 {
     if (Nd_Publish(peers->node, post) != ST_OK) {
         Ev_Log(&GT_FACT_REFUSED, "key=%s reason=\"%s\"", post->key,
@@ -350,7 +351,7 @@
         .incarnation = peers->incarnation,
     };
     char value[Fc_VALUE_MAX];
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = Pf_CONFIG,
         .owned = true,
         .version = next_version(peers, Pf_CONFIG),
@@ -371,7 +372,7 @@
                  int64_t ttl_usec)
 {
     char value[Fc_VALUE_MAX];
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = Pf_TUNNEL,
         .owned = true,
         .version = next_version(peers, Pf_TUNNEL),
@@ -449,7 +450,7 @@
 Pe_PublishHostsDigest(struct pe_peers *peers, uint64_t digest)
 {
     struct fc_fact current;
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = Pf_HOSTS,
         .version = (uint64_t)Ck_Wall(peers->gate->clock),
         .scope = FC_CLUSTER,
@@ -513,7 +514,7 @@
     char key[Fc_KEY_MAX];
     char value[Fc_VALUE_MAX];
     int64_t age = Ck_Now(peers->gate->clock) - report->sample.taken;
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = key,
         .scope = FC_DATA_CENTRE,
         .ttl_usec = Pe_LOAD_TTL_USEC,
@@ -534,7 +535,7 @@
                       int64_t left_usec)
 {
     char key[Fc_KEY_MAX];
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = key,
         .version = 1,
         .scope = FC_CLUSTER,
@@ -554,7 +555,7 @@
 {
     char key[Fc_KEY_MAX];
     char value[Fc_VALUE_MAX];
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = key,
         .version = 1,
         .scope = FC_CLUSTER,
@@ -577,7 +578,7 @@
     static const char *const keys[] = {Pp_CRASHED, Pp_CLEARED, Pp_QUARANTINED};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
         char value[Fc_VALUE_MAX];
-        struct fc_post post = {
+        struct fc_publication post = {
             .key = keys[i],
             .owned = true,
             .version = next_version(peers, keys[i]),
@@ -597,7 +598,7 @@
 Pe_PublishDemand(struct pe_peers *peers, const struct pf_demands *demands)
 {
     char value[Fc_VALUE_MAX];
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = Pf_DEMAND,
         .owned = true,
         .version = next_version(peers, Pf_DEMAND),
@@ -726,8 +727,8 @@
 {
     const struct mb_record *readers[Pe_WATCHERS];
     size_t count =
-        Nd_Top(peers->node, "config-readers",
-               peers->gate->options->data_centre, readers, Pe_WATCHERS);
+        Nd_RankByKey(peers->node, "config-readers",
+                     peers->gate->options->data_centre, readers, Pe_WATCHERS);
     for (size_t i = 0; i < count; i++) {
         if (strcmp(readers[i]->id, Nd_Id(peers->node)) == 0) {
             return true;
@@ -740,10 +741,11 @@
 ranks_as_watcher(const struct pe_peers *peers, const struct ch_info *info)
 {
     const struct mb_record *watchers[Pe_WATCHERS];
-    size_t count = Nd_Top(peers->node, info->id, info->data_centre, watchers,
-                          Pe_WATCHERS);
+    size_t count = Nd_RankByKey(peers->node, info->id, info->data_centre,
+                                watchers, Pe_WATCHERS);
     if (count == 0) {
-        count = Nd_Top(peers->node, info->id, NULL, watchers, Pe_WATCHERS);
+        count =
+            Nd_RankByKey(peers->node, info->id, NULL, watchers, Pe_WATCHERS);
     }
     for (size_t i = 0; i < count; i++) {
         if (strcmp(watchers[i]->id, Nd_Id(peers->node)) == 0) {
--- a/packages/gate/quarantine.c
+++ b/packages/gate/quarantine.c
@@ -70,7 +70,7 @@
 }
 
 static const struct pz_ops table_ops = {
-    .stopped = on_quarantined,
+    .quarantined = on_quarantined,
     .lifted = on_lifted,
 };
 
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -168,8 +168,8 @@
 {
     const struct rq_request *request = arg;
     return !Cf_IsEvacuated(request->gate->config, info->data_centre) &&
-           Cf_IsIn(&request->service->regions, info->region) &&
-           Cf_IsIn(&request->customer->regions, info->region);
+           Cf_AllowsRegion(&request->service->regions, info->region) &&
+           Cf_AllowsRegion(&request->customer->regions, info->region);
 }
 
 /* Restricts the choice to the endpoints that the request may run at. */
--- a/packages/gate/test/confstream_test.cc
+++ b/packages/gate/test/confstream_test.cc
@@ -56,7 +56,7 @@
         self->answer_lost = self->written && self->lost-- > 0;
         // Answers that are not lost arrive just before the read times out.
         self->answer_at =
-            self->clock.boot + (self->written ? Pl_LIMIT_USEC : 0);
+            self->clock.boot + (self->written ? Pl_TIMEOUT_USEC : 0);
         return ST_OK;
     }
 
@@ -210,10 +210,10 @@
     Answer()
     {
         if (done_ == nullptr ||
-            (!refused_ && Now() < sent_at_ + Pl_LIMIT_USEC - kTick)) {
+            (!refused_ && Now() < sent_at_ + Pl_TIMEOUT_USEC - kTick)) {
             return;
         }
-        bool late = Now() >= sent_at_ + Pl_LIMIT_USEC;
+        bool late = Now() >= sent_at_ + Pl_TIMEOUT_USEC;
         if (answer_lost_ && !late) {
             return;
         }
@@ -292,7 +292,7 @@
 {
     int64_t longest = 0;
     for (int lost = 0; lost <= kLostMax; lost++) {
-        for (int64_t at = 0; at < Cs_POLL_SLOW_USEC + Pl_LIMIT_USEC;
+        for (int64_t at = 0; at < Cs_POLL_SLOW_USEC + Pl_TIMEOUT_USEC;
              at += kStep) {
             for (int64_t more = 0; more <= add_until; more += kStep) {
                 Scenario scenario;
@@ -334,7 +334,7 @@
     auto second = [](Scenario *scenario, int64_t after) {
         scenario->next_write_at = scenario->write_at + after;
     };
-    EXPECT_LE(MaxDelay(second, Pl_LIMIT_USEC), kInForceMax);
+    EXPECT_LE(MaxDelay(second, Pl_TIMEOUT_USEC), kInForceMax);
 }
 
 // Guards against late changes after an outage of the log.
--- a/packages/loss/loss.c
+++ b/packages/loss/loss.c
@@ -164,7 +164,7 @@
  * host name; the event begins at the first brace.
  */
 void
-Ls_Line(struct ls_losses *losses, const char *line)
+Ls_AddLine(struct ls_losses *losses, const char *line)
 {
     losses->lines++;
     const char *start = strchr(line, '{');
@@ -198,7 +198,7 @@
 }
 
 enum st_status
-Ls_File(struct ls_losses *losses, const char *path)
+Ls_AddFile(struct ls_losses *losses, const char *path)
 {
     gzFile file = gzopen(path, "rb");
     char *line = malloc(Ls_LINE_MAX);
@@ -220,7 +220,7 @@
             skip_line(file);
             continue;
         }
-        Ls_Line(losses, line);
+        Ls_AddLine(losses, line);
     }
     int error = Z_OK;
     (void)gzerror(file, &error);
--- a/packages/loss/loss.h
+++ b/packages/loss/loss.h
@@ -29,12 +29,12 @@
  * Reads one line, with or without its newline.  A line that is not an event of
  * a daemon is counted and skipped.
  */
-void Ls_Line(struct ls_losses *losses, const char *line);
+void Ls_AddLine(struct ls_losses *losses, const char *line);
 /*
  * Reads a log file, plain or compressed with gzip.  Returns ST_NOT_FOUND if it
  * cannot be read.  Truncated compressed data counts as one malformed line.
  */
-enum st_status Ls_File(struct ls_losses *losses, const char *path);
+enum st_status Ls_AddFile(struct ls_losses *losses, const char *path);
 /* Call after the last line: counts requests still in flight as lost. */
 void Ls_Finish(struct ls_losses *losses);
 
--- a/packages/loss/test/loss_test.cc
+++ b/packages/loss/test/loss_test.cc
@@ -42,7 +42,7 @@
     void
     Line(const std::string &line)
     {
-        Ls_Line(losses, line.c_str());
+        Ls_AddLine(losses, line.c_str());
     }
 
     void
@@ -126,7 +126,7 @@
 TEST(Loss, CountsARecordedOverload)
 {
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecordedLog));
+    ASSERT_EQ(ST_OK, Ls_AddFile(found.losses, kRecordedLog));
     found.Finish();
     ExpectRecordedCounts(found);
 }
@@ -140,7 +140,7 @@
               gzwrite(out, text.data(), (unsigned)text.size()));
     gzclose(out);
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, file.Path()));
+    ASSERT_EQ(ST_OK, Ls_AddFile(found.losses, file.Path()));
     found.Finish();
     ExpectRecordedCounts(found);
 }
@@ -164,7 +164,7 @@
     std::string half = packed.str().substr(0, packed.str().size() / 2);
     std::ofstream(cut.Path(), std::ios::binary) << half;
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, cut.Path()));
+    ASSERT_EQ(ST_OK, Ls_AddFile(found.losses, cut.Path()));
     found.Finish();
     EXPECT_GT(found.Number("requests"), 1000);
     EXPECT_GT(found.Number("broken_lines"), 0);
@@ -173,10 +173,10 @@
 TEST(Loss, AMissingFileIsReported)
 {
     Losses found;
-    EXPECT_EQ(ST_NOT_FOUND, Ls_File(found.losses, "/nowhere/a.log"));
+    EXPECT_EQ(ST_NOT_FOUND, Ls_AddFile(found.losses, "/nowhere/a.log"));
     EXPECT_NE(std::string::npos,
               std::string(St_Message()).find("/nowhere/a.log"));
-    EXPECT_EQ(ST_NOT_FOUND, Ls_File(found.losses, "/tmp"));
+    EXPECT_EQ(ST_NOT_FOUND, Ls_AddFile(found.losses, "/tmp"));
 }
 
 // Guards against lost requests that are not counted because their daemon was
@@ -261,7 +261,7 @@
         << std::string(300000, 'x') << "\n"
         << "{\"t\":1,\"ev\":\"request.refused\",\"status\":503}\n";
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, file.Path()));
+    ASSERT_EQ(ST_OK, Ls_AddFile(found.losses, file.Path()));
     found.Finish();
     EXPECT_EQ(1, found.Number("broken_lines"));
     EXPECT_EQ(1, found.Number("lost"));
@@ -270,7 +270,7 @@
 TEST(Loss, TheTimelineHasABarForLostRequests)
 {
     Losses found;
-    ASSERT_EQ(ST_OK, Ls_File(found.losses, kRecordedLog));
+    ASSERT_EQ(ST_OK, Ls_AddFile(found.losses, kRecordedLog));
     Ls_Finish(found.losses);
     FILE *out = tmpfile();
     ASSERT_TRUE(Ls_PrintSvg(found.losses, out));
--- a/packages/member/fact.c
+++ b/packages/member/fact.c
@@ -211,7 +211,7 @@
 }
 
 static enum st_status
-check_post(const struct fc_post *post)
+check_post(const struct fc_publication *post)
 {
     if (post->key[0] == '\0' || strlen(post->key) >= Fc_KEY_MAX) {
         return St_Fail(ST_INVALID, "a fact's key has 1 to %d bytes",
@@ -237,7 +237,7 @@
  * ST_OVERLOAD when the table is full.
  */
 enum st_status
-Fc_Publish(struct fc_table *facts, const struct fc_post *post)
+Fc_Publish(struct fc_table *facts, const struct fc_publication *post)
 {
     enum st_status status = check_post(post);
     if (status != ST_OK) {
--- a/packages/member/fact.h
+++ b/packages/member/fact.h
@@ -63,7 +63,7 @@
 };
 
 /* A fact to publish. */
-struct fc_post {
+struct fc_publication {
     const char *key;
     bool owned;       /* this node owns the fact; else the cluster */
     uint64_t version; /* 0: the current version plus 1 */
@@ -85,7 +85,8 @@
 void Fc_Destroy(struct fc_table *facts);
 
 /* Commands. */
-enum st_status Fc_Publish(struct fc_table *facts, const struct fc_post *post);
+enum st_status Fc_Publish(struct fc_table *facts,
+                          const struct fc_publication *post);
 enum st_status Fc_Watch(struct fc_table *facts, const char *key_prefix,
                         fc_changed_fn changed, void *arg);
 bool Fc_Apply(struct fc_table *facts, const struct fc_fact *fact);
--- a/packages/member/link.c
+++ b/packages/member/link.c
@@ -118,8 +118,8 @@
  * one.
  */
 enum st_status
-Lk_Handle(struct lk_links *links, const char *type, lk_handler_fn fn,
-          void *arg)
+Lk_SetHandler(struct lk_links *links, const char *type, lk_handler_fn fn,
+              void *arg)
 {
     struct lk_handler *handler;
     SLIST_FOREACH (handler, &links->handlers, link) {
--- a/packages/member/link.h
+++ b/packages/member/link.h
@@ -73,8 +73,8 @@
 const struct lk_counters *Lk_Counters(const struct lk_links *links);
 size_t Lk_Connections(const struct lk_links *links);
 
-enum st_status Lk_Handle(struct lk_links *links, const char *type,
-                         lk_handler_fn fn, void *arg);
+enum st_status Lk_SetHandler(struct lk_links *links, const char *type,
+                             lk_handler_fn fn, void *arg);
 const void *Lk_Payload(const struct lk_request *request, size_t *len);
 const char *Lk_From(const struct lk_request *request);
 void Lk_Reply(struct lk_request *request, enum st_status status,
--- a/packages/member/node.c
+++ b/packages/member/node.c
@@ -43,7 +43,7 @@
 {
     char key[Fc_KEY_MAX];
     snprintf(key, sizeof(key), Nd_REACH_PREFIX "%s", data_centre);
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = key,
         .owned = true,
         .scope = FC_DATA_CENTRE,
@@ -67,8 +67,8 @@
             node->next_sync_usec = 0;
         }
     }
-    if (node->ops != NULL && node->ops->reach != NULL) {
-        node->ops->reach(node->arg, data_centre, reachable);
+    if (node->ops != NULL && node->ops->reach_changed != NULL) {
+        node->ops->reach_changed(node->arg, data_centre, reachable);
     }
 }
 
@@ -387,7 +387,7 @@
 
 /* Publishes a fact; see Fc_Publish(). */
 enum st_status
-Nd_Publish(struct nd_node *node, const struct fc_post *post)
+Nd_Publish(struct nd_node *node, const struct fc_publication *post)
 {
     update_spread(node);
     return Fc_Publish(node->facts, post);
--- a/packages/member/node.h
+++ b/packages/member/node.h
@@ -30,7 +30,7 @@
     void (*changed)(void *arg, const struct mb_record *member,
                     enum mb_state before);
     /* A data centre became reachable or unreachable.  May be NULL. */
-    void (*reach)(void *arg, const char *data_centre, bool reachable);
+    void (*reach_changed)(void *arg, const char *data_centre, bool reachable);
 };
 
 struct nd_options {
@@ -60,7 +60,7 @@
     uint64_t unsent;   /* datagrams that the socket did not accept */
     uint64_t syncs;    /* completed exchanges of full state */
     uint64_t facts_in; /* facts received in datagrams */
-    uint64_t facts_news;
+    uint64_t facts_new;
 };
 
 enum st_status Nd_Create(struct lp_loop *loop,
@@ -72,7 +72,8 @@
 void Nd_SetSeeds(struct nd_node *node, const struct mb_endpoint *seeds,
                  size_t count);
 void Nd_Leave(struct nd_node *node);
-enum st_status Nd_Publish(struct nd_node *node, const struct fc_post *post);
+enum st_status Nd_Publish(struct nd_node *node,
+                          const struct fc_publication *post);
 enum st_status Nd_Call(struct nd_node *node, const char *member,
                        const char *type, const void *payload, size_t len,
                        int64_t timeout_usec, lk_done_fn done, void *arg,
@@ -91,9 +92,9 @@
                                        const char *data_centre);
 bool Nd_IsResponsible(const struct nd_node *node, const char *key,
                       const char *data_centre);
-size_t Nd_Top(const struct nd_node *node, const char *key,
-              const char *data_centre, const struct mb_record **out,
-              size_t max);
+size_t Nd_RankByKey(const struct nd_node *node, const char *key,
+                    const char *data_centre, const struct mb_record **out,
+                    size_t max);
 
 #ifdef __cplusplus
 }
--- a/packages/member/node_datagram.c
+++ b/packages/member/node_datagram.c
@@ -201,7 +201,7 @@
     for (size_t i = 0; i < datagram.fact_count; i++) {
         node->counters.facts_in++;
         if (Fc_Apply(node->facts, &datagram.facts[i].fact)) {
-            node->counters.facts_news++;
+            node->counters.facts_new++;
         }
     }
     Mb_Receive(node->members, from, &datagram.message);
--- a/packages/member/node_query.c
+++ b/packages/member/node_query.c
@@ -65,7 +65,7 @@
                const char *data_centre)
 {
     const struct mb_record *first;
-    return Nd_Top(node, key, data_centre, &first, 1) == 1 ? first : NULL;
+    return Nd_RankByKey(node, key, data_centre, &first, 1) == 1 ? first : NULL;
 }
 
 /* Returns true when this node is responsible for a key. */
@@ -79,8 +79,8 @@
 
 /* Selects the members responsible for a key; see Mb_RankByKey(). */
 size_t
-Nd_Top(const struct nd_node *node, const char *key, const char *data_centre,
-       const struct mb_record **out, size_t max)
+Nd_RankByKey(const struct nd_node *node, const char *key,
+             const char *data_centre, const struct mb_record **out, size_t max)
 {
     return Mb_RankByKey(node->members, key, data_centre, out, max);
 }
--- a/packages/member/node_sync.c
+++ b/packages/member/node_sync.c
@@ -10,7 +10,7 @@
 #include <bsd/string.h>
 #include <string.h>
 
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "member/node.h"
 #include "member/node_internal.h"
 
@@ -205,7 +205,7 @@
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     size_t offset = 0;
-    bool good = Mp_CountsFit(payload, len) &&
+    bool good = Mp_LengthsFit(payload, len) &&
                 msgpack_unpack_next(&unpacked, payload, len, &offset) ==
                     MSGPACK_UNPACK_SUCCESS &&
                 decode(node, &unpacked.data, arg);
@@ -624,9 +624,10 @@
 enum st_status
 nd_sync_init(struct nd_node *node)
 {
-    enum st_status status = Lk_Handle(node->links, Nd_DIGEST, on_digest, node);
+    enum st_status status =
+        Lk_SetHandler(node->links, Nd_DIGEST, on_digest, node);
     if (status == ST_OK) {
-        status = Lk_Handle(node->links, Nd_MERGE, on_merge, node);
+        status = Lk_SetHandler(node->links, Nd_MERGE, on_merge, node);
     }
     return status;
 }
--- a/packages/member/test/fact_test.cc
+++ b/packages/member/test/fact_test.cc
@@ -60,7 +60,7 @@
             uint64_t version = 0, bool owned = false, int64_t ttl = 0,
             enum fc_scope scope = FC_CLUSTER)
     {
-        struct fc_post post = {};
+        struct fc_publication post = {};
         post.key = key;
         post.owned = owned;
         post.version = version;
--- a/packages/member/test/link_test.cc
+++ b/packages/member/test/link_test.cc
@@ -37,8 +37,8 @@
         runner = new Runner(loop);
         a = Make("a", "secret");
         b = Make("b", "secret");
-        Lk_Handle(b, "echo", OnEcho, this);
-        Lk_Handle(b, "hold", OnHold, this);
+        Lk_SetHandler(b, "echo", OnEcho, this);
+        Lk_SetHandler(b, "hold", OnHold, this);
     }
 
     void
--- a/packages/member/test/node_test.cc
+++ b/packages/member/test/node_test.cc
@@ -89,7 +89,7 @@
     Publish(struct nd_node *node, const char *key, const std::string &value,
             uint64_t version = 0, enum fc_scope scope = FC_CLUSTER)
     {
-        struct fc_post post = {};
+        struct fc_publication post = {};
         post.key = key;
         post.version = version;
         post.scope = scope;
@@ -307,7 +307,7 @@
 {
     MakeSeven();
     std::string from;
-    Lk_Handle(
+    Lk_SetHandler(
         Nd_Links(nodes[4]), "ping",
         [](void *arg, struct lk_request *request) {
             *static_cast<std::string *>(arg) = Lk_From(request);
--- a/packages/member/test/wire_test.cc
+++ b/packages/member/test/wire_test.cc
@@ -57,7 +57,7 @@
     for (int i = 0; i < count; i++) {
         std::string key = "key" + std::to_string(i);
         std::string value(value_len, 'v');
-        struct fc_post post = {};
+        struct fc_publication post = {};
         post.key = key.c_str();
         post.owned = true;
         post.ttl_usec = 1000 * Ck_USEC_PER_SEC;
--- a/packages/member/wire_datagram.c
+++ b/packages/member/wire_datagram.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "member/wire.h"
 
 #define Wr_DATAGRAM_ITEMS 9
@@ -172,7 +172,7 @@
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     size_t offset = 0;
-    bool good = Mp_CountsFit(data, len) &&
+    bool good = Mp_LengthsFit(data, len) &&
                 msgpack_unpack_next(&unpacked, (const char *)data, len,
                                     &offset) == MSGPACK_UNPACK_SUCCESS &&
                 offset == len && read_datagram(&unpacked.data, out);
--- a/packages/member/wire_frame.c
+++ b/packages/member/wire_frame.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "member/wire.h"
 
 #define Wr_FRAME_ITEMS 5
@@ -61,7 +61,7 @@
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     size_t offset = 0;
-    bool good = Mp_CountsFit(body, len) &&
+    bool good = Mp_LengthsFit(body, len) &&
                 msgpack_unpack_next(&unpacked, (const char *)body, len,
                                     &offset) == MSGPACK_UNPACK_SUCCESS &&
                 offset == len && read_frame(&unpacked.data, out);
--- a/packages/platform/hostlist.c
+++ b/packages/platform/hostlist.c
@@ -59,7 +59,8 @@
     host->peer_port = read_int(item, "peer_port");
     host->admin_port = read_int(item, "admin_port");
     host->slots = read_int(item, "slots");
-    host->cold_usec = (int64_t)read_int(item, "cold_ms") * Ck_USEC_PER_MSEC;
+    host->warmup_left_usec =
+        (int64_t)read_int(item, "cold_ms") * Ck_USEC_PER_MSEC;
     host->price = json_number_value(json_object_get(item, "price"));
     host->reclaimable = json_is_true(json_object_get(item, "reclaimable"));
     host->role = string_is(item, "role", "entry") ? HL_ENTRY : HL_ENDPOINT;
--- a/packages/platform/hostlist.h
+++ b/packages/platform/hostlist.h
@@ -39,7 +39,7 @@
     double price;     /* per hour */
     bool reclaimable; /* a spot host, which the platform may reclaim */
     int slots;
-    int64_t cold_usec; /* warm-up time that remains after its start */
+    int64_t warmup_left_usec; /* warm-up time that remains after its start */
 };
 
 struct hl_list;
--- a/packages/platform/plog.h
+++ b/packages/platform/plog.h
@@ -19,7 +19,7 @@
 #define Pl_STREAM_MAX 32
 #define Pl_RECORD_MAX ((size_t)64 << 10) /* bytes of one record */
 #define Pl_FIRST_OFFSET UINT64_C(1)
-#define Pl_LIMIT_USEC INT64_C(2000000) /* default timeout of a call */
+#define Pl_TIMEOUT_USEC INT64_C(2000000) /* default timeout of a call */
 
 enum pl_append_kind {
     PL_WRITTEN, /* the records have offset to offset + count - 1 */
@@ -87,8 +87,8 @@
 struct pl_http_options {
     const char *address; /* IP address of the log service */
     int port;
-    int64_t append_usec; /* timeout of an append; 0: Pl_LIMIT_USEC */
-    int64_t read_usec;   /* timeout of a read; 0: Pl_LIMIT_USEC */
+    int64_t append_usec; /* timeout of an append; 0: Pl_TIMEOUT_USEC */
+    int64_t read_usec;   /* timeout of a read; 0: Pl_TIMEOUT_USEC */
 };
 
 enum st_status Pl_HttpCreate(struct lp_loop *loop,
--- a/packages/platform/plog_http.c
+++ b/packages/platform/plog_http.c
@@ -262,9 +262,9 @@
     snprintf(http->address, sizeof(http->address), "%s", options->address);
     http->port = options->port;
     http->append_usec =
-        options->append_usec > 0 ? options->append_usec : Pl_LIMIT_USEC;
+        options->append_usec > 0 ? options->append_usec : Pl_TIMEOUT_USEC;
     http->read_usec =
-        options->read_usec > 0 ? options->read_usec : Pl_LIMIT_USEC;
+        options->read_usec > 0 ? options->read_usec : Pl_TIMEOUT_USEC;
     http->log.ops = &http_ops;
     http->log.context = http;
     *out = &http->log;
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -214,7 +214,7 @@
  */
 struct ch_capacity {
     int endpoints;
-    int free_places;
+    int free_slots;
     double per_sec;
 };
 
--- a/packages/policy/choose_query.c
+++ b/packages/policy/choose_query.c
@@ -116,7 +116,7 @@
         }
         out->endpoints++;
         int free_slots = (int)endpoint->limit - endpoint->in_flight;
-        out->free_places += free_slots > 0 ? free_slots : 0;
+        out->free_slots += free_slots > 0 ? free_slots : 0;
     }
 }
 
--- a/packages/policy/poison.h
+++ b/packages/policy/poison.h
@@ -107,8 +107,8 @@
      * This host or, if "from_peer", another one put a part in quarantine.
      * "crashes" is the length of the chain; 0 if the quarantine is a peer's.
      */
-    void (*stopped)(void *arg, const struct pz_quarantine *quarantine,
-                    int crashes, bool from_peer);
+    void (*quarantined)(void *arg, const struct pz_quarantine *quarantine,
+                        int crashes, bool from_peer);
     /* A quarantine was lifted. */
     void (*lifted)(void *arg, const struct pz_quarantine *quarantine,
                    const char *why);
--- a/packages/policy/poison_gossip.c
+++ b/packages/policy/poison_gossip.c
@@ -116,6 +116,6 @@
     }
     if (pz_is_current(quarantine, now) &&
         pz_add_quarantine(table, quarantine)) {
-        table->ops->stopped(table->arg, quarantine, 0, true);
+        table->ops->quarantined(table->arg, quarantine, 0, true);
     }
 }
--- a/packages/policy/poison_judge.c
+++ b/packages/policy/poison_judge.c
@@ -246,8 +246,8 @@
         if (!pz_add_quarantine(table, &quarantine)) {
             return;
         }
-        table->ops->stopped(table->arg, &quarantine, likeliest.chain.length,
-                            false);
+        table->ops->quarantined(table->arg, &quarantine,
+                                likeliest.chain.length, false);
     }
 }
 
--- a/packages/policy/test/admit_test.cc
+++ b/packages/policy/test/admit_test.cc
@@ -373,8 +373,8 @@
                        messages.end());
     }
 
-    // Each daemon gets a request per tick, which is more than it may admit, and
-    // no request ends.
+    // Each daemon gets a request per tick, which is more than it may admit,
+    // and no request ends.
     void
     Tick()
     {
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -235,7 +235,7 @@
         hosts.own = host * 7919 + 1;
         for (size_t i = 0; i < scene_.hosts; i++) {
             if (i != host) {
-                hosts.others[hosts.count++] = i * 7919 + 1;
+                hosts.peers[hosts.count++] = i * 7919 + 1;
             }
         }
         size_t best = 0;
--- a/packages/policy/test/choose_test.cc
+++ b/packages/policy/test/choose_test.cc
@@ -519,7 +519,7 @@
     t.now += kSec;
     struct ch_capacity capacity;
     Ch_Capacity(t.table, t.now, &capacity);
-    EXPECT_EQ(12, capacity.free_places);
+    EXPECT_EQ(12, capacity.free_slots);
     std::vector<struct ch_flight> flights;
     for (int i = 0; i < 12; i++) {
         struct ch_flight flight;
@@ -670,7 +670,7 @@
     static struct wu_hosts hosts;
     hosts.own = 1;
     hosts.count = 0;
-    hosts.view = {100 * kSec, true, 1, 1};
+    hosts.completeness = {100 * kSec, true, 1, 1};
     Table t;
     t.put("cold", "v1", "a", 1, 64);
     Ch_SetWarmup(t.table, 4, 30 * kSec, &hosts);
--- a/packages/policy/test/link_test.cc
+++ b/packages/policy/test/link_test.cc
@@ -18,7 +18,7 @@
     return link;
 }
 
-TEST(Way, DirectFirstThenThroughAPeer)
+TEST(Link, DirectFirstThenThroughAPeer)
 {
     li_link link = {};
     EXPECT_EQ(Li_Order(&link, kNow), LI_DIRECT_FIRST);
@@ -26,7 +26,7 @@
 
 // Guards against a host that cannot connect where a peer can, and does not
 // remember it.
-TEST(Way, ThroughAPeerOnceTheLinkIsCut)
+TEST(Link, ThroughAPeerOnceTheLinkIsCut)
 {
     li_link link = CutLink();
     EXPECT_EQ(Li_Order(&link, kNow), LI_PEER_FIRST);
@@ -37,7 +37,7 @@
 
 // Guards against a crashed endpoint that is taken for a cut link, so that
 // peers are asked to connect to it at every request.
-TEST(Way, AnEndpointThatNoHostReachesIsNotACutLink)
+TEST(Link, AnEndpointThatNoHostReachesIsNotACutLink)
 {
     li_link link = {};
     EXPECT_FALSE(Li_RecordOutcome(&link, LI_FAILED, LI_FAILED, kNow));
@@ -47,7 +47,7 @@
 
 // Guards against a peer's failure that counts against the link although the
 // direct connection was made.
-TEST(Way, ADirectConnectionProvesTheLink)
+TEST(Link, ADirectConnectionProvesTheLink)
 {
     li_link link = {};
     EXPECT_FALSE(Li_RecordOutcome(&link, LI_CONNECTED, LI_FAILED, kNow));
@@ -56,7 +56,7 @@
 
 // Guards against a single lost segment that makes the host test all links and
 // close kept connections.
-TEST(Way, OneSlowConnectionIsNoCut)
+TEST(Link, OneSlowConnectionIsNoCut)
 {
     li_link link = {};
     EXPECT_FALSE(Li_RecordOutcome(&link, LI_OVERDUE, LI_CONNECTED, kNow));
@@ -71,7 +71,7 @@
         Li_RecordOutcome(&other, LI_OVERDUE, LI_CONNECTED, kNow + 200 * kMs));
 }
 
-TEST(Way, DirectAttemptsBackOff)
+TEST(Link, DirectAttemptsBackOff)
 {
     li_link link = CutLink();
     int64_t now = kNow;
@@ -88,7 +88,7 @@
 
 // Guards against a busy service that is taken for a cut link: each slow answer
 // would cost its endpoint another connection.
-TEST(Way, ASlowAnswerOfAServiceHeardFromTestsNoLink)
+TEST(Link, ASlowAnswerOfAServiceHeardFromTestsNoLink)
 {
     li_link link = {};
     int64_t later = kNow + Li_SILENCE_USEC;
@@ -243,7 +243,7 @@
 
 // Guards against cut hosts that ask peers which are cut off as well, or ask
 // the same peer again and again.
-TEST(WayModel, PickedPeersReachMostEndpoints)
+TEST(LinkModel, PickedPeersReachMostEndpoints)
 {
     const Scene scenes[] = {
         {7, 4, true, true, 13},    {7, 4, false, true, 13},
--- a/packages/policy/test/overload_test.cc
+++ b/packages/policy/test/overload_test.cc
@@ -14,7 +14,7 @@
 const int64_t kSecond = Ck_USEC_PER_SEC;
 const int64_t kNow = 1000 * kSecond;
 
-TEST(Crowd, NoConnectionsAfterASlowPeriod)
+TEST(Overload, NoConnectionsAfterASlowPeriod)
 {
     ov_load load = {};
     Ov_RecordTurn(&load, 50 * kMs, kNow);
@@ -29,7 +29,7 @@
 
 // Guards against a host that was frozen and refuses callers although no
 // request waits.
-TEST(Crowd, OneLongTurnIsNotOverload)
+TEST(Overload, OneLongTurnIsNotOverload)
 {
     ov_load load = {};
     Ov_RecordTurn(&load, 5 * kSecond, kNow);
@@ -40,7 +40,7 @@
 
 // Guards against callers that use up all descriptors, so that the host can
 // connect to no endpoint.
-TEST(Crowd, DescriptorsBoundConnections)
+TEST(Overload, DescriptorsBoundConnections)
 {
     ov_load load = {};
     EXPECT_TRUE(Ov_MayAccept(&load, 99, 100));
@@ -194,7 +194,7 @@
 
 // Guards against a host that reads more requests than it can serve in time and
 // then serves few of them in time.
-TEST(CrowdModel, ClosingUnreadServesMoreInTime)
+TEST(OverloadModel, ClosingUnreadServesMoreInTime)
 {
     // A quarter of a processor, and requests with short deadlines.
     Scene scene = {7, 400, 1200, 120, 300 * kMs};
--- a/packages/policy/warmup.c
+++ b/packages/policy/warmup.c
@@ -65,7 +65,7 @@
                const struct wu_completeness *completeness)
 {
     if (completeness->up_usec < DISCOVERY_USEC ||
-        completeness->heard * 2 < completeness->known) {
+        completeness->received_from * 2 < completeness->known) {
         return 0;
     }
     if (completeness->first_start ||
@@ -81,7 +81,7 @@
     uint64_t own = Wu_Weight(hosts->own, endpoint);
     size_t higher = 0;
     for (size_t i = 0; i < hosts->count; i++) {
-        higher += Wu_Weight(hosts->others[i], endpoint) > own;
+        higher += Wu_Weight(hosts->peers[i], endpoint) > own;
     }
     return higher;
 }
@@ -99,8 +99,8 @@
 {
     struct wu_pacing pacing = Wu_Pacing(per_sec, hosts->count + 1);
     warmup->selected_at = now;
-    warmup->selected =
-        Wu_Rank(hosts, endpoint) < Wu_SenderCount(&pacing, &hosts->view);
+    warmup->selected = Wu_Rank(hosts, endpoint) <
+                       Wu_SenderCount(&pacing, &hosts->completeness);
 }
 
 bool
--- a/packages/policy/warmup.h
+++ b/packages/policy/warmup.h
@@ -49,10 +49,11 @@
 
 /* What is known about how complete a host's list of hosts is. */
 struct wu_completeness {
-    int64_t up_usec;  /* time since this host started */
-    bool first_start; /* this host started together with all others */
-    size_t heard;     /* hosts heard from since the start, this one included */
-    size_t known;     /* hosts heard from and hosts only known by name */
+    int64_t up_usec;      /* time since this host started */
+    bool first_start;     /* this host started together with all others */
+    size_t received_from; /* hosts heard from since the start, this one
+                             included */
+    size_t known;         /* hosts heard from and hosts only known by name */
 };
 
 #define Wu_HOSTS_MAX 1024
@@ -61,8 +62,8 @@
 struct wu_hosts {
     uint64_t own; /* hash of this host */
     size_t count; /* number of peers */
-    uint64_t others[Wu_HOSTS_MAX];
-    struct wu_completeness view;
+    uint64_t peers[Wu_HOSTS_MAX];
+    struct wu_completeness completeness;
 };
 
 /* Number of hosts whose hash for the endpoint is higher than this host's. */
--- a/packages/web/channel.c
+++ b/packages/web/channel.c
@@ -209,7 +209,7 @@
     Sk_Pause(channel->sock, channel->paused);
     if (channel->waiting.len > 0) {
         channel->sent = true;
-        Sk_Write(channel->sock, channel->waiting.at, channel->waiting.len);
+        Sk_Write(channel->sock, channel->waiting.data, channel->waiting.len);
         Bf_Free(&channel->waiting);
     }
 }
--- a/packages/web/http1.c
+++ b/packages/web/http1.c
@@ -258,26 +258,27 @@
     }
     size_t from = had < 3 ? 0 : had - 3;
     char *end =
-        memmem(parser->raw.at + from, parser->raw.len - from, "\r\n\r\n", 4);
+        memmem(parser->raw.data + from, parser->raw.len - from, "\r\n\r\n", 4);
     if (end == NULL) {
         *used = len;
         if (parser->raw.len > parser->head_max) {
             return H1_TOO_LARGE;
         }
-        return has_bare_newline(parser->raw.at, parser->raw.len) ? H1_MALFORMED
-                                                                 : H1_FINE;
+        return has_bare_newline(parser->raw.data, parser->raw.len)
+                   ? H1_MALFORMED
+                   : H1_FINE;
     }
-    size_t head_len = (size_t)(end - parser->raw.at) + 4;
+    size_t head_len = (size_t)(end - parser->raw.data) + 4;
     *used = skip + head_len - had;
     parser->raw.len = head_len;
     if (head_len > parser->head_max) {
         return H1_TOO_LARGE;
     }
-    if (!check_head(parser->raw.at, head_len)) {
+    if (!check_head(parser->raw.data, head_len)) {
         return H1_MALFORMED;
     }
     size_t eaten;
-    enum h1_error error = run(parser, parser->raw.at, head_len, &eaten);
+    enum h1_error error = run(parser, parser->raw.data, head_len, &eaten);
     if (error != H1_FINE) {
         return error;
     }
--- a/packages/web/serve.c
+++ b/packages/web/serve.c
@@ -393,7 +393,7 @@
 Sv_Body(const struct sv_request *request, size_t *len)
 {
     *len = request->body.len;
-    return request->body.at;
+    return request->body.data;
 }
 
 void
--- a/packages/web/serve_answer.c
+++ b/packages/web/serve_answer.c
@@ -66,7 +66,7 @@
         struct bf_buffer ahead = request->ahead;
         request->ahead = (struct bf_buffer){0};
         Sk_Pause(request->sock, false);
-        sv_feed(request, ahead.at, ahead.len);
+        sv_feed(request, ahead.data, ahead.len);
         Bf_Free(&ahead);
     }
 }
--- a/tools/member_bench.c
+++ b/tools/member_bench.c
@@ -106,7 +106,7 @@
         totals.datagrams += (double)seen->datagrams_out;
         totals.tcp += (double)links->bytes_out;
         totals.facts_in += (double)seen->facts_in;
-        totals.facts_news += (double)seen->facts_news;
+        totals.facts_news += (double)seen->facts_new;
         totals.syncs += (double)seen->syncs;
     }
     getrusage(RUSAGE_SELF, &usage);
@@ -135,7 +135,7 @@
     unsigned char load[LOAD_BYTES] = {0};
     snprintf(key, sizeof(key), "e/%d", endpoint);
     memcpy(load, &bench->published, sizeof(bench->published));
-    struct fc_post post = {
+    struct fc_publication post = {
         .key = key,
         .scope = FC_DATA_CENTRE,
         .ttl_usec = LOAD_TTL_USEC,
