--- a/apps/cornelctl/address.c
+++ b/apps/cornelctl/address.c
@@ -10,7 +10,7 @@
 #define Ar_PORT_MAX 65535
 
 static enum st_status
-wrong(const char *text)
+fail_invalid(const char *text)
 {
     return St_Fail(ST_INVALID,
                    "--admin: \"%s\" will not do: give IP:PORT, such as "
@@ -31,27 +31,27 @@
 {
     const char *colon = strrchr(text, ':');
     if (colon == NULL) {
-        return wrong(text);
+        return fail_invalid(text);
     }
     bool brackets = text[0] == '[' && colon > text && colon[-1] == ']';
-    const char *from = brackets ? text + 1 : text;
-    size_t len = (size_t)(colon - from) - (brackets ? 1 : 0);
+    const char *start = brackets ? text + 1 : text;
+    size_t len = (size_t)(colon - start) - (brackets ? 1 : 0);
     if (len >= sizeof(target->address)) {
-        return wrong(text);
+        return fail_invalid(text);
     }
-    memcpy(target->address, from, len);
+    memcpy(target->address, start, len);
     target->address[len] = '\0';
     char *end;
     long port = strtol(colon + 1, &end, 10);
     if (end == colon + 1 || *end != '\0' || port < 1 || port > Ar_PORT_MAX ||
         !is_ip(target->address)) {
-        return wrong(text);
+        return fail_invalid(text);
     }
     target->port = (int)port;
     return ST_OK;
 }
 
-/* Reads "IP:PORT[,IP:PORT...]". */
+/* Parses "IP:PORT[,IP:PORT...]"; IPv6 addresses may have brackets. */
 enum st_status
 Ar_Parse(const char *text, struct ar_list *out)
 {
@@ -63,13 +63,13 @@
     }
     char line[Ar_LINE_MAX];
     if (strlcpy(line, text, sizeof(line)) >= sizeof(line)) {
-        return wrong("a list of more than 4095 bytes");
+        return fail_invalid("a list of more than 4095 bytes");
     }
     char *rest = line;
     char *item;
     while ((item = strsep(&rest, ",")) != NULL) {
-        if (out->count == Ar_MOST) {
-            return wrong("a list of more than 64 addresses");
+        if (out->count == Ar_TARGETS_MAX) {
+            return fail_invalid("a list of more than 64 addresses");
         }
         enum st_status status = parse_one(item, &out->items[out->count]);
         if (status != ST_OK) {
--- a/apps/cornelctl/address.h
+++ b/apps/cornelctl/address.h
@@ -1,4 +1,4 @@
-/* A list of administration ports, as given by --admin. */
+/* The list of daemon administration addresses given by --admin. */
 #ifndef CORNELCTL_ADDRESS_H
 #define CORNELCTL_ADDRESS_H
 
@@ -6,15 +6,15 @@
 
 #include "base/status.h"
 
-#define Ar_MOST 64
+#define Ar_TARGETS_MAX 64
 
 struct ar_target {
-    char address[64]; /* IP number */
+    char address[64]; /* numeric IPv4 or IPv6 address */
     int port;
 };
 
 struct ar_list {
-    struct ar_target items[Ar_MOST];
+    struct ar_target items[Ar_TARGETS_MAX];
     size_t count;
 };
 
