--- a/apps/cornelctl/admin.c
+++ b/apps/cornelctl/admin.c
@@ -10,18 +10,18 @@
 #include "web/loop.h"
 
 #define Am_CONNECT_USEC (2 * Ck_USEC_PER_SEC)
-/* Longer than a daemon waits for a verdict. */
+/* Longer than a daemon waits for the verdict on a published change. */
 #define Am_TOTAL_USEC (12 * Ck_USEC_PER_SEC)
 #define Am_HEADER_MAX 512
 
-/* One call and its answer. */
+/* A call in progress and its response. */
 struct call {
     struct lp_loop *loop;
     struct hc_result result;
     json_t *body;
 };
 
-/* Prepares calls; fails without addresses or a key. */
+/* Opens a session; fails without a key or without valid addresses. */
 enum st_status
 Am_Open(const struct ct_options *options, struct am_session *out)
 {
@@ -86,7 +86,7 @@
 }
 
 static enum st_status
-status_of(int code)
+status_from_code(int code)
 {
     switch (code) {
     case 401:
@@ -105,9 +105,9 @@
     }
 }
 
-/* The kind of failure, with the message of the daemon where there is one. */
+/* Maps the outcome to a status, with the daemon's error message if any. */
 static enum st_status
-judge(const struct am_session *session, const struct call *call)
+check_result(const struct am_session *session, const struct call *call)
 {
     const struct ar_target *target = &session->targets.items[session->current];
     int code = call->result.code;
@@ -128,12 +128,13 @@
         message = "the answer has no message: see whether --admin names an "
                   "administration port";
     }
-    return St_Fail(status_of(code), "%s", message);
+    return St_Fail(status_from_code(code), "%s", message);
 }
 
 /*
- * One call at the current daemon.  "out" gets the answer's document, a new
- * reference.  ST_UNAVAILABLE: nothing was done; ST_UNKNOWN: it may have been.
+ * Sends one call to the current daemon.  "out" receives a new reference to
+ * the JSON document of the response.  ST_UNAVAILABLE: the call was not
+ * executed; ST_UNKNOWN: the daemon may have executed the call.
  */
 enum st_status
 Am_Call(struct am_session *session, const char *method, const char *path,
@@ -145,7 +146,7 @@
     enum st_status status = run_call(session, method, path, text, &call);
     free(text);
     if (status == ST_OK) {
-        status = judge(session, &call);
+        status = check_result(session, &call);
     }
     if (status == ST_OK && call.body == NULL) {
         status = St_Fail(ST_INTERNAL,
@@ -160,7 +161,10 @@
     return status;
 }
 
-/* Reads a document at the first daemon that answers. */
+/*
+ * Reads a document.  Tries the daemons in turn, each at most once, while the
+ * call fails without an answer, with a server error or without JSON.
+ */
 enum st_status
 Am_Get(struct am_session *session, const char *path, json_t **out)
 {
@@ -176,7 +180,6 @@
     return status;
 }
 
-/* Waits without doing anything. */
 void
 Am_Sleep(int64_t usec)
 {
--- a/apps/cornelctl/admin.h
+++ b/apps/cornelctl/admin.h
@@ -1,6 +1,7 @@
 /*
- * Calls of the administration API, one after the other, at whichever of the
- * named daemons answers.
+ * A blocking client of the administration API.  It sends one call at a time
+ * to the current daemon.  If that daemon does not answer, Am_Get and
+ * Am_Publish continue with the next daemon of the --admin list.
  */
 #ifndef CORNELCTL_ADMIN_H
 #define CORNELCTL_ADMIN_H
@@ -14,20 +15,20 @@
 
 struct am_session {
     struct ar_list targets;
-    size_t current; /* the daemon that answered last */
+    size_t current; /* index of the daemon to call next */
     const char *key;
     bool tls;
     const struct ck_clock *clock;
 };
 
-/* What became of one changed section. */
+/* One change of a section and, once it is published, its log offset. */
 struct am_change {
     const char *section;
-    uint64_t base;
+    uint64_t base; /* offset of the version changed; 0: none */
     const json_t *body;
-    bool patch;
-    char id[33];
-    uint64_t offset; /* where it stands in the log */
+    bool patch;      /* "body" is a merge patch, not the whole section */
+    char id[33];     /* the same in every attempt, so that it applies once */
+    uint64_t offset; /* of the record in the log */
 };
 
 enum st_status Am_Open(const struct ct_options *options,
--- a/apps/cornelctl/admin_publish.c
+++ b/apps/cornelctl/admin_publish.c
@@ -38,10 +38,11 @@
 }
 
 /*
- * Publishes one section.  Guards against a change made twice: an answer that
- * was lost on the way looks like a daemon that died, and the change may be in
- * force.  It is sent again with the id it had, at the next daemon, and the
- * readers of the log pass over the repetition.
+ * Publishes one section, and retries at the next daemon until the deadline.
+ * A lost response cannot be distinguished from a crashed daemon, so the
+ * change may already be in force when it is retried.  Each retry carries the
+ * same id, and readers of the log skip a change whose id they have already
+ * read, so the change takes effect at most once.
  */
 enum st_status
 Am_Publish(struct am_session *session, int64_t deadline,
