--- a/apps/cornelctl/changes.c
+++ b/apps/cornelctl/changes.c
@@ -4,15 +4,15 @@
 
 #define Ch_PATH_MAX 512
 
-/* The names by which the entries of a list are told apart. */
-static const char *const entry_names[] = {"name", "node", "service", "id"};
+/* Fields that identify an entry of a list; the first one present is used. */
+static const char *const name_fields[] = {"name", "node", "service", "id"};
 
 static const char *
 entry_name(const json_t *entry)
 {
-    for (size_t i = 0; i < sizeof(entry_names) / sizeof(*entry_names); i++) {
+    for (size_t i = 0; i < sizeof(name_fields) / sizeof(*name_fields); i++) {
         const char *name =
-            json_string_value(json_object_get(entry, entry_names[i]));
+            json_string_value(json_object_get(entry, name_fields[i]));
         if (name != NULL) {
             return name;
         }
@@ -21,8 +21,8 @@
 }
 
 /*
- * An object as it is, a list of named objects as an object from names to
- * entries; NULL for any other value.  A new reference.
+ * Returns a new reference: an object unchanged, or a list of named objects as
+ * an object that maps each name to its entry.  NULL for any other value.
  */
 static json_t *
 to_object(const json_t *value)
@@ -105,7 +105,7 @@
 
 /*
  * Prints each value that was added (+), removed (-) or changed (~) under the
- * path, and returns how many.  Either document may be NULL.
+ * path, and returns the number of lines.  Either document may be NULL.
  */
 size_t
 Ch_Print(FILE *out, const char *path, const json_t *before,
--- a/apps/cornelctl/changes.h
+++ b/apps/cornelctl/changes.h
@@ -1,4 +1,4 @@
-/* Prints what differs between two JSON documents, one value a line. */
+/* Prints the differences between two JSON documents, one value per line. */
 #ifndef CORNELCTL_CHANGES_H
 #define CORNELCTL_CHANGES_H
 
