--- a/apps/cornelctl/command.h
+++ b/apps/cornelctl/command.h
@@ -1,6 +1,6 @@
 /*
- * The commands of cornelctl.  Each returns the program's exit status and has
- * said on standard error what went wrong and what to do.
+ * The commands of cornelctl.  Each returns the program's exit status and, if
+ * it fails, prints the cause and a remedy to standard error.
  */
 #ifndef CORNELCTL_COMMAND_H
 #define CORNELCTL_COMMAND_H
@@ -16,27 +16,27 @@
 enum ct_exit {
     CT_DONE = 0,
     CT_FAILED = 1,
-    CT_INVALID = 2,     /* wrong answers, or refused as such */
-    CT_CONFLICT = 3,    /* another change came first */
-    CT_DENIED = 4,      /* the key is unknown or may not do this */
+    CT_INVALID = 2,     /* invalid answers, input or request */
+    CT_CONFLICT = 3,    /* the section was changed meanwhile */
+    CT_DENIED = 4,      /* the key is unknown or lacks the permission */
     CT_UNAVAILABLE = 5, /* no daemon answered, or the outcome is unknown */
-    CT_LAGGING = 6,     /* published, not yet in force on every daemon */
+    CT_LAGGING = 6,     /* published, but not in force on every daemon */
     CT_DIFFERENT = 7,   /* diff: there are differences */
     CT_USAGE = 64,
 };
 
 struct ct_options {
-    const char *operand; /* FILE or NAME; of several, the first */
-    char **files;        /* explain: all of them */
+    const char *operand; /* FILE, NAME or DATA-CENTRE; the first of several */
+    char **files;        /* explain: all FILE operands */
     size_t file_count;
-    const char *svg;    /* explain: where the timeline goes; NULL: nowhere */
-    const char *admins; /* HOST:PORT[,HOST:PORT...] */
+    const char *svg;    /* explain: file for the timeline; NULL: none */
+    const char *admins; /* IP:PORT[,IP:PORT...] */
     const char *out_dir;
-    const char *key; /* of the team */
+    const char *key; /* the team's API key */
     int64_t wait_usec;
-    int count; /* watch: how often to look; 0: for ever */
+    int count; /* watch: number of polls; 0: no limit */
     bool json;
-    bool back; /* evacuate: take it back */
+    bool back; /* evacuate: return the data centre to service */
     bool tls;
 };
 
@@ -52,19 +52,23 @@
 int Ct_Evacuate(const struct ct_options *options);
 
 struct am_session;
-/* Waits until every daemon that serves has read the offset. */
+/*
+ * Waits until every serving daemon has applied the configuration at the
+ * offset.  "began" is the start of the duration that is printed.
+ */
 int Ct_WaitEverywhere(struct am_session *session, int64_t began,
                       int64_t deadline, uint64_t offset);
 
 int Ct_Report(enum st_status status);
 
-/* Writes to an open file; false: it took not all. */
-typedef bool (*ct_write_fn)(const void *what, FILE *out);
+/* Writes to an open file; false: the data was not written completely. */
+typedef bool (*ct_write_fn)(const void *data, FILE *out);
 /*
- * Writes a file anew.  ST_INVALID: it cannot be opened, and "remedy" says what
- * to name instead; ST_INTERNAL: it took not all.
+ * Creates or truncates a file and writes it.  ST_INVALID: the file cannot be
+ * opened, and the error message ends with "remedy"; ST_INTERNAL: the data was
+ * not written completely.
  */
 enum st_status Ct_WriteFile(const char *path, const char *remedy,
-                            ct_write_fn write, const void *what);
+                            ct_write_fn write, const void *data);
 
 #endif
--- a/apps/cornelctl/command_admin.c
+++ b/apps/cornelctl/command_admin.c
@@ -24,7 +24,7 @@
     }
 }
 
-/* The plain values of an object on one line, what is nested below it. */
+/* Prints scalar members on one line and nested objects indented below. */
 static void
 print_object(const char *title, const json_t *object, int depth)
 {
@@ -70,9 +70,9 @@
     return Ct_Report(status);
 }
 
-/* What a watcher wants to hear of; the rest of the document is load. */
+/* Selects the members that "watch" compares; the others report load. */
 static json_t *
-watched(const json_t *document)
+select_watched(const json_t *document)
 {
     static const char *const names[] = {"config", "daemons", "moves"};
     json_t *out = json_object();
@@ -98,7 +98,7 @@
         if (status != ST_OK) {
             break;
         }
-        json_t *after = watched(document);
+        json_t *after = select_watched(document);
         Ch_Print(stdout, "", before, after);
         fflush(stdout);
         json_decref(document);
--- a/apps/cornelctl/command_evacuate.c
+++ b/apps/cornelctl/command_evacuate.c
@@ -1,4 +1,4 @@
-/* The command that takes a data centre out of use, and back. */
+/* The command that evacuates a data centre or returns it to service. */
 #include <stdio.h>
 #include <string.h>
 
@@ -19,9 +19,9 @@
     return NULL;
 }
 
-/* A data centre that is not there gets a message that names those that are. */
+/* Fails with a message that lists the configured data centres. */
 static enum st_status
-refuse_unknown(const json_t *centres, const char *wanted)
+fail_unknown(const json_t *centres, const char *wanted)
 {
     char names[512] = "";
     const char *name;
@@ -36,17 +36,21 @@
                    names[0] != '\0' ? names : "those that you publish first");
 }
 
-/* Publishes the change unless it is so already; "offset" gets where it is. */
+/*
+ * Publishes the evacuation or return unless the data centre already has that
+ * state.  "offset" receives the log offset of the change, or of the
+ * configuration in force if nothing changed.
+ */
 static enum st_status
-change(struct am_session *session, const struct ct_options *options,
-       int64_t deadline, const json_t *config, uint64_t *offset)
+set_evacuated(struct am_session *session, const struct ct_options *options,
+              int64_t deadline, const json_t *config, uint64_t *offset)
 {
     const json_t *section = find_section(config, Cf_PLATFORM);
     const json_t *centres =
         json_object_get(json_object_get(section, "body"), "data_centres");
     const json_t *centre = json_object_get(centres, options->operand);
     if (centre == NULL) {
-        return refuse_unknown(centres, options->operand);
+        return fail_unknown(centres, options->operand);
     }
     *offset =
         (uint64_t)json_integer_value(json_object_get(config, "in_force"));
@@ -72,9 +76,9 @@
 }
 
 static long long
-count_running(const json_t *status, const char *centre)
+count_in_flight(const json_t *status, const char *centre)
 {
-    long long running = 0;
+    long long in_flight = 0;
     size_t i;
     size_t j;
     json_t *service;
@@ -82,20 +86,20 @@
     json_array_foreach (json_object_get(status, "services"), i, service) {
         json_array_foreach (json_object_get(service, "endpoints"), j,
                             endpoint) {
-            const char *at =
+            const char *data_centre =
                 json_string_value(json_object_get(endpoint, "data_centre"));
-            if (at != NULL && strcmp(at, centre) == 0) {
-                running +=
+            if (data_centre != NULL && strcmp(data_centre, centre) == 0) {
+                in_flight +=
                     json_integer_value(json_object_get(endpoint, "in_flight"));
             }
         }
     }
-    return running;
+    return in_flight;
 }
 
-/* What each of the daemons named still has under way there. */
+/* Prints how many requests each daemon has in flight in a data centre. */
 static void
-print_running(struct am_session *session, const char *centre)
+print_in_flight(struct am_session *session, const char *centre)
 {
     for (size_t i = 0; i < session->targets.count; i++) {
         const struct ar_target *target = &session->targets.items[i];
@@ -105,7 +109,7 @@
             ST_OK) {
             printf("%s port %d: %lld requests under way in %s\n",
                    target->address, target->port,
-                   count_running(status, centre), centre);
+                   count_in_flight(status, centre), centre);
         }
         json_decref(status);
     }
@@ -125,13 +129,13 @@
         status = Am_Get(&session, "/admin/v1/config", &config);
     }
     if (status == ST_OK) {
-        status = change(&session, options, deadline, config, &offset);
+        status = set_evacuated(&session, options, deadline, config, &offset);
     }
     json_decref(config);
     if (status != ST_OK) {
         return Ct_Report(status);
     }
     int done = Ct_WaitEverywhere(&session, began, deadline, offset);
-    print_running(&session, options->operand);
+    print_in_flight(&session, options->operand);
     return done;
 }
--- a/apps/cornelctl/command_explain.c
+++ b/apps/cornelctl/command_explain.c
@@ -1,13 +1,13 @@
-/* The command that needs only logs: explain. */
+/* The command that reads logs and contacts no daemon: explain. */
 #include <stdio.h>
 
 #include "command.h"
 #include "loss/loss.h"
 
 static bool
-write_timeline(const void *what, FILE *out)
+write_timeline(const void *data, FILE *out)
 {
-    return Ls_PrintSvg(what, out);
+    return Ls_PrintSvg(data, out);
 }
 
 static enum st_status
--- a/apps/cornelctl/command_file.c
+++ b/apps/cornelctl/command_file.c
@@ -1,4 +1,4 @@
-/* The commands that need no daemon: check, generate, key. */
+/* The commands that contact no daemon and read no logs. */
 #include <bsd/stdlib.h>
 #include <errno.h>
 #include <jansson.h>
@@ -14,7 +14,7 @@
 #define Ct_KEY_BYTES 24
 #define Ct_FILE_MAX 512
 
-/* Reads a questionnaire, lists its problems, and generates its documents. */
+/* Reads a questionnaire, prints its problems and generates its documents. */
 enum st_status
 Fi_Load(const char *file, struct qn_answers **answers,
         struct qn_documents *documents)
@@ -77,14 +77,14 @@
 
 enum st_status
 Ct_WriteFile(const char *path, const char *remedy, ct_write_fn write,
-             const void *what)
+             const void *data)
 {
     FILE *out = fopen(path, "w");
     if (out == NULL) {
         return St_Fail(ST_INVALID, "%s cannot be written (%s): %s", path,
                        strerror(errno), remedy);
     }
-    bool written = write(what, out);
+    bool written = write(data, out);
     written &= fclose(out) == 0;
     return written ? ST_OK
                    : St_Fail(ST_INTERNAL,
@@ -94,13 +94,13 @@
 }
 
 static bool
-write_body(const void *what, FILE *out)
+write_body(const void *data, FILE *out)
 {
-    const struct qn_document *document = what;
+    const struct qn_document *document = data;
     return fprintf(out, "%s\n", document->body) > 0;
 }
 
-/* "team/NAME" becomes the file team-NAME.json. */
+/* Writes a section to a file; section "team/NAME" to team-NAME.json. */
 static enum st_status
 write_document(const char *folder, const struct qn_document *document)
 {
--- a/apps/cornelctl/command_publish.c
+++ b/apps/cornelctl/command_publish.c
@@ -1,4 +1,4 @@
-/* The commands that compare answers with what is in force: diff, publish. */
+/* The commands that compare answers with the configuration in force. */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,13 +10,13 @@
 
 #define Ct_POLL_USEC (100 * Ck_USEC_PER_MSEC)
 
-/* A generated section beside the one in force. */
+/* A generated section and the version of that section in force. */
 struct comparison {
     const char *section;
-    uint64_t base;  /* 0: there is none */
-    json_t *before; /* NULL: there is none */
+    uint64_t base;  /* log offset of the version in force; 0: none */
+    json_t *before; /* the version in force; NULL: none */
     json_t *after;
-    json_t *patch;
+    json_t *patch; /* merge patch from before to after; NULL: none */
 };
 
 static void
@@ -55,10 +55,10 @@
            json_object_size(comparison->patch) > 0;
 }
 
-/* Loads the answers and the configuration in force. */
+/* Generates the documents and fetches the configuration in force. */
 static enum st_status
-load(const struct ct_options *options, struct am_session *session,
-     struct qn_documents *documents, json_t **config)
+load_inputs(const struct ct_options *options, struct am_session *session,
+            struct qn_documents *documents, json_t **config)
 {
     struct qn_answers *answers = NULL;
     *config = NULL;
@@ -80,7 +80,8 @@
     struct am_session session;
     struct qn_documents documents;
     json_t *config;
-    enum st_status status = load(options, &session, &documents, &config);
+    enum st_status status =
+        load_inputs(options, &session, &documents, &config);
     size_t count = 0;
     for (size_t i = 0; i < documents.count && status == ST_OK; i++) {
         struct comparison one;
@@ -102,44 +103,44 @@
     return json_dumpb(value, NULL, 0, JSON_COMPACT);
 }
 
-/* Publishes a section: as a merge patch where that is smaller. */
+/* Publishes a section, as a merge patch if the patch is smaller. */
 static enum st_status
 publish_one(struct am_session *session, int64_t deadline,
             const struct comparison *one, uint64_t *offset)
 {
-    size_t whole = size_of(one->after);
-    size_t delta = one->patch != NULL ? size_of(one->patch) : whole;
+    size_t full_size = size_of(one->after);
+    size_t patch_size = one->patch != NULL ? size_of(one->patch) : full_size;
     struct am_change change = {
         .section = one->section,
         .base = one->base,
-        .patch = delta < whole,
-        .body = delta < whole ? one->patch : one->after,
+        .patch = patch_size < full_size,
+        .body = patch_size < full_size ? one->patch : one->after,
     };
     enum st_status status = Am_Publish(session, deadline, &change);
     if (status == ST_OK) {
         printf("%s: accepted at offset %" PRIu64 " (sent %zu bytes of %zu)\n",
-               one->section, change.offset, change.patch ? delta : whole,
-               whole);
+               one->section, change.offset,
+               change.patch ? patch_size : full_size, full_size);
         *offset = change.offset > *offset ? change.offset : *offset;
     }
     return status;
 }
 
 /*
- * Publishes what differs.  The first key may publish the platform section
- * only; what is left is said.
+ * Publishes the sections that differ.  The bootstrap key may publish only the
+ * platform section; at any other section it fails and names that section.
  */
 static enum st_status
 publish_all(struct am_session *session, int64_t deadline, const json_t *config,
             const struct qn_documents *documents, uint64_t *offset)
 {
     const char *team = json_string_value(json_object_get(config, "team"));
-    bool first_key = team != NULL && strcmp(team, Cf_BOOTSTRAP) == 0;
+    bool bootstrap_key = team != NULL && strcmp(team, Cf_BOOTSTRAP) == 0;
     enum st_status status = ST_OK;
     for (size_t i = 0; i < documents->count && status == ST_OK; i++) {
         struct comparison one;
         compare(config, &documents->items[i], &one);
-        if (first_key && strcmp(one.section, Cf_PLATFORM) != 0) {
+        if (bootstrap_key && strcmp(one.section, Cf_PLATFORM) != 0) {
             status = St_Fail(ST_DENIED,
                              "%s is not published yet: the first key does "
                              "not reach it; publish again with "
@@ -158,9 +159,9 @@
     return status;
 }
 
-/* Whether a daemon of the status document still serves callers. */
+/* Whether the status document reports that the daemon serves callers. */
 static bool
-counts(const json_t *daemon)
+is_serving(const json_t *daemon)
 {
     const char *state = json_string_value(json_object_get(daemon, "state"));
     return state != NULL &&
@@ -168,7 +169,7 @@
 }
 
 static bool
-reached(const json_t *daemon, uint64_t offset)
+has_offset(const json_t *daemon, uint64_t offset)
 {
     json_t *value = json_object_get(daemon, "config_offset");
     return (uint64_t)json_integer_value(value) >= offset;
@@ -180,7 +181,7 @@
     size_t i;
     json_t *daemon;
     json_array_foreach (daemons, i, daemon) {
-        if (!counts(daemon) || reached(daemon, offset)) {
+        if (!is_serving(daemon) || has_offset(daemon, offset)) {
             continue;
         }
         const char *node = json_string_value(json_object_get(daemon, "node"));
@@ -195,19 +196,19 @@
     }
 }
 
-/* How many daemons serve, and how many of them have reached the offset. */
+/* Counts the serving daemons and those that have reached the offset. */
 static void
 count_daemons(const json_t *daemons, uint64_t offset, size_t *all,
-              size_t *there)
+              size_t *up_to_date)
 {
     *all = 0;
-    *there = 0;
+    *up_to_date = 0;
     size_t i;
     json_t *daemon;
     json_array_foreach (daemons, i, daemon) {
-        if (counts(daemon)) {
+        if (is_serving(daemon)) {
             (*all)++;
-            *there += reached(daemon, offset) ? 1 : 0;
+            *up_to_date += has_offset(daemon, offset) ? 1 : 0;
         }
     }
 }
@@ -219,7 +220,7 @@
     for (;;) {
         json_t *document;
         size_t all = 0;
-        size_t there = 0;
+        size_t up_to_date = 0;
         enum st_status status = Am_Get(session, "/admin/v1/status", &document);
         if (status == ST_DENIED) {
             fprintf(stderr,
@@ -231,28 +232,28 @@
             return CT_LAGGING;
         }
         json_t *daemons = json_object_get(document, "daemons");
-        count_daemons(daemons, offset, &all, &there);
+        count_daemons(daemons, offset, &all, &up_to_date);
         int64_t now = Ck_Now(session->clock);
-        bool done = all > 0 && there == all;
-        bool late = !done && now >= deadline;
+        bool done = all > 0 && up_to_date == all;
+        bool expired = !done && now >= deadline;
         if (done) {
             printf("in force on all %zu daemons at offset %" PRIu64
                    " after %.1f s\n",
                    all, offset, (double)(now - began) / Ck_USEC_PER_SEC);
         }
-        else if (late && status == ST_OK) {
+        else if (expired && status == ST_OK) {
             print_lagging(daemons, offset);
             fprintf(stderr,
                     "cornelctl: in force on %zu of %zu daemons: see the "
                     "lagging ones' logs; they serve again once they caught "
                     "up; publish again to wait on\n",
-                    there, all);
+                    up_to_date, all);
         }
         json_decref(document);
         if (done) {
             return CT_DONE;
         }
-        if (late) {
+        if (expired) {
             return status == ST_OK ? CT_LAGGING : Ct_Report(status);
         }
         Am_Sleep(Ct_POLL_USEC);
@@ -269,7 +270,8 @@
     uint64_t offset = 0;
     int64_t began = Ck_Now(Ck_System());
     int64_t deadline = began + options->wait_usec;
-    enum st_status status = load(options, &session, &documents, &config);
+    enum st_status status =
+        load_inputs(options, &session, &documents, &config);
     if (status == ST_OK) {
         json_t *in_force = json_object_get(config, "in_force");
         offset = (uint64_t)json_integer_value(in_force);
--- a/apps/cornelctl/file.h
+++ b/apps/cornelctl/file.h
@@ -1,4 +1,4 @@
-/* The documents made from a questionnaire, for the commands that take one. */
+/* Loads a questionnaire and generates its configuration documents. */
 #ifndef CORNELCTL_FILE_H
 #define CORNELCTL_FILE_H
 
--- a/apps/cornelctl/main.c
+++ b/apps/cornelctl/main.c
@@ -22,8 +22,8 @@
 
 struct command {
     const char *name;
-    const char *operand; /* what the operand is, NULL: there is none */
-    bool many;           /* there may be several */
+    const char *operand; /* name shown in errors; NULL: takes no operand */
+    bool multiple;       /* accepts several operands */
     int (*run)(const struct ct_options *options);
 };
 
@@ -39,7 +39,7 @@
     {"watch", NULL, false, Ct_Watch},
 };
 
-struct line {
+struct command_line {
     struct ct_options options;
     const struct command *command;
 };
@@ -80,7 +80,7 @@
 }
 
 static double
-positive(const char *text, struct argp_state *state, const char *option)
+parse_number(const char *text, struct argp_state *state, const char *option)
 {
     char *end;
     double value = strtod(text, &end);
@@ -92,29 +92,31 @@
 }
 
 static void
-take_word(struct line *line, const char *word, struct argp_state *state)
+take_argument(struct command_line *line, const char *argument,
+              struct argp_state *state)
 {
     if (line->command == NULL) {
-        line->command = find_command(word);
+        line->command = find_command(argument);
         if (line->command == NULL) {
-            argp_error(state, "there is no command \"%s\"; see --help", word);
+            argp_error(state, "there is no command \"%s\"; see --help",
+                       argument);
         }
     }
     else if (line->command->operand != NULL && line->options.operand == NULL) {
-        line->options.operand = word;
+        line->options.operand = argument;
         line->options.files = &state->argv[state->next - 1];
         line->options.file_count = 1;
     }
-    else if (line->command->many) {
+    else if (line->command->multiple) {
         line->options.file_count++;
     }
     else {
-        argp_error(state, "\"%s\" is one word too many", word);
+        argp_error(state, "\"%s\" is one word too many", argument);
     }
 }
 
 static void
-check_line(const struct line *line, struct argp_state *state)
+check_command_line(const struct command_line *line, struct argp_state *state)
 {
     if (line->command == NULL) {
         argp_error(state, "name a command; see --help");
@@ -128,7 +130,7 @@
 static error_t
 parse(int key, char *text, struct argp_state *state)
 {
-    struct line *line = state->input;
+    struct command_line *line = state->input;
     switch (key) {
     case KEY_ADMIN:
         line->options.admins = text;
@@ -137,7 +139,7 @@
         line->options.back = true;
         break;
     case KEY_COUNT:
-        line->options.count = (int)positive(text, state, "--count");
+        line->options.count = (int)parse_number(text, state, "--count");
         break;
     case KEY_JSON:
         line->options.json = true;
@@ -153,13 +155,13 @@
         break;
     case KEY_WAIT:
         line->options.wait_usec =
-            (int64_t)(positive(text, state, "--wait") * Ck_USEC_PER_SEC);
+            (int64_t)(parse_number(text, state, "--wait") * Ck_USEC_PER_SEC);
         break;
     case ARGP_KEY_ARG:
-        take_word(line, text, state);
+        take_argument(line, text, state);
         break;
     case ARGP_KEY_END:
-        check_line(line, state);
+        check_command_line(line, state);
         break;
     default:
         return ARGP_ERR_UNKNOWN;
@@ -174,7 +176,7 @@
     .doc = description,
 };
 
-/* Says a failure on standard error; returns the exit status for it. */
+/* Prints a failure to standard error and returns its exit status. */
 int
 Ct_Report(enum st_status status)
 {
@@ -203,11 +205,12 @@
 int
 main(int argc, char **argv)
 {
-    struct line line = {.options = {
-                            .key = getenv("CORNELGATE_ADMIN_KEY"),
-                            .admins = getenv("CORNELGATE_ADMIN"),
-                            .wait_usec = Ct_WAIT_SECONDS * Ck_USEC_PER_SEC,
-                        }};
+    struct command_line line = {
+        .options = {
+            .key = getenv("CORNELGATE_ADMIN_KEY"),
+            .admins = getenv("CORNELGATE_ADMIN"),
+            .wait_usec = Ct_WAIT_SECONDS * Ck_USEC_PER_SEC,
+        }};
     argp_err_exit_status = CT_USAGE;
     argp_parse(&argp, argc, argv, 0, NULL, &line);
     return line.command->run(&line.options);
