--- a/apps/cornelgated/main.c
+++ b/apps/cornelgated/main.c
@@ -1,6 +1,6 @@
 /*
- * The daemon of an entry host: reads its settings, serves until it is told
- * to stop, drains, and exits.
+ * The daemon of an entry host.  It reads its settings, serves until it
+ * receives a stop signal, drains the requests in flight, and exits.
  */
 #include <err.h>
 #include <stdlib.h>
@@ -20,8 +20,8 @@
     if (Dm_Create(&settings.options, &daemon) != ST_OK) {
         errx(EXIT_FAILURE, "%s", St_Message());
     }
-    int cut = Dm_Run(daemon);
+    int cut_requests = Dm_Run(daemon);
     Dm_Destroy(daemon);
     Ev_Close();
-    return cut == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+    return cut_requests == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/apps/cornelgated/settings.c
+++ b/apps/cornelgated/settings.c
@@ -158,7 +158,7 @@
     return 0;
 }
 
-/* CORNELGATE_DATA_CENTRE for "data-centre", and so on. */
+/* Reads the variable of a flag: CORNELGATE_DATA_CENTRE for "data-centre". */
 static char *
 from_environment(const char *flag)
 {
@@ -185,7 +185,7 @@
 }
 
 static enum st_status
-check(const struct gt_options *options)
+check_options(const struct gt_options *options)
 {
     if (options->node_id == NULL || options->data_centre == NULL ||
         options->region == NULL) {
@@ -209,9 +209,10 @@
 }
 
 /*
- * Reads the settings: flags win over environment variables.  ST_INVALID: the
- * message names the setting and what it should be.  The cluster key comes
- * only from the environment, where other users of the host cannot see it.
+ * Reads the settings; flags override environment variables.  ST_INVALID: the
+ * message names the setting and its valid values.  The cluster key is read
+ * only from the environment, because other users of the host can see a
+ * process's arguments but not its environment.
  */
 enum st_status
 Set_Read(int argc, char **argv, struct settings *settings)
@@ -230,5 +231,5 @@
         .doc = "Serves callers before model engines and plain services.",
     };
     argp_parse(&argp, argc, argv, 0, NULL, settings);
-    return check(&settings->options);
+    return check_options(&settings->options);
 }
--- a/apps/cornelgated/settings.h
+++ b/apps/cornelgated/settings.h
@@ -1,4 +1,4 @@
-/* Flags and environment variables of the daemon. */
+/* Settings of the daemon, from flags and environment variables. */
 #ifndef CORNELGATED_SETTINGS_H
 #define CORNELGATED_SETTINGS_H
 
