--- a/apps/cornelctl/admin.c
+++ b/apps/cornelctl/admin.c
@@ -9,9 +9,9 @@
 #include "web/client.h"
 #include "web/loop.h"
 
-#define Am_CONNECT_USEC (2 * Ck_USEC_PER_SEC)
+#define Am_CONNECT_TIMEOUT_USEC (2 * Ck_USEC_PER_SEC)
 /* Longer than a daemon waits for the verdict on a published change. */
-#define Am_TOTAL_USEC (12 * Ck_USEC_PER_SEC)
+#define Am_TOTAL_TIMEOUT_USEC (12 * Ck_USEC_PER_SEC)
 #define Am_HEADER_MAX 512
 
 /* A call in progress and its response. */
@@ -69,8 +69,8 @@
         .header_count = 1,
         .body = text,
         .body_len = text != NULL ? strlen(text) : 0,
-        .connect_usec = Am_CONNECT_USEC,
-        .total_usec = Am_TOTAL_USEC,
+        .connect_usec = Am_CONNECT_TIMEOUT_USEC,
+        .total_usec = Am_TOTAL_TIMEOUT_USEC,
         .tls = session->tls,
     };
     enum st_status status = Lp_Create(&call->loop);
@@ -163,7 +163,7 @@
 
 /*
  * Reads a document.  Tries the daemons in turn, each at most once, while the
- * call fails without an answer, with a server error or without JSON.
+ * call fails without a response, with a server error or without JSON.
  */
 enum st_status
 Am_Get(struct am_session *session, const char *path, json_t **out)
--- a/apps/cornelctl/admin_publish.c
+++ b/apps/cornelctl/admin_publish.c
@@ -4,7 +4,7 @@
 #include "admin.h"
 #include "config/config.h"
 
-#define Am_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
+#define Am_RETRY_INTERVAL_USEC (300 * Ck_USEC_PER_MSEC)
 #define Am_ID_BYTES 16
 
 static void
@@ -25,15 +25,15 @@
     json_t *body =
         json_pack("{s:I, s:s, s:O}", "base", (json_int_t)change->base, "id",
                   change->id, "body", change->body);
-    json_t *answer;
-    enum st_status status =
-        Am_Call(session, change->patch ? "PATCH" : "PUT", path, body, &answer);
+    json_t *response;
+    enum st_status status = Am_Call(session, change->patch ? "PATCH" : "PUT",
+                                    path, body, &response);
     json_decref(body);
     if (status == ST_OK) {
-        json_t *offset = json_object_get(answer, "offset");
+        json_t *offset = json_object_get(response, "offset");
         change->offset = (uint64_t)json_integer_value(offset);
     }
-    json_decref(answer);
+    json_decref(response);
     return status;
 }
 
@@ -49,11 +49,11 @@
            struct am_change *change)
 {
     make_id(change->id);
-    bool unknown = false;
+    bool outcome_unknown = false;
     for (;;) {
         enum st_status status = send_change(session, change);
-        unknown |= status == ST_UNKNOWN;
-        if (unknown && status == ST_DENIED) {
+        outcome_unknown |= status == ST_UNKNOWN;
+        if (outcome_unknown && status == ST_DENIED) {
             return St_Fail(ST_UNKNOWN,
                            "the key is refused after an attempt whose "
                            "outcome is not known: the change may be in force "
@@ -63,9 +63,9 @@
             return status;
         }
         if (Ck_Now(session->clock) >= deadline) {
-            return unknown ? ST_UNKNOWN : status;
+            return outcome_unknown ? ST_UNKNOWN : status;
         }
         session->current = (session->current + 1) % session->targets.count;
-        Am_Sleep(Am_RETRY_USEC);
+        Am_Sleep(Am_RETRY_INTERVAL_USEC);
     }
 }
--- a/apps/cornelctl/command.h
+++ b/apps/cornelctl/command.h
@@ -16,10 +16,10 @@
 enum ct_exit {
     CT_DONE = 0,
     CT_FAILED = 1,
-    CT_INVALID = 2,     /* invalid answers, input or request */
+    CT_INVALID = 2,     /* invalid questionnaire, operand or request */
     CT_CONFLICT = 3,    /* the section was changed meanwhile */
     CT_DENIED = 4,      /* the key is unknown or lacks the permission */
-    CT_UNAVAILABLE = 5, /* no daemon answered, or the outcome is unknown */
+    CT_UNAVAILABLE = 5, /* no daemon responded, or the outcome is unknown */
     CT_LAGGING = 6,     /* published, but not in force on every daemon */
     CT_DIFFERENT = 7,   /* diff: there are differences */
     CT_USAGE = 64,
--- a/apps/cornelctl/command_admin.c
+++ b/apps/cornelctl/command_admin.c
@@ -5,7 +5,7 @@
 #include "admin.h"
 #include "changes.h"
 
-#define Ct_WATCH_USEC Ck_USEC_PER_SEC
+#define Ct_WATCH_INTERVAL_USEC Ck_USEC_PER_SEC
 
 static void
 print_scalar(const char *name, const json_t *value)
@@ -107,7 +107,7 @@
         if (options->count > 0 && i + 1 >= options->count) {
             break;
         }
-        Am_Sleep(Ct_WATCH_USEC);
+        Am_Sleep(Ct_WATCH_INTERVAL_USEC);
     }
     json_decref(before);
     return Ct_Report(status);
--- a/apps/cornelctl/command_file.c
+++ b/apps/cornelctl/command_file.c
@@ -1,4 +1,7 @@
-/* The commands that contact no daemon and read no logs. */
+/*
+ * The commands that read neither logs nor the state of a daemon: check,
+ * generate, key.
+ */
 #include <bsd/stdlib.h>
 #include <errno.h>
 #include <jansson.h>
--- a/apps/cornelctl/command_publish.c
+++ b/apps/cornelctl/command_publish.c
@@ -1,4 +1,7 @@
-/* The commands that compare answers with the configuration in force. */
+/*
+ * The commands that compare the documents generated from a questionnaire with
+ * the configuration in force: diff, publish.
+ */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +11,7 @@
 #include "config/patch.h"
 #include "file.h"
 
-#define Ct_POLL_USEC (100 * Ck_USEC_PER_MSEC)
+#define Ct_POLL_INTERVAL_USEC (100 * Ck_USEC_PER_MSEC)
 
 /* A generated section and the version of that section in force. */
 struct comparison {
@@ -84,10 +87,11 @@
         load_inputs(options, &session, &documents, &config);
     size_t count = 0;
     for (size_t i = 0; i < documents.count && status == ST_OK; i++) {
-        struct comparison one;
-        compare(config, &documents.items[i], &one);
-        count += Ch_Print(stdout, one.section, one.before, one.after);
-        comparison_clear(&one);
+        struct comparison comparison;
+        compare(config, &documents.items[i], &comparison);
+        count += Ch_Print(stdout, comparison.section, comparison.before,
+                          comparison.after);
+        comparison_clear(&comparison);
     }
     json_decref(config);
     Qn_DocumentsClear(&documents);
@@ -106,20 +110,21 @@
 /* Publishes a section, as a merge patch if the patch is smaller. */
 static enum st_status
 publish_one(struct am_session *session, int64_t deadline,
-            const struct comparison *one, uint64_t *offset)
+            const struct comparison *comparison, uint64_t *offset)
 {
-    size_t full_size = size_of(one->after);
-    size_t patch_size = one->patch != NULL ? size_of(one->patch) : full_size;
+    size_t full_size = size_of(comparison->after);
+    size_t patch_size =
+        comparison->patch != NULL ? size_of(comparison->patch) : full_size;
     struct am_change change = {
-        .section = one->section,
-        .base = one->base,
+        .section = comparison->section,
+        .base = comparison->base,
         .patch = patch_size < full_size,
-        .body = patch_size < full_size ? one->patch : one->after,
+        .body = patch_size < full_size ? comparison->patch : comparison->after,
     };
     enum st_status status = Am_Publish(session, deadline, &change);
     if (status == ST_OK) {
         printf("%s: accepted at offset %" PRIu64 " (sent %zu bytes of %zu)\n",
-               one->section, change.offset,
+               comparison->section, change.offset,
                change.patch ? patch_size : full_size, full_size);
         *offset = change.offset > *offset ? change.offset : *offset;
     }
@@ -138,23 +143,23 @@
     bool bootstrap_key = team != NULL && strcmp(team, Cf_BOOTSTRAP) == 0;
     enum st_status status = ST_OK;
     for (size_t i = 0; i < documents->count && status == ST_OK; i++) {
-        struct comparison one;
-        compare(config, &documents->items[i], &one);
-        if (bootstrap_key && strcmp(one.section, Cf_PLATFORM) != 0) {
+        struct comparison comparison;
+        compare(config, &documents->items[i], &comparison);
+        if (bootstrap_key && strcmp(comparison.section, Cf_PLATFORM) != 0) {
             status = St_Fail(ST_DENIED,
                              "%s is not published yet: the first key does "
                              "not reach it; publish again with "
                              "CORNELGATE_ADMIN_KEY set to a team's key",
-                             one.section);
+                             comparison.section);
         }
-        else if (!differs(&one)) {
-            printf("%s: unchanged at offset %" PRIu64 "\n", one.section,
-                   one.base);
+        else if (!differs(&comparison)) {
+            printf("%s: unchanged at offset %" PRIu64 "\n", comparison.section,
+                   comparison.base);
         }
         else {
-            status = publish_one(session, deadline, &one, offset);
+            status = publish_one(session, deadline, &comparison, offset);
         }
-        comparison_clear(&one);
+        comparison_clear(&comparison);
     }
     return status;
 }
@@ -198,16 +203,16 @@
 
 /* Counts the serving daemons and those that have reached the offset. */
 static void
-count_daemons(const json_t *daemons, uint64_t offset, size_t *all,
+count_daemons(const json_t *daemons, uint64_t offset, size_t *serving,
               size_t *up_to_date)
 {
-    *all = 0;
+    *serving = 0;
     *up_to_date = 0;
     size_t i;
     json_t *daemon;
     json_array_foreach (daemons, i, daemon) {
         if (is_serving(daemon)) {
-            (*all)++;
+            (*serving)++;
             *up_to_date += has_offset(daemon, offset) ? 1 : 0;
         }
     }
@@ -219,7 +224,7 @@
 {
     for (;;) {
         json_t *document;
-        size_t all = 0;
+        size_t serving = 0;
         size_t up_to_date = 0;
         enum st_status status = Am_Get(session, "/admin/v1/status", &document);
         if (status == ST_DENIED) {
@@ -232,14 +237,14 @@
             return CT_LAGGING;
         }
         json_t *daemons = json_object_get(document, "daemons");
-        count_daemons(daemons, offset, &all, &up_to_date);
+        count_daemons(daemons, offset, &serving, &up_to_date);
         int64_t now = Ck_Now(session->clock);
-        bool done = all > 0 && up_to_date == all;
+        bool done = serving > 0 && up_to_date == serving;
         bool expired = !done && now >= deadline;
         if (done) {
             printf("in force on all %zu daemons at offset %" PRIu64
                    " after %.1f s\n",
-                   all, offset, (double)(now - began) / Ck_USEC_PER_SEC);
+                   serving, offset, (double)(now - began) / Ck_USEC_PER_SEC);
         }
         else if (expired && status == ST_OK) {
             print_lagging(daemons, offset);
@@ -247,7 +252,7 @@
                     "cornelctl: in force on %zu of %zu daemons: see the "
                     "lagging ones' logs; they serve again once they caught "
                     "up; publish again to wait on\n",
-                    up_to_date, all);
+                    up_to_date, serving);
         }
         json_decref(document);
         if (done) {
@@ -256,7 +261,7 @@
         if (expired) {
             return status == ST_OK ? CT_LAGGING : Ct_Report(status);
         }
-        Am_Sleep(Ct_POLL_USEC);
+        Am_Sleep(Ct_POLL_INTERVAL_USEC);
     }
 }
 
--- a/apps/cornelctl/main.c
+++ b/apps/cornelctl/main.c
@@ -7,9 +7,9 @@
 #include "base/clock.h"
 #include "command.h"
 
-#define Ct_WAIT_SECONDS 15
+#define Ct_WAIT_DEFAULT_SEC 15
 
-enum key {
+enum option_key {
     KEY_ADMIN = 256,
     KEY_BACK,
     KEY_COUNT,
@@ -128,7 +128,7 @@
 }
 
 static error_t
-parse(int key, char *text, struct argp_state *state)
+parse_option(int key, char *text, struct argp_state *state)
 {
     struct command_line *line = state->input;
     switch (key) {
@@ -171,7 +171,7 @@
 
 static const struct argp argp = {
     .options = option_list,
-    .parser = parse,
+    .parser = parse_option,
     .args_doc = "COMMAND [FILE... | NAME]",
     .doc = description,
 };
@@ -209,7 +209,7 @@
         .options = {
             .key = getenv("CORNELGATE_ADMIN_KEY"),
             .admins = getenv("CORNELGATE_ADMIN"),
-            .wait_usec = Ct_WAIT_SECONDS * Ck_USEC_PER_SEC,
+            .wait_usec = Ct_WAIT_DEFAULT_SEC * Ck_USEC_PER_SEC,
         }};
     argp_err_exit_status = CT_USAGE;
     argp_parse(&argp, argc, argv, 0, NULL, &line);
--- a/apps/cornelgated/settings.c
+++ b/apps/cornelgated/settings.c
@@ -210,9 +210,9 @@
 
 /*
  * Reads the settings; flags override environment variables.  ST_INVALID: the
- * message names the setting and its valid values.  The cluster key is read
- * only from the environment, because other users of the host can see a
- * process's arguments but not its environment.
+ * message states what to give instead.  The cluster key is read only from the
+ * environment, because other users of the host can see a process's arguments
+ * but not its environment.
  */
 enum st_status
 Set_Read(int argc, char **argv, struct settings *settings)
