--- a/apps/cornelctl/command_file.c
+++ b/apps/cornelctl/command_file.c
@@ -12,7 +12,7 @@
 
 #include "base/hash.h"
 #include "command.h"
-#include "file.h"
+#include "documents.h"
 
 #define Ct_KEY_BYTES 24
 #define Ct_FILE_MAX 512
--- a/apps/cornelctl/command_publish.c
+++ b/apps/cornelctl/command_publish.c
@@ -9,7 +9,7 @@
 #include "admin.h"
 #include "changes.h"
 #include "config/patch.h"
-#include "file.h"
+#include "documents.h"
 
 #define Ct_POLL_INTERVAL_USEC (100 * Ck_USEC_PER_MSEC)
 
--- a/apps/cornelctl/file.h
+++ b/apps/cornelctl/documents.h
@@ -1,6 +1,6 @@
 /* Loads a questionnaire and generates its configuration documents. */
-#ifndef CORNELCTL_FILE_H
-#define CORNELCTL_FILE_H
+#ifndef CORNELCTL_DOCUMENTS_H
+#define CORNELCTL_DOCUMENTS_H
 
 #include "config/questionnaire.h"
 
