--- a/cmake/Package.cmake
+++ b/cmake/Package.cmake
@@ -1,5 +1,5 @@
-# Shared rules of the workspace: one static library per package, one test
-# program per test file.
+# Build rules shared by all directories: one static library per package, one
+# test program per test file.
 include(CheckCCompilerFlag)
 find_package(PkgConfig REQUIRED)
 if(NOT CG_PLATFORM_ONLY)
@@ -50,8 +50,8 @@
     add_link_options(-fsanitize=address,undefined)
 endif()
 
-# cg_package(NAME libs...): the package's *.c as a library, test/*.cc as one
-# test program each.
+# cg_package(NAME libs...): builds the package's *.c as the library cg_NAME and
+# each test/*.cc as a test program of its own.
 function(cg_package name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.c)
     if(sources)
@@ -71,7 +71,8 @@
     endforeach()
 endfunction()
 
-# cg_test(NAME SOURCE libs...): one GoogleTest program.
+# cg_test(NAME SOURCE libs...): builds one GoogleTest program and registers it
+# with CTest.
 function(cg_test name source)
     add_executable(${name} ${source})
     target_link_libraries(${name} ${ARGN} GTest::gtest GTest::gtest_main)
--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -11,21 +11,24 @@
 #include "platform/sse.h"
 #include "state/claim.h"
 
-#define Fz_EVENT_MAX 4096
+#define Fz_EVENT_MAX 4096 /* bytes */
 #define Fz_ENTRIES_MAX 64
 
 static void
-require(bool holds, const char *promise)
+require(bool condition, const char *invariant)
 {
-    if (!holds) {
-        fprintf(stderr, "broken promise: %s\n", promise);
+    if (!condition) {
+        fprintf(stderr, "invariant violated: %s\n", invariant);
         abort();
     }
 }
 
-/* The bytes as a NUL-terminated text; a reader beyond its end is found. */
+/*
+ * Copies the bytes to a NUL-terminated string of its own allocation, so that
+ * the address sanitizer detects a read beyond its end.
+ */
 static char *
-text_of(const uint8_t *data, size_t len)
+copy_text(const uint8_t *data, size_t len)
 {
     char *text = malloc(len + 1);
     require(text != NULL, "memory");
@@ -36,57 +39,59 @@
     return text;
 }
 
-struct events {
+struct event_digest {
     size_t count;
     uint64_t hash;
 };
 
 static void
-take_event(void *arg, const char *data, size_t len)
+count_event(void *arg, const char *data, size_t len)
 {
-    struct events *events = arg;
+    struct event_digest *events = arg;
     struct en_event event;
     events->count++;
     events->hash ^= Hash_Bytes(data, len, events->hash + events->count);
     if (En_ReadEvent(data, len, &event) != ST_OK) {
         return;
     }
-    require(event.kind != EN_TOKEN || event.text != NULL, "a token has text");
-    require(event.kind != EN_TOKEN || event.index >= 0, "an index is not < 0");
+    require(event.kind != EN_TOKEN || event.text != NULL,
+            "a token event has a text");
+    require(event.kind != EN_TOKEN || event.index >= 0,
+            "a token's index is not negative");
     if (event.kind == EN_TOKEN) {
         free(En_CallerEvent(&event, "request", "model"));
     }
     En_EventFree(&event);
 }
 
-static struct events
-feed(const uint8_t *data, size_t len, size_t piece)
+static struct event_digest
+parse_events(const uint8_t *data, size_t len, size_t piece_len)
 {
-    struct events events = {0};
+    struct event_digest events = {0};
     struct ss_parser *parser = Ss_Create(Fz_EVENT_MAX);
     require(parser != NULL, "memory");
     enum st_status status = ST_OK;
-    for (size_t at = 0; at < len && status == ST_OK; at += piece) {
-        size_t n = len - at < piece ? len - at : piece;
-        status = Ss_Feed(parser, data + at, n, take_event, &events);
+    for (size_t at = 0; at < len && status == ST_OK; at += piece_len) {
+        size_t n = len - at < piece_len ? len - at : piece_len;
+        status = Ss_Feed(parser, data + at, n, count_event, &events);
     }
     Ss_Destroy(parser);
     return events;
 }
 
-/* An engine's stream: the same events whatever pieces it comes in. */
+/* Checks that an engine's stream gives the same events however it is split. */
 static void
 run_events(const uint8_t *data, size_t len)
 {
-    struct events whole = feed(data, len, len > 0 ? len : 1);
-    struct events bytes = feed(data, len, 1);
-    struct events threes = feed(data, len, 3);
-    require(whole.count == bytes.count && whole.hash == bytes.hash &&
-                whole.count == threes.count && whole.hash == threes.hash,
-            "events do not depend on the pieces");
+    struct event_digest whole = parse_events(data, len, len > 0 ? len : 1);
+    struct event_digest by_one = parse_events(data, len, 1);
+    struct event_digest by_three = parse_events(data, len, 3);
+    require(whole.count == by_one.count && whole.hash == by_one.hash &&
+                whole.count == by_three.count && whole.hash == by_three.hash,
+            "the events do not depend on how the stream is split");
 }
 
-/* A caller's body, and what is built of it for an engine. */
+/* Parses a caller's body; builds the engine request and the answer from it. */
 static void
 run_prompt(const uint8_t *data, size_t len)
 {
@@ -96,7 +101,7 @@
         .text = "a b", .text_len = 3, .tokens = 2};
     for (size_t i = 0; i < sizeof(paths) / sizeof(paths[0]); i++) {
         struct en_prompt prompt;
-        char *text = text_of(data, len);
+        char *text = copy_text(data, len);
         if (En_ReadPrompt(paths[i], text, len, &prompt) == ST_OK) {
             require(prompt.max_tokens >= 0, "max_tokens is not negative");
             free(En_BuildRequest(&prompt, 1, &(struct en_resume){0}));
@@ -109,13 +114,13 @@
     }
 }
 
-/* Runs "each" on every line with its number as the offset. */
+/* Calls "each" for every line, with the line number as the offset. */
 static void
 each_line(const uint8_t *data, size_t len,
           void (*each)(void *arg, const char *line, uint64_t offset),
           void *arg)
 {
-    char *text = text_of(data, len);
+    char *text = copy_text(data, len);
     char *rest = text;
     char *line;
     uint64_t offset = 0;
@@ -140,7 +145,7 @@
 }
 
 static char *
-saved(const struct cl_table *table)
+dump_table(const struct cl_table *table)
 {
     json_t *list = Cl_Save(table);
     char *text = list != NULL ? json_dumps(list, JSON_COMPACT) : NULL;
@@ -148,7 +153,10 @@
     return text;
 }
 
-/* Records of a claim stream, a line each; two readers agree. */
+/*
+ * Reads records of a claim stream, one a line, and checks that two tables that
+ * apply the same records are equal.
+ */
 static void
 run_claims(const uint8_t *data, size_t len)
 {
@@ -158,10 +166,10 @@
     require(one != NULL && two != NULL, "memory");
     each_line(data, len, apply_claim, one);
     each_line(data, len, apply_claim, two);
-    char *first = saved(one);
-    char *second = saved(two);
+    char *first = dump_table(one);
+    char *second = dump_table(two);
     require(first != NULL && second != NULL && strcmp(first, second) == 0,
-            "the same records give the same table");
+            "the same records give equal tables");
     free(first);
     free(second);
     Cl_Destroy(one);
@@ -173,10 +181,13 @@
 {
     struct sc_state *state = arg;
     Sc_Apply(state, offset, line);
-    require(Sc_Offset(state) == offset, "the offset never stands still");
+    require(Sc_Offset(state) == offset, "every record advances the offset");
 }
 
-/* Records of the config stream, a line each; a snapshot restores them. */
+/*
+ * Reads records of the config stream, one a line, and checks that a snapshot
+ * restores the same state.
+ */
 static void
 run_sections(const uint8_t *data, size_t len)
 {
@@ -189,28 +200,28 @@
     require(Sc_Restore(copy, snapshot) == ST_OK, "a snapshot can be restored");
     char *again = Sc_Snapshot(copy);
     require(again != NULL && strcmp(snapshot, again) == 0,
-            "a restored state is the same");
+            "a restored state gives the same snapshot");
     free(snapshot);
     free(again);
     Sc_Destroy(state);
     Sc_Destroy(copy);
 }
 
-/* What another daemon asks or answers about claims. */
+/* Parses the bytes as a peer's claim request and as a peer's claim reply. */
 static void
 run_claims_wire(const uint8_t *data, size_t len)
 {
     struct cw_request ask;
     struct cw_reply answer;
-    char *text = text_of(data, len);
+    char *text = copy_text(data, len);
     if (Cw_ReadRequest(text, len, &ask) == ST_OK) {
-        require(ask.kind <= CW_RELEASE, "a known kind");
+        require(ask.kind <= CW_RELEASE, "the request kind is known");
         Cw_FreeRequest(&ask);
     }
     if (Cw_ReadReply(text, len, &answer) == ST_OK) {
         require(answer.answer.verdict != KP_DONE ||
                     answer.answer.answer != NULL,
-                "a kept answer is there");
+                "a stored answer is not NULL");
         Cw_FreeReply(&answer);
     }
     free(text);
@@ -224,7 +235,7 @@
 
 const size_t Fz_Count = sizeof(Fz_Entries) / sizeof(Fz_Entries[0]);
 
-/* NULL when there is no such entry. */
+/* Returns NULL when there is no such entry. */
 const struct fz_entry *
 Fz_Find(const char *name)
 {
--- a/fuzz/entries.h
+++ b/fuzz/entries.h
@@ -1,7 +1,8 @@
 /*
- * Entry points for mutated input, one for each reader of bytes that others
- * send.  Each takes any bytes and aborts when a promise of its reader does
- * not hold; used by libFuzzer and by the test of the committed corpus.
+ * Fuzz entry points, one for each parser of bytes that callers, engines, peers
+ * or streams send.  Each accepts any bytes and aborts when an invariant of its
+ * parser is violated.  libFuzzer and the test of the committed corpus run
+ * them.
  */
 #ifndef FUZZ_ENTRIES_H
 #define FUZZ_ENTRIES_H
@@ -16,7 +17,7 @@
 typedef void (*fz_entry_fn)(const uint8_t *data, size_t len);
 
 struct fz_entry {
-    const char *name; /* also of its folder in fuzz/corpus */
+    const char *name; /* also the name of its directory in fuzz/corpus */
     fz_entry_fn run;
 };
 
--- a/fuzz/target.c
+++ b/fuzz/target.c
@@ -1,4 +1,4 @@
-/* One entry point as a libFuzzer program; Fz_TARGET names it. */
+/* Runs the fuzz entry point named by Fz_TARGET as a libFuzzer program. */
 #include "fuzz/entries.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t len);
--- a/fuzz/test/entries_test.cc
+++ b/fuzz/test/entries_test.cc
@@ -1,5 +1,6 @@
-// Every entry point over the committed corpus and over mutations of it, in
-// a fixed order: what a fuzzer found once stays found without one.
+// Runs every fuzz entry point on the committed corpus and on mutations of it,
+// in a fixed order, so that a fault once found by a fuzzer is tested for
+// without the fuzzer.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 
 namespace {
 
-const int kRounds = 3000;
+const int kMutations = 3000;
 
 std::vector<std::string>
 Corpus(const std::string &entry)
@@ -85,7 +86,7 @@
         }
         struct rn_random random;
         Rn_Seed(&random, 7 + i);
-        for (int round = 0; round < kRounds; round++) {
+        for (int round = 0; round < kMutations; round++) {
             Feed(entry, Mutate(&random, corpus));
         }
     }
