--- a/tools/config_bench.c
+++ b/tools/config_bench.c
@@ -1,7 +1,7 @@
 /*
- * Measures the sections of the configuration at several sizes: bytes of a
- * change beside those of whole sections, time and memory of a change, of a
- * day's changes and of a snapshot.  docs/design/configuration.md has its
+ * Measures configuration sections at several sizes: the bytes of a change and
+ * of complete sections, and the time and memory of a change, of a day's
+ * changes and of a snapshot.  docs/design/configuration.md contains its
  * output.
  */
 #include <inttypes.h>
@@ -28,7 +28,7 @@
     {1, 5, 2}, {2, 10, 4}, {10, 130, 25}, {30, 400, 75}, {60, 800, 150}};
 
 static char body[BODY_BYTES];
-static char text[BODY_BYTES];
+static char record[BODY_BYTES];
 
 static void
 fail(const char *where)
@@ -38,7 +38,7 @@
 }
 
 static void
-digest_of(const char *kind, int n, char out[Hash_DIGEST_HEX])
+hash_name(const char *kind, int n, char out[Hash_DIGEST_HEX])
 {
     char name[NAME_BYTES];
     snprintf(name, sizeof(name), "%s-%d", kind, n);
@@ -58,7 +58,7 @@
     }
     at += (size_t)snprintf(body + at, BODY_BYTES - at, "},\"teams\":{");
     for (int i = 0; i < size->teams; i++) {
-        digest_of("team", i, digest);
+        hash_name("team", i, digest);
         at += (size_t)snprintf(
             body + at, BODY_BYTES - at,
             "%s\"team-%d\":{\"key_digest\":\"%s\",\"role\":\"%s\"}",
@@ -68,10 +68,10 @@
 }
 
 static size_t
-put_customer(size_t at, int n, const char *comma)
+write_customer(size_t at, int n, const char *comma)
 {
     char digest[Hash_DIGEST_HEX];
-    digest_of("customer", n, digest);
+    hash_name("customer", n, digest);
     return at + (size_t)snprintf(
                     body + at, BODY_BYTES - at,
                     "%s\"customer-%d\":{\"key_digest\":\"%s\",\"weight\":1.25,"
@@ -81,7 +81,7 @@
 }
 
 static size_t
-put_service(size_t at, int n, const char *comma)
+write_service(size_t at, int n, const char *comma)
 {
     return at +
            (size_t)snprintf(
@@ -96,20 +96,23 @@
                comma, n);
 }
 
-/* Customers and services whose number is the team's, modulo the teams. */
+/*
+ * Writes the customers and services whose number, modulo the number of teams,
+ * is that of the team.
+ */
 static size_t
 team_body(const struct size *size, int team)
 {
     size_t at = (size_t)snprintf(body, BODY_BYTES, "{\"customers\":{");
     const char *comma = "";
     for (int i = team; i < size->customers; i += size->teams) {
-        at = put_customer(at, i, comma);
+        at = write_customer(at, i, comma);
         comma = ",";
     }
     at += (size_t)snprintf(body + at, BODY_BYTES - at, "},\"services\":{");
     comma = "";
     for (int i = team; i < size->services; i += size->teams) {
-        at = put_service(at, i, comma);
+        at = write_service(at, i, comma);
         comma = ",";
     }
     return at + (size_t)snprintf(body + at, BODY_BYTES - at, "}}");
@@ -121,18 +124,21 @@
 {
     uint64_t offset = Sc_Offset(state) + 1;
     int len = snprintf(
-        text, sizeof(text),
+        record, sizeof(record),
         "{\"kind\":\"%s\",\"section\":\"%s\",\"base\":%" PRIu64
         ",\"author\":\"%s\",\"id\":\"%032" PRIx64 "\",\"body\":%s}",
         kind, section, Sc_SectionOffset(state, section), author, offset, body);
-    if (Sc_Apply(state, offset, text) != ST_OK ||
+    if (Sc_Apply(state, offset, record) != ST_OK ||
         Sc_VerdictAt(state, offset)->status != ST_OK) {
         fail(section);
     }
     return (size_t)len;
 }
 
-/* A day's changes: weights, shares and limits of one entry each. */
+/*
+ * Applies a day's changes, each of the weight of one customer or the first
+ * share of one service's move.
+ */
 static size_t
 apply_day(struct sc_state *state, const struct size *size)
 {
@@ -175,7 +181,10 @@
     return bytes;
 }
 
-/* Time of building everything from documents, as a start does. */
+/*
+ * Returns the microseconds of building the configuration from all sections, as
+ * a daemon does at its start.
+ */
 static int64_t
 time_build(const struct sc_state *state)
 {
@@ -191,11 +200,11 @@
         sections[i].json = one.body;
     }
     struct cf_config *config = NULL;
-    int64_t began = Ck_Now(Ck_System());
+    int64_t started_at = Ck_Now(Ck_System());
     if (Cf_Build(sections, count, 1, &config) != ST_OK) {
         fail("build");
     }
-    int64_t took = Ck_Now(Ck_System()) - began;
+    int64_t took = Ck_Now(Ck_System()) - started_at;
     Cf_Destroy(config);
     free(sections);
     return took;
@@ -205,37 +214,38 @@
 measure(const struct size *size)
 {
     struct sc_state *state;
-    struct sc_state *other;
+    struct sc_state *restored;
     struct mallinfo2 before = mallinfo2();
     if (Sc_Create(&state) != ST_OK) {
         fail("create");
     }
-    size_t whole = publish_all(state, size);
-    size_t memory = mallinfo2().uordblks - before.uordblks;
-    int64_t build = time_build(state);
-    int64_t began = Ck_Now(Ck_System());
-    size_t day = apply_day(state, size);
-    int64_t took = Ck_Now(Ck_System()) - began;
-    size_t after = mallinfo2().uordblks - before.uordblks;
+    size_t section_bytes = publish_all(state, size);
+    size_t memory_bytes = mallinfo2().uordblks - before.uordblks;
+    int64_t build_usec = time_build(state);
+    int64_t started_at = Ck_Now(Ck_System());
+    size_t change_bytes = apply_day(state, size);
+    int64_t changes_usec = Ck_Now(Ck_System()) - started_at;
+    size_t memory_after_changes = mallinfo2().uordblks - before.uordblks;
     char *snapshot = Sc_Snapshot(state);
-    if (snapshot == NULL || Sc_Create(&other) != ST_OK) {
+    if (snapshot == NULL || Sc_Create(&restored) != ST_OK) {
         fail("snapshot");
         return;
     }
-    began = Ck_Now(Ck_System());
-    if (Sc_Restore(other, snapshot) != ST_OK) {
+    started_at = Ck_Now(Ck_System());
+    if (Sc_Restore(restored, snapshot) != ST_OK) {
         fail("restore");
     }
-    int64_t restore = Ck_Now(Ck_System()) - began;
+    int64_t restore_usec = Ck_Now(Ck_System()) - started_at;
     printf("| %d | %d | %d | %zu | %zu | %zu | %.1f | %" PRId64
            " | %.2f | %zu | %zu | %" PRId64 " |\n",
-           size->teams, size->customers, size->services, whole,
-           whole / (size_t)(size->teams + 1), day / CHANGES_A_DAY,
-           (double)took / CHANGES_A_DAY, build, (double)took / 1000000,
-           memory / 1024, after / 1024, restore);
+           size->teams, size->customers, size->services, section_bytes,
+           section_bytes / (size_t)(size->teams + 1),
+           change_bytes / CHANGES_A_DAY, (double)changes_usec / CHANGES_A_DAY,
+           build_usec, (double)changes_usec / 1000000, memory_bytes / 1024,
+           memory_after_changes / 1024, restore_usec);
     free(snapshot);
     Sc_Destroy(state);
-    Sc_Destroy(other);
+    Sc_Destroy(restored);
 }
 
 int
--- a/tools/load.c
+++ b/tools/load.c
@@ -1,6 +1,7 @@
 /*
- * Gives load to callers' ports: arrivals follow their own clock, however
- * slow the answers are.  Prints one JSON object.
+ * An open-loop load generator for callers' ports: requests are sent at the
+ * arrival times of a Poisson process, however slow the answers are.  Prints
+ * the report as one JSON object.
  */
 #include <argp.h>
 #include <bsd/string.h>
@@ -60,14 +61,14 @@
     struct load *load;
     enum ld_class class_index;
     struct lp_timer *timer;
-    int64_t next;
+    int64_t next_at;
 };
 
 struct load {
     struct ld_load shared;
     struct arrivals arrivals[LD_CLASSES];
     struct lp_timer *end_timer;
-    int64_t started;
+    int64_t started_at;
     bool ending;
 };
 
@@ -138,10 +139,10 @@
 {
     switch (key) {
     case KEY_REPEAT_MS:
-        plan->repeat_usec = to_usec(text, Ck_USEC_PER_MSEC);
+        plan->retry_delay_usec = to_usec(text, Ck_USEC_PER_MSEC);
         break;
     case KEY_SECONDS:
-        plan->load_usec = to_usec(text, Ck_USEC_PER_SEC);
+        plan->duration_usec = to_usec(text, Ck_USEC_PER_SEC);
         break;
     case KEY_GRACE_SECONDS:
         plan->grace_usec = to_usec(text, Ck_USEC_PER_SEC);
@@ -177,7 +178,7 @@
         plan->stream_share = strtod(text, NULL);
         break;
     case KEY_REPEAT_SHARE:
-        plan->repeat_share = strtod(text, NULL);
+        plan->retry_share = strtod(text, NULL);
         break;
     case ARGP_KEY_END:
         if (plan->target_count == 0 || plan->prefixes < 1 ||
@@ -198,16 +199,16 @@
     .doc = "Gives load to callers' ports and reports what came of it.",
 };
 
-/* Time to the next arrival of a Poisson process. */
+/* Returns the microseconds to the next arrival of a Poisson process. */
 static int64_t
-gap(struct ld_load *load, enum ld_class class_index)
+next_interval(struct ld_load *load, enum ld_class class_index)
 {
     double wait = -log(1 - Rn_Unit(&load->random));
     return (int64_t)(wait * Ck_USEC_PER_SEC / load->plan.rates[class_index]);
 }
 
 static void
-arrive(void *arg)
+send_due(void *arg)
 {
     struct arrivals *arrivals = arg;
     struct load *load = arrivals->load;
@@ -216,8 +217,8 @@
     if (load->ending) {
         return;
     }
-    while (arrivals->next <= now) {
-        int64_t late = now - arrivals->next;
+    while (arrivals->next_at <= now) {
+        int64_t late = now - arrivals->next_at;
         if (late > shared->stats.most_late_usec) {
             shared->stats.most_late_usec = late;
         }
@@ -227,9 +228,9 @@
         else {
             Ld_SendCompletion(shared, arrivals->class_index);
         }
-        arrivals->next += gap(shared, arrivals->class_index);
+        arrivals->next_at += next_interval(shared, arrivals->class_index);
     }
-    Lp_TimerSet(arrivals->timer, arrivals->next - now);
+    Lp_TimerSet(arrivals->timer, arrivals->next_at - now);
 }
 
 static void
@@ -237,12 +238,15 @@
 {
     struct load *load = (struct load *)shared;
     if (load->ending && shared->open_count == 0 &&
-        shared->waiting_repeats == 0) {
+        shared->pending_retries == 0) {
         Lp_Stop(shared->loop);
     }
 }
 
-/* Ends the load; fires a second time at the end of the grace. */
+/*
+ * Stops sending requests, and fires a second time at the end of the grace time
+ * to stop the run.
+ */
 static void
 end_fired(void *arg)
 {
@@ -252,7 +256,7 @@
         return;
     }
     load->ending = true;
-    load->shared.stats.loaded_usec = Ck_Now(Ck_System()) - load->started;
+    load->shared.stats.loaded_usec = Ck_Now(Ck_System()) - load->started_at;
     Lp_TimerSet(load->end_timer, load->shared.plan.grace_usec);
     stop_when_idle(&load->shared);
 }
@@ -264,18 +268,18 @@
     Ld_StatsInit(&shared->stats);
     Rn_Seed(&shared->random, shared->plan.seed);
     LIST_INIT(&shared->open);
-    shared->idle = stop_when_idle;
-    load->started = Ck_Now(Ck_System());
+    shared->call_ended = stop_when_idle;
+    load->started_at = Ck_Now(Ck_System());
     load->end_timer = Lp_TimerCreate(shared->loop, end_fired, load);
-    Lp_TimerSet(load->end_timer, shared->plan.load_usec);
+    Lp_TimerSet(load->end_timer, shared->plan.duration_usec);
     for (int i = 0; i < LD_CLASSES; i++) {
         struct arrivals *arrivals = &load->arrivals[i];
         arrivals->load = load;
         arrivals->class_index = (enum ld_class)i;
-        arrivals->timer = Lp_TimerCreate(shared->loop, arrive, arrivals);
+        arrivals->timer = Lp_TimerCreate(shared->loop, send_due, arrivals);
         if (shared->plan.rates[i] > 0) {
-            int64_t wait = gap(shared, arrivals->class_index);
-            arrivals->next = load->started + wait;
+            int64_t wait = next_interval(shared, arrivals->class_index);
+            arrivals->next_at = load->started_at + wait;
             Lp_TimerSet(arrivals->timer, wait);
         }
     }
@@ -284,7 +288,7 @@
 static void
 load_close(struct load *load)
 {
-    Ld_GiveUp(&load->shared);
+    Ld_CancelAll(&load->shared);
     Lp_TimerDestroy(load->end_timer);
     for (int i = 0; i < LD_CLASSES; i++) {
         Lp_TimerDestroy(load->arrivals[i].timer);
@@ -304,9 +308,9 @@
         .shared.plan =
             {
                 .stream_share = 0.8,
-                .repeat_share = 0.2,
-                .repeat_usec = 50 * Ck_USEC_PER_MSEC,
-                .load_usec = 10 * Ck_USEC_PER_SEC,
+                .retry_share = 0.2,
+                .retry_delay_usec = 50 * Ck_USEC_PER_MSEC,
+                .duration_usec = 10 * Ck_USEC_PER_SEC,
                 .grace_usec = 30 * Ck_USEC_PER_SEC,
                 .seed = 1,
                 .prefixes = 16,
--- a/tools/load_call.c
+++ b/tools/load_call.c
@@ -11,18 +11,18 @@
 
 #define HEADERS_MAX 4
 #define KEY_MAX 64
-#define WORD_BYTES 8
+#define PROMPT_WORD_BYTES 8 /* printed by "%03u-%03d " */
 
-/* A charge that is sent once or twice; freed with its last call. */
+/* A charge that is sent once or twice; freed when its last call ends. */
 struct ld_charge {
     struct ld_load *load;
     struct lp_timer *timer;
     char key[KEY_MAX];
     char body[KEY_MAX];
     int target;
-    int calls;    /* open or still to be sent */
-    char *answer; /* of the first of its calls that was answered */
-    bool repeated;
+    int open_calls;     /* open or still to be sent */
+    char *first_answer; /* of the call that was answered first */
+    bool retried;
     bool refused;
 };
 
@@ -35,18 +35,18 @@
     bool stream;
     char *prompt;
     uint64_t hash;
-    int next; /* index of the next token of a stream */
+    int next_index; /* expected index of the next token of a stream */
     int64_t started;
     int64_t last_token;
-    char *line; /* of a stream, not yet whole */
+    char *line; /* received bytes of a stream's incomplete line */
     size_t line_len;
-    char *body; /* not streamed, or a refusal */
+    char *body; /* of an answer that is not a stream, or of a refusal */
     size_t body_len;
-    bool said_not_run;
-    bool said_unknown;
-    bool wrong;
-    bool done;
-    bool failed; /* an error event came */
+    bool outcome_not_run;
+    bool outcome_unknown;
+    bool mismatch;
+    bool done;        /* "[DONE]" received */
+    bool error_event; /* an error event received */
     int code;
 };
 
@@ -62,7 +62,7 @@
 }
 
 static void
-grow(char **text, size_t *len, const char *data, size_t more)
+append(char **text, size_t *len, const char *data, size_t more)
 {
     char *grown = realloc(*text, *len + more + 1);
     if (grown == NULL) {
@@ -75,7 +75,7 @@
 }
 
 static void
-take_token(struct ld_call *call, const json_t *event)
+check_token(struct ld_call *call, const json_t *event)
 {
     struct ld_class_stats *stats =
         &call->load->stats.classes[call->class_index];
@@ -84,23 +84,24 @@
     const char *text = json_string_value(json_object_get(choice, "text"));
     json_int_t index = json_integer_value(json_object_get(event, "index"));
     char expected[An_TOKEN_SIZE];
-    An_Token(call->hash, call->next, expected);
-    if (text == NULL || index != call->next || strcmp(text, expected) != 0) {
-        call->wrong = true;
+    An_Token(call->hash, call->next_index, expected);
+    if (text == NULL || index != call->next_index ||
+        strcmp(text, expected) != 0) {
+        call->mismatch = true;
         return;
     }
     int64_t now = Ck_Now(Ck_System());
-    bool first = call->next == 0;
-    Ld_Sample(&stats->latencies[first ? LD_FIRST : LD_BETWEEN],
-              now - (first ? call->started : call->last_token));
+    bool first = call->next_index == 0;
+    Ld_AddSample(&stats->latencies[first ? LD_FIRST : LD_BETWEEN],
+                 now - (first ? call->started : call->last_token));
     call->last_token = now;
-    call->next++;
+    call->next_index++;
     call->load->stats.tokens++;
     call->load->stats.bytes_compared += (int64_t)strlen(text);
 }
 
 static void
-take_event(struct ld_call *call, const char *data)
+handle_event(struct ld_call *call, const char *data)
 {
     if (strcmp(data, "[DONE]") == 0) {
         call->done = true;
@@ -108,19 +109,19 @@
     }
     json_t *event = json_loads(data, 0, NULL);
     if (event == NULL) {
-        call->wrong = true;
+        call->mismatch = true;
     }
     else if (json_object_get(event, "error") != NULL) {
-        call->failed = true;
+        call->error_event = true;
     }
     else if (json_array_size(json_object_get(event, "choices")) > 0) {
-        take_token(call, event);
+        check_token(call, event);
     }
     json_decref(event);
 }
 
 static void
-take_lines(struct ld_call *call)
+parse_lines(struct ld_call *call)
 {
     static const char mark[] = "data: ";
     char *at = call->line;
@@ -130,7 +131,7 @@
         NULL) {
         *end = '\0';
         if (strncmp(at, mark, strlen(mark)) == 0) {
-            take_event(call, at + strlen(mark));
+            handle_event(call, at + strlen(mark));
         }
         at = end + 1;
     }
@@ -145,8 +146,8 @@
     call->code = code;
     const char *outcome = Hc_Header(http, "cornelgate-outcome");
     if (outcome != NULL) {
-        call->said_not_run = strcmp(outcome, "not-run") == 0;
-        call->said_unknown = strcmp(outcome, "unknown") == 0;
+        call->outcome_not_run = strcmp(outcome, "not-run") == 0;
+        call->outcome_unknown = strcmp(outcome, "unknown") == 0;
     }
 }
 
@@ -156,22 +157,22 @@
     (void)http;
     struct ld_call *call = arg;
     if (call->stream && call->code == 200) {
-        grow(&call->line, &call->line_len, data, len);
-        take_lines(call);
+        append(&call->line, &call->line_len, data, len);
+        parse_lines(call);
     }
     else {
-        grow(&call->body, &call->body_len, data, len);
+        append(&call->body, &call->body_len, data, len);
     }
 }
 
-/* Compares a whole completion with the expected one. */
+/* Compares a complete completion with the expected one. */
 static bool
-whole_as_expected(struct ld_call *call)
+completion_matches(struct ld_call *call)
 {
     size_t len = strlen(call->prompt);
     int tokens = An_Tokens(call->prompt, len, 0);
     if (call->stream) {
-        return !call->wrong && call->next == tokens;
+        return !call->mismatch && call->next_index == tokens;
     }
     json_t *body = call->body != NULL ? json_loads(call->body, 0, NULL) : NULL;
     const json_t *choice = json_array_get(json_object_get(body, "choices"), 0);
@@ -188,9 +189,9 @@
     return same;
 }
 
-/* A charge's answer names its key and the digest of its body. */
+/* Checks that a charge's answer has its key and the digest of its body. */
 static bool
-charge_as_expected(struct ld_call *call)
+charge_matches(struct ld_call *call)
 {
     char digest[Hash_DIGEST_HEX];
     const struct ld_charge *charge = call->charge;
@@ -208,26 +209,26 @@
 }
 
 static enum ld_outcome
-judge(struct ld_call *call, const struct hc_result *result)
+classify_outcome(struct ld_call *call, const struct hc_result *result)
 {
     if (result->code == 0) {
         return LD_NO_ANSWER;
     }
-    if (call->said_not_run) {
+    if (call->outcome_not_run) {
         return LD_NOT_RUN;
     }
-    if (call->said_unknown) {
+    if (call->outcome_unknown) {
         return LD_UNKNOWN;
     }
     if (result->code != 200) {
         return LD_FAILED;
     }
-    if (result->status != ST_OK || call->failed ||
+    if (result->status != ST_OK || call->error_event ||
         (call->stream && !call->done)) {
         return LD_CUT;
     }
-    bool same = call->charge != NULL ? charge_as_expected(call)
-                                     : whole_as_expected(call);
+    bool same =
+        call->charge != NULL ? charge_matches(call) : completion_matches(call);
     return same ? LD_ANSWERED : LD_WRONG;
 }
 
@@ -250,18 +251,18 @@
 static void
 charge_release(struct ld_charge *charge)
 {
-    if (--charge->calls > 0) {
+    if (--charge->open_calls > 0) {
         return;
     }
-    if (charge->repeated && charge->refused) {
-        charge->load->stats.repeats.refused++;
+    if (charge->retried && charge->refused) {
+        charge->load->stats.retries.refused++;
     }
     Lp_TimerDestroy(charge->timer);
-    free(charge->answer);
+    free(charge->first_answer);
     free(charge);
 }
 
-/* Two answers under one key must be the same, byte by byte. */
+/* Compares the two answers of a charge, which must be the same bytes. */
 static void
 charge_ended(struct ld_call *call, enum ld_outcome outcome)
 {
@@ -269,14 +270,14 @@
     if (outcome != LD_ANSWERED) {
         charge->refused = true;
     }
-    else if (charge->answer == NULL) {
-        charge->answer = strdup(call->body);
+    else if (charge->first_answer == NULL) {
+        charge->first_answer = strdup(call->body);
     }
-    else if (strcmp(charge->answer, call->body) == 0) {
-        call->load->stats.repeats.same++;
+    else if (strcmp(charge->first_answer, call->body) == 0) {
+        call->load->stats.retries.same++;
     }
     else {
-        call->load->stats.repeats.differ++;
+        call->load->stats.retries.differ++;
     }
     charge_release(charge);
 }
@@ -288,8 +289,8 @@
         &call->load->stats.classes[call->class_index];
     stats->outcomes[outcome]++;
     if (outcome == LD_ANSWERED) {
-        Ld_Sample(&stats->latencies[LD_WHOLE],
-                  Ck_Now(Ck_System()) - call->started);
+        Ld_AddSample(&stats->latencies[LD_WHOLE],
+                     Ck_Now(Ck_System()) - call->started);
     }
     if (call->charge != NULL) {
         charge_ended(call, outcome);
@@ -304,8 +305,8 @@
     struct ld_call *call = arg;
     struct ld_load *load = call->load;
     count_code(call, result->code);
-    call_end(call, judge(call, result));
-    load->idle(load);
+    call_end(call, classify_outcome(call, result));
+    load->call_ended(load);
 }
 
 static const struct hc_ops call_ops = {
@@ -349,8 +350,8 @@
 }
 
 static void
-start(struct ld_call *call, const struct ld_target *target,
-      struct hc_request *request)
+start_call(struct ld_call *call, const struct ld_target *target,
+           struct hc_request *request)
 {
     request->address = target->address;
     request->port = target->port;
@@ -363,7 +364,10 @@
     }
 }
 
-/* A prompt: a shared beginning, a number, and how long its answer is. */
+/*
+ * Makes a prompt of a shared prefix, a number that makes the prompt unique,
+ * and the number of tokens of its answer.
+ */
 static char *
 make_prompt(struct ld_load *load)
 {
@@ -378,7 +382,7 @@
     if (out == NULL) {
         abort();
     }
-    for (int i = 0; i < plan->prefix_bytes / WORD_BYTES; i++) {
+    for (int i = 0; i < plan->prefix_bytes / PROMPT_WORD_BYTES; i++) {
         fprintf(out, "%03u-%03d ", prefix % 1000, i % 1000);
     }
     fprintf(out, "question %lld-%llu tokens=%d", (long long)load->sent,
@@ -398,7 +402,7 @@
     return text;
 }
 
-/* Sends one completion to a target picked at random. */
+/* Sends one completion to a random target. */
 void
 Ld_SendCompletion(struct ld_load *load, enum ld_class class_index)
 {
@@ -428,7 +432,7 @@
         .body = body,
     };
     uint32_t target = Rn_Below(&load->random, (uint32_t)plan->target_count);
-    start(call, &plan->targets[target], &request);
+    start_call(call, &plan->targets[target], &request);
     free(body);
 }
 
@@ -449,22 +453,23 @@
         .header_count = count,
         .body = charge->body,
     };
-    start(call, &load->plan.targets[charge->target], &request);
+    start_call(call, &load->plan.targets[charge->target], &request);
 }
 
-/* Repeats a charge at another daemon, as a caller that lost patience. */
+/* Retries a charge at another daemon, as a caller does that waited too long.
+ */
 static void
-repeat_fired(void *arg)
+retry_fired(void *arg)
 {
     struct ld_charge *charge = arg;
     struct ld_load *load = charge->load;
     charge->target = (charge->target + 1) % load->plan.target_count;
-    load->waiting_repeats--;
-    load->stats.repeats.sent++;
+    load->pending_retries--;
+    load->stats.retries.sent++;
     charge_send(charge);
 }
 
-/* Sends one keyed charge, and for a share of them the same again. */
+/* Sends one charge; retries it with the probability retry_share. */
 void
 Ld_SendCharge(struct ld_load *load)
 {
@@ -475,27 +480,27 @@
     }
     load->sent++;
     charge->load = load;
-    charge->calls = 1;
+    charge->open_calls = 1;
     charge->target =
         (int)Rn_Below(&load->random, (uint32_t)plan->target_count);
     snprintf(charge->key, sizeof(charge->key), "load-%llu-%lld",
              (unsigned long long)plan->seed, (long long)load->sent);
     snprintf(charge->body, sizeof(charge->body), "{\"seat\":%lld}",
              (long long)load->sent);
-    charge->timer = Lp_TimerCreate(load->loop, repeat_fired, charge);
-    if (Rn_Unit(&load->random) < plan->repeat_share) {
-        charge->repeated = true;
-        charge->calls++;
-        load->waiting_repeats++;
+    charge->timer = Lp_TimerCreate(load->loop, retry_fired, charge);
+    if (Rn_Unit(&load->random) < plan->retry_share) {
+        charge->retried = true;
+        charge->open_calls++;
+        load->pending_retries++;
         Lp_TimerSet(charge->timer, (int64_t)(Rn_Unit(&load->random) *
-                                             (double)plan->repeat_usec));
+                                             (double)plan->retry_delay_usec));
     }
     charge_send(charge);
 }
 
-/* Counts every call that is still open as unfinished. */
+/* Cancels every open call and counts it as unfinished. */
 void
-Ld_GiveUp(struct ld_load *load)
+Ld_CancelAll(struct ld_load *load)
 {
     struct ld_call *call;
     struct ld_call *next;
--- a/tools/load_plan.h
+++ b/tools/load_plan.h
@@ -1,4 +1,4 @@
-/* What load to give, and where. */
+/* The settings of a load run: rates, targets and the content of requests. */
 #ifndef TOOLS_LOAD_PLAN_H
 #define TOOLS_LOAD_PLAN_H
 
@@ -23,17 +23,17 @@
 struct ld_plan {
     struct ld_target targets[Ld_TARGETS_MAX];
     int target_count;
-    const char *keys[Ld_KEYS_MAX]; /* customers' keys, used in turn */
+    const char *keys[Ld_KEYS_MAX]; /* customers' keys, used round robin */
     int key_count;
     double rates[LD_CLASSES]; /* requests a second */
-    double stream_share;      /* of the completions */
-    double repeat_share;      /* of the charges */
-    int64_t repeat_usec;      /* longest wait before a repeat */
-    int64_t load_usec;        /* how long load is given */
-    int64_t grace_usec;       /* how long answers are waited for */
-    int64_t deadline_msec;    /* sent with completions; 0: none */
+    double stream_share;      /* of the completions, 0 to 1 */
+    double retry_share;       /* of the charges, 0 to 1 */
+    int64_t retry_delay_usec; /* longest wait before a retry */
+    int64_t duration_usec;    /* requests are sent for this time */
+    int64_t grace_usec;       /* longest wait for answers after that */
+    int64_t deadline_msec;    /* sent with completions; 0: not sent */
     uint64_t seed;
-    int prefixes; /* shared beginnings of prompts */
+    int prefixes; /* number of different shared prompt prefixes */
     int prefix_bytes;
     int tokens_min;
     int tokens_max;
--- a/tools/load_stats.c
+++ b/tools/load_stats.c
@@ -14,14 +14,16 @@
 
 static const char *const latency_names[] = {"whole", "first", "between"};
 
-/* The name of a class in the report; the charge class is no header value. */
+/*
+ * Returns the name of a class in the report.  Those of the urgent and patient
+ * classes are also values of the cornelgate-class header.
+ */
 const char *
 Ld_ClassName(enum ld_class index)
 {
     return class_names[index];
 }
 
-/* Starts with nothing counted. */
 void
 Ld_StatsInit(struct ld_stats *stats)
 {
@@ -30,7 +32,6 @@
     stats->errors = json_object();
 }
 
-/* Frees the samples. */
 void
 Ld_StatsFree(struct ld_stats *stats)
 {
@@ -43,14 +44,14 @@
     json_decref(stats->errors);
 }
 
-/* Adds one duration. */
 void
-Ld_Sample(struct ld_samples *samples, int64_t usec)
+Ld_AddSample(struct ld_samples *samples, int64_t usec)
 {
-    if (samples->count == samples->size) {
-        samples->size = samples->size == 0 ? 1024 : samples->size * 2;
+    if (samples->count == samples->capacity) {
+        samples->capacity =
+            samples->capacity == 0 ? 1024 : samples->capacity * 2;
         samples->usec =
-            realloc(samples->usec, samples->size * sizeof(int64_t));
+            realloc(samples->usec, samples->capacity * sizeof(int64_t));
         if (samples->usec == NULL) {
             abort();
         }
@@ -58,7 +59,7 @@
     samples->usec[samples->count++] = usec;
 }
 
-/* Counts one more under a name. */
+/* Adds 1 to the counter of the name. */
 void
 Ld_Count(json_t *counts, const char *name)
 {
@@ -67,7 +68,7 @@
 }
 
 static int
-compare(const void *a, const void *b)
+compare_usec(const void *a, const void *b)
 {
     int64_t x = *(const int64_t *)a;
     int64_t y = *(const int64_t *)b;
@@ -75,16 +76,16 @@
 }
 
 static json_t *
-msec(int64_t usec)
+msec_json(int64_t usec)
 {
     return json_real((double)usec / Ck_USEC_PER_MSEC);
 }
 
 static json_t *
-quantile(const struct ld_samples *samples, double share)
+quantile(const struct ld_samples *samples, double fraction)
 {
-    size_t at = (size_t)(share * (double)(samples->count - 1) + 0.5);
-    return msec(samples->usec[at]);
+    size_t at = (size_t)(fraction * (double)(samples->count - 1) + 0.5);
+    return msec_json(samples->usec[at]);
 }
 
 static json_t *
@@ -94,7 +95,7 @@
     if (samples->count == 0) {
         return out;
     }
-    qsort(samples->usec, samples->count, sizeof(int64_t), compare);
+    qsort(samples->usec, samples->count, sizeof(int64_t), compare_usec);
     json_object_set_new(out, "p50", quantile(samples, 0.50));
     json_object_set_new(out, "p90", quantile(samples, 0.90));
     json_object_set_new(out, "p95", quantile(samples, 0.95));
@@ -121,7 +122,7 @@
 }
 
 static json_t *
-repeats_report(const struct ld_repeats *repeats)
+retries_report(const struct ld_retries *repeats)
 {
     return json_pack("{s:I, s:I, s:I, s:I}", "sent", (json_int_t)repeats->sent,
                      "same", (json_int_t)repeats->same, "differ",
@@ -129,7 +130,7 @@
                      (json_int_t)repeats->refused);
 }
 
-/* The report; sorts the samples. */
+/* Builds the report; sorts the samples in place. */
 json_t *
 Ld_Report(struct ld_stats *stats)
 {
@@ -142,10 +143,10 @@
     double per_sec = seconds > 0 ? (double)stats->tokens / seconds : 0;
     return json_pack("{s:f, s:o, s:o, s:O, s:O, s:I, s:f, s:I, s:I, s:o}",
                      "seconds", seconds, "classes", classes, "repeats",
-                     repeats_report(&stats->repeats), "codes", stats->codes,
+                     retries_report(&stats->retries), "codes", stats->codes,
                      "errors", stats->errors, "tokens",
                      (json_int_t)stats->tokens, "tokens_per_s", per_sec,
                      "bytes_compared", (json_int_t)stats->bytes_compared,
                      "most_open", (json_int_t)stats->most_open, "most_late_ms",
-                     msec(stats->most_late_usec));
+                     msec_json(stats->most_late_usec));
 }
--- a/tools/policy_bench.c
+++ b/tools/policy_bench.c
@@ -1,7 +1,7 @@
 /*
- * Measures the decisions of packages/policy on seeded models; the tables of
- * docs/design are its output.  "policy_bench choice" runs one part, without
- * an argument it runs all.
+ * Measures the decisions of packages/policy on seeded simulations; the tables
+ * of docs/design are its output.  "policy_bench choice" runs one benchmark;
+ * without an argument all benchmarks run.
  */
 #include <math.h>
 #include <stdio.h>
@@ -81,71 +81,72 @@
     double finished;
     double moved;
     double resumed;
-    double cut; /* by the reclaim, then resumed from the text so far */
+    double cut; /* at the spot endpoint's end; resumed from the text so far */
     double recomputed;
-    double gap; /* ms, of those that had one */
+    double gap_usec; /* sum over the moved and resumed streams */
 };
 
-enum way { BY_DECISION, LEAVE_ALL, RESUME_ALL, MOVE_ALL, WAYS };
+enum strategy { BY_DECISION, LEAVE_ALL, RESUME_ALL, MOVE_ALL, STRATEGIES };
 
-static const char *const way_names[WAYS] = {"decided", "left where they are",
-                                            "all resumed", "all moved"};
+static const char *const strategy_names[STRATEGIES] = {
+    "decided", "left where they are", "all resumed", "all moved"};
 
 static void
-run_stream(enum way way, const struct sm_target *target,
+run_stream(enum strategy strategy, const struct sm_target *target,
            struct sm_stream stream, int tokens_left, struct rn_random *random,
            struct stream_result *sum)
 {
     struct sm_settings settings;
     struct sm_decision decision;
     int64_t now = 0;
-    int64_t gone = stream.time_left;
+    int64_t reclaimed_at = stream.time_left;
     int expected = stream.tokens_expected;
-    int first = tokens_left;
+    int tokens_total = tokens_left;
     Sm_Defaults(&settings);
     for (;;) {
-        stream.time_left = gone - now;
+        stream.time_left = reclaimed_at - now;
         Sm_Decide(&settings, &stream, target, random, &decision);
-        if (way == LEAVE_ALL) {
-            decision = (struct sm_decision){.act_after = gone};
+        if (strategy == LEAVE_ALL) {
+            decision = (struct sm_decision){.act_after = reclaimed_at};
         }
-        else if (way == RESUME_ALL) {
+        else if (strategy == RESUME_ALL) {
             decision.plan = SM_RESUME;
             decision.act_after = 0;
         }
-        else if (way == MOVE_ALL) {
+        else if (strategy == MOVE_ALL) {
             decision.plan = SM_MOVE;
             decision.act_after = 0;
         }
         int64_t until = now + decision.act_after;
-        until = until < gone ? until : gone;
-        int done = (int)((until - now) / stream.token_usec) + 1;
-        done = done < tokens_left ? done : tokens_left;
-        stream.tokens_given += done;
-        tokens_left -= done;
+        until = until < reclaimed_at ? until : reclaimed_at;
+        int tokens_now = (int)((until - now) / stream.token_usec) + 1;
+        tokens_now = tokens_now < tokens_left ? tokens_now : tokens_left;
+        stream.tokens_given += tokens_now;
+        tokens_left -= tokens_now;
         now = until;
         if (tokens_left == 0) {
             sum->finished++;
             return;
         }
-        int already = first - tokens_left;
-        stream.tokens_expected = expected > already ? expected - already : 50;
-        if (now >= gone || decision.plan != SM_FINISH) {
+        int tokens_done = tokens_total - tokens_left;
+        stream.tokens_expected =
+            expected > tokens_done ? expected - tokens_done : 50;
+        if (now >= reclaimed_at || decision.plan != SM_FINISH) {
             break;
         }
     }
     int context = stream.prompt_tokens + stream.tokens_given;
     int64_t move = target->move_usec + target->move_per_token * context;
-    bool can_move = decision.plan == SM_MOVE && now + move <= gone;
+    bool can_move = decision.plan == SM_MOVE && now + move <= reclaimed_at;
     if (can_move) {
         sum->moved++;
-        sum->gap += (double)move;
+        sum->gap_usec += (double)move;
         return;
     }
-    sum->cut += now >= gone || decision.plan == SM_MOVE;
+    sum->cut += now >= reclaimed_at || decision.plan == SM_MOVE;
     sum->resumed++;
     sum->recomputed += context;
-    sum->gap += (double)(target->prefill_per_token * context);
+    sum->gap_usec += (double)(target->prefill_per_token * context);
 }
 
 static void
@@ -160,7 +161,7 @@
            "| --- | --- | --- | --- | --- | --- | --- | --- |\n",
            STREAMS);
     for (size_t n = 0; n < sizeof(notices) / sizeof(notices[0]); n++) {
-        for (int way = 0; way < WAYS; way++) {
+        for (int strategy = 0; strategy < STRATEGIES; strategy++) {
             struct stream_result sum = {0};
             struct rn_random random;
             Rn_Seed(&random, 1);
@@ -173,16 +174,17 @@
                 uint64_t seed = (uint64_t)i;
                 struct rn_random own;
                 Rn_Seed(&own, seed);
-                run_stream((enum way)way, &target, stream, left, &own, &sum);
+                run_stream((enum strategy)strategy, &target, stream, left,
+                           &own, &sum);
             }
             double gaps = sum.moved + sum.resumed;
             printf("| %lld | %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f "
                    "|\n",
-                   (long long)(notices[n] / 1000000), way_names[way],
+                   (long long)(notices[n] / 1000000), strategy_names[strategy],
                    sum.finished * 100 / STREAMS, sum.moved * 100 / STREAMS,
                    sum.resumed * 100 / STREAMS, sum.cut * 100 / STREAMS,
                    sum.recomputed / STREAMS,
-                   gaps > 0 ? sum.gap / gaps / 1e3 : 0);
+                   gaps > 0 ? sum.gap_usec / gaps / 1e3 : 0);
         }
     }
     printf("\n");
@@ -210,8 +212,8 @@
 bench_move(enum move_fault fault, double per_sec, int seeds, bool without_trip)
 {
     double *delays = calloc((size_t)seeds, sizeof(*delays));
-    double *hurt = calloc((size_t)seeds, sizeof(*hurt));
-    int back = 0;
+    double *failures = calloc((size_t)seeds, sizeof(*failures));
+    int rolled_back = 0;
     int tripped = 0;
     double share = 0;
     for (int seed = 0; seed < seeds; seed++) {
@@ -225,38 +227,39 @@
         };
         struct move_outcome out;
         Move_Run(&model, &out);
-        back += out.move.phase == MV_ROLLED_BACK;
+        rolled_back += out.move.phase == MV_ROLLED_BACK;
         tripped += out.tripped;
         delays[seed] = (double)(out.ended_at - out.fault_at) / 1e6;
-        hurt[seed] = (double)out.new_failures;
+        failures[seed] = (double)out.new_failures;
         share += out.share_at_end / seeds;
     }
     qsort(delays, (size_t)seeds, sizeof(*delays), compare_double);
-    qsort(hurt, (size_t)seeds, sizeof(*hurt), compare_double);
+    qsort(failures, (size_t)seeds, sizeof(*failures), compare_double);
     printf("| %s | %g | %s | %d | %.1f%% | %.1f%% | %.0f | %.0f | %.0f | "
            "%.0f | %.0f%% |\n",
            fault_names[fault], per_sec, without_trip ? "no" : "yes", seeds,
-           100.0 * back / seeds, 100.0 * tripped / seeds, delays[seeds / 2],
-           delays[seeds * 95 / 100], hurt[seeds / 2], hurt[seeds * 95 / 100],
-           share * 100);
+           100.0 * rolled_back / seeds, 100.0 * tripped / seeds,
+           delays[seeds / 2], delays[seeds * 95 / 100], failures[seeds / 2],
+           failures[seeds * 95 / 100], share * 100);
     free(delays);
-    free(hurt);
+    free(failures);
 }
 
 static void
 bench_outages(void)
 {
-    const double bads[] = {1, 0.8, 0.4, 0.2};
+    const double failure_rates[] = {1, 0.8, 0.4, 0.2};
     const double shares[] = {0.02, 0.5, 0.95};
     printf("| outage of both: failing | share of the new version | trips of "
            "one router in 1,000 runs of 2 outages |\n| --- | --- | --- |\n");
-    for (size_t b = 0; b < sizeof(bads) / sizeof(bads[0]); b++) {
+    for (size_t b = 0; b < sizeof(failure_rates) / sizeof(failure_rates[0]);
+         b++) {
         for (size_t s = 0; s < sizeof(shares) / sizeof(shares[0]); s++) {
             int trips = 0;
             for (uint64_t seed = 1; seed <= 1000; seed++) {
-                trips += Outage_Run(seed, bads[b], shares[s]);
+                trips += Outage_Run(seed, failure_rates[b], shares[s]);
             }
-            printf("| %.0f%% | %.0f%% | %d |\n", bads[b] * 100,
+            printf("| %.0f%% | %.0f%% | %d |\n", failure_rates[b] * 100,
                    shares[s] * 100, trips);
         }
     }
@@ -268,7 +271,7 @@
 static void
 bench_trip(const char *what, const struct trip_model *base)
 {
-    double hurt[TRIP_SEEDS];
+    double failures[TRIP_SEEDS];
     int trips = 0;
     for (int seed = 0; seed < TRIP_SEEDS; seed++) {
         struct trip_model model = *base;
@@ -276,12 +279,12 @@
         model.seed = (uint64_t)seed + 1;
         Trip_Run(&model, &out);
         trips += out.tripped;
-        hurt[seed] = out.new_failures;
+        failures[seed] = out.new_failures;
     }
-    qsort(hurt, TRIP_SEEDS, sizeof(*hurt), compare_double);
+    qsort(failures, TRIP_SEEDS, sizeof(*failures), compare_double);
     printf("| %s | %.0f%% | %d | %.0f | %.0f | %.0f |\n", what,
-           base->share * 100, trips, hurt[TRIP_SEEDS / 2],
-           hurt[TRIP_SEEDS * 95 / 100], hurt[TRIP_SEEDS - 1]);
+           base->share * 100, trips, failures[TRIP_SEEDS / 2],
+           failures[TRIP_SEEDS * 95 / 100], failures[TRIP_SEEDS - 1]);
 }
 
 static void
@@ -369,9 +372,9 @@
 }
 
 static void
-print_cost(const char *what, double began, int times)
+print_cost(const char *what, double started_at, int times)
 {
-    printf("| %s | %.2f |\n", what, (seconds() - began) * 1e6 / times);
+    printf("| %s | %.2f |\n", what, (seconds() - started_at) * 1e6 / times);
 }
 
 static void
@@ -390,7 +393,7 @@
         Ch_Report(table, info.id, &sample);
     }
     const int times = 20000;
-    double began = seconds();
+    double started_at = seconds();
     for (int i = 0; i < times; i++) {
         struct ch_request request = {.prefix = (uint64_t)i % 97 + 1};
         struct ch_flight flight;
@@ -404,7 +407,7 @@
     char what[80];
     snprintf(what, sizeof(what), "a request's choice among %d endpoints",
              endpoints);
-    print_cost(what, began, times);
+    print_cost(what, started_at, times);
     Ch_Destroy(table);
 }
 
@@ -423,7 +426,7 @@
         Am_ReceiveDemands(limits, name, &demand, 1, 1000000);
     }
     const int times = 200;
-    double began = seconds();
+    double started_at = seconds();
     for (int i = 0; i < times; i++) {
         struct am_share share;
         struct am_demand out[1];
@@ -437,7 +440,7 @@
     snprintf(what, sizeof(what),
              "all shares anew, %d daemons, %d customers (each %lld ms)", peers,
              customers, (long long)Am_PublishInterval(limits) / 1000);
-    print_cost(what, began, times);
+    print_cost(what, started_at, times);
     Am_Destroy(limits);
 }
 
@@ -450,7 +453,7 @@
     const int length = 1000;
     const int rounds = 20;
     struct qu_item *items = calloc((size_t)length, sizeof(*items));
-    double began = seconds();
+    double started_at = seconds();
     for (int round = 0; round < rounds; round++) {
         for (int i = 0; i < length; i++) {
             struct qu_refusal refusal;
@@ -462,8 +465,8 @@
         while (Qu_Pop(queue, 2000) != NULL) {
         }
     }
-    print_cost("an item through a queue of up to 1000, 20 customers", began,
-               length * rounds);
+    print_cost("an item through a queue of up to 1000, 20 customers",
+               started_at, length * rounds);
     Qu_Destroy(queue);
     free(items);
 }
@@ -481,7 +484,7 @@
         cells[i].first_token[MV_NEW][20] = 1;
     }
     const int times = 100;
-    double began = seconds();
+    double started_at = seconds();
     for (int i = 1; i <= times; i++) {
         for (int r = 0; r < routers; r++) {
             char id[16];
@@ -493,7 +496,7 @@
     char what[80];
     snprintf(what, sizeof(what),
              "a block of evidence, %d routers, 8 cells (each 10 s)", routers);
-    print_cost(what, began, times);
+    print_cost(what, started_at, times);
     Mv_EvidenceDestroy(evidence);
 }
 
@@ -519,12 +522,12 @@
     printf("| a move | %zu |\n\n", sizeof(struct mv_move));
 }
 
-struct part {
+struct benchmark {
     const char *name;
     void (*run)(void);
 };
 
-static const struct part parts[] = {
+static const struct benchmark benchmarks[] = {
     {"choice", bench_choice}, {"streams", bench_streams},
     {"moves", bench_moves},   {"outages", bench_outages},
     {"trips", bench_trips},   {"hosts", bench_hosts},
@@ -535,14 +538,14 @@
 main(int argc, char **argv)
 {
     int ran = 0;
-    for (size_t i = 0; i < sizeof(parts) / sizeof(parts[0]); i++) {
-        if (argc < 2 || strcmp(argv[1], parts[i].name) == 0) {
-            parts[i].run();
+    for (size_t i = 0; i < sizeof(benchmarks) / sizeof(benchmarks[0]); i++) {
+        if (argc < 2 || strcmp(argv[1], benchmarks[i].name) == 0) {
+            benchmarks[i].run();
             ran++;
         }
     }
     if (ran == 0) {
-        fprintf(stderr, "policy_bench: no part named %s\n", argv[1]);
+        fprintf(stderr, "policy_bench: no benchmark named %s\n", argv[1]);
         return 1;
     }
     return 0;
