--- a/tools/config_bench.c
+++ b/tools/config_bench.c
@@ -204,10 +204,10 @@
     if (Cf_Build(sections, count, 1, &config) != ST_OK) {
         fail("build");
     }
-    int64_t took = Ck_Now(Ck_System()) - started_at;
+    int64_t elapsed_usec = Ck_Now(Ck_System()) - started_at;
     Cf_Destroy(config);
     free(sections);
-    return took;
+    return elapsed_usec;
 }
 
 static void
--- a/tools/member_bench.c
+++ b/tools/member_bench.c
@@ -1,7 +1,7 @@
 /*
- * What membership and load gossip cost a daemon.  Runs nodes with real
- * sockets on loopback in one process and prints one line per run; with --fit
- * reads such lines and prints the straight-line fit over them.
+ * Measures the cost of membership and load gossip for a daemon.  Runs nodes
+ * with real sockets on loopback in one process and prints one line per run;
+ * with --fit reads such lines and prints a linear least-squares fit over them.
  */
 #include <argp.h>
 #include <math.h>
@@ -15,13 +15,13 @@
 #include "member/node.h"
 #include "web/loop.h"
 
-#define UDP_IP_BYTES 28
-#define PUBLISH_USEC (20 * Ck_USEC_PER_MSEC)
+#define UDP_IP_BYTES 28 /* of the UDP and IPv4 headers */
+#define PUBLISH_INTERVAL_USEC (20 * Ck_USEC_PER_MSEC)
 #define LOAD_TTL_USEC (30 * Ck_USEC_PER_SEC)
-#define LOAD_REPEAT_USEC (10 * Ck_USEC_PER_SEC)
+#define LOAD_REPUBLISH_USEC (10 * Ck_USEC_PER_SEC)
 #define LOAD_BYTES 12
 #define JOIN_LIMIT_USEC (120 * Ck_USEC_PER_SEC)
-#define TERMS 4 /* constant, daemons, endpoints, changes */
+#define FIT_TERMS 4 /* constant, daemons, endpoints, changes */
 #define LINES_MAX 256
 
 struct settings {
@@ -30,7 +30,7 @@
     int endpoints;
     double changes; /* a second, over all data centres */
     int seconds;
-    int warm; /* seconds before measuring */
+    int warm_sec; /* seconds between the join and the measurement */
     bool fit;
 };
 
@@ -59,7 +59,7 @@
     enum phase phase;
     int64_t phase_usec;
     int64_t last_usec;
-    double due; /* changes not yet published */
+    double due_changes; /* not yet published */
     int next_endpoint;
     int64_t *published_usec; /* by endpoint */
     double published;
@@ -96,18 +96,18 @@
     struct totals totals = {0};
     struct rusage usage;
     for (int i = 0; i < bench->settings.nodes; i++) {
-        const struct nd_counters *seen = Nd_Counters(bench->nodes[i]);
+        const struct nd_counters *counters = Nd_Counters(bench->nodes[i]);
         const struct lk_counters *links =
             Lk_Counters(Nd_Links(bench->nodes[i]));
-        totals.udp_out += (double)seen->bytes_out;
-        totals.udp_out += (double)seen->datagrams_out * UDP_IP_BYTES;
-        totals.udp_in += (double)seen->bytes_in;
-        totals.udp_in += (double)seen->datagrams_in * UDP_IP_BYTES;
-        totals.datagrams += (double)seen->datagrams_out;
+        totals.udp_out += (double)counters->bytes_out;
+        totals.udp_out += (double)counters->datagrams_out * UDP_IP_BYTES;
+        totals.udp_in += (double)counters->bytes_in;
+        totals.udp_in += (double)counters->datagrams_in * UDP_IP_BYTES;
+        totals.datagrams += (double)counters->datagrams_out;
         totals.tcp += (double)links->bytes_out;
-        totals.facts_in += (double)seen->facts_in;
-        totals.facts_news += (double)seen->facts_news;
-        totals.syncs += (double)seen->syncs;
+        totals.facts_in += (double)counters->facts_in;
+        totals.facts_news += (double)counters->facts_news;
+        totals.syncs += (double)counters->syncs;
     }
     getrusage(RUSAGE_SELF, &usage);
     totals.cpu_usec =
@@ -116,9 +116,9 @@
     return totals;
 }
 
-/* The node that watches an endpoint: one of the endpoint's data centre. */
+/* Returns the node that publishes the endpoint, in the same data centre. */
 static struct nd_node *
-watcher_of(const struct bench *bench, int endpoint)
+publisher_of(const struct bench *bench, int endpoint)
 {
     const struct settings *settings = &bench->settings;
     int data_centre = endpoint % settings->data_centres;
@@ -142,7 +142,7 @@
         .value = load,
         .len = sizeof(load),
     };
-    if (Nd_Publish(watcher_of(bench, endpoint), &post) == ST_OK) {
+    if (Nd_Publish(publisher_of(bench, endpoint), &post) == ST_OK) {
         bench->published++;
     }
     bench->published_usec[endpoint] = now_usec();
@@ -155,13 +155,14 @@
     if (bench->phase == JOINING || endpoints == 0) {
         return;
     }
-    bench->due += bench->settings.changes * (double)(now - bench->last_usec) /
-                  (double)Ck_USEC_PER_SEC;
-    for (; bench->due >= 1; bench->due--) {
+    bench->due_changes += bench->settings.changes *
+                          (double)(now - bench->last_usec) /
+                          (double)Ck_USEC_PER_SEC;
+    for (; bench->due_changes >= 1; bench->due_changes--) {
         publish(bench, bench->next_endpoint++ % endpoints);
     }
     for (int i = 0; i < endpoints; i++) {
-        if (now - bench->published_usec[i] > LOAD_REPEAT_USEC) {
+        if (now - bench->published_usec[i] > LOAD_REPUBLISH_USEC) {
             publish(bench, i);
         }
     }
@@ -188,23 +189,23 @@
     double nodes = settings->nodes;
     double seconds =
         (double)(now - bench->phase_usec) / (double)Ck_USEC_PER_SEC;
-    double each = 1 / nodes / seconds;
-    double places = settings->data_centres;
+    double per_node_sec = 1 / nodes / seconds;
+    double centres = settings->data_centres;
     double published = bench->published - bench->published_before;
-    double hearers = nodes / places - 1;
+    double receivers = nodes / centres - 1;
     long memory = rss_bytes() - bench->rss_before;
     printf("%d %d %.1f %.1f ", settings->nodes, settings->data_centres,
-           settings->endpoints / places, published / places / seconds);
-    printf("%.0f %.0f %.0f ", (after.udp_out - before->udp_out) * each,
-           (after.udp_in - before->udp_in) * each,
-           (after.tcp - before->tcp) * each);
-    printf("%.2f %.4f ", (after.datagrams - before->datagrams) * each,
-           (after.cpu_usec - before->cpu_usec) * each / 1e4);
+           settings->endpoints / centres, published / centres / seconds);
+    printf("%.0f %.0f %.0f ", (after.udp_out - before->udp_out) * per_node_sec,
+           (after.udp_in - before->udp_in) * per_node_sec,
+           (after.tcp - before->tcp) * per_node_sec);
+    printf("%.2f %.4f ", (after.datagrams - before->datagrams) * per_node_sec,
+           (after.cpu_usec - before->cpu_usec) * per_node_sec / 1e4);
     printf("%.0f ", (double)memory / nodes / 1024);
     printf("%.3f %.2f %.2f\n",
-           published > 0
-               ? (after.facts_news - before->facts_news) / published / hearers
-               : 0,
+           published > 0 ? (after.facts_news - before->facts_news) /
+                               published / receivers
+                         : 0,
            after.facts_news > before->facts_news
                ? (after.facts_in - before->facts_in) /
                      (after.facts_news - before->facts_news)
@@ -213,7 +214,7 @@
 }
 
 static void
-next_phase(struct bench *bench, enum phase phase, int64_t now)
+enter_phase(struct bench *bench, enum phase phase, int64_t now)
 {
     bench->phase = phase;
     bench->phase_usec = now;
@@ -226,25 +227,25 @@
 {
     struct bench *bench = arg;
     int64_t now = now_usec();
-    int64_t spent = now - bench->phase_usec;
-    int64_t wanted = bench->settings.seconds * Ck_USEC_PER_SEC;
-    Lp_TimerSet(bench->timer, PUBLISH_USEC);
+    int64_t elapsed_usec = now - bench->phase_usec;
+    int64_t measure_usec = bench->settings.seconds * Ck_USEC_PER_SEC;
+    Lp_TimerSet(bench->timer, PUBLISH_INTERVAL_USEC);
     publish_due(bench, now);
     bench->last_usec = now;
     if (bench->phase == JOINING && all_joined(bench)) {
-        fprintf(stderr, "joined after %.1f s\n", (double)spent / 1e6);
-        next_phase(bench, WARMING, now);
+        fprintf(stderr, "joined after %.1f s\n", (double)elapsed_usec / 1e6);
+        enter_phase(bench, WARMING, now);
     }
-    else if (bench->phase == JOINING && spent > JOIN_LIMIT_USEC) {
+    else if (bench->phase == JOINING && elapsed_usec > JOIN_LIMIT_USEC) {
         fprintf(stderr, "the nodes did not join in time\n");
         bench->failed = true;
         Lp_Stop(bench->loop);
     }
     else if (bench->phase == WARMING &&
-             spent > bench->settings.warm * Ck_USEC_PER_SEC) {
-        next_phase(bench, MEASURING, now);
+             elapsed_usec > bench->settings.warm_sec * Ck_USEC_PER_SEC) {
+        enter_phase(bench, MEASURING, now);
     }
-    else if (bench->phase == MEASURING && spent > wanted) {
+    else if (bench->phase == MEASURING && elapsed_usec > measure_usec) {
         report(bench, now);
         Lp_Stop(bench->loop);
     }
@@ -255,15 +256,15 @@
 {
     char id[Mb_ID_MAX];
     char data_centre[Mb_NAME_MAX];
-    int place = i % bench->settings.data_centres;
+    int centre = i % bench->settings.data_centres;
     snprintf(id, sizeof(id), "entry-%03d", i);
-    snprintf(data_centre, sizeof(data_centre), "dc-%d", place);
+    snprintf(data_centre, sizeof(data_centre), "dc-%d", centre);
     struct nd_options options = {
         .id = id,
         .address = "127.0.0.1",
         .admin_port = 9000,
         .data_centre = data_centre,
-        .region = place % 2 == 0 ? "north" : "south",
+        .region = centre % 2 == 0 ? "north" : "south",
         .cluster_key = "bench",
         .clock = Ck_System(),
         .seed = (uint64_t)i + 1,
@@ -306,7 +307,7 @@
 {
     struct bench bench = {.settings = *settings};
     if (start(&bench) == ST_OK) {
-        Lp_TimerSet(bench.timer, PUBLISH_USEC);
+        Lp_TimerSet(bench.timer, PUBLISH_INTERVAL_USEC);
         Lp_Run(bench.loop);
     }
     else {
@@ -323,9 +324,9 @@
     return bench.failed ? 1 : 0;
 }
 
-/* One line of results as the fit sees it. */
+/* One line of results, as variables of the fit. */
 struct sample {
-    double x[TERMS];
+    double x[FIT_TERMS];
     double y[5]; /* bytes out, in, datagrams, processor share, memory */
 };
 
@@ -356,27 +357,30 @@
     return count;
 }
 
-/* Inverts a symmetric positive matrix by elimination; false if singular. */
+/*
+ * Inverts a symmetric positive definite matrix by elimination; returns false
+ * if the matrix is singular.
+ */
 static bool
-invert(double m[TERMS][TERMS], double out[TERMS][TERMS])
+invert(double m[FIT_TERMS][FIT_TERMS], double out[FIT_TERMS][FIT_TERMS])
 {
-    for (int i = 0; i < TERMS; i++) {
-        for (int j = 0; j < TERMS; j++) {
+    for (int i = 0; i < FIT_TERMS; i++) {
+        for (int j = 0; j < FIT_TERMS; j++) {
             out[i][j] = i == j;
         }
     }
-    for (int p = 0; p < TERMS; p++) {
+    for (int p = 0; p < FIT_TERMS; p++) {
         double pivot = m[p][p];
         if (fabs(pivot) < 1e-9) {
             return false;
         }
-        for (int j = 0; j < TERMS; j++) {
+        for (int j = 0; j < FIT_TERMS; j++) {
             m[p][j] /= pivot;
             out[p][j] /= pivot;
         }
-        for (int i = 0; i < TERMS; i++) {
+        for (int i = 0; i < FIT_TERMS; i++) {
             double factor = i == p ? 0 : m[i][p];
-            for (int j = 0; j < TERMS; j++) {
+            for (int j = 0; j < FIT_TERMS; j++) {
                 m[i][j] -= factor * m[p][j];
                 out[i][j] -= factor * out[p][j];
             }
@@ -386,44 +390,44 @@
 }
 
 static void
-fit_one(const struct sample *samples, size_t count, int which,
-        const char *name)
+fit_variable(const struct sample *samples, size_t count, int which,
+             const char *name)
 {
-    static const char *const terms[TERMS] = {"constant", "per daemon",
-                                             "per endpoint of the centre",
-                                             "per change/s of the centre"};
-    double m[TERMS][TERMS] = {{0}};
-    double v[TERMS] = {0};
-    double inverse[TERMS][TERMS];
-    double b[TERMS] = {0};
+    static const char *const terms[FIT_TERMS] = {"constant", "per daemon",
+                                                 "per endpoint of the centre",
+                                                 "per change/s of the centre"};
+    double m[FIT_TERMS][FIT_TERMS] = {{0}};
+    double v[FIT_TERMS] = {0};
+    double inverse[FIT_TERMS][FIT_TERMS];
+    double b[FIT_TERMS] = {0};
     double squares = 0;
     for (size_t s = 0; s < count; s++) {
-        for (int i = 0; i < TERMS; i++) {
+        for (int i = 0; i < FIT_TERMS; i++) {
             v[i] += samples[s].x[i] * samples[s].y[which];
-            for (int j = 0; j < TERMS; j++) {
+            for (int j = 0; j < FIT_TERMS; j++) {
                 m[i][j] += samples[s].x[i] * samples[s].x[j];
             }
         }
     }
-    if (count <= TERMS || !invert(m, inverse)) {
+    if (count <= FIT_TERMS || !invert(m, inverse)) {
         printf("%s: too few runs for a fit\n", name);
         return;
     }
-    for (int i = 0; i < TERMS; i++) {
-        for (int j = 0; j < TERMS; j++) {
+    for (int i = 0; i < FIT_TERMS; i++) {
+        for (int j = 0; j < FIT_TERMS; j++) {
             b[i] += inverse[i][j] * v[j];
         }
     }
     for (size_t s = 0; s < count; s++) {
-        double rest = samples[s].y[which];
-        for (int i = 0; i < TERMS; i++) {
-            rest -= b[i] * samples[s].x[i];
+        double residual = samples[s].y[which];
+        for (int i = 0; i < FIT_TERMS; i++) {
+            residual -= b[i] * samples[s].x[i];
         }
-        squares += rest * rest;
+        squares += residual * residual;
     }
-    double variance = squares / (double)(count - TERMS);
+    double variance = squares / (double)(count - FIT_TERMS);
     printf("%s (residual %.3g)\n", name, sqrt(variance));
-    for (int i = 0; i < TERMS; i++) {
+    for (int i = 0; i < FIT_TERMS; i++) {
         printf("    %-28s %10.4g +- %.2g\n", terms[i], b[i],
                sqrt(variance * inverse[i][i]));
     }
@@ -438,7 +442,7 @@
     struct sample samples[LINES_MAX];
     size_t count = read_samples(samples, LINES_MAX);
     for (int i = 0; i < 5; i++) {
-        fit_one(samples, count, i, names[i]);
+        fit_variable(samples, count, i, names[i]);
     }
     return 0;
 }
@@ -475,7 +479,7 @@
         settings->seconds = (int)strtol(text, NULL, 10);
         return 0;
     case 'w':
-        settings->warm = (int)strtol(text, NULL, 10);
+        settings->warm_sec = (int)strtol(text, NULL, 10);
         return 0;
     case 'f':
         settings->fit = true;
@@ -496,7 +500,7 @@
         "of memory, share of changes that datagrams brought, copies of each, "
         "exchanges of state.";
     struct settings settings = {
-        .nodes = 7, .data_centres = 1, .seconds = 30, .warm = 20};
+        .nodes = 7, .data_centres = 1, .seconds = 30, .warm_sec = 20};
     const struct argp argp = {options, parse, NULL, doc, NULL, NULL, NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &settings);
     if (settings.nodes < 1 || settings.data_centres < 1 ||
