--- a/tools/load_call.c
+++ b/tools/load_call.c
@@ -456,8 +456,7 @@
     start_call(call, &load->plan.targets[charge->target], &request);
 }
 
-/* Retries a charge at another daemon, as a caller does that waited too long.
- */
+/* Retries a charge at another daemon, as a caller does after a time-out. */
 static void
 retry_fired(void *arg)
 {
--- a/tools/load_stats.c
+++ b/tools/load_stats.c
@@ -122,12 +122,12 @@
 }
 
 static json_t *
-retries_report(const struct ld_retries *repeats)
+retries_report(const struct ld_retries *retries)
 {
-    return json_pack("{s:I, s:I, s:I, s:I}", "sent", (json_int_t)repeats->sent,
-                     "same", (json_int_t)repeats->same, "differ",
-                     (json_int_t)repeats->differ, "refused",
-                     (json_int_t)repeats->refused);
+    return json_pack("{s:I, s:I, s:I, s:I}", "sent", (json_int_t)retries->sent,
+                     "same", (json_int_t)retries->same, "differ",
+                     (json_int_t)retries->differ, "refused",
+                     (json_int_t)retries->refused);
 }
 
 /* Builds the report; sorts the samples in place. */
--- a/tools/load_stats.h
+++ b/tools/load_stats.h
@@ -52,9 +52,8 @@
     struct ld_retries retries;
     int64_t tokens;
     int64_t bytes_compared;
-    int64_t most_open; /* requests at the same time */
-    int64_t
-        most_late_usec; /* longest delay of a request behind its schedule */
+    int64_t most_open;      /* requests at the same time */
+    int64_t most_late_usec; /* longest delay of a request behind schedule */
     int64_t loaded_usec;
     json_t *codes;  /* answers by HTTP status */
     json_t *errors; /* answers other than 200, by error type */
