--- a/apps/cornelctl/command_explain.c
+++ b/apps/cornelctl/command_explain.c
@@ -1,13 +1,13 @@
-/* The command that needs only logs: explain. */
+/* The command that reads logs and contacts no daemon: explain. */
 #include <stdio.h>
 
 #include "command.h"
 #include "loss/loss.h"
 
 static bool
-write_timeline(const void *what, FILE *out)
+write_timeline(const void *data, FILE *out)
 {
-    return Ls_PrintSvg(what, out);
+    return Ls_PrintSvg(data, out);
 }
 
 static enum st_status
@@ -30,7 +30,7 @@
                                                "logs at once")
                        : ST_OK;
     for (size_t i = 0; i < options->file_count && status == ST_OK; i++) {
-        status = Ls_File(losses, options->files[i]);
+        status = Ls_AddFile(losses, options->files[i]);
     }
     if (status == ST_OK) {
         Ls_Finish(losses);
--- a/apps/cornelctl/file.h
+++ b/apps/cornelctl/documents.h
@@ -1,6 +1,6 @@
-/* The documents made from a questionnaire, for the commands that take one. */
-#ifndef CORNELCTL_FILE_H
-#define CORNELCTL_FILE_H
+/* Loads a questionnaire and generates its configuration documents. */
+#ifndef CORNELCTL_DOCUMENTS_H
+#define CORNELCTL_DOCUMENTS_H
 
 #include "config/questionnaire.h"
 
--- a/packages/edge/admit.c
+++ b/packages/edge/admit.c
@@ -1,4 +1,4 @@
-/* Admission: whether a request is served at all, and for whom. */
+/* Admission: finds a request's route, tenant and service, or refuses it. */
 #include <stdio.h>
 #include <string.h>
 
@@ -6,11 +6,11 @@
 #include "edge/quarantine.h"
 
 /*
- * What a caller is told to wait when the daemon itself is not ready: about
- * as long as it takes to read configuration and endpoints.
+ * Retry-after while this host is not ready: about the time to read the
+ * configuration and the endpoints.
  */
 #define Ad_STARTING_USEC (500 * Ck_USEC_PER_MSEC)
-/* Another host takes the request at once. */
+/* Retry-after while this host stops: another host takes the request. */
 #define Ad_LEAVING_USEC (20 * Ck_USEC_PER_MSEC)
 
 struct refusal {
@@ -19,40 +19,40 @@
     const char *why;
 };
 
-/* Refuses a request, as far as it is known whose and for what it is. */
+/* Refuses and logs a request; "found" holds what admission found so far. */
 static void
 refuse(struct ga_gate *gate, struct sv_request *request,
-       const struct xc_admitted *known, const struct refusal *refusal)
+       const struct xc_admitted *found, const struct refusal *refusal)
 {
     const struct ec_config *config = Fe_Config(gate->feed);
-    const char *tenant = known->tenant == NULL ? "" : known->tenant->name;
-    struct qt_use use = Qt_Use(gate->quota, tenant);
+    const char *tenant = found->tenant == NULL ? "" : found->tenant->name;
+    struct qt_usage use = Qt_Usage(gate->quota, tenant);
     Mt_Add(gate->count.refused, 1);
     Ln_Log(LN_FAILURE, "request.refused",
            "\"id\":\"%s\",\"status\":%d,\"why\":\"%s\",\"retry_ms\":%lld,"
            "\"tenant\":\"%s\",\"route\":\"%s\",\"cost\":%.0f,"
            "\"spent\":%.0f,\"limit\":%.0f,\"config\":%lld,"
            "\"daemons\":%zu",
-           known->ask->id, refusal->status, refusal->why,
+           found->info->id, refusal->status, refusal->why,
            (long long)(refusal->retry_usec / Ck_USEC_PER_MSEC), tenant,
-           known->route == NULL ? "" : known->route->name, known->cost,
+           found->route == NULL ? "" : found->route->name, found->cost,
            use.spent, use.limit,
            config == NULL ? -1LL : (long long)config->version,
            Ms_CountAlive(gate->mesh));
     struct rf_refusal reply = {refusal->status, refusal->retry_usec,
-                               refusal->why, known->ask->id};
+                               refusal->why, found->info->id};
     Rf_Reply(gate, request, &reply);
 }
 
 /*
- * What the configuration at hand does not allow may be allowed by a newer
- * one.  Without touch to the store that cannot be ruled out, and the caller
- * is asked to come back rather than told something final.
+ * Refusal of a request that the configuration does not allow.  A newer version
+ * may allow it: while the store is out of reach, the answer is 503 with
+ * retry-after instead of the final "status".
  */
 static struct refusal
 not_allowed(const struct ga_gate *gate, int status, const char *why)
 {
-    if (!Fe_Current(gate->feed)) {
+    if (!Fe_IsCurrent(gate->feed)) {
         return (struct refusal){503, Ad_STARTING_USEC,
                                 "the configuration may be out of date"};
     }
@@ -60,16 +60,17 @@
 }
 
 static double
-cost_of(const struct ec_tenant *tenant, const struct ak_ask *ask)
+cost_of(const struct ec_tenant *tenant, const struct hd_request_info *info)
 {
-    if (!tenant->in_tokens) {
+    if (!tenant->counts_tokens) {
         return 1;
     }
-    return ask->counted ? (double)(ask->tokens_in + ask->tokens_out)
-                        : (double)tenant->plain;
+    return info->has_token_counts
+               ? (double)(info->tokens_in + info->tokens_out)
+               : (double)tenant->default_tokens;
 }
 
-/* Whether any endpoint may take the request; else why none may. */
+/* Whether any endpoint may take the request; "why" is set if none may. */
 static bool
 has_endpoint(const struct ga_gate *gate, const struct xc_admitted *admitted,
              const char *service, const char **why)
@@ -90,7 +91,7 @@
     return false;
 }
 
-/* Finds route, tenant and service; false with the refusal. */
+/* Finds route, tenant and service; returns false and sets "refusal". */
 static bool
 admit(struct ga_gate *gate, const struct h1_head *head,
       struct xc_admitted *out, struct refusal *refusal)
@@ -101,30 +102,31 @@
         return false;
     }
     const struct h1_field *host = H1_Find(head, "host");
-    if (host == NULL || H1_CountOf(head, "host") != 1 || out->ask->two_keys) {
+    if (host == NULL || H1_CountOf(head, "host") != 1 ||
+        out->info->many_keys) {
         *refusal = (struct refusal){400, 0, "one host and one key, please"};
         return false;
     }
-    out->route = Ec_Match(config, host->value.at, host->value.len,
-                          head->target.at, head->target.len);
+    out->route = Ec_FindRoute(config, host->value.at, host->value.len,
+                              head->target.at, head->target.len);
     if (out->route == NULL) {
         *refusal = not_allowed(gate, 404, "no such route");
         return false;
     }
-    if (!out->route->open && config->tenant_count > 0) {
+    if (!out->route->keyless && config->tenant_count > 0) {
         out->tenant =
-            out->ask->has_key ? Ec_Holder(config, out->ask->key) : NULL;
+            out->info->has_key ? Ec_FindTenant(config, out->info->key) : NULL;
         if (out->tenant == NULL) {
             *refusal = not_allowed(gate, 401, "unknown key");
             return false;
         }
     }
-    if (Ga_TooLate(gate, out->route)) {
+    if (Ga_StopMayCut(gate, out->route)) {
         *refusal = (struct refusal){503, Ad_LEAVING_USEC, "stopping"};
         return false;
     }
-    const char *service = Ec_Pick(out->route, Rn_Unit(&gate->random));
-    out->service = Ec_Service(config, service);
+    const char *service = Ec_PickService(out->route, Rn_Unit(&gate->random));
+    out->service = Ec_FindService(config, service);
     const char *why = "no such service";
     if (out->service == NULL || !has_endpoint(gate, out, service, &why)) {
         *refusal = (struct refusal){503, Ad_STARTING_USEC, why};
@@ -136,27 +138,27 @@
 void
 Ad_Take(struct ga_gate *gate, struct sv_request *request)
 {
-    static struct ak_ask ask;
+    static struct hd_request_info info;
     const struct h1_head *head = Sv_Head(request);
-    gate->options.wire->decode_ask(head, &ask);
+    gate->options.wire->decode_request(head, &info);
     Mt_Add(gate->count.requests, 1);
-    struct xc_admitted admitted = {.ask = &ask};
+    struct xc_admitted admitted = {.info = &info};
     struct refusal refusal;
     if (!admit(gate, head, &admitted, &refusal)) {
         refuse(gate, request, &admitted, &refusal);
         return;
     }
     char why[Qn_WHY_MAX];
-    struct pz_request asked =
-        Qn_Asked(admitted.service, admitted.tenant, &ask);
-    if (Qn_Refuses(gate->quarantine, &asked, why)) {
+    struct pz_request prompt =
+        Qn_MakeRequest(admitted.service, admitted.tenant, &info);
+    if (Qn_IsQuarantined(gate->quarantine, &prompt, why)) {
         refusal = (struct refusal){503, Qn_RETRY_USEC, why};
         refuse(gate, request, &admitted, &refusal);
         return;
     }
     if (admitted.tenant != NULL) {
         int64_t wait_usec;
-        admitted.cost = cost_of(admitted.tenant, &ask);
+        admitted.cost = cost_of(admitted.tenant, &info);
         if (!Qt_Take(gate->quota, admitted.tenant->name, admitted.cost,
                      &wait_usec)) {
             refusal = (struct refusal){429, wait_usec, "over the quota"};
@@ -164,6 +166,6 @@
             return;
         }
     }
-    admitted.config = Ec_Hold(Fe_Config(gate->feed));
+    admitted.config = Ec_Ref(Fe_Config(gate->feed));
     Xc_Start(gate, request, &admitted);
 }
--- a/packages/edge/brittle.c
+++ b/packages/edge/brittle.c
@@ -3,64 +3,66 @@
 #include <string.h>
 
 static bool
-serves_same(const struct fl_endpoint *a, const struct fl_endpoint *b)
+same_service(const struct fl_endpoint *a, const struct fl_endpoint *b)
 {
     return strcmp(a->entry.service, b->entry.service) == 0;
 }
 
 static void
-log_change(const struct fl_endpoint *endpoint, int most, const char *by)
+log_change(const struct fl_endpoint *endpoint, int max_refusals,
+           const char *by)
 {
     Ln_Log(LN_STATE, "service.brittle",
            "\"service\":\"%s\",\"most\":%d,\"by\":\"%s\"",
-           endpoint->entry.service, most, by);
+           endpoint->entry.service, max_refusals, by);
 }
 
 static void
-tell_service(struct ga_gate *gate, struct fl_endpoint *endpoint, int most)
+mark_service(struct ga_gate *gate, struct fl_endpoint *endpoint,
+             int max_refusals)
 {
     int64_t now = Ga_Now(gate);
-    if (!Br_IsBrittle(&endpoint->room, now)) {
-        log_change(endpoint, most, "answer");
+    if (!Br_IsBrittle(&endpoint->brittle, now)) {
+        log_change(endpoint, max_refusals, "answer");
     }
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (serves_same(other, endpoint)) {
-            Br_Told(&other->room, most, now);
+        if (same_service(other, endpoint)) {
+            Br_NoteEndpointReport(&other->brittle, max_refusals, now);
         }
     }
-    endpoint->room.said = true;
+    endpoint->brittle.self_reported = true;
 }
 
 static void
-end_service(struct ga_gate *gate, const struct fl_endpoint *endpoint)
+clear_service(struct ga_gate *gate, const struct fl_endpoint *endpoint)
 {
     log_change(endpoint, -1, "answer");
     struct fl_endpoint *other;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (serves_same(other, endpoint)) {
-            Br_End(&other->room);
+        if (same_service(other, endpoint)) {
+            Br_Clear(&other->brittle);
         }
     }
 }
 
 void
-Bt_Answered(struct ga_gate *gate, struct fl_endpoint *endpoint, int most,
-            int64_t sent_at)
+Bt_NoteAnswer(struct ga_gate *gate, struct fl_endpoint *endpoint,
+              int max_refusals, int64_t sent_at)
 {
-    if (most >= 0) {
-        tell_service(gate, endpoint, most);
+    if (max_refusals >= 0) {
+        mark_service(gate, endpoint, max_refusals);
     }
-    else if (Br_IsOver(&endpoint->room, sent_at)) {
-        end_service(gate, endpoint);
+    else if (Br_IsWithdrawn(&endpoint->brittle, sent_at)) {
+        clear_service(gate, endpoint);
     }
 }
 
 static bool
-is_listed(const struct ms_word *word, uint32_t service)
+is_listed(const struct ms_message *message, uint32_t service)
 {
-    for (size_t i = 0; i < word->brittle_count; i++) {
-        if (word->brittle[i].service == service) {
+    for (size_t i = 0; i < message->refusal_limit_count; i++) {
+        if (message->refusal_limits[i].service == service) {
             return true;
         }
     }
@@ -68,112 +70,118 @@
 }
 
 void
-Bt_Fill(const struct ga_gate *gate, struct ms_word *word)
+Bt_FillMessage(const struct ga_gate *gate, struct ms_message *message)
 {
     int64_t now = Ga_Now(gate);
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (word->brittle_count == Ms_BRITTLE_MAX) {
+        if (message->refusal_limit_count == Ms_REFUSAL_LIMITS_MAX) {
             break;
         }
-        if (!Br_IsTold(&endpoint->room, now)) {
+        if (!Br_ShouldReport(&endpoint->brittle, now)) {
             continue;
         }
         uint32_t service = De_Hash(endpoint->entry.service);
-        if (!is_listed(word, service)) {
-            word->brittle[word->brittle_count++] =
-                (struct ms_brittle){service, endpoint->room.most};
+        if (!is_listed(message, service)) {
+            message->refusal_limits[message->refusal_limit_count++] =
+                (struct ms_refusal_limit){service,
+                                          endpoint->brittle.refusal_limit};
         }
     }
 }
 
-/* Peers by the hundred say the same several times a second. */
+/*
+ * Applies a peer's report to all endpoints of the service, but returns early
+ * when one was applied recently: hundreds of peers repeat the same report
+ * several times a second.
+ */
 static void
-hear(struct ga_gate *gate, const struct ms_brittle *row, int64_t now)
+apply_report(struct ga_gate *gate, const struct ms_refusal_limit *report,
+             int64_t now)
 {
     const struct fl_endpoint *first = NULL;
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (De_Hash(endpoint->entry.service) != row->service) {
+        if (De_Hash(endpoint->entry.service) != report->service) {
             continue;
         }
         if (first == NULL) {
             first = endpoint;
-            if (Br_HeardLately(&endpoint->room, now)) {
+            if (Br_IsPeerReportRecent(&endpoint->brittle, now)) {
                 return;
             }
-            if (!Br_IsBrittle(&endpoint->room, now)) {
-                log_change(endpoint, row->most, "peer");
+            if (!Br_IsBrittle(&endpoint->brittle, now)) {
+                log_change(endpoint, report->refusals_per_sec, "peer");
             }
         }
-        Br_Heard(&endpoint->room, row->most, now);
+        Br_NotePeerReport(&endpoint->brittle, report->refusals_per_sec, now);
     }
 }
 
 void
-Bt_Take(struct ga_gate *gate, const struct ms_word *word)
+Bt_ApplyMessage(struct ga_gate *gate, const struct ms_message *message)
 {
-    for (size_t i = 0; i < word->brittle_count; i++) {
-        hear(gate, &word->brittle[i], Ga_Now(gate));
+    for (size_t i = 0; i < message->refusal_limit_count; i++) {
+        apply_report(gate, &message->refusal_limits[i], Ga_Now(gate));
     }
 }
 
-/* This host's claims on all endpoints of a service. */
+/* Updates this host's rank (see Wu_Rank()) at a service's endpoints. */
 static void
-find_ranks(const struct ga_gate *gate, const struct fl_endpoint *endpoint)
+update_ranks(const struct ga_gate *gate, const struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
     struct wu_hosts hosts;
-    Ms_ListHosts(gate->mesh, &hosts);
+    Ms_ListSenders(gate->mesh, &hosts);
     struct fl_endpoint *best = NULL;
     struct fl_endpoint *other;
     size_t count = 0;
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        count += serves_same(other, endpoint) && Fl_Usable(other);
+        count += same_service(other, endpoint) && Fl_Usable(other);
     }
     TAILQ_FOREACH (other, Fl_All(gate->fleet), link) {
-        if (!serves_same(other, endpoint) || !Fl_Usable(other)) {
+        if (!same_service(other, endpoint) || !Fl_Usable(other)) {
             continue;
         }
-        other->room.rank = Wu_Rank(&hosts, other->hash);
-        other->room.rank_at = now;
-        other->room.best = false;
-        other->room.endpoints = count;
-        if (best == NULL || other->room.rank < best->room.rank) {
+        other->brittle.rank = Wu_Rank(&hosts, other->hash);
+        other->brittle.rank_at = now;
+        other->brittle.best = false;
+        other->brittle.endpoint_count = count;
+        if (best == NULL || other->brittle.rank < best->brittle.rank) {
             best = other;
         }
     }
     if (best != NULL) {
-        best->room.best = true;
+        best->brittle.best = true;
     }
 }
 
 bool
-Bt_Closed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_IsClosed(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
     int64_t now = Ga_Now(gate);
-    const struct br_room *room = &endpoint->room;
-    if (!Br_IsBrittle(room, now)) {
+    const struct br_state *state = &endpoint->brittle;
+    if (!Br_IsBrittle(state, now)) {
         return false;
     }
-    if (Br_RankIsOld(room, now)) {
-        find_ranks(gate, endpoint);
+    if (Br_RankIsOld(state, now)) {
+        update_ranks(gate, endpoint);
     }
-    struct br_part part =
-        Br_Part(room->most, Ms_CountAll(gate->mesh), room->endpoints);
-    return !Br_MaySend(room, &part,
-                       endpoint->running + endpoint->others_running,
+    struct br_quota quota = Br_Quota(
+        state->refusal_limit, Ms_CountAll(gate->mesh), state->endpoint_count);
+    return !Br_MaySend(state, &quota,
+                       endpoint->running + endpoint->peers_running,
                        endpoint->entry.slots, now);
 }
 
 void
-Bt_Sent(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
-    Br_Sent(&endpoint->room, Ga_Now(gate));
+    Br_Sent(&endpoint->brittle, Ga_Now(gate));
 }
 
 void
-Bt_Refused(const struct ga_gate *gate, struct fl_endpoint *endpoint)
+Bt_NoteRefused(const struct ga_gate *gate, struct fl_endpoint *endpoint)
 {
-    Br_Refused(&endpoint->room, Ga_Now(gate));
+    Br_Refused(&endpoint->brittle, Ga_Now(gate));
 }
--- a/packages/edge/config.c
+++ b/packages/edge/config.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* An empty configuration with one reference; NULL without memory. */
+/* An empty configuration with one reference; NULL when out of memory. */
 struct ec_config *
 Ec_Create(void)
 {
@@ -36,7 +36,7 @@
                   ((const struct ec_key *)b)->key);
 }
 
-/* Routes by host and then longest prefix first; keys by their text. */
+/* Sorts routes by host, then longest prefix first; keys by their text. */
 void
 Ec_Seal(struct ec_config *config)
 {
@@ -51,14 +51,14 @@
 }
 
 struct ec_config *
-Ec_Hold(struct ec_config *config)
+Ec_Ref(struct ec_config *config)
 {
     config->refs++;
     return config;
 }
 
 void
-Ec_Release(struct ec_config *config)
+Ec_Unref(struct ec_config *config)
 {
     if (config == NULL || --config->refs > 0) {
         return;
@@ -66,10 +66,10 @@
     for (size_t i = 0; i < config->route_count; i++) {
         free(config->routes[i].host);
         free(config->routes[i].prefix);
-        free(config->routes[i].homes);
+        free(config->routes[i].allowed_regions);
     }
     for (size_t i = 0; i < config->tenant_count; i++) {
-        free(config->tenants[i].homes);
+        free(config->tenants[i].allowed_regions);
     }
     for (size_t i = 0; i < config->key_count; i++) {
         free(config->keys[i].key);
@@ -88,7 +88,7 @@
     return order != 0 ? order : -(other[len] != '\0');
 }
 
-/* Where the routes of a host begin; route_count when there are none. */
+/* Index of a host's first route; route_count if it has none. */
 static size_t
 first_of_host(const struct ec_config *config, const char *host, size_t len)
 {
@@ -106,10 +106,10 @@
     return low;
 }
 
-/* The route of a request; NULL without one.  The query does not count. */
+/* Finds the route of a request, ignoring port and query; NULL if none. */
 const struct ec_route *
-Ec_Match(const struct ec_config *config, const char *host, size_t host_len,
-         const char *target, size_t target_len)
+Ec_FindRoute(const struct ec_config *config, const char *host, size_t host_len,
+             const char *target, size_t target_len)
 {
     const char *port = memchr(host, ':', host_len);
     if (port != NULL) {
@@ -133,7 +133,7 @@
 }
 
 const struct ec_service *
-Ec_Service(const struct ec_config *config, const char *name)
+Ec_FindService(const struct ec_config *config, const char *name)
 {
     for (size_t i = 0; i < config->service_count; i++) {
         if (strcmp(config->services[i].name, name) == 0) {
@@ -143,41 +143,41 @@
     return NULL;
 }
 
-/* The tenant that holds a key; NULL for an unknown key. */
+/* Finds the tenant of a key; NULL if the key is unknown. */
 const struct ec_tenant *
-Ec_Holder(const struct ec_config *config, const char *key)
+Ec_FindTenant(const struct ec_config *config, const char *key)
 {
-    struct ec_key wanted = {.key = (char *)key};
+    struct ec_key pattern = {.key = (char *)key};
     const struct ec_key *found = NULL;
     if (config->key_count > 0) {
-        found = bsearch(&wanted, config->keys, config->key_count,
+        found = bsearch(&pattern, config->keys, config->key_count,
                         sizeof(*config->keys), compare_keys);
     }
     return found == NULL ? NULL : &config->tenants[found->tenant];
 }
 
 static bool
-is_home(const struct ec_homes *homes, const char *region)
+is_allowed(const struct ec_regions *allowed, const char *region)
 {
-    for (size_t i = 0; homes != NULL && i < homes->count; i++) {
-        if (strcmp(homes->regions[i], region) == 0) {
+    for (size_t i = 0; allowed != NULL && i < allowed->count; i++) {
+        if (strcmp(allowed->regions[i], region) == 0) {
             return true;
         }
     }
-    return homes == NULL;
+    return allowed == NULL;
 }
 
 bool
 Ec_MayRunIn(const struct ec_route *route, const struct ec_tenant *tenant,
             const char *region)
 {
-    return is_home(route->homes, region) &&
-           (tenant == NULL || is_home(tenant->homes, region));
+    return is_allowed(route->allowed_regions, region) &&
+           (tenant == NULL || is_allowed(tenant->allowed_regions, region));
 }
 
-/* The service that takes a request, by weight; "unit" is in [0, 1). */
+/* Chooses the service of a request by weight; "unit" is in [0, 1). */
 const char *
-Ec_Pick(const struct ec_route *route, double unit)
+Ec_PickService(const struct ec_route *route, double unit)
 {
     int total = 0;
     for (size_t i = 0; i < route->share_count; i++) {
--- a/packages/edge/exchange_choose.c
+++ b/packages/edge/exchange_choose.c
@@ -1,4 +1,4 @@
-/* What the placement of a request is told, and which endpoint follows. */
+/* Collects the candidates for a request and chooses an endpoint. */
 #include <string.h>
 
 #include "base/hash.h"
@@ -8,22 +8,23 @@
 #include "edge/warming.h"
 
 #define Xc_CANDIDATES_MAX 1024
-/* Requests given to an endpoint, as a multiple of what it runs at once. */
+/* Most requests sent to an endpoint, as a multiple of its slots. */
 #define Xc_ENGINE_FILL 1.25
 #define Xc_PLAIN_FILL 3.0
+/* Slowness is not computed for services faster than this. */
 #define Xc_SLOWNESS_FLOOR_USEC 5000.0
 
-/* The time the endpoint's first bytes take, against the whole service's. */
+/* Mean time to the first byte over the endpoints of a service. */
 static double
-mean_first(const struct ga_gate *gate, const char *service)
+mean_first_byte(const struct ga_gate *gate, const char *service)
 {
     double sum = 0;
     size_t count = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (strcmp(endpoint->entry.service, service) == 0 &&
-            endpoint->first_usec > 0) {
-            sum += endpoint->first_usec;
+            endpoint->first_byte_usec > 0) {
+            sum += endpoint->first_byte_usec;
             count++;
         }
     }
@@ -41,64 +42,73 @@
     return false;
 }
 
-/* Prompts that share a part have homes together, others each by itself. */
+/*
+ * Prompts that share a part belong to one group, which prefers the same
+ * endpoints at all hosts; any other request is a group of its own.
+ */
 static uint64_t
-group_of(const struct ak_ask *ask)
+group_of(const struct hd_request_info *info)
 {
-    uint64_t group = Px_Group(ask);
-    return group != 0 ? group : Hash_String(ask->id, 0);
+    uint64_t group = Px_Group(info);
+    return group != 0 ? group : Hash_String(info->id, 0);
 }
 
-/* What is the same for all candidates of a request. */
-struct scene {
+/* Values that are the same for all candidates of a request. */
+struct choice_context {
     int64_t now;
     uint64_t group;
     uint64_t request;
-    double mean_first;
-    double long_part;
+    double mean_first_byte;
+    double long_fraction;
 };
 
 static struct pl_candidate
-describe(const struct xc_exchange *exchange, const struct scene *scene,
-         struct fl_endpoint *endpoint)
+make_candidate(const struct xc_exchange *exchange,
+               const struct choice_context *context,
+               struct fl_endpoint *endpoint)
 {
     const struct ga_gate *gate = exchange->gate;
     enum wa_state warming =
-        Wa_State(gate, endpoint, exchange->service, scene->now);
-    uint64_t both[2] = {scene->group, endpoint->hash};
-    uint64_t lot[2] = {scene->request, endpoint->hash};
-    struct px_missing missing =
-        Px_Missing(gate->prefixes, &exchange->ask, endpoint->hash, scene->now);
+        Wa_State(gate, endpoint, exchange->service, context->now);
+    uint64_t home_key[2] = {context->group, endpoint->hash};
+    uint64_t sample_key[2] = {context->request, endpoint->hash};
+    struct px_uncached uncached = Px_CountUncached(
+        gate->prefixes, &exchange->info, endpoint->hash, context->now);
     struct pl_candidate candidate = {
         .slots = endpoint->entry.slots,
-        .running = endpoint->running + endpoint->others_running,
-        .reading = endpoint->reading + endpoint->others_reading,
-        .missing = missing.tokens,
-        .shared = missing.shared,
-        .near = strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
-        .shunned = He_Shunned(endpoint, scene->now) || warming == WA_DOUBTED,
+        .running = endpoint->running + endpoint->peers_running,
+        .prefill_tokens =
+            endpoint->prefill_tokens + endpoint->peers_prefill_tokens,
+        .uncached_tokens = uncached.tokens,
+        .uncached_shared = uncached.shared,
+        .same_zone =
+            strcmp(endpoint->entry.zone, gate->options.node->zone) == 0,
+        .last_resort =
+            He_IsEjected(endpoint, context->now) || warming == WA_MAYBE_COLD,
         .tried = was_tried(exchange, endpoint->hash),
-        .full = warming == WA_CLOSED || Bt_Closed(gate, endpoint) ||
-                Po_Full(gate, endpoint, exchange->service),
-        .failing = He_Failing(endpoint, scene->now),
-        .draw = Hash_Bytes(both, sizeof(both), 0),
-        .lot = (double)Hash_Bytes(lot, sizeof(lot), 0) / (double)UINT64_MAX,
-        .long_lane =
-            (double)endpoint->hash < scene->long_part * (double)UINT32_MAX,
+        .full = warming == WA_CLOSED || Bt_IsClosed(gate, endpoint) ||
+                Po_IsFull(gate, endpoint, exchange->service),
+        .failing = He_FailureRate(endpoint, context->now),
+        .home_hash = Hash_Bytes(home_key, sizeof(home_key), 0),
+        .sample_hash = (double)Hash_Bytes(sample_key, sizeof(sample_key), 0) /
+                       (double)UINT64_MAX,
+        .long_lane = (double)endpoint->hash <
+                     context->long_fraction * (double)UINT32_MAX,
     };
-    if (scene->mean_first > Xc_SLOWNESS_FLOOR_USEC) {
+    if (context->mean_first_byte > Xc_SLOWNESS_FLOOR_USEC) {
         candidate.slowness =
-            He_FirstUsec(endpoint, scene->mean_first, scene->now) /
-            scene->mean_first;
+            He_FirstByteUsec(endpoint, context->mean_first_byte,
+                             context->now) /
+            context->mean_first_byte;
     }
     return candidate;
 }
 
-/* What all daemons ask of a service in a second. */
+/* Load of a service from all hosts, per second. */
 struct load {
-    double sent;
-    double reading;
-    double in_long;
+    double requests;
+    double prompt_tokens;
+    double long_prompt_tokens; /* prompt tokens of long prompts */
 };
 
 static void
@@ -107,9 +117,9 @@
 {
     for (size_t i = 0; i < count; i++) {
         if (rates[i].service == service) {
-            load->sent += rates[i].sent;
-            load->reading += rates[i].reading;
-            load->in_long += rates[i].in_long;
+            load->requests += rates[i].requests_per_sec;
+            load->prompt_tokens += rates[i].prompt_tokens_per_sec;
+            load->long_prompt_tokens += rates[i].long_prompt_tokens_per_sec;
         }
     }
 }
@@ -120,7 +130,7 @@
     uint32_t hash = De_Hash(service);
     struct load load = {0, 0, 0};
     struct de_rate own[De_SERVICES_MAX];
-    add_rates(own, De_Own(gate->demand, own), hash, &load);
+    add_rates(own, De_LocalRates(gate->demand, own), hash, &load);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         add_rates(peer->rates, peer->rate_count, hash, &load);
@@ -128,37 +138,39 @@
     return load;
 }
 
-/* The part of all prompt tokens that long prompts bring. */
+/* Fraction of all prompt tokens that belongs to long prompts. */
 static double
 long_share(const struct load *load)
 {
-    return load->reading > 0 ? load->in_long / load->reading : 0;
+    return load->prompt_tokens > 0
+               ? load->long_prompt_tokens / load->prompt_tokens
+               : 0;
 }
 
-/* Endpoints of a service that a pick allows. */
+/* Usable endpoints of a service, of the versions that a pick allows. */
 struct selection {
     size_t count;
     struct fl_endpoint *endpoints[Xc_CANDIDATES_MAX];
 };
 
 static bool
-allowed(enum ro_pick pick, bool next)
+version_allowed(enum ro_pick pick, bool is_new)
 {
     switch (pick) {
     case RO_OLD:
     case RO_OLD_ONLY:
     case RO_OLD_FIRST:
-        return !next;
-    case RO_NEXT_FIRST:
-        return next;
+        return !is_new;
+    case RO_NEW_FIRST:
+        return is_new;
     default:
         return true;
     }
 }
 
 static bool
-is_at_home(const struct xc_exchange *exchange,
-           const struct fl_endpoint *endpoint)
+in_allowed_region(const struct xc_exchange *exchange,
+                  const struct fl_endpoint *endpoint)
 {
     return Ga_MayRunAt(exchange->gate, exchange->route, exchange->tenant,
                        endpoint);
@@ -176,8 +188,8 @@
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
         if (out->count < Xc_CANDIDATES_MAX && Fl_Usable(endpoint) &&
             strcmp(endpoint->entry.service, service) == 0 &&
-            allowed(pick, Ga_IsNext(move, endpoint)) &&
-            is_at_home(exchange, endpoint)) {
+            version_allowed(pick, Ga_HasTargetVersion(move, endpoint)) &&
+            in_allowed_region(exchange, endpoint)) {
             out->endpoints[out->count++] = endpoint;
         }
     }
@@ -191,43 +203,49 @@
     const char *service = exchange->service->name;
     const struct ga_gate *gate = exchange->gate;
     bool engine = exchange->service->engine;
-    struct scene scene = {
+    struct choice_context context = {
         .now = Ga_Now(gate),
-        .group = group_of(&exchange->ask),
-        .request = Hash_String(exchange->ask.id, 0),
-        .mean_first = mean_first(gate, service),
+        .group = group_of(&exchange->info),
+        .request = Hash_String(exchange->info.id, 0),
+        .mean_first_byte = mean_first_byte(gate, service),
     };
-    double drawn_part = 1;
+    double sampled_fraction = 1;
     if (engine) {
         struct load load = load_of(gate, service);
-        double lag = (double)Ms_Lag(gate->mesh) / (double)Ck_USEC_PER_SEC;
-        scene.long_part = Pl_LongPart(from->count, long_share(&load));
-        drawn_part = Pl_DrawnPart(from->count, load.sent * lag);
+        double lag =
+            (double)Ms_ReportDelay(gate->mesh) / (double)Ck_USEC_PER_SEC;
+        context.long_fraction =
+            Pl_LongLaneFraction(from->count, long_share(&load));
+        sampled_fraction =
+            Pl_SampledFraction(from->count, load.requests * lag);
     }
     for (size_t i = 0; i < from->count; i++) {
-        candidates[i] = describe(exchange, &scene, from->endpoints[i]);
+        candidates[i] = make_candidate(exchange, &context, from->endpoints[i]);
     }
     struct pl_limits limits = {
         .engine = engine,
-        .fill = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
-        .lanes = scene.long_part > 0,
-        .is_long = Pl_IsLong(exchange->ask.tokens_in),
-        .drawn_part = drawn_part,
+        .fill_max = engine ? Xc_ENGINE_FILL : Xc_PLAIN_FILL,
+        .lanes = context.long_fraction > 0,
+        .is_long = Pl_IsLong(exchange->info.tokens_in),
+        .sampled_fraction = sampled_fraction,
     };
     struct pl_choice choice = {0, 0};
     enum pl_verdict verdict =
         Pl_Choose(candidates, from->count, &limits, &choice);
     if (verdict == PL_CHOSEN) {
         out->endpoint = from->endpoints[choice.index];
-        out->reading = choice.reading;
+        out->prefill_tokens = choice.prefill_tokens;
     }
     return verdict;
 }
 
 /*
- * Picks an endpoint by what is known of all of them.  While a service moves
- * to another version the draw comes first; the other version stands in when
- * the drawn one has no room, but a version that was taken back never does.
+ * Chooses an endpoint for the next attempt.  While a service moves to another
+ * version, Ro_Pick() decides the version first.  If no endpoint of that
+ * version can take the request, the other version is used instead, with two
+ * exceptions: the new version is never used after it was rolled back
+ * (RO_OLD_ONLY), and does not stand in for full endpoints of the old one
+ * (RO_OLD).
  */
 enum pl_verdict
 Xc_Choose(struct xc_exchange *exchange, struct xc_target *out)
@@ -237,9 +255,9 @@
     const struct ro_move *move = Ro_Find(gate->moves, exchange->service->name);
     enum ro_pick pick =
         Ro_Pick(move, exchange->sends > 0, Rn_Unit(&gate->random));
-    if (pick == RO_OLD_FIRST && exchange->began) {
-        /* A stream goes on where most of its version is. */
-        pick = RO_NEXT_FIRST;
+    if (pick == RO_OLD_FIRST && exchange->head_sent) {
+        /* A begun stream resumes at the version that most endpoints have. */
+        pick = RO_NEW_FIRST;
     }
     select_endpoints(exchange, pick, &selection);
     enum pl_verdict verdict = choose_among(exchange, &selection, out);
@@ -248,7 +266,7 @@
         return verdict;
     }
     select_endpoints(exchange,
-                     pick == RO_NEXT_FIRST ? RO_OLD_ONLY : RO_NEXT_FIRST,
+                     pick == RO_NEW_FIRST ? RO_OLD_ONLY : RO_NEW_FIRST,
                      &selection);
     return choose_among(exchange, &selection, out);
 }
--- a/packages/edge/fleet.c
+++ b/packages/edge/fleet.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/line.h"
+#include "base/log_line.h"
 
 #define Fl_HASH_SEED 0x666c6565
 
@@ -15,7 +15,7 @@
     const struct ck_clock *clock;
     struct fl_list endpoints;
     struct fl_tree by_hash;
-    int64_t doubt_until;
+    int64_t hold_removals_until;
     size_t evacuated_count;
     char evacuated[Fl_EVACUATED_MAX][Ec_NAME_MAX];
 };
@@ -50,8 +50,9 @@
            strcmp(before->zone, now->zone) == 0 &&
            strcmp(before->version, now->version) == 0 &&
            before->slots == now->slots && before->draining == now->draining &&
-           before->spot == now->spot && before->born == now->born &&
-           now->cold_usec <= before->cold_usec;
+           before->spot == now->spot &&
+           before->started_ms == now->started_ms &&
+           now->warmup_left_usec <= before->warmup_left_usec;
 }
 
 static void
@@ -67,14 +68,14 @@
 }
 
 struct fl_endpoint *
-Fl_Hold(struct fl_endpoint *endpoint)
+Fl_Ref(struct fl_endpoint *endpoint)
 {
     endpoint->refs++;
     return endpoint;
 }
 
 void
-Fl_Drop(struct fl_endpoint *endpoint)
+Fl_Unref(struct fl_endpoint *endpoint)
 {
     if (endpoint != NULL && --endpoint->refs == 0) {
         close_idle(endpoint);
@@ -83,24 +84,24 @@
 }
 
 static void
-log_change(const struct fl_endpoint *endpoint, const char *what)
+log_change(const struct fl_endpoint *endpoint, const char *state)
 {
     Ln_Log(LN_STATE, "endpoint.changed",
            "\"id\":\"%s\",\"to\":\"%s\",\"service\":\"%s\",\"zone\":\"%s\","
            "\"spot\":%d,\"running\":%d",
-           endpoint->entry.id, what, endpoint->entry.service,
+           endpoint->entry.id, state, endpoint->entry.service,
            endpoint->entry.zone, endpoint->entry.spot, endpoint->running);
 }
 
 static void
-remove_now(struct fl_fleet *fleet, struct fl_endpoint *endpoint)
+remove_endpoint(struct fl_fleet *fleet, struct fl_endpoint *endpoint)
 {
     log_change(endpoint, "gone");
     endpoint->gone = true;
     close_idle(endpoint);
     TAILQ_REMOVE(&fleet->endpoints, endpoint, link);
     RB_REMOVE(fl_tree, &fleet->by_hash, endpoint);
-    Fl_Drop(endpoint);
+    Fl_Unref(endpoint);
 }
 
 void
@@ -112,13 +113,13 @@
     struct fl_endpoint *endpoint;
     struct fl_endpoint *next;
     TAILQ_FOREACH_SAFE (endpoint, &fleet->endpoints, link, next) {
-        remove_now(fleet, endpoint);
+        remove_endpoint(fleet, endpoint);
     }
     free(fleet);
 }
 
 static uint32_t
-hash_of(const char *id)
+hash_id(const char *id)
 {
     return (uint32_t)Hash_String(id, Fl_HASH_SEED);
 }
@@ -133,24 +134,24 @@
 struct fl_endpoint *
 Fl_Find(const struct fl_fleet *fleet, const char *id)
 {
-    struct fl_endpoint *endpoint = Fl_ByHash(fleet, hash_of(id));
+    struct fl_endpoint *endpoint = Fl_ByHash(fleet, hash_id(id));
     return endpoint != NULL && strcmp(endpoint->entry.id, id) == 0 ? endpoint
                                                                    : NULL;
 }
 
 static struct fl_endpoint *
-add(struct fl_fleet *fleet, const struct fl_entry *entry)
+add_endpoint(struct fl_fleet *fleet, const struct fl_entry *entry)
 {
     struct fl_endpoint *endpoint = calloc(1, sizeof(*endpoint));
     if (endpoint == NULL) {
         return NULL;
     }
     endpoint->refs = 1;
-    endpoint->hash = hash_of(entry->id);
-    endpoint->since = Ck_Now(fleet->clock);
+    endpoint->hash = hash_id(entry->id);
+    endpoint->first_entry_at = Ck_Now(fleet->clock);
     TAILQ_INIT(&endpoint->idle);
     if (RB_INSERT(fl_tree, &fleet->by_hash, endpoint) != NULL) {
-        /* Daemons name endpoints to each other by this. */
+        /* Daemons identify endpoints to each other by this hash. */
         Ln_Log(LN_FAILURE, "endpoint.unnamable", "\"id\":\"%s\"", entry->id);
         free(endpoint);
         return NULL;
@@ -159,35 +160,38 @@
     return endpoint;
 }
 
-/* Takes an entry that an endpoint wrote. */
+/* Applies an entry that an endpoint wrote to the store. */
 void
 Fl_Apply(struct fl_fleet *fleet, const struct fl_entry *entry)
 {
     struct fl_endpoint *endpoint = Fl_Find(fleet, entry->id);
     if (endpoint != NULL &&
-        (endpoint->entry.born != entry->born ||
+        (endpoint->entry.started_ms != entry->started_ms ||
          strcmp(endpoint->entry.address, entry->address) != 0)) {
-        /* Started again: another engine under the same name. */
-        remove_now(fleet, endpoint);
+        /*
+         * The endpoint was restarted: this is another engine with the same ID.
+         */
+        remove_endpoint(fleet, endpoint);
         endpoint = NULL;
     }
     if (endpoint == NULL) {
-        endpoint = add(fleet, entry);
+        endpoint = add_endpoint(fleet, entry);
         if (endpoint == NULL) {
             return;
         }
     }
-    /* One that leaves does not come back under the same start. */
+    /* An endpoint that is draining stays so until it restarts. */
     bool was_draining = endpoint->entry.draining;
     bool draining = was_draining || entry->draining;
-    bool fresh = endpoint->entry.id[0] == '\0';
+    bool is_first = endpoint->entry.id[0] == '\0';
     endpoint->entry = *entry;
     endpoint->entry.draining = draining;
-    endpoint->vanished_at = 0;
-    endpoint->refreshed_at = Ck_Now(fleet->clock);
+    endpoint->removal_held_since = 0;
+    endpoint->last_entry_at = Ck_Now(fleet->clock);
     endpoint->evacuated = Fl_IsEvacuated(fleet, entry->zone);
-    Wu_Told(&endpoint->warmup, entry->cold_usec, endpoint->refreshed_at);
-    if (fresh || was_draining != draining) {
+    Wu_SetColdLeft(&endpoint->warmup, entry->warmup_left_usec,
+                   endpoint->last_entry_at);
+    if (is_first || was_draining != draining) {
         log_change(endpoint, draining ? "draining" : "ready");
     }
     if (draining) {
@@ -195,7 +199,7 @@
     }
 }
 
-/* Takes the removal of an entry. */
+/* Applies the removal of an entry. */
 void
 Fl_Remove(struct fl_fleet *fleet, const char *id)
 {
@@ -204,27 +208,28 @@
         return;
     }
     int64_t now = Ck_Now(fleet->clock);
-    if (now < fleet->doubt_until && !endpoint->entry.draining) {
-        if (endpoint->vanished_at == 0) {
-            endpoint->vanished_at = now;
+    if (now < fleet->hold_removals_until && !endpoint->entry.draining) {
+        if (endpoint->removal_held_since == 0) {
+            endpoint->removal_held_since = now;
             log_change(endpoint, "doubted");
         }
         return;
     }
-    remove_now(fleet, endpoint);
+    remove_endpoint(fleet, endpoint);
 }
 
 void
-Fl_Doubt(struct fl_fleet *fleet, int64_t usec)
+Fl_HoldRemovals(struct fl_fleet *fleet, int64_t usec)
 {
-    fleet->doubt_until = Ck_Now(fleet->clock) + usec;
+    fleet->hold_removals_until = Ck_Now(fleet->clock) + usec;
 }
 
 /*
- * While the store was away entries lapse though their endpoints live; they
- * are written again within two seconds of its return.  A removal told in that
- * time is believed at its end, also one told late in it: an endpoint that did
- * leave must not be sent anything past the drain bound.
+ * While the store is unreachable, entries expire although their endpoints are
+ * alive; these write them again within two seconds of its return.  All
+ * removals read in that time take effect at its end, even one read shortly
+ * before: an endpoint that did leave must not get requests beyond the drain
+ * limit.
  */
 void
 Fl_Tick(struct fl_fleet *fleet)
@@ -233,25 +238,26 @@
     struct fl_endpoint *endpoint;
     struct fl_endpoint *next;
     TAILQ_FOREACH_SAFE (endpoint, &fleet->endpoints, link, next) {
-        if (endpoint->vanished_at != 0 && now >= fleet->doubt_until) {
-            remove_now(fleet, endpoint);
+        if (endpoint->removal_held_since != 0 &&
+            now >= fleet->hold_removals_until) {
+            remove_endpoint(fleet, endpoint);
         }
     }
 }
 
 void
-Fl_ClearOthers(struct fl_fleet *fleet)
+Fl_ClearPeerLoads(struct fl_fleet *fleet)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, &fleet->endpoints, link) {
-        endpoint->others_running = 0;
-        endpoint->others_reading = 0;
-        endpoint->near_running = 0;
-        endpoint->near_reading = 0;
+        endpoint->peers_running = 0;
+        endpoint->peers_prefill_tokens = 0;
+        endpoint->zone_peers_running = 0;
+        endpoint->zone_peers_prefill_tokens = 0;
     }
 }
 
-/* Its index; the count where it is none of them. */
+/* Returns a data centre's index, or the count if it is not evacuated. */
 static size_t
 find_evacuated(const struct fl_fleet *fleet, const char *zone)
 {
@@ -269,19 +275,19 @@
     return find_evacuated(fleet, zone) < fleet->evacuated_count;
 }
 
-/* False: it was so before, or there are too many. */
+/* Returns false if nothing changes or the list is full. */
 static bool
-note_evacuated(struct fl_fleet *fleet, const char *zone, bool asked)
+set_evacuated(struct fl_fleet *fleet, const char *zone, bool begin)
 {
-    size_t at = find_evacuated(fleet, zone);
+    size_t index = find_evacuated(fleet, zone);
     size_t count = fleet->evacuated_count;
-    if (asked == (at < count) || zone[0] == '\0') {
+    if (begin == (index < count) || zone[0] == '\0') {
         return false;
     }
-    if (!asked) {
+    if (!begin) {
         fleet->evacuated_count--;
-        memmove(fleet->evacuated[at], fleet->evacuated[count - 1],
-                sizeof(fleet->evacuated[at]));
+        memmove(fleet->evacuated[index], fleet->evacuated[count - 1],
+                sizeof(fleet->evacuated[index]));
         return true;
     }
     if (count == Fl_EVACUATED_MAX) {
@@ -289,13 +295,13 @@
         return false;
     }
     fleet->evacuated_count++;
-    return strlcpy(fleet->evacuated[at], zone, Ec_NAME_MAX) < Ec_NAME_MAX;
+    return strlcpy(fleet->evacuated[index], zone, Ec_NAME_MAX) < Ec_NAME_MAX;
 }
 
 bool
-Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool asked)
+Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool begin)
 {
-    if (!note_evacuated(fleet, zone, asked)) {
+    if (!set_evacuated(fleet, zone, begin)) {
         return false;
     }
     int running = 0;
@@ -307,20 +313,20 @@
         }
         count++;
         running += endpoint->running;
-        endpoint->evacuated = asked;
-        if (asked) {
+        endpoint->evacuated = begin;
+        if (begin) {
             close_idle(endpoint);
         }
-        endpoint->returned_at = asked ? 0 : Ck_Now(fleet->clock);
+        endpoint->zone_restored_at = begin ? 0 : Ck_Now(fleet->clock);
     }
-    Ln_Log(LN_STATE, asked ? "zone.evacuated" : "zone.returned",
+    Ln_Log(LN_STATE, begin ? "zone.evacuated" : "zone.returned",
            "\"zone\":\"%s\",\"endpoints\":%zu,\"running\":%d", zone, count,
            running);
     return true;
 }
 
 int
-Fl_CountEvacuated(const struct fl_fleet *fleet)
+Fl_CountEvacuatedRequests(const struct fl_fleet *fleet)
 {
     int running = 0;
     const struct fl_endpoint *endpoint;
@@ -336,7 +342,9 @@
     return &fleet->endpoints;
 }
 
-/* Whether new requests may go there, its health aside. */
+/*
+ * Returns whether new requests may go to the endpoint, apart from its health.
+ */
 bool
 Fl_Usable(const struct fl_endpoint *endpoint)
 {
@@ -345,7 +353,7 @@
 }
 
 bool
-Fl_Any(const struct fl_fleet *fleet)
+Fl_HasEndpoints(const struct fl_fleet *fleet)
 {
     return !TAILQ_EMPTY(&fleet->endpoints);
 }
--- a/packages/edge/gate.c
+++ b/packages/edge/gate.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/breaks.h"
+#include "edge/broken.h"
 #include "edge/exchange.h"
 #include "edge/gate_internal.h"
 #include "edge/paths.h"
@@ -14,22 +14,25 @@
 
 #define Ga_TICK_USEC Ms_TICK_USEC
 #define Ga_READERS 3
-#define Ga_MANY_DAEMONS 16
-#define Ga_SWEEP_TICKS 5   /* twice a second */
-#define Ga_CALLS_TICKS 100 /* each ten seconds */
+#define Ga_MANY_HOSTS 16
+#define Ga_SWEEP_TICKS 5       /* twice a second */
+#define Ga_LOG_CALLS_TICKS 100 /* every ten seconds */
 /*
- * A planned stop: readiness is asked once a second and two misses take a
- * host out, so callers come for some three seconds more, on connections they
- * keep for as long as those are open.  Idle ones are ended before that, and
- * what still runs has until shortly before the platform kills the process.
+ * Times of a graceful shutdown, from its start.  The load balancer checks the
+ * readiness once a second and removes a host after two failed checks, so
+ * callers connect for about three seconds more; on open connections they send
+ * requests as long as those last.  Idle connections are closed before that;
+ * running requests may go on until shortly before the platform kills the
+ * process.
  */
 #define Ga_STOP_IDLE_USEC (1500 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_STREAMS_USEC (2700 * Ck_USEC_PER_MSEC)
-#define Ga_STOP_LEAST_USEC (3800 * Ck_USEC_PER_MSEC)
+#define Ga_STOP_MIN_USEC (3800 * Ck_USEC_PER_MSEC)
 #define Ga_STOP_MARGIN_USEC (300 * Ck_USEC_PER_MSEC)
-/* Connections of peers: two descriptors each, a quarter of all at the most. */
-#define Ga_THROUGH_FDS_PART 8
-#define Ga_THROUGH_MOST 256
+/* Connections relayed for peers take two descriptors each, and at most 1/4 of
+   all descriptors. */
+#define Ga_TUNNEL_FDS_DIVISOR 8
+#define Ga_TUNNEL_MAX 256
 
 int64_t
 Ga_Now(const struct ga_gate *gate)
@@ -37,16 +40,16 @@
     return Ck_Now(gate->options.clock);
 }
 
-/* Whether callers are welcome. */
 bool
-Ga_Ready(const struct ga_gate *gate)
+Ga_IsReady(const struct ga_gate *gate)
 {
     return gate->stopping_at == 0 && Fe_Config(gate->feed) != NULL &&
-           Fl_Any(gate->fleet);
+           Fl_HasEndpoints(gate->fleet);
 }
 
 bool
-Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint)
+Ga_HasTargetVersion(const struct ro_move *move,
+                    const struct fl_endpoint *endpoint)
 {
     return move != NULL &&
            strcmp(endpoint->entry.version, move->order.target) == 0;
@@ -56,7 +59,8 @@
 Ga_MayRunAt(const struct ga_gate *gate, const struct ec_route *route,
             const struct ec_tenant *tenant, const struct fl_endpoint *endpoint)
 {
-    if (route->homes == NULL && (tenant == NULL || tenant->homes == NULL)) {
+    if (route->allowed_regions == NULL &&
+        (tenant == NULL || tenant->allowed_regions == NULL)) {
         return true;
     }
     return Ec_MayRunIn(route, tenant,
@@ -73,52 +77,53 @@
 on_gone(void *arg, struct sv_request *request)
 {
     (void)arg;
-    Xc_Gone(request);
+    Xc_CallerLeft(request);
 }
 
 static void
 on_drained(void *arg, struct sv_request *request)
 {
     (void)arg;
-    Xc_Drained(request);
+    Xc_CallerDrained(request);
 }
 
-/* Every so often at the most that it is too full. */
-#define Ga_CROWD_TOLD_USEC (1 * Ck_USEC_PER_SEC)
-/* Of the descriptors, callers' connections have this part. */
-#define Ga_CALLERS_FDS_PART 2
+/* Minimum time between two log lines about overload. */
+#define Ga_OVERLOAD_LOG_USEC (1 * Ck_USEC_PER_SEC)
+/* Callers' connections take at most 1/2 of the descriptors. */
+#define Ga_CALLERS_FDS_DIVISOR 2
 
 static void
-tell_crowd(struct ga_gate *gate)
+log_overload(struct ga_gate *gate)
 {
     int64_t now = Ga_Now(gate);
-    Mt_Add(gate->count.unread, 1);
-    if (now - gate->crowd_told_at >= Ga_CROWD_TOLD_USEC) {
-        gate->crowd_told_at = now;
+    Mt_Add(gate->count.closed_unread, 1);
+    if (now - gate->overload_logged_at >= Ga_OVERLOAD_LOG_USEC) {
+        gate->overload_logged_at = now;
         Ln_Log(LN_FAILURE, "connection.unread",
                "\"connections\":%zu,\"late\":%d,\"in_all\":%lld",
-               Sv_Connections(gate->callers), gate->crowd.full,
-               (long long)Mt_Value(gate->count.unread));
+               Sv_Connections(gate->callers), gate->overload.overloaded,
+               (long long)Mt_Value(gate->count.closed_unread));
     }
 }
 
 static bool
-on_taking(void *arg)
+may_accept(void *arg)
 {
     struct ga_gate *gate = arg;
-    size_t most = (size_t)gate->options.node->max_fds / Ga_CALLERS_FDS_PART;
-    bool takes = Cr_MayTake(&gate->crowd, Sv_Connections(gate->callers), most);
-    if (!takes) {
-        tell_crowd(gate);
+    size_t most = (size_t)gate->options.node->max_fds / Ga_CALLERS_FDS_DIVISOR;
+    bool accepts =
+        Ov_MayAccept(&gate->overload, Sv_Connections(gate->callers), most);
+    if (!accepts) {
+        log_overload(gate);
     }
-    return takes;
+    return accepts;
 }
 
 static void
 on_turn(void *arg, int64_t usec)
 {
     struct ga_gate *gate = arg;
-    Cr_Turn(&gate->crowd, usec, Ga_Now(gate));
+    Ov_RecordTurn(&gate->overload, usec, Ga_Now(gate));
 }
 
 static void
@@ -135,11 +140,11 @@
     .gone = on_gone,
     .drained = on_drained,
     .refused = on_refused,
-    .takes = on_taking,
+    .takes = may_accept,
 };
 
 static bool
-asks_for(const struct sv_request *request, const char *path)
+path_matches(const struct sv_request *request, const char *path)
 {
     struct h1_text target = Sv_Head(request)->target;
     size_t len = strlen(path);
@@ -147,29 +152,29 @@
 }
 
 static void
-on_ready_asked(void *arg, struct sv_request *request)
+on_ready_request(void *arg, struct sv_request *request)
 {
     struct ga_gate *gate = arg;
-    if (!asks_for(request, gate->options.ready_path)) {
+    if (!path_matches(request, gate->options.ready_path)) {
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    Sv_Reply(request, Ga_Ready(gate) ? 200 : 503, "", "", 0);
+    Sv_Reply(request, Ga_IsReady(gate) ? 200 : 503, "", "", 0);
 }
 
 static void
-on_metrics_asked(void *arg, struct sv_request *request)
+on_metrics_request(void *arg, struct sv_request *request)
 {
     struct ga_gate *gate = arg;
-    if (!asks_for(request, gate->options.metrics_path)) {
+    if (!path_matches(request, gate->options.metrics_path)) {
         Sv_Reply(request, 404, "", "", 0);
         return;
     }
-    Ag_ShowCalls(gate->options.store, gate->registry);
-    Vs_ShowEndpoints(gate->registry, gate->fleet);
+    Ag_ExportCalls(gate->options.store, gate->registry);
+    Vs_UpdateEndpoints(gate->registry, gate->fleet);
     Mt_Set(
         Mt_Get(gate->registry, MT_GAUGE, "cornelgate_evacuated_running", ""),
-        Fl_CountEvacuated(gate->fleet));
+        Fl_CountEvacuatedRequests(gate->fleet));
     char *text = Mt_Print(gate->registry);
     Sv_Reply(request, 200, "Content-Type: text/plain; version=0.0.4\r\n",
              text == NULL ? "" : text, text == NULL ? 0 : strlen(text));
@@ -184,12 +189,12 @@
 }
 
 static const struct sv_ops ready_ops = {
-    .request = on_ready_asked,
+    .request = on_ready_request,
     .gone = ignore_gone,
 };
 
 static const struct sv_ops metrics_ops = {
-    .request = on_metrics_asked,
+    .request = on_metrics_request,
     .gone = ignore_gone,
 };
 
@@ -219,12 +224,12 @@
 }
 
 static void
-on_evacuation(void *arg, const char *zone, bool asked)
+on_evacuation(void *arg, const char *zone, bool evacuate)
 {
     struct ga_gate *gate = arg;
-    if (Fl_Evacuate(gate->fleet, zone, asked)) {
-        /* What serves elsewhere has to carry more, or less, from now on. */
-        Wo_PlanSoon(gate->work);
+    if (Fl_Evacuate(gate->fleet, zone, evacuate)) {
+        /* The load of the other data centres rises or falls from now on. */
+        Co_PlanSoon(gate->controller);
     }
 }
 
@@ -239,7 +244,7 @@
 }
 
 static bool
-others_reach(void *arg)
+peers_reach_store(void *arg)
 {
     const struct ga_gate *gate = arg;
     const struct ms_peer *peer;
@@ -252,24 +257,28 @@
 }
 
 /*
- * Words from another data centre are seconds apart, and those who read may all
- * be in one that has gone; its sums are missed sooner.
+ * Whether a peer can be relied on to pass on what it reads from the store.
+ * Messages from a host in another data centre arrive seconds apart, and all
+ * readers may be in a data centre that has failed.  The summaries of a
+ * whole data centre arrive more often, so that their absence shows the failure
+ * sooner.
  */
 static bool
-is_close(const struct ga_gate *gate, const struct ms_peer *peer)
+is_timely_reader(const struct ga_gate *gate, const struct ms_peer *peer)
 {
-    return Ms_Close(gate->mesh, peer) &&
-           (peer->near || !Ms_Summarizes(gate->mesh) ||
+    return Ms_IsResponsive(gate->mesh, peer) &&
+           (peer->same_zone || !Ms_UsesSummaries(gate->mesh) ||
             Zn_IsReported(gate->zones, peer->zone));
 }
 
 /*
- * Thousands of endpoints write hundreds of kilobytes a second of heartbeats:
- * on a narrow link they would hold up what callers and other daemons send, so
- * the hosts with the widest links read first.
+ * Whether a peer precedes this host in the order of readers.  The heartbeats
+ * of thousands of endpoints are hundreds of kilobytes a second and would delay
+ * the traffic of callers and peers on a narrow link, so the hosts with the
+ * widest links come first.
  */
 static bool
-reads_first(const struct nd_node *own, const struct ms_peer *peer)
+precedes(const struct nd_node *own, const struct ms_peer *peer)
 {
     if (peer->link_mbps != own->link_mbps) {
         return peer->link_mbps > own->link_mbps;
@@ -278,11 +287,12 @@
 }
 
 /*
- * The first few daemons read, and whoever does not hear enough of
- * them.  Two may fail at once before anything is learned late.
+ * Whether this host may leave the topic to other readers.  The first
+ * Ga_READERS hosts read, as do hosts that have contact with fewer readers.
+ * Updates stay timely when two readers fail at once.
  */
 static bool
-others_read(void *arg, enum ag_topic topic)
+enough_readers(void *arg, enum ag_topic topic)
 {
     const struct ga_gate *gate = arg;
     size_t readers = 0;
@@ -290,17 +300,17 @@
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         bool reads =
             topic == AG_CONFIG ? peer->reads_config : peer->reads_entries;
-        readers += reads && !peer->stopping && is_close(gate, peer) &&
-                   reads_first(gate->options.node, peer);
+        readers += reads && !peer->stopping && is_timely_reader(gate, peer) &&
+                   precedes(gate->options.node, peer);
     }
     return readers >= Ga_READERS;
 }
 
 static bool
-others_known(void *arg)
+many_hosts_known(void *arg)
 {
     const struct ga_gate *gate = arg;
-    return Ms_CountExpected(gate->mesh) >= Ga_MANY_DAEMONS;
+    return Ms_CountExpected(gate->mesh) >= Ga_MANY_HOSTS;
 }
 
 static const struct fe_ops feed_ops = {
@@ -308,13 +318,13 @@
     .order = on_order,
     .evacuation = on_evacuation,
     .store = on_store,
-    .others_reach = others_reach,
-    .others_read = others_read,
-    .others_known = others_known,
+    .peers_reach = peers_reach_store,
+    .peers_read = enough_readers,
+    .peers_known = many_hosts_known,
 };
 
 static bool
-others_serve(const struct ga_gate *gate)
+peers_serve(const struct ga_gate *gate)
 {
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
@@ -326,15 +336,16 @@
 }
 
 /*
- * Ends listening once nobody is connected, and before the limit at any rate:
- * who connects as the process exits would be reset.
+ * Closes the listening socket when no caller is connected, or at the latest
+ * before the time limit: connections made while the process exits would be
+ * reset.
  */
 static void
-end_listening(struct ga_gate *gate, int64_t gone, int64_t limit)
+end_listening(struct ga_gate *gate, int64_t elapsed, int64_t limit)
 {
     bool due =
-        (gone > Ga_STOP_LEAST_USEC && Sv_Connections(gate->callers) == 0) ||
-        gone > limit - Ls_ENDING_MOST - Ga_TICK_USEC;
+        (elapsed > Ga_STOP_MIN_USEC && Sv_Connections(gate->callers) == 0) ||
+        elapsed > limit - Ls_ENDING_MOST - Ga_TICK_USEC;
     if (gate->listening == GA_LISTENING && due) {
         gate->listening = GA_CLOSING;
     }
@@ -355,19 +366,19 @@
 static void
 step_stop(struct ga_gate *gate)
 {
-    int64_t gone = Ga_Now(gate) - gate->stopping_at;
-    if (others_serve(gate)) {
-        Du_Resign(gate->duty);
+    int64_t elapsed = Ga_Now(gate) - gate->stopping_at;
+    if (peers_serve(gate)) {
+        Lr_Release(gate->lease);
     }
-    if (gone > Ga_STOP_IDLE_USEC) {
+    if (elapsed > Ga_STOP_IDLE_USEC) {
         Sv_CloseIdle(gate->callers, Ga_TICK_USEC);
     }
     int64_t limit = gate->options.node->grace_usec - Ga_STOP_MARGIN_USEC;
-    end_listening(gate, gone, limit);
-    /* Who had connected already is answered first. */
+    end_listening(gate, elapsed, limit);
+    /* Callers that are already connected are answered first. */
     if ((gate->listening == GA_CLOSED && Sv_Connections(gate->callers) == 0 &&
-         Th_Count(gate->through) == 0) ||
-        gone > limit) {
+         Th_Count(gate->tunnel) == 0) ||
+        elapsed > limit) {
         Ln_Log(LN_STATE, "process.stopped", "\"open\":%zu",
                Sv_Open(gate->callers));
         Ln_Flush();
@@ -378,7 +389,7 @@
 static void
 note_readiness(struct ga_gate *gate)
 {
-    bool ready = Ga_Ready(gate);
+    bool ready = Ga_IsReady(gate);
     if (ready != gate->was_ready) {
         gate->was_ready = ready;
         Ln_Log(LN_STATE, ready ? "ready" : "unready", "\"daemons\":%zu",
@@ -397,10 +408,10 @@
     Pt_Tick(gate->paths);
     Bk_Tick(gate->breaks);
     Qn_Tick(gate->quarantine);
-    Th_Tick(gate->through);
+    Th_Tick(gate->tunnel);
     Ro_Tick(gate->moves);
-    Du_Tick(gate->duty);
-    Wo_Tick(gate->work);
+    Lr_Tick(gate->lease);
+    Co_Tick(gate->controller);
     if (gate->ticks % Ga_SWEEP_TICKS == 0) {
         Sv_Tick(gate->callers);
         Sv_Tick(gate->ready);
@@ -408,7 +419,7 @@
         Po_Sweep(gate);
     }
     note_readiness(gate);
-    if (gate->ticks % Ga_CALLS_TICKS == 0) {
+    if (gate->ticks % Ga_LOG_CALLS_TICKS == 0) {
         Ag_LogCalls(gate->options.store);
     }
     Ln_Flush();
@@ -438,16 +449,17 @@
         .served = counter(gate, "cornelgate_served_total"),
         .refused = counter(gate, "cornelgate_refused_total"),
         .failed = counter(gate, "cornelgate_failed_total"),
-        .repeats = counter(gate, "cornelgate_repeats_total"),
-        .unread = counter(gate, "cornelgate_connections_unread_total"),
-        .waits = counter(gate, "cornelgate_stream_waits_total"),
-        .opened = counter(gate, "cornelgate_connections_opened_total"),
+        .retries = counter(gate, "cornelgate_repeats_total"),
+        .closed_unread = counter(gate, "cornelgate_connections_unread_total"),
+        .stream_waits = counter(gate, "cornelgate_stream_waits_total"),
+        .connections_opened =
+            counter(gate, "cornelgate_connections_opened_total"),
         .made_for_peers =
             counter(gate, "cornelgate_connections_made_for_peers_total"),
-        .first = Mt_Get(gate->registry, MT_HISTOGRAM,
-                        "cornelgate_first_byte_usec", ""),
-        .whole = Mt_Get(gate->registry, MT_HISTOGRAM,
-                        "cornelgate_whole_answer_usec", ""),
+        .first_byte = Mt_Get(gate->registry, MT_HISTOGRAM,
+                             "cornelgate_first_byte_usec", ""),
+        .whole_answer = Mt_Get(gate->registry, MT_HISTOGRAM,
+                               "cornelgate_whole_answer_usec", ""),
     };
 }
 
@@ -456,7 +468,7 @@
 {
     const struct nd_node *node = gate->options.node;
     const struct ck_clock *clock = gate->options.clock;
-    Rn_Seed(&gate->random, gate->options.run);
+    Rn_Seed(&gate->random, gate->options.run_id);
     gate->registry = Mt_Create();
     gate->fleet = Fl_Create(clock);
     gate->quota = Qt_Create(clock, node->first_start);
@@ -467,11 +479,11 @@
     gate->zones = Zn_Create(clock);
     gate->moves = Ro_Create(clock);
     gate->demand = De_Create(clock);
-    gate->time = Tt_Create(clock);
+    gate->true_time = Tt_Create(clock);
     if (gate->registry == NULL || gate->fleet == NULL || gate->quota == NULL ||
         gate->budget == NULL || gate->prefixes == NULL ||
         gate->usage == NULL || gate->zones == NULL || gate->moves == NULL ||
-        gate->demand == NULL || gate->time == NULL) {
+        gate->demand == NULL || gate->true_time == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the daemon's tables");
     }
     Qt_SetWindow(gate->quota, node->quota_window_usec);
@@ -500,46 +512,51 @@
     return status;
 }
 
-/* Not over a link that is cut here as well, and to no address but these. */
+/*
+ * Returns the address of an endpoint that a peer asks this host to connect to.
+ * Only listed endpoints are allowed, and only if this host's own link to the
+ * endpoint is not cut.
+ */
 static bool
 find_for_peer(void *arg, const char *id, char *address, size_t size)
 {
     const struct ga_gate *gate = arg;
     const struct fl_endpoint *endpoint = Fl_Find(gate->fleet, id);
-    if (endpoint == NULL || endpoint->way.cut || gate->stopping_at != 0) {
+    if (endpoint == NULL || endpoint->link_state.cut ||
+        gate->stopping_at != 0) {
         return false;
     }
     return strlcpy(address, endpoint->entry.address, size) < size;
 }
 
 static void
-on_made_for_peer(void *arg)
+on_connected_for_peer(void *arg)
 {
     struct ga_gate *gate = arg;
     Mt_Add(gate->count.made_for_peers, 1);
 }
 
-static const struct th_ops through_ops = {
+static const struct th_ops tunnel_ops = {
     .find = find_for_peer,
-    .made = on_made_for_peer,
+    .made = on_connected_for_peer,
 };
 
 static enum st_status
-create_through(struct ga_gate *gate)
+create_tunnel(struct ga_gate *gate)
 {
     const struct nd_node *node = gate->options.node;
     char address[Nd_NAME_MAX + 8];
-    snprintf(address, sizeof(address), "%s:%d", node->ip, node->through_port);
-    size_t most = (size_t)node->max_fds / Ga_THROUGH_FDS_PART;
+    snprintf(address, sizeof(address), "%s:%d", node->ip, node->tunnel_port);
+    size_t most = (size_t)node->max_fds / Ga_TUNNEL_FDS_DIVISOR;
     struct th_options options = {
         .loop = gate->options.loop,
         .clock = gate->options.clock,
         .address = address,
-        .most = most < Ga_THROUGH_MOST ? most : Ga_THROUGH_MOST,
-        .ops = &through_ops,
+        .most = most < Ga_TUNNEL_MAX ? most : Ga_TUNNEL_MAX,
+        .ops = &tunnel_ops,
         .arg = gate,
     };
-    return Th_Create(&options, &gate->through);
+    return Th_Create(&options, &gate->tunnel);
 }
 
 static enum st_status
@@ -550,7 +567,7 @@
     if (gate->peers == NULL) {
         return ST_UNAVAILABLE;
     }
-    enum st_status status = create_through(gate);
+    enum st_status status = create_tunnel(gate);
     if (status != ST_OK) {
         return status;
     }
@@ -565,26 +582,27 @@
         .ops = &feed_ops,
         .arg = gate,
     };
-    struct du_options duty = {
+    struct lr_options lease = {
         .clock = options->clock,
         .store = options->store,
         .name = options->node->name,
-        .run = options->run,
+        .run = options->run_id,
         .lease_usec = options->node->lease_usec,
         .rank = rank,
-        .changed = Wo_Changed,
+        .changed = Co_LeaseChanged,
         .arg = gate,
     };
     gate->paths = Pt_Create(gate);
     gate->breaks = Bk_Create(gate);
     gate->quarantine = Qn_Create(gate);
     gate->feed = Fe_Create(&feed);
-    gate->duty = Du_Create(&duty);
-    gate->work = Wo_Create(gate);
+    gate->lease = Lr_Create(&lease);
+    gate->controller = Co_Create(gate);
     gate->tick = Lp_TimerCreate(options->loop, on_tick, gate);
     if (gate->paths == NULL || gate->breaks == NULL ||
-        gate->quarantine == NULL || gate->feed == NULL || gate->duty == NULL ||
-        gate->work == NULL || gate->tick == NULL) {
+        gate->quarantine == NULL || gate->feed == NULL ||
+        gate->lease == NULL || gate->controller == NULL ||
+        gate->tick == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for the daemon");
     }
     Lp_TimerSet(gate->tick, 0);
@@ -592,7 +610,7 @@
     return ST_OK;
 }
 
-/* Starts serving; everything happens on the loop from then on. */
+/* Starts serving; all further work happens in callbacks of the loop. */
 enum st_status
 Ga_Create(const struct ga_options *options, struct ga_gate **out)
 {
@@ -615,18 +633,17 @@
         return status;
     }
     Ln_Log(LN_STATE, "process.started", "\"callers\":\"%s\",\"run\":%llu",
-           options->node->callers, (unsigned long long)options->run);
+           options->node->callers, (unsigned long long)options->run_id);
     *out = gate;
     return ST_OK;
 }
 
 /*
- * Whether a request that comes now may be cut by the end of the process.  A
- * stream can last longer than what is left; refused at once it is served by
- * another host.
+ * Whether the shutdown may cut a request that arrives now.  A stream may last
+ * longer than the time left; refused at once, it is served by another host.
  */
 bool
-Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route)
+Ga_StopMayCut(const struct ga_gate *gate, const struct ec_route *route)
 {
     return gate->stopping_at != 0 && route->kind == EC_STREAM &&
            Ga_Now(gate) - gate->stopping_at > Ga_STOP_STREAMS_USEC;
@@ -644,7 +661,7 @@
            Sv_Open(gate->callers), Sv_Connections(gate->callers));
 }
 
-/* The store and the cloud must not answer any more. */
+/* The store and the cloud must make no more callbacks. */
 void
 Ga_Destroy(struct ga_gate *gate)
 {
@@ -652,15 +669,15 @@
         return;
     }
     Lp_TimerDestroy(gate->tick);
-    Wo_Destroy(gate->work);
-    Du_Destroy(gate->duty);
+    Co_Destroy(gate->controller);
+    Lr_Destroy(gate->lease);
     Fe_Destroy(gate->feed);
     Pe_Destroy(gate->peers);
     Ms_Destroy(gate->mesh);
     Sv_Destroy(gate->callers);
     Sv_Destroy(gate->ready);
     Sv_Destroy(gate->metrics_server);
-    Th_Destroy(gate->through);
+    Th_Destroy(gate->tunnel);
     Bk_Destroy(gate->breaks);
     Qn_Destroy(gate->quarantine);
     Pt_Destroy(gate->paths);
@@ -672,7 +689,7 @@
     Zn_Destroy(gate->zones);
     Ro_Destroy(gate->moves);
     De_Destroy(gate->demand);
-    Tt_Destroy(gate->time);
+    Tt_Destroy(gate->true_time);
     Mt_Destroy(gate->registry);
     free(gate);
 }
--- a/packages/edge/gate_internal.h
+++ b/packages/edge/gate_internal.h
@@ -1,17 +1,17 @@
-/* Shared by the modules of the request path only. */
+/* Internal to the modules of the request path. */
 #ifndef EDGE_GATE_INTERNAL_H
 #define EDGE_GATE_INTERNAL_H
 
 #include "base/hash.h"
-#include "base/line.h"
+#include "base/log_line.h"
 #include "base/metric.h"
 #include "base/random.h"
 #include "edge/budget.h"
 #include "edge/demand.h"
-#include "edge/duty.h"
 #include "edge/feed.h"
 #include "edge/fleet.h"
 #include "edge/gate.h"
+#include "edge/leader.h"
 #include "edge/mesh.h"
 #include "edge/prefix.h"
 #include "edge/quota.h"
@@ -19,7 +19,7 @@
 #include "edge/truetime.h"
 #include "edge/usage.h"
 #include "edge/zones.h"
-#include "policy/crowd.h"
+#include "policy/overload.h"
 #include "web/serve.h"
 #include "web/through.h"
 
@@ -27,7 +27,7 @@
 struct pe_peers;
 struct pt_paths;
 struct qn_quarantine;
-struct wo_work;
+struct co_controller;
 struct xc_exchange;
 
 TAILQ_HEAD(xc_list, xc_exchange);
@@ -37,18 +37,18 @@
     struct mt_metric *served;
     struct mt_metric *refused;
     struct mt_metric *failed;
-    struct mt_metric *unread; /* connections closed unread */
-    struct mt_metric *repeats;
-    struct mt_metric *waits;  /* of streams for an endpoint */
-    struct mt_metric *opened; /* connections to endpoints */
-    struct mt_metric *made_for_peers;
-    struct mt_metric *first; /* time to the first byte of an answer */
-    struct mt_metric *whole; /* time to the end of an answer */
+    struct mt_metric *closed_unread; /* callers' connections, under overload */
+    struct mt_metric *retries;
+    struct mt_metric *stream_waits;       /* waits for an endpoint */
+    struct mt_metric *connections_opened; /* to endpoints */
+    struct mt_metric *made_for_peers;     /* connections opened for peers */
+    struct mt_metric *first_byte;   /* time to the first byte of an answer */
+    struct mt_metric *whole_answer; /* time to the end of an answer */
 };
 
 enum ga_listening {
     GA_LISTENING,
-    GA_CLOSING, /* connections that have begun are still taken */
+    GA_CLOSING, /* connections in the accept queue are still accepted */
     GA_CLOSED,
 };
 
@@ -66,68 +66,69 @@
     struct us_usage *usage;
     struct ro_table *moves;
     struct de_demand *demand;
-    struct tt_time *time;
-    struct du_duty *duty;
+    struct tt_time *true_time;
+    struct lr_lease *lease;
     struct ms_mesh *mesh;
     struct zn_zones *zones;
     struct pe_peers *peers;
     struct pt_paths *paths;
     struct bk_breaks *breaks;
     struct qn_quarantine *quarantine;
-    struct cr_host crowd;
-    int64_t crowd_told_at;
+    struct ov_load overload;
+    int64_t overload_logged_at;
     struct xc_list exchanges;
-    struct th_through *through;
-    struct wo_work *work;
+    struct th_through *tunnel;
+    struct co_controller *controller;
     struct mt_registry *registry;
     struct ga_counters count;
     struct lp_timer *tick;
     int64_t ticks;
     int64_t started_at;
-    int64_t stopping_at; /* 0: serving */
+    int64_t stopping_at; /* start of the shutdown; 0: not stopping */
     enum ga_listening listening;
     bool was_ready;
 };
 
 int64_t Ga_Now(const struct ga_gate *gate);
-bool Ga_Ready(const struct ga_gate *gate);
-bool Ga_TooLate(const struct ga_gate *gate, const struct ec_route *route);
+bool Ga_IsReady(const struct ga_gate *gate);
+bool Ga_StopMayCut(const struct ga_gate *gate, const struct ec_route *route);
 
-/* Whether a request may run in the region of an endpoint. */
+/* Whether route and tenant allow the region of the endpoint. */
 bool Ga_MayRunAt(const struct ga_gate *gate, const struct ec_route *route,
                  const struct ec_tenant *tenant,
                  const struct fl_endpoint *endpoint);
 
-/* An answer of the daemon's own. */
+/* An error answer of this host itself. */
 struct rf_refusal {
     int status;
-    int64_t retry_usec; /* when to come back; 0: it would not help */
+    int64_t retry_usec; /* retry-after; 0: none, a retry would not help */
     const char *why;
-    const char *id; /* of the request; empty: none */
+    const char *id; /* id of the request; empty: none */
 };
 
 void Rf_Reply(struct ga_gate *gate, struct sv_request *request,
               const struct rf_refusal *refusal);
 
-/* Admission: a whole request from a caller. */
+/* Admits or refuses a complete request from a caller. */
 void Ad_Take(struct ga_gate *gate, struct sv_request *request);
 
-/* The life of an admitted request. */
-void Xc_Gone(struct sv_request *request);
-void Xc_Drained(struct sv_request *request);
+/* Events of the caller's connection of an admitted request. */
+void Xc_CallerLeft(struct sv_request *request);
+void Xc_CallerDrained(struct sv_request *request);
 
-/* Work for the whole system: usage reports and orders. */
-struct wo_work *Wo_Create(struct ga_gate *gate);
-void Wo_Destroy(struct wo_work *work);
-void Wo_Tick(struct wo_work *work);
-/* Endpoints are ordered anew at the next tick. */
-void Wo_PlanSoon(struct wo_work *work);
-/* Whether an endpoint has the version that its service is moved to. */
-bool Ga_IsNext(const struct ro_move *move, const struct fl_endpoint *endpoint);
-void Wo_Changed(void *arg, bool holder, int64_t fence);
-int64_t Wo_Window(const struct ga_gate *gate, int64_t true_usec);
+/* The controller: usage reports and endpoint orders of the lease holder. */
+struct co_controller *Co_Create(struct ga_gate *gate);
+void Co_Destroy(struct co_controller *controller);
+void Co_Tick(struct co_controller *controller);
+/* Has the numbers of endpoints planned again at the next tick. */
+void Co_PlanSoon(struct co_controller *controller);
+/* Whether the endpoint has the target version of the move. */
+bool Ga_HasTargetVersion(const struct ro_move *move,
+                         const struct fl_endpoint *endpoint);
+void Co_LeaseChanged(void *arg, bool holder, int64_t fence);
+int64_t Co_UsageWindow(const struct ga_gate *gate, int64_t true_usec);
 
-/* Other daemons. */
+/* State exchange with the peers. */
 struct pe_peers *Pe_Create(struct ga_gate *gate);
 void Pe_Destroy(struct pe_peers *peers);
 void Pe_Tick(struct pe_peers *peers);
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -8,34 +8,34 @@
 
 #include "edge/exchange.h"
 #include "edge/quarantine.h"
-#include "policy/way.h"
+#include "policy/link.h"
 #include "web/dial.h"
 
-/* Tests at the same time, of all links. */
+/* Link tests in progress at the same time. */
 #define Pt_TESTS_MAX 16
-/* A connection takes a few milliseconds. */
-#define Pt_TEST_USEC (300 * Ck_USEC_PER_MSEC)
+/* Timeout of a link test; to connect normally takes a few milliseconds. */
+#define Pt_TEST_TIMEOUT_USEC (300 * Ck_USEC_PER_MSEC)
 #define Pt_PEERS_MAX 512
 
-/* One connection that is being made, for a request or as a test. */
-struct making {
-    LIST_ENTRY(making) link;
+/* A connect in progress, for a request or as a link test. */
+struct attempt {
+    LIST_ENTRY(attempt) link;
     struct pt_paths *paths;
     struct fl_endpoint *endpoint; /* a reference */
-    enum wy_order order;
-    size_t direct;        /* index of the direct way in the plan */
-    uint32_t peer;        /* that is asked; 0: none */
-    struct di_dial *test; /* NULL: for a request */
+    enum li_order order;
+    size_t direct;        /* index of the direct path in the plan */
+    uint32_t peer;        /* address of the relaying peer; 0: none */
+    struct di_dial *test; /* the link test; NULL: for a request */
     int64_t since;
 };
 
-LIST_HEAD(making_list, making);
+LIST_HEAD(attempt_list, attempt);
 
 struct pt_paths {
     struct ga_gate *gate;
-    struct making_list tests;
+    struct attempt_list tests;
     size_t test_count;
-    struct wy_failures failures;
+    struct li_failures failures;
     bool any_cut;
 };
 
@@ -56,95 +56,96 @@
     return paths->any_cut;
 }
 
-/* A peer to ask for a connection; NULL: there is none. */
+/* Picks a peer to relay a connection; NULL if there is none. */
 static const struct ms_peer *
-pick_peer(struct pt_paths *paths, const struct wy_link *link)
+pick_peer(struct pt_paths *paths, const struct li_link *link)
 {
     static const struct ms_peer *candidates[Pt_PEERS_MAX];
-    static struct wy_peer peers[Pt_PEERS_MAX];
+    static struct li_peer peers[Pt_PEERS_MAX];
     struct ga_gate *gate = paths->gate;
     size_t count = 0;
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
-        if (count == Pt_PEERS_MAX || !Ms_Close(gate->mesh, peer) ||
+        if (count == Pt_PEERS_MAX || !Ms_IsResponsive(gate->mesh, peer) ||
             peer->stopping || !peer->ready) {
             continue;
         }
         candidates[count] = peer;
-        peers[count++] = (struct wy_peer){
-            .near = peer->near,
-            .cut = peer->cut,
-            .failed_at = Wy_FailedAt(&paths->failures, peer->address),
+        peers[count++] = (struct li_peer){
+            .same_data_centre = peer->same_zone,
+            .cut = peer->links_cut,
+            .failed_at = Li_LastFailure(&paths->failures, peer->address),
         };
     }
     return count == 0
                ? NULL
-               : candidates[Wy_PickPeer(link, peers, count,
+               : candidates[Li_PickPeer(link, peers, count,
                                         Rn_Unit(&gate->random), Ga_Now(gate))];
 }
 
 static void
-add_direct(struct di_plan *plan, const struct fl_endpoint *endpoint)
+add_direct_way(struct di_plan *plan, const struct fl_endpoint *endpoint)
 {
     struct di_way *way = &plan->ways[plan->count++];
     strlcpy(way->address, endpoint->entry.address, sizeof(way->address));
 }
 
 static void
-add_peer(struct di_plan *plan, struct making *making)
+add_peer_way(struct di_plan *plan, struct attempt *attempt)
 {
-    struct ga_gate *gate = making->paths->gate;
-    const struct fl_endpoint *endpoint = making->endpoint;
-    const struct ms_peer *peer = pick_peer(making->paths, &endpoint->way);
+    struct ga_gate *gate = attempt->paths->gate;
+    const struct fl_endpoint *endpoint = attempt->endpoint;
+    const struct ms_peer *peer =
+        pick_peer(attempt->paths, &endpoint->link_state);
     if (peer == NULL) {
         return;
     }
-    making->peer = peer->address;
+    attempt->peer = peer->address;
     struct di_way *way = &plan->ways[plan->count++];
     snprintf(way->address, sizeof(way->address), "%.48s:%d", peer->ip,
-             gate->options.node->through_port);
+             gate->options.node->tunnel_port);
     strlcpy(way->target, endpoint->entry.id, sizeof(way->target));
     way->peer = peer->address;
 }
 
 static struct di_plan
-plan_for(struct making *making)
+plan_for(struct attempt *attempt)
 {
-    struct di_plan plan = {.patience_usec = Wy_PATIENCE};
-    if (making->order == WY_PEER_FIRST) {
-        add_peer(&plan, making);
+    struct di_plan plan = {.patience_usec = Li_FALLBACK_USEC};
+    if (attempt->order == LI_PEER_FIRST) {
+        add_peer_way(&plan, attempt);
     }
-    making->direct = plan.count;
-    add_direct(&plan, making->endpoint);
-    if (making->order == WY_DIRECT_FIRST) {
-        add_peer(&plan, making);
+    attempt->direct = plan.count;
+    add_direct_way(&plan, attempt->endpoint);
+    if (attempt->order == LI_DIRECT_FIRST) {
+        add_peer_way(&plan, attempt);
     }
     return plan;
 }
 
-static struct making *
-begin(struct pt_paths *paths, struct fl_endpoint *endpoint,
-      enum wy_order order)
+static struct attempt *
+begin_attempt(struct pt_paths *paths, struct fl_endpoint *endpoint,
+              enum li_order order)
 {
-    struct making *making = calloc(1, sizeof(*making));
-    if (making != NULL) {
-        making->paths = paths;
-        making->endpoint = Fl_Hold(endpoint);
-        making->order = order;
-        making->since = Ga_Now(paths->gate);
+    struct attempt *attempt = calloc(1, sizeof(*attempt));
+    if (attempt != NULL) {
+        attempt->paths = paths;
+        attempt->endpoint = Fl_Ref(endpoint);
+        attempt->order = order;
+        attempt->since = Ga_Now(paths->gate);
     }
-    return making;
+    return attempt;
 }
 
 static void
-end(struct making *making)
+end_attempt(struct attempt *attempt)
 {
-    if (making->test != NULL) {
-        LIST_REMOVE(making, link);
-        making->paths->test_count--;
+    if (attempt->test != NULL) {
+        LIST_REMOVE(attempt, link);
+        attempt->paths->test_count--;
     }
-    Fl_Drop(making->endpoint);
-    free(making);
+    Fl_Unref(attempt->endpoint);
+    free(attempt);
 }
 
 static void
@@ -154,94 +155,99 @@
     struct fl_idle *next;
     TAILQ_FOREACH_SAFE (idle, &endpoint->idle, link, next) {
         if ((Cn_Peer(idle->channel) == 0) == direct) {
-            Po_Drop(endpoint, idle);
+            Po_Close(endpoint, idle);
         }
     }
 }
 
-static enum wy_end
-end_of(const struct di_result *result, size_t way)
+static enum li_outcome
+outcome_of(const struct di_result *result, size_t way)
 {
     switch (result->ways[way]) {
     case DI_MADE:
-        return WY_CAME;
+        return LI_CONNECTED;
     case DI_FAILED:
-        return WY_FAILED;
+        return LI_FAILED;
     case DI_PENDING:
-        return WY_OVERDUE;
+        return LI_OVERDUE;
     default:
-        return WY_NOT_TRIED;
+        return LI_NOT_TRIED;
     }
 }
 
-/* Where one link is back, or is cut, others may be as well. */
+/*
+ * Has the other links tested after one link was cut or restored: the same
+ * fault may concern them.
+ */
 static void
-look_at_others(struct pt_paths *paths, const struct fl_endpoint *changed)
+retest_others(struct pt_paths *paths, const struct fl_endpoint *changed)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(paths->gate->fleet), link) {
-        if (changed->way.cut) {
-            endpoint->test_wanted |=
-                endpoint->connections > 0 && !endpoint->way.cut;
+        if (changed->link_state.cut) {
+            endpoint->probe_wanted |=
+                endpoint->connections > 0 && !endpoint->link_state.cut;
         }
-        else if (endpoint->way.cut) {
-            Wy_TrySoon(&endpoint->way);
+        else if (endpoint->link_state.cut) {
+            Li_ProbeSoon(&endpoint->link_state);
         }
     }
 }
 
 static void
-note(struct pt_paths *paths, struct fl_endpoint *endpoint, enum wy_end direct,
-     enum wy_end peer)
+note_outcome(struct pt_paths *paths, struct fl_endpoint *endpoint,
+             enum li_outcome direct, enum li_outcome peer)
 {
     int64_t now = Ga_Now(paths->gate);
-    if (!Wy_Ended(&endpoint->way, direct, peer, now)) {
-        endpoint->test_wanted |= peer == WY_CAME && direct == WY_OVERDUE;
+    if (!Li_RecordOutcome(&endpoint->link_state, direct, peer, now)) {
+        endpoint->probe_wanted |= peer == LI_CONNECTED && direct == LI_OVERDUE;
         return;
     }
-    bool cut = endpoint->way.cut;
+    bool cut = endpoint->link_state.cut;
     Ln_Log(LN_STATE, cut ? "link.cut" : "link.regained",
            "\"endpoint\":\"%s\",\"service\":\"%s\",\"zone\":\"%s\","
            "\"silent\":%d",
            endpoint->entry.id, endpoint->entry.service, endpoint->entry.zone,
-           direct == WY_OVERDUE);
+           direct == LI_OVERDUE);
     paths->any_cut |= cut;
-    /* What was open may live on where new connections are refused. */
-    if (!cut || direct == WY_OVERDUE) {
+    /* Open connections may still work where new ones are refused. */
+    if (!cut || direct == LI_OVERDUE) {
         drop_idle(endpoint, cut);
     }
-    look_at_others(paths, endpoint);
+    retest_others(paths, endpoint);
 }
 
-/* An endpoint that refuses everybody has ended. */
+/* Notes that the endpoint is alive, or, if all connects are refused, dead. */
 static void
-note_life(const struct making *making, enum wy_end direct, enum wy_end peer)
+note_alive(const struct attempt *attempt, enum li_outcome direct,
+           enum li_outcome peer)
 {
-    bool came = direct == WY_CAME || peer == WY_CAME;
+    bool connected = direct == LI_CONNECTED || peer == LI_CONNECTED;
     bool refused =
-        direct == WY_FAILED && (peer == WY_FAILED || peer == WY_NOT_TRIED);
-    if (came || refused) {
-        Qn_Tested(making->paths->gate->quarantine, making->endpoint, came,
-                  making->since);
+        direct == LI_FAILED && (peer == LI_FAILED || peer == LI_NOT_TRIED);
+    if (connected || refused) {
+        Qn_NoteConnect(attempt->paths->gate->quarantine, attempt->endpoint,
+                       connected, attempt->since);
     }
 }
 
-/* Takes how a connection came, or that it was given up ("result" NULL). */
+/* Takes the result of a connect; "result" is NULL if it was abandoned. */
 static void
-on_made(void *arg, const struct di_result *result)
+on_connected(void *arg, const struct di_result *result)
 {
-    struct making *making = arg;
+    struct attempt *attempt = arg;
     if (result != NULL) {
-        enum wy_end peer = end_of(result, making->direct == 0 ? 1 : 0);
-        if (peer == WY_FAILED) {
-            Wy_NoteFailure(&making->paths->failures, making->peer,
-                           Ga_Now(making->paths->gate));
+        enum li_outcome peer =
+            outcome_of(result, attempt->direct == 0 ? 1 : 0);
+        if (peer == LI_FAILED) {
+            Li_NoteFailure(&attempt->paths->failures, attempt->peer,
+                           Ga_Now(attempt->paths->gate));
         }
-        enum wy_end direct = end_of(result, making->direct);
-        note(making->paths, making->endpoint, direct, peer);
-        note_life(making, direct, peer);
+        enum li_outcome direct = outcome_of(result, attempt->direct);
+        note_outcome(attempt->paths, attempt->endpoint, direct, peer);
+        note_alive(attempt, direct, peer);
     }
-    end(making);
+    end_attempt(attempt);
 }
 
 struct cn_channel *
@@ -249,20 +255,20 @@
            cn_idle_fn idle)
 {
     struct ga_gate *gate = paths->gate;
-    enum wy_order order = Wy_Order(&endpoint->way, Ga_Now(gate));
-    struct making *making = begin(paths, endpoint, order);
-    if (making == NULL) {
+    enum li_order order = Li_Order(&endpoint->link_state, Ga_Now(gate));
+    struct attempt *attempt = begin_attempt(paths, endpoint, order);
+    if (attempt == NULL) {
         return NULL;
     }
     struct cn_dialing dialing = {
-        .plan = plan_for(making),
-        .made = on_made,
-        .arg = making,
+        .plan = plan_for(attempt),
+        .made = on_connected,
+        .arg = attempt,
     };
     struct cn_channel *channel = Cn_Dial(
         gate->options.loop, gate->options.clock, &dialing, idle, endpoint);
     if (channel == NULL) {
-        end(making);
+        end_attempt(attempt);
     }
     return channel;
 }
@@ -270,88 +276,90 @@
 static void
 on_tested(void *arg, const struct di_result *result)
 {
-    struct making *making = arg;
+    struct attempt *attempt = arg;
     Sk_Close(result->sock);
-    if (making->order == WY_DIRECT_ONLY && result->sock == NULL) {
-        Wy_TrialFailed(&making->endpoint->way);
+    if (attempt->order == LI_DIRECT_ONLY && result->sock == NULL) {
+        Li_ProbeFailed(&attempt->endpoint->link_state);
     }
-    on_made(making, result);
+    on_connected(attempt, result);
 }
 
-/* Connects for the link's own sake, and closes at once. */
+/* Tests a link: connects and closes the connection at once. */
 static void
-test(struct pt_paths *paths, struct fl_endpoint *endpoint, enum wy_order order)
+test_link(struct pt_paths *paths, struct fl_endpoint *endpoint,
+          enum li_order order)
 {
     struct ga_gate *gate = paths->gate;
     if (paths->test_count >= Pt_TESTS_MAX) {
         return;
     }
-    struct making *making = begin(paths, endpoint, order);
-    if (making == NULL) {
+    struct attempt *attempt = begin_attempt(paths, endpoint, order);
+    if (attempt == NULL) {
         return;
     }
-    struct di_plan plan = plan_for(making);
-    making->test = Di_Start(gate->options.loop, &plan, on_tested, making);
-    if (making->test == NULL) {
-        end(making);
+    struct di_plan plan = plan_for(attempt);
+    attempt->test = Di_Start(gate->options.loop, &plan, on_tested, attempt);
+    if (attempt->test == NULL) {
+        end_attempt(attempt);
         return;
     }
-    LIST_INSERT_HEAD(&paths->tests, making, link);
+    LIST_INSERT_HEAD(&paths->tests, attempt, link);
     paths->test_count++;
-    endpoint->test_wanted = false;
-    if (order == WY_DIRECT_ONLY) {
-        Wy_TrialBegun(&endpoint->way, making->since);
+    endpoint->probe_wanted = false;
+    if (order == LI_DIRECT_ONLY) {
+        Li_ProbeStarted(&endpoint->link_state, attempt->since);
     }
     else {
-        Wy_Tested(&endpoint->way, making->since);
+        Li_Tested(&endpoint->link_state, attempt->since);
     }
 }
 
-/* When any endpoint of the same service was last heard directly. */
+/* When any endpoint of a service last sent bytes on a direct connection. */
 static int64_t
-heard_at(const struct ga_gate *gate, const char *service)
+last_answer_at(const struct ga_gate *gate, const char *service)
 {
     int64_t at = 0;
     const struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        if (endpoint->heard_at > at &&
+        if (endpoint->last_direct_byte_at > at &&
             strcmp(endpoint->entry.service, service) == 0) {
-            at = endpoint->heard_at;
+            at = endpoint->last_direct_byte_at;
         }
     }
     return at;
 }
 
 void
-Pt_Unanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
-              int64_t sent_at)
+Pt_NoteUnanswered(struct pt_paths *paths, struct fl_endpoint *endpoint,
+                  int64_t sent_at)
 {
     struct ga_gate *gate = paths->gate;
     if (!endpoint->gone &&
-        Wy_Doubtful(&endpoint->way, sent_at,
-                    heard_at(gate, endpoint->entry.service), Ga_Now(gate))) {
-        test(paths, endpoint, WY_DIRECT_FIRST);
+        Li_IsSuspect(&endpoint->link_state, sent_at,
+                     last_answer_at(gate, endpoint->entry.service),
+                     Ga_Now(gate))) {
+        test_link(paths, endpoint, LI_DIRECT_FIRST);
     }
 }
 
 static void
-end_overdue(struct pt_paths *paths)
+cancel_overdue(struct pt_paths *paths)
 {
     int64_t now = Ga_Now(paths->gate);
-    struct making *making;
-    struct making *next;
-    LIST_FOREACH_SAFE (making, &paths->tests, link, next) {
-        if (now - making->since < Pt_TEST_USEC) {
+    struct attempt *attempt;
+    struct attempt *next;
+    LIST_FOREACH_SAFE (attempt, &paths->tests, link, next) {
+        if (now - attempt->since < Pt_TEST_TIMEOUT_USEC) {
             continue;
         }
-        if (making->order == WY_DIRECT_ONLY) {
-            Wy_TrialFailed(&making->endpoint->way);
+        if (attempt->order == LI_DIRECT_ONLY) {
+            Li_ProbeFailed(&attempt->endpoint->link_state);
         }
-        else if (making->peer != 0) {
-            Wy_NoteFailure(&paths->failures, making->peer, now);
+        else if (attempt->peer != 0) {
+            Li_NoteFailure(&paths->failures, attempt->peer, now);
         }
-        Di_Cancel(making->test);
-        end(making);
+        Di_Cancel(attempt->test);
+        end_attempt(attempt);
     }
 }
 
@@ -360,30 +368,31 @@
 {
     struct ga_gate *gate = paths->gate;
     int64_t now = Ga_Now(gate);
-    end_overdue(paths);
+    cancel_overdue(paths);
     bool any_cut = false;
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(gate->fleet), link) {
-        any_cut |= endpoint->way.cut;
-        if (Wy_TrialDue(&endpoint->way, now)) {
-            test(paths, endpoint, WY_DIRECT_ONLY);
+        any_cut |= endpoint->link_state.cut;
+        if (Li_IsProbeDue(&endpoint->link_state, now)) {
+            test_link(paths, endpoint, LI_DIRECT_ONLY);
         }
-        else if (endpoint->test_wanted && Wy_MayTest(&endpoint->way, now)) {
-            test(paths, endpoint, WY_DIRECT_FIRST);
+        else if (endpoint->probe_wanted &&
+                 Li_MayTest(&endpoint->link_state, now)) {
+            test_link(paths, endpoint, LI_DIRECT_FIRST);
         }
     }
     paths->any_cut = any_cut;
 }
 
 bool
-Pt_MayUse(const struct pt_paths *paths, const struct cn_channel *channel)
+Pt_MayReuse(const struct pt_paths *paths, const struct cn_channel *channel)
 {
     if (Cn_Peer(channel) == 0) {
         return true;
     }
     const struct ms_peer *peer = Ms_Find(paths->gate->mesh, Cn_Peer(channel));
     return peer != NULL && !peer->stopping &&
-           Ms_Close(paths->gate->mesh, peer);
+           Ms_IsResponsive(paths->gate->mesh, peer);
 }
 
 void
@@ -392,11 +401,11 @@
     if (paths == NULL) {
         return;
     }
-    struct making *making;
-    struct making *next;
-    LIST_FOREACH_SAFE (making, &paths->tests, link, next) {
-        Di_Cancel(making->test);
-        end(making);
+    struct attempt *attempt;
+    struct attempt *next;
+    LIST_FOREACH_SAFE (attempt, &paths->tests, link, next) {
+        Di_Cancel(attempt->test);
+        end_attempt(attempt);
     }
     free(paths);
 }
--- a/packages/edge/peers_loads.c
+++ b/packages/edge/peers_loads.c
@@ -1,59 +1,66 @@
-/* What the other daemons have sent to each endpoint. */
+/* Sums the load that peers have sent to each endpoint. */
 #include "edge/peers_internal.h"
 
 /*
- * A word is some tenths of a second old, with many daemons most of one; what
- * it told to be waiting has been read since, as far as the endpoint got.
- * Taken as it stands, endpoints that have long been idle look busy, and those
- * that are busy now cannot be told from them.
+ * A message is some tenths of a second old, and most of a second with many
+ * daemons. Of the prompt tokens that it reports as waiting, the endpoint has
+ * processed some since. Without this correction, endpoints that have long been
+ * idle look busy and cannot be told from busy ones.
  */
 static int64_t
-still_waiting(const struct ga_gate *gate, const struct fl_endpoint *endpoint,
-              int64_t reading, int64_t age_usec)
+remaining_prefill(const struct ga_gate *gate,
+                  const struct fl_endpoint *endpoint, int64_t prefill_tokens,
+                  int64_t age_usec)
 {
-    double read = De_ReadRate(gate->demand, endpoint->entry.service) *
-                  (double)age_usec / (double)Ck_USEC_PER_SEC;
-    return (double)reading > read ? reading - (int64_t)read : 0;
+    double processed = De_PrefillRate(gate->demand, endpoint->entry.service) *
+                       (double)age_usec / (double)Ck_USEC_PER_SEC;
+    return (double)prefill_tokens > processed
+               ? prefill_tokens - (int64_t)processed
+               : 0;
 }
 
 static void
 add_load(struct ga_gate *gate, const struct ms_load *load, int64_t age_usec,
-         bool near)
+         bool same_zone)
 {
     struct fl_endpoint *endpoint = Fl_ByHash(gate->fleet, load->endpoint);
     if (endpoint == NULL) {
         return;
     }
-    int64_t reading = still_waiting(gate, endpoint, load->reading, age_usec);
-    endpoint->others_running += load->running;
-    endpoint->others_reading += reading;
-    if (near) {
-        endpoint->near_running += load->running;
-        endpoint->near_reading += reading;
+    int64_t prefill_tokens =
+        remaining_prefill(gate, endpoint, load->prefill_tokens, age_usec);
+    endpoint->peers_running += load->requests;
+    endpoint->peers_prefill_tokens += prefill_tokens;
+    if (same_zone) {
+        endpoint->zone_peers_running += load->requests;
+        endpoint->zone_peers_prefill_tokens += prefill_tokens;
     }
 }
 
 static void
-add_summed_load(void *arg, const struct ms_load *load, int64_t age_usec)
+add_zone_load(void *arg, const struct ms_load *load, int64_t age_usec)
 {
     add_load(arg, load, age_usec, false);
 }
 
-/* The loads of another data centre are in its sums while those are told. */
+/*
+ * While a data centre reports summaries, the loads of its daemons are part of
+ * those.
+ */
 void
 pe_sum_loads(struct ga_gate *gate)
 {
-    Fl_ClearOthers(gate->fleet);
+    Fl_ClearPeerLoads(gate->fleet);
     const struct ms_peer *peer;
     TAILQ_FOREACH (peer, Ms_Peers(gate->mesh), link) {
         if (!Ms_Alive(gate->mesh, peer) ||
-            (!peer->near && Zn_IsReported(gate->zones, peer->zone))) {
+            (!peer->same_zone && Zn_IsReported(gate->zones, peer->zone))) {
             continue;
         }
-        int64_t age = Ga_Now(gate) - peer->heard_at;
+        int64_t age = Ga_Now(gate) - peer->last_message_at;
         for (size_t i = 0; i < peer->load_count; i++) {
-            add_load(gate, &peer->loads[i], age, peer->near);
+            add_load(gate, &peer->loads[i], age, peer->same_zone);
         }
     }
-    Zn_EachLoad(gate->zones, add_summed_load, gate);
+    Zn_EachLoad(gate->zones, add_zone_load, gate);
 }
--- a/packages/edge/prefix.h
+++ b/packages/edge/prefix.h
@@ -1,6 +1,7 @@
 /*
- * Which endpoint has lately read which part of a prompt, as far as this
- * daemon sent it there.  A fixed table; an older entry yields to a newer.
+ * Which prompt parts each endpoint has probably cached, as far as this host
+ * sent them there.  A table of fixed size; on a hash collision the newer
+ * entry replaces the older one.
  */
 #ifndef EDGE_PREFIX_H
 #define EDGE_PREFIX_H
@@ -9,7 +10,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "edge/ask.h"
+#include "edge/header_codec.h"
 
 #ifdef __cplusplus
 extern "C" {
@@ -18,25 +19,25 @@
 struct px_table;
 
 /* Prompt tokens that an endpoint would have to read. */
-struct px_missing {
+struct px_uncached {
     int64_t tokens;
-    int64_t shared; /* of these, in parts that other requests have too */
+    int64_t shared; /* of these, those in parts that requests share */
 };
 
 struct px_table *Px_Create(void);
 void Px_Destroy(struct px_table *table);
-/* The request's prompt was sent to the endpoint. */
-void Px_Note(struct px_table *table, const struct ak_ask *ask,
-             uint32_t endpoint, int64_t now);
-/* Parts count as kept only with all parts before them. */
-struct px_missing Px_Missing(const struct px_table *table,
-                             const struct ak_ask *ask, uint32_t endpoint,
-                             int64_t now);
-/* A part as logs and other daemons name it; Px_NAME_LEN digits in hex. */
-#define Px_NAME_LEN 8
-uint32_t Px_Name(const struct ak_part *part);
-/* What requests that share this prompt have in common; 0: nothing. */
-uint64_t Px_Group(const struct ak_ask *ask);
+/* Notes that the request's prompt was sent to the endpoint. */
+void Px_NoteSent(struct px_table *table, const struct hd_request_info *info,
+                 uint32_t endpoint, int64_t now);
+/* A part counts as cached only if all parts before it are cached. */
+struct px_uncached Px_CountUncached(const struct px_table *table,
+                                    const struct hd_request_info *info,
+                                    uint32_t endpoint, int64_t now);
+/* Short id of a part for logs and peers; Px_SHORT_ID_LEN hex digits. */
+#define Px_SHORT_ID_LEN 8
+uint32_t Px_ShortId(const struct hd_part *part);
+/* Id of the group of requests that share a prompt prefix; 0: none. */
+uint64_t Px_Group(const struct hd_request_info *info);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/quarantine.c
+++ b/packages/edge/quarantine.c
@@ -6,12 +6,12 @@
 
 #include "edge/quarantine_record.h"
 
-#define Qn_VERSIONS_EVERY_USEC (1 * Ck_USEC_PER_SEC)
+#define Qn_VERSION_CHECK_USEC (1 * Ck_USEC_PER_SEC)
 #define Qn_SERVICES_MAX 16
-/* Requests without a customer are those of one. */
-#define Qn_NOBODY 1
+/* Customer hash of requests without a customer; 0 means "all customers". */
+#define Qn_NO_CUSTOMER 1
 
-/* The version that all endpoints of a service have. */
+/* The last version that all endpoints of a service had in common. */
 struct service_version {
     uint32_t service;
     uint32_t version;
@@ -21,10 +21,10 @@
     struct ga_gate *gate;
     struct pz_table *table;
     struct qr_records *records;
-    struct lp_timer *close_timer;
-    struct mt_metric *stopped;
+    struct lp_timer *refuse_timer;
+    struct mt_metric *quarantined;
     struct mt_metric *refused;
-    int64_t versions_at;
+    int64_t version_check_at;
     size_t service_count;
     struct service_version versions[Qn_SERVICES_MAX];
 };
@@ -32,95 +32,107 @@
 static int64_t
 true_now(const struct qn_quarantine *quarantine)
 {
-    return Tt_Now(quarantine->gate->time);
+    return Tt_Now(quarantine->gate->true_time);
 }
 
-/* A time of this host's steady clock as all hosts count it. */
+/* Converts a time of this host's monotonic clock to true time. */
 static int64_t
-true_of(const struct qn_quarantine *quarantine, int64_t at)
+to_true_time(const struct qn_quarantine *quarantine, int64_t at)
 {
     return true_now(quarantine) - (Ga_Now(quarantine->gate) - at);
 }
 
 struct pz_request
-Qn_Asked(const struct ec_service *service, const struct ec_tenant *tenant,
-         const struct ak_ask *ask)
+Qn_MakeRequest(const struct ec_service *service,
+               const struct ec_tenant *tenant,
+               const struct hd_request_info *info)
 {
-    struct pz_request asked = {
+    struct pz_request request = {
         .service = De_Hash(service->name),
-        .customer = tenant == NULL ? Qn_NOBODY : Qt_Hash(tenant->name),
+        .customer = tenant == NULL ? Qn_NO_CUSTOMER : Qt_Hash(tenant->name),
     };
-    if (ask->part_count > 0) {
-        asked.id = Px_Name(&ask->parts[ask->part_count - 1]);
+    if (info->part_count > 0) {
+        request.id = Px_ShortId(&info->parts[info->part_count - 1]);
     }
-    asked.customer = asked.customer == 0 ? Qn_NOBODY : asked.customer;
-    while (asked.count + 1 < ask->part_count && asked.count < Pz_PARTS_MAX) {
-        asked.parts[asked.count] = Px_Name(&ask->parts[asked.count]);
-        asked.count++;
+    request.customer =
+        request.customer == 0 ? Qn_NO_CUSTOMER : request.customer;
+    while (request.count + 1 < info->part_count &&
+           request.count < Pz_PARTS_MAX) {
+        request.parts[request.count] = Px_ShortId(&info->parts[request.count]);
+        request.count++;
     }
-    return asked;
+    return request;
 }
 
 static struct pz_request
-asked_of(const struct xc_exchange *exchange)
+request_of(const struct xc_exchange *exchange)
 {
-    return Qn_Asked(exchange->service, exchange->tenant, &exchange->ask);
+    return Qn_MakeRequest(exchange->service, exchange->tenant,
+                          &exchange->info);
 }
 
-/* One start of an endpoint: it may come back under its identity. */
+/*
+ * Identifies one run of an endpoint: it may restart under the same identity.
+ */
 static uint32_t
-run_of(const struct fl_endpoint *endpoint)
+incarnation_of(const struct fl_endpoint *endpoint)
 {
-    uint64_t both[2] = {endpoint->hash, (uint64_t)endpoint->entry.born};
-    return (uint32_t)Hash_Bytes(both, sizeof(both), 0);
+    uint64_t identity[2] = {endpoint->hash,
+                            (uint64_t)endpoint->entry.started_ms};
+    return (uint32_t)Hash_Bytes(identity, sizeof(identity), 0);
 }
 
 static void
-on_stopped(void *arg, const struct pz_stop *stop, int crashes, bool heard)
+on_quarantined(void *arg, const struct pz_quarantine *quarantined, int crashes,
+               bool from_peer)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.stopped",
            "\"part\":\"%08x\",\"service\":\"%08x\",\"customer\":\"%08x\","
            "\"crashes\":%d,\"by\":\"%s\"",
-           stop->key.part, stop->key.service, stop->key.customer, crashes,
-           heard ? "peer" : "own");
-    Mt_Add(quarantine->stopped, 1);
-    if (!heard) {
-        Qr_Keep(quarantine->records, stop);
+           quarantined->key.part, quarantined->key.service,
+           quarantined->key.customer, crashes, from_peer ? "peer" : "own");
+    Mt_Add(quarantine->quarantined, 1);
+    if (!from_peer) {
+        Qr_Keep(quarantine->records, quarantined);
     }
-    Lp_TimerSet(quarantine->close_timer, 0);
+    Lp_TimerSet(quarantine->refuse_timer, 0);
 }
 
 static void
-on_lifted(void *arg, const struct pz_stop *stop, const char *why)
+on_lifted(void *arg, const struct pz_quarantine *quarantined, const char *why)
 {
     struct qn_quarantine *quarantine = arg;
     Ln_Log(LN_STATE, "part.lifted",
            "\"part\":\"%08x\",\"service\":\"%08x\",\"customer\":\"%08x\","
            "\"why\":\"%s\"",
-           stop->key.part, stop->key.service, stop->key.customer, why);
+           quarantined->key.part, quarantined->key.service,
+           quarantined->key.customer, why);
     if (Ms_Rank(quarantine->gate->mesh) == 0) {
-        Qr_Remove(quarantine->records, &stop->key);
+        Qr_Remove(quarantine->records, &quarantined->key);
     }
 }
 
 static const struct pz_ops table_ops = {
-    .stopped = on_stopped,
+    .quarantined = on_quarantined,
     .lifted = on_lifted,
 };
 
-/* What waits for its first event would end the endpoints where it is. */
+/*
+ * Refuses requests with a quarantined part that still wait for their first
+ * event: they would crash the endpoints that have them.
+ */
 static void
-on_close(void *arg)
+on_refuse_waiting(void *arg)
 {
     struct qn_quarantine *quarantine = arg;
     struct xc_exchange *exchange;
     struct xc_exchange *next;
     TAILQ_FOREACH_SAFE (exchange, &quarantine->gate->exchanges, link, next) {
         char why[Qn_WHY_MAX];
-        struct pz_request asked = asked_of(exchange);
-        if (exchange->began || exchange->attempt.event_at != 0 ||
-            !Qn_Refuses(quarantine, &asked, why)) {
+        struct pz_request request = request_of(exchange);
+        if (exchange->head_sent || exchange->attempt.first_event_at != 0 ||
+            !Qn_IsQuarantined(quarantine, &request, why)) {
             continue;
         }
         if (exchange->attempt.endpoint != NULL &&
@@ -132,10 +144,10 @@
 }
 
 static void
-hear_stop(void *arg, const struct pz_stop *stop)
+import_quarantine(void *arg, const struct pz_quarantine *quarantined)
 {
     struct qn_quarantine *quarantine = arg;
-    Pz_HearStop(quarantine->table, stop, true_now(quarantine));
+    Pz_ImportQuarantine(quarantine->table, quarantined, true_now(quarantine));
 }
 
 struct qn_quarantine *
@@ -145,20 +157,20 @@
     if (quarantine == NULL) {
         return NULL;
     }
-    struct pz_rule rule = Pz_Rule();
+    struct pz_rule rule = Pz_DefaultRule();
     quarantine->gate = gate;
-    quarantine->stopped = Mt_Get(gate->registry, MT_COUNTER,
-                                 "cornelgate_parts_stopped_total", "");
+    quarantine->quarantined = Mt_Get(gate->registry, MT_COUNTER,
+                                     "cornelgate_parts_stopped_total", "");
     quarantine->refused = Mt_Get(gate->registry, MT_COUNTER,
                                  "cornelgate_refused_for_part_total", "");
     quarantine->table =
         Pz_Create(&rule, &table_ops, quarantine, true_now(quarantine));
     quarantine->records = Qr_Create(gate->options.store, gate->options.clock,
-                                    hear_stop, quarantine);
-    quarantine->close_timer =
-        Lp_TimerCreate(gate->options.loop, on_close, quarantine);
+                                    import_quarantine, quarantine);
+    quarantine->refuse_timer =
+        Lp_TimerCreate(gate->options.loop, on_refuse_waiting, quarantine);
     if (quarantine->table == NULL || quarantine->records == NULL ||
-        quarantine->close_timer == NULL) {
+        quarantine->refuse_timer == NULL) {
         Qn_Destroy(quarantine);
         return NULL;
     }
@@ -169,8 +181,8 @@
 Qn_Destroy(struct qn_quarantine *quarantine)
 {
     if (quarantine != NULL) {
-        if (quarantine->close_timer != NULL) {
-            Lp_TimerDestroy(quarantine->close_timer);
+        if (quarantine->refuse_timer != NULL) {
+            Lp_TimerDestroy(quarantine->refuse_timer);
         }
         Qr_Destroy(quarantine->records);
         Pz_Destroy(quarantine->table);
@@ -179,119 +191,129 @@
 }
 
 void
-Qn_Began(struct qn_quarantine *quarantine, const struct xc_exchange *exchange)
+Qn_NoteAnswer(struct qn_quarantine *quarantine,
+              const struct xc_exchange *exchange)
 {
-    struct pz_request asked = asked_of(exchange);
-    Pz_Began(quarantine->table, &asked, true_now(quarantine));
+    struct pz_request request = request_of(exchange);
+    Pz_NoteAnswer(quarantine->table, &request, true_now(quarantine));
 }
 
 void
-Qn_Broke(struct qn_quarantine *quarantine, const struct xc_exchange *exchange)
+Qn_NoteBroken(struct qn_quarantine *quarantine,
+              const struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     struct fl_endpoint *endpoint = attempt->endpoint;
-    struct pz_request asked = asked_of(exchange);
-    /* What broke may be the link, or the peer that it led through. */
-    if (asked.count == 0 || endpoint->way.cut ||
+    struct pz_request request = request_of(exchange);
+    /* The link, or the peer that relays the connection, may have failed. */
+    if (request.count == 0 || endpoint->link_state.cut ||
         Cn_Peer(attempt->channel) != 0) {
         return;
     }
     struct pz_crash crash = {
-        .endpoint = run_of(endpoint),
-        .begun = attempt->head_at != 0,
-        .sent_at = true_of(quarantine, attempt->sent_at),
+        .endpoint = incarnation_of(endpoint),
+        .head_received = attempt->head_at != 0,
+        .sent_at = to_true_time(quarantine, attempt->sent_at),
         .ended_at = true_now(quarantine),
     };
-    endpoint->ended_at = Ga_Now(quarantine->gate);
-    endpoint->test_wanted = true;
-    Pz_Ended(quarantine->table, &asked, &crash);
-    Pz_Judge(quarantine->table, crash.ended_at);
+    endpoint->crashed_at = Ga_Now(quarantine->gate);
+    endpoint->probe_wanted = true;
+    Pz_NoteCrash(quarantine->table, &request, &crash);
+    Pz_Evaluate(quarantine->table, crash.ended_at);
 }
 
 void
-Qn_Heard(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint)
+Qn_NoteAlive(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint)
 {
-    if (endpoint->ended_at == 0) {
+    if (endpoint->crashed_at == 0) {
         return;
     }
-    Pz_Lives(quarantine->table, run_of(endpoint), true_now(quarantine));
-    if (Ga_Now(quarantine->gate) - endpoint->ended_at >= Pz_BACK_USEC) {
-        endpoint->ended_at = 0;
+    Pz_NoteAlive(quarantine->table, incarnation_of(endpoint),
+                 true_now(quarantine));
+    if (Ga_Now(quarantine->gate) - endpoint->crashed_at >=
+        Pz_RESTART_MIN_USEC) {
+        endpoint->crashed_at = 0;
     }
 }
 
 void
-Qn_Tested(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
-          bool came, int64_t since)
+Qn_NoteConnect(struct qn_quarantine *quarantine, struct fl_endpoint *endpoint,
+               bool connected, int64_t since)
 {
-    if (endpoint->ended_at == 0 || since < endpoint->ended_at) {
+    if (endpoint->crashed_at == 0 || since < endpoint->crashed_at) {
         return;
     }
-    if (came) {
-        Qn_Heard(quarantine, endpoint);
+    if (connected) {
+        Qn_NoteAlive(quarantine, endpoint);
     }
     else {
-        Pz_Dead(quarantine->table, run_of(endpoint));
-        Pz_Judge(quarantine->table, true_now(quarantine));
+        Pz_ConfirmDead(quarantine->table, incarnation_of(endpoint));
+        Pz_Evaluate(quarantine->table, true_now(quarantine));
     }
 }
 
 bool
-Qn_Refuses(struct qn_quarantine *quarantine, const struct pz_request *request,
-           char why[Qn_WHY_MAX])
+Qn_IsQuarantined(struct qn_quarantine *quarantine,
+                 const struct pz_request *request, char why[Qn_WHY_MAX])
 {
-    const struct pz_stop *stop =
-        Pz_Refuses(quarantine->table, request, true_now(quarantine));
-    if (stop == NULL) {
+    const struct pz_quarantine *quarantined =
+        Pz_FindQuarantine(quarantine->table, request, true_now(quarantine));
+    if (quarantined == NULL) {
         return false;
     }
     Mt_Add(quarantine->refused, 1);
     snprintf(why, Qn_WHY_MAX, "part %08x of the prompt ends endpoints",
-             stop->key.part);
+             quarantined->key.part);
     return true;
 }
 
 bool
-Qn_Doubts(struct qn_quarantine *quarantine, const struct pz_request *request)
+Qn_ForbidsRetry(struct qn_quarantine *quarantine,
+                const struct pz_request *request)
 {
-    return Pz_Doubts(quarantine->table, request, true_now(quarantine));
+    return Pz_DeniesRetry(quarantine->table, request, true_now(quarantine));
 }
 
 void
-Qn_Fill(const struct qn_quarantine *quarantine, struct ms_word *word)
+Qn_FillMessage(const struct qn_quarantine *quarantine,
+               struct ms_message *message)
 {
     int64_t now = true_now(quarantine);
-    word->crash_count =
-        Pz_TellCrashes(quarantine->table, word->crashes, Ms_CRASHES_MAX, now);
-    word->clear_count =
-        Pz_TellClears(quarantine->table, word->clears, Ms_CLEARS_MAX, now);
-    word->stop_count =
-        Pz_TellStops(quarantine->table, word->stops, Ms_STOPS_MAX);
+    message->crash_count = Pz_ExportCrashes(
+        quarantine->table, message->crashes, Ms_CRASHES_MAX, now);
+    message->clear_count = Pz_ExportClears(quarantine->table, message->clears,
+                                           Ms_CLEARS_MAX, now);
+    message->quarantine_count = Pz_ExportQuarantines(
+        quarantine->table, message->quarantines, Ms_QUARANTINES_MAX);
 }
 
 void
-Qn_Take(struct qn_quarantine *quarantine, const struct ms_word *word)
+Qn_ApplyMessage(struct qn_quarantine *quarantine,
+                const struct ms_message *message)
 {
-    for (size_t i = 0; i < word->clear_count; i++) {
-        Pz_HearClear(quarantine->table, &word->clears[i]);
+    for (size_t i = 0; i < message->clear_count; i++) {
+        Pz_ImportClear(quarantine->table, &message->clears[i]);
     }
-    for (size_t i = 0; i < word->stop_count; i++) {
-        hear_stop(quarantine, &word->stops[i]);
+    for (size_t i = 0; i < message->quarantine_count; i++) {
+        import_quarantine(quarantine, &message->quarantines[i]);
     }
-    for (size_t i = 0; i < word->crash_count; i++) {
-        Pz_HearCrash(quarantine->table, &word->crashes[i]);
+    for (size_t i = 0; i < message->crash_count; i++) {
+        Pz_ImportCrash(quarantine->table, &message->crashes[i]);
     }
 }
 
-/* A link that turned out to be cut ended no endpoint. */
+/*
+ * Discards suspected crashes of endpoints whose link turned out to be cut:
+ * the endpoint itself did not crash.
+ */
 static void
-forget_cuts(struct qn_quarantine *quarantine)
+discard_cut_links(struct qn_quarantine *quarantine)
 {
     struct fl_endpoint *endpoint;
     TAILQ_FOREACH (endpoint, Fl_All(quarantine->gate->fleet), link) {
-        if (endpoint->ended_at != 0 && endpoint->way.cut) {
-            endpoint->ended_at = 0;
-            Pz_Forget(quarantine->table, run_of(endpoint));
+        if (endpoint->crashed_at != 0 && endpoint->link_state.cut) {
+            endpoint->crashed_at = 0;
+            Pz_DropLocalCrashes(quarantine->table, incarnation_of(endpoint));
         }
     }
 }
@@ -313,9 +335,9 @@
     return added;
 }
 
-/* Whether all endpoints of a service have one version. */
+/* Whether all usable endpoints of the service have this version. */
 static bool
-have_one_version(const struct fl_fleet *fleet, const char *service,
+all_have_version(const struct fl_fleet *fleet, const char *service,
                  const char *version)
 {
     const struct fl_endpoint *endpoint;
@@ -329,9 +351,12 @@
     return true;
 }
 
-/* What one version does not bear another may. */
+/*
+ * Lifts the quarantine of a service's prompt parts when all its endpoints have
+ * a new version, which may handle the parts that crashed the old one.
+ */
 static void
-note_versions(struct qn_quarantine *quarantine)
+lift_on_new_version(struct qn_quarantine *quarantine)
 {
     const struct fl_fleet *fleet = quarantine->gate->fleet;
     const struct fl_endpoint *endpoint;
@@ -339,17 +364,16 @@
         const struct fl_entry *entry = &endpoint->entry;
         uint32_t service = De_Hash(entry->service);
         uint32_t version = De_Hash(entry->version);
-        struct service_version *known = find_version(quarantine, service);
-        if (known == NULL || known->version == version ||
-            !Fl_Usable(endpoint) ||
-            !have_one_version(fleet, entry->service, entry->version)) {
+        struct service_version *last = find_version(quarantine, service);
+        if (last == NULL || last->version == version || !Fl_Usable(endpoint) ||
+            !all_have_version(fleet, entry->service, entry->version)) {
             continue;
         }
-        if (known->version != 0) {
+        if (last->version != 0) {
             Pz_LiftService(quarantine->table, service, "another version",
                            true_now(quarantine));
         }
-        known->version = version;
+        last->version = version;
     }
 }
 
@@ -357,16 +381,17 @@
 Qn_Tick(struct qn_quarantine *quarantine)
 {
     int64_t now = Ga_Now(quarantine->gate);
-    forget_cuts(quarantine);
-    if (now - quarantine->versions_at >= Qn_VERSIONS_EVERY_USEC) {
-        quarantine->versions_at = now;
-        note_versions(quarantine);
+    discard_cut_links(quarantine);
+    if (now - quarantine->version_check_at >= Qn_VERSION_CHECK_USEC) {
+        quarantine->version_check_at = now;
+        lift_on_new_version(quarantine);
     }
-    Pz_Judge(quarantine->table, true_now(quarantine));
-    struct pz_stop stops[Pz_STOPS_MAX];
+    Pz_Evaluate(quarantine->table, true_now(quarantine));
+    struct pz_quarantine quarantines[Pz_QUARANTINES_MAX];
     size_t count = 0;
     if (Ms_Rank(quarantine->gate->mesh) == 0) {
-        count = Pz_TellStops(quarantine->table, stops, Pz_STOPS_MAX);
+        count = Pz_ExportQuarantines(quarantine->table, quarantines,
+                                     Pz_QUARANTINES_MAX);
     }
-    Qr_Tick(quarantine->records, stops, count);
+    Qr_Tick(quarantine->records, quarantines, count);
 }
--- a/packages/edge/quarantine_record.c
+++ b/packages/edge/quarantine_record.c
@@ -4,50 +4,50 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/line.h"
+#include "base/log_line.h"
 
-/* A call that came to nothing is made again after so long. */
-#define Qr_AGAIN_USEC (1 * Ck_USEC_PER_SEC)
-/* A record that stays says again when the part was last asked for. */
+/* Delay before the records are read again after a failed read. */
+#define Qr_RETRY_USEC (1 * Ck_USEC_PER_SEC)
+/* A record is rewritten when its time of the last request is this old. */
 #define Qr_RENEW_USEC (120 * Ck_USEC_PER_SEC)
 #define Qr_TEXT_MAX 96
-/* "SERVICE-CUSTOMER-PART", and "DECIDED SEEN" in microseconds. */
+/* "SERVICE-CUSTOMER-PART", and "DECIDED REQUESTED" in usec since 1970. */
 #define Qr_KEY_FORMAT "%08x-%08x-%08x"
 #define Qr_VALUE_FORMAT "%lld %lld"
 
-/* A record as it stands in the store, or shall stand there. */
+/* A record as it is in the store or is to be written there. */
 struct record {
-    struct pz_stop stop;
-    int64_t written_seen; /* what it says there of the last request */
-    bool written;
-    bool gone; /* to be removed */
+    struct pz_quarantine quarantine;
+    int64_t written_requested_at; /* quarantine.requested_at as last written */
+    bool written;                 /* the store is up to date */
+    bool removed; /* the record is to be removed from the store */
 };
 
 struct qr_records {
     struct ag_store *store;
     const struct ck_clock *clock;
-    qr_fn heard;
+    qr_fn loaded;
     void *arg;
     bool listing;
     bool listed;
-    int64_t tried_at;
+    int64_t list_tried_at;
     bool writing;
-    struct pz_key under_way; /* being written */
-    bool under_way_gone;
-    int64_t under_way_seen;
+    struct pz_key writing_key; /* key of the write in progress */
+    bool writing_removal;      /* the write removes the record */
+    int64_t writing_requested_at;
     size_t count;
-    struct record records[Pz_STOPS_MAX];
+    struct record records[Pz_QUARANTINES_MAX];
 };
 
 struct qr_records *
-Qr_Create(struct ag_store *store, const struct ck_clock *clock, qr_fn heard,
+Qr_Create(struct ag_store *store, const struct ck_clock *clock, qr_fn loaded,
           void *arg)
 {
     struct qr_records *records = calloc(1, sizeof(*records));
     if (records != NULL) {
         records->store = store;
         records->clock = clock;
-        records->heard = heard;
+        records->loaded = loaded;
         records->arg = arg;
     }
     return records;
@@ -63,7 +63,8 @@
 find(struct qr_records *records, const struct pz_key *key)
 {
     for (size_t i = 0; i < records->count; i++) {
-        if (memcmp(&records->records[i].stop.key, key, sizeof(*key)) == 0) {
+        if (memcmp(&records->records[i].quarantine.key, key, sizeof(*key)) ==
+            0) {
             return &records->records[i];
         }
     }
@@ -71,60 +72,60 @@
 }
 
 static struct record *
-add(struct qr_records *records, const struct pz_stop *stop)
+find_or_add(struct qr_records *records, const struct pz_quarantine *quarantine)
 {
-    struct record *record = find(records, &stop->key);
-    if (record == NULL && records->count < Pz_STOPS_MAX) {
+    struct record *record = find(records, &quarantine->key);
+    if (record == NULL && records->count < Pz_QUARANTINES_MAX) {
         record = &records->records[records->count++];
-        *record = (struct record){.stop = *stop};
+        *record = (struct record){.quarantine = *quarantine};
     }
     return record;
 }
 
 void
-Qr_Keep(struct qr_records *records, const struct pz_stop *stop)
+Qr_Keep(struct qr_records *records, const struct pz_quarantine *quarantine)
 {
-    struct record *record = add(records, stop);
+    struct record *record = find_or_add(records, quarantine);
     if (record == NULL) {
         Ln_Log(LN_FAILURE, "part.unrecorded", "\"part\":\"%08x\"",
-               stop->key.part);
+               quarantine->key.part);
         return;
     }
-    record->stop = *stop;
-    record->gone = false;
+    record->quarantine = *quarantine;
+    record->removed = false;
     record->written = false;
 }
 
 void
 Qr_Remove(struct qr_records *records, const struct pz_key *key)
 {
-    struct pz_stop stop = {.key = *key};
-    struct record *record = add(records, &stop);
+    struct pz_quarantine quarantine = {.key = *key};
+    struct record *record = find_or_add(records, &quarantine);
     if (record != NULL) {
-        record->gone = true;
+        record->removed = true;
         record->written = false;
     }
 }
 
-/* False: not a record of ours. */
+/* Returns false when key or value is not in the format of these records. */
 static bool
-decode(const struct ag_record *record, struct pz_stop *out)
+decode(const struct ag_record *record, struct pz_quarantine *out)
 {
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
     long long decided;
-    long long seen;
+    long long requested;
     snprintf(key, sizeof(key), "%.*s", (int)record->key_len, record->key);
     snprintf(value, sizeof(value), "%.*s", (int)record->len,
              (const char *)record->value);
     memset(out, 0, sizeof(*out));
     if (sscanf(key, Qr_KEY_FORMAT, &out->key.service, &out->key.customer,
                &out->key.part) != 3 ||
-        sscanf(value, Qr_VALUE_FORMAT, &decided, &seen) != 2) {
+        sscanf(value, Qr_VALUE_FORMAT, &decided, &requested) != 2) {
         return false;
     }
     out->decided_at = decided;
-    out->seen_at = seen;
+    out->requested_at = requested;
     return true;
 }
 
@@ -135,15 +136,15 @@
     records->listing = false;
     records->listed = result->status == AG_OK;
     for (size_t i = 0; records->listed && i < result->count; i++) {
-        struct pz_stop stop;
+        struct pz_quarantine quarantine;
         if (result->records[i].value != NULL &&
-            decode(&result->records[i], &stop)) {
-            struct record *record = add(records, &stop);
+            decode(&result->records[i], &quarantine)) {
+            struct record *record = find_or_add(records, &quarantine);
             if (record != NULL) {
                 record->written = true;
-                record->written_seen = stop.seen_at;
+                record->written_requested_at = quarantine.requested_at;
             }
-            records->heard(records->arg, &stop);
+            records->loaded(records->arg, &quarantine);
         }
     }
 }
@@ -153,14 +154,14 @@
 {
     struct qr_records *records = arg;
     records->writing = false;
-    struct record *record = find(records, &records->under_way);
-    if (record == NULL || record->gone != records->under_way_gone ||
+    struct record *record = find(records, &records->writing_key);
+    if (record == NULL || record->removed != records->writing_removal ||
         result->status != AG_OK) {
         return;
     }
     record->written = true;
-    record->written_seen = records->under_way_seen;
-    if (record->gone) {
+    record->written_requested_at = records->writing_requested_at;
+    if (record->removed) {
         *record = records->records[--records->count];
     }
 }
@@ -168,36 +169,38 @@
 static void
 write_record(struct qr_records *records, const struct record *record)
 {
-    const struct pz_stop *stop = &record->stop;
+    const struct pz_quarantine *quarantine = &record->quarantine;
     char key[Qr_TEXT_MAX];
     char value[Qr_TEXT_MAX];
-    snprintf(key, sizeof(key), Qr_KEY_FORMAT, stop->key.service,
-             stop->key.customer, stop->key.part);
-    int len = record->gone ? 0
-                           : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
-                                      (long long)stop->decided_at,
-                                      (long long)stop->seen_at);
+    snprintf(key, sizeof(key), Qr_KEY_FORMAT, quarantine->key.service,
+             quarantine->key.customer, quarantine->key.part);
+    int len = record->removed ? 0
+                              : snprintf(value, sizeof(value), Qr_VALUE_FORMAT,
+                                         (long long)quarantine->decided_at,
+                                         (long long)quarantine->requested_at);
     records->writing = true;
-    records->under_way = stop->key;
-    records->under_way_gone = record->gone;
-    records->under_way_seen = stop->seen_at;
-    Ag_Append(records->store, AG_STOPS, -1, key, value, (size_t)len,
+    records->writing_key = quarantine->key;
+    records->writing_removal = record->removed;
+    records->writing_requested_at = quarantine->requested_at;
+    Ag_Append(records->store, AG_QUARANTINES, -1, key, value, (size_t)len,
               on_written, records);
 }
 
 static void
-renew(struct qr_records *records, const struct pz_stop *stop)
+update_requested_at(struct qr_records *records,
+                    const struct pz_quarantine *quarantine)
 {
-    struct record *record = add(records, stop);
-    if (record != NULL && !record->gone) {
-        record->stop.seen_at = stop->seen_at;
-        if (stop->seen_at - record->written_seen > Qr_RENEW_USEC) {
+    struct record *record = find_or_add(records, quarantine);
+    if (record != NULL && !record->removed) {
+        record->quarantine.requested_at = quarantine->requested_at;
+        if (quarantine->requested_at - record->written_requested_at >
+            Qr_RENEW_USEC) {
             record->written = false;
         }
     }
 }
 
-/* One write at a time. */
+/* Writes the first outdated record; only one write is in progress at once. */
 static void
 write_next(struct qr_records *records)
 {
@@ -209,18 +212,19 @@
 }
 
 void
-Qr_Tick(struct qr_records *records, const struct pz_stop *stops, size_t count)
+Qr_Tick(struct qr_records *records, const struct pz_quarantine *quarantines,
+        size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        renew(records, &stops[i]);
+        update_requested_at(records, &quarantines[i]);
     }
     int64_t now = Ck_Now(records->clock);
-    bool waits =
-        records->tried_at != 0 && now - records->tried_at < Qr_AGAIN_USEC;
-    if (!records->listed && !records->listing && !waits) {
-        records->tried_at = now;
+    bool backing_off = records->list_tried_at != 0 &&
+                       now - records->list_tried_at < Qr_RETRY_USEC;
+    if (!records->listed && !records->listing && !backing_off) {
+        records->list_tried_at = now;
         records->listing = true;
-        Ag_Newest(records->store, AG_STOPS, NULL, on_listed, records);
+        Ag_Newest(records->store, AG_QUARANTINES, NULL, on_listed, records);
     }
     if (records->listed && !records->writing) {
         write_next(records);
--- a/packages/edge/relay.c
+++ b/packages/edge/relay.c
@@ -1,41 +1,41 @@
 /*
- * What an endpoint answers, and what the caller gets of it.  An answer is
- * passed on unchanged; a stream event by event, at once, and under the head
- * of the first endpoint also when another one goes on with it.
+ * Relays an endpoint's answer to the caller.  A complete answer is passed on
+ * unchanged.  A stream is passed on event by event without delay; the caller
+ * keeps the head from the first endpoint when another endpoint resumes it.
  */
 #include <bsd/string.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "edge/breaks.h"
 #include "edge/brittle.h"
+#include "edge/broken.h"
 #include "edge/exchange.h"
 #include "edge/health.h"
 #include "edge/quarantine.h"
 #include "edge/warming.h"
 
-/* Answers up to this size are complete before the caller gets any of it. */
-#define Re_WHOLE_MAX (2u << 20)
-/* A caller that reads more slowly than this stops the endpoint's reading. */
+/* Size limit of answers that are buffered completely before relaying. */
+#define Re_BUFFERED_MAX (2u << 20)
+/* With more bytes pending for the caller, reading from the endpoint pauses. */
 #define Re_PENDING_MAX (256u << 10)
-/* An endpoint that is another than expected, or full, is left alone. */
+/* Retry-after for a caller whose request was not run. */
 #define Re_RETRY_USEC (300 * Ck_USEC_PER_MSEC)
 
-/* An endpoint began to work on the request, for all that is known. */
 void
 Xc_CountRun(struct xc_exchange *exchange)
 {
     exchange->may_have_run = true;
-    if (!exchange->counted && exchange->tenant != NULL) {
+    if (!exchange->usage_counted && exchange->tenant != NULL) {
         struct ga_gate *gate = exchange->gate;
-        Us_Began(gate->usage, Wo_Window(gate, Tt_Now(gate->time)),
-                 Qt_Hash(exchange->tenant->name));
-        exchange->counted = true;
+        Us_CountBegun(gate->usage,
+                      Co_UsageWindow(gate, Tt_Now(gate->true_time)),
+                      Qt_Hash(exchange->tenant->name));
+        exchange->usage_counted = true;
     }
 }
 
-/* The fields that are passed on; NULL without memory. */
+/* Copies the end-to-end header fields; NULL when out of memory. */
 static char *
 copy_fields(const struct h1_head *head)
 {
@@ -67,14 +67,17 @@
 }
 
 static bool
-genuine(const struct ak_answer *answer)
+is_genuine(const struct hd_answer *answer)
 {
     return answer->sealed && answer->echoed && !answer->encoded;
 }
 
-/* An endpoint that has just started is slow whatever its version. */
+/*
+ * Notes the time to the first byte for the endpoint's version.  Cold endpoints
+ * do not count because they are slow whatever their version.
+ */
 static void
-note_version_first(struct xc_exchange *exchange, int64_t usec)
+note_first_byte(struct xc_exchange *exchange, int64_t usec)
 {
     struct ga_gate *gate = exchange->gate;
     const struct fl_endpoint *endpoint = exchange->attempt.endpoint;
@@ -83,19 +86,22 @@
     bool cold = Wu_IsCold(&endpoint->warmup, Ga_Now(gate));
     if (move != NULL && !cold) {
         exchange->attempt.slow =
-            Ro_First(gate->moves, service, exchange->route->name,
-                     Ga_IsNext(move, endpoint), usec);
+            Ro_RecordFirstByte(gate->moves, service, exchange->route->name,
+                               Ga_HasTargetVersion(move, endpoint), usec);
     }
 }
 
-/* Bytes came from the endpoint; over a peer they say nothing of the link. */
+/*
+ * Notes that the endpoint sent bytes.  Relayed connections do not count: they
+ * do not use this host's link to the endpoint.
+ */
 static void
-note_heard(struct xc_exchange *exchange)
+note_bytes(struct xc_exchange *exchange)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     if (Cn_Peer(attempt->channel) == 0) {
-        attempt->endpoint->heard_at = Ga_Now(exchange->gate);
-        Qn_Heard(exchange->gate->quarantine, attempt->endpoint);
+        attempt->endpoint->last_direct_byte_at = Ga_Now(exchange->gate);
+        Qn_NoteAlive(exchange->gate->quarantine, attempt->endpoint);
     }
 }
 
@@ -104,56 +110,57 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    note_heard(exchange);
-    exchange->gate->options.wire->decode_answer(head, exchange->ask.id,
+    note_bytes(exchange);
+    exchange->gate->options.wire->decode_answer(head, exchange->info.id,
                                                 &attempt->answer);
-    if (!attempt->answer.own) {
+    if (!attempt->answer.id_matches) {
         Ln_Log(LN_FAILURE, "answer.foreign",
-               "\"id\":\"%s\",\"endpoint\":\"%s\"", exchange->ask.id,
+               "\"id\":\"%s\",\"endpoint\":\"%s\"", exchange->info.id,
                attempt->endpoint->entry.id);
         return false;
     }
-    Bt_Answered(exchange->gate, attempt->endpoint,
-                attempt->answer.refusals_borne, attempt->sent_at);
+    Bt_NoteAnswer(exchange->gate, attempt->endpoint,
+                  attempt->answer.refusals_borne, attempt->sent_at);
     int64_t now = Ga_Now(exchange->gate);
     attempt->head_at = now;
     attempt->status = head->status;
     attempt->fields = copy_fields(head);
-    attempt->endpoint->reading -= attempt->reading;
-    if (!attempt->answer.not_run && attempt->alone) {
-        De_First(exchange->gate->demand, exchange->service->name,
-                 attempt->reading, now - attempt->sent_at);
+    attempt->endpoint->prefill_tokens -= attempt->prefill_tokens;
+    if (!attempt->answer.not_run && attempt->unloaded) {
+        De_RecordFirstByte(exchange->gate->demand, exchange->service->name,
+                           attempt->prefill_tokens, now - attempt->sent_at);
     }
-    attempt->reading = 0;
+    attempt->prefill_tokens = 0;
     if (!attempt->answer.not_run) {
         exchange->runs++;
         Xc_CountRun(exchange);
     }
-    if (head->status == 200 && genuine(&attempt->answer)) {
-        He_First(attempt->endpoint, now - attempt->sent_at, now);
-        note_version_first(exchange, now - attempt->sent_at);
-        exchange->first_at =
-            exchange->first_at == 0 ? now : exchange->first_at;
-        Mt_Observe(exchange->gate->count.first, now - exchange->arrived);
+    if (head->status == 200 && is_genuine(&attempt->answer)) {
+        He_NoteFirstByte(attempt->endpoint, now - attempt->sent_at, now);
+        note_first_byte(exchange, now - attempt->sent_at);
+        exchange->first_byte_at =
+            exchange->first_byte_at == 0 ? now : exchange->first_byte_at;
+        Mt_Observe(exchange->gate->count.first_byte,
+                   now - exchange->arrived_at);
         attempt->streaming = exchange->route->kind == EC_STREAM;
     }
     return true;
 }
 
 static void
-keep_body(struct xc_attempt *attempt, const char *data, size_t len)
+buffer_body(struct xc_attempt *attempt, const char *data, size_t len)
 {
-    if (attempt->body.len + len > Re_WHOLE_MAX ||
+    if (attempt->body.len + len > Re_BUFFERED_MAX ||
         !Bf_Add(&attempt->body, data, len)) {
         attempt->overflow = true;
     }
 }
 
 static void
-begin(struct xc_exchange *exchange)
+begin_answer(struct xc_exchange *exchange)
 {
-    if (!exchange->began) {
-        exchange->began = true;
+    if (!exchange->head_sent) {
+        exchange->head_sent = true;
         strlcpy(exchange->version, exchange->attempt.answer.version,
                 sizeof(exchange->version));
         Sv_Begin(exchange->request, exchange->attempt.status,
@@ -161,17 +168,17 @@
     }
 }
 
-/* Weights may change between events; the event that is first says so. */
+/* Takes the version of the weights from the event's first line, if given. */
 static void
-note_version(struct xc_exchange *exchange, const struct es_event *event)
+note_event_version(struct xc_exchange *exchange, const struct es_event *event)
 {
     const char *field = exchange->gate->options.wire->event_version;
-    size_t name = strlen(field);
-    if (event->first_len <= name ||
-        memcmp(event->first_line, field, name) != 0) {
+    size_t field_len = strlen(field);
+    if (event->first_len <= field_len ||
+        memcmp(event->first_line, field, field_len) != 0) {
         return;
     }
-    size_t at = name;
+    size_t at = field_len;
     while (at < event->first_len && event->first_line[at] == ' ') {
         at++;
     }
@@ -190,11 +197,11 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    if (attempt->event_at == 0) {
-        attempt->event_at = Ga_Now(exchange->gate);
-        Qn_Began(exchange->gate->quarantine, exchange);
+    if (attempt->first_event_at == 0) {
+        attempt->first_event_at = Ga_Now(exchange->gate);
+        Qn_NoteAnswer(exchange->gate->quarantine, exchange);
     }
-    if (attempt->gap) {
+    if (attempt->events_missing) {
         return;
     }
     if (event->id >= 0 && exchange->last_event >= 0) {
@@ -202,12 +209,12 @@
             return;
         }
         if (event->id > exchange->last_event + 1) {
-            attempt->gap = true;
+            attempt->events_missing = true;
             return;
         }
     }
-    begin(exchange);
-    note_version(exchange, event);
+    begin_answer(exchange);
+    note_event_version(exchange, event);
     Sv_Write(exchange->request, event->data, event->len);
     if (event->id >= 0) {
         exchange->last_event = event->id;
@@ -219,90 +226,95 @@
 {
     struct xc_exchange *exchange = arg;
     struct xc_attempt *attempt = &exchange->attempt;
-    note_heard(exchange);
+    note_bytes(exchange);
     if (!attempt->streaming) {
-        keep_body(attempt, data, len);
+        buffer_body(attempt, data, len);
         return;
     }
-    Es_Feed(&attempt->events, data, len, on_event, exchange);
-    if (exchange->began && Sv_Pending(exchange->request) > Re_PENDING_MAX) {
+    Es_Feed(&attempt->parser, data, len, on_event, exchange);
+    if (exchange->head_sent &&
+        Sv_Pending(exchange->request) > Re_PENDING_MAX) {
         Cn_Pause(attempt->channel, true);
     }
 }
 
-/* Counts an answer for or against the version that gave it. */
+/* Counts a good or failed answer for the endpoint's version. */
 static void
-note_version_answer(struct xc_exchange *exchange, bool failed)
+count_version_answer(struct xc_exchange *exchange, bool failed)
 {
     struct ga_gate *gate = exchange->gate;
     const char *service = exchange->service->name;
     const struct ro_move *move = Ro_Find(gate->moves, service);
     if (move != NULL) {
-        Ro_Answered(gate->moves, service, exchange->route->name,
-                    Ga_IsNext(move, exchange->attempt.endpoint), failed,
-                    exchange->attempt.slow);
+        Ro_RecordAnswer(gate->moves, service, exchange->route->name,
+                        Ga_HasTargetVersion(move, exchange->attempt.endpoint),
+                        failed, exchange->attempt.slow);
     }
 }
 
-/* The parts that other requests may share, as the log names them. */
+/* Formats the ids of the shareable prompt parts for the log. */
 static const char *
-name_parts(const struct ak_ask *ask)
+format_parts(const struct hd_request_info *info)
 {
-    static char text[Ak_PARTS_MAX * (Px_NAME_LEN + 1) + 1];
+    static char text[Hd_PARTS_MAX * (Px_SHORT_ID_LEN + 1) + 1];
     size_t at = 0;
     text[0] = '\0';
-    for (size_t i = 0; i + 1 < ask->part_count; i++) {
+    for (size_t i = 0; i + 1 < info->part_count; i++) {
         at += (size_t)snprintf(text + at, sizeof(text) - at, "%s%08x",
-                               i == 0 ? "" : " ", Px_Name(&ask->parts[i]));
+                               i == 0 ? "" : " ", Px_ShortId(&info->parts[i]));
     }
     return text;
 }
 
-/* The attempt came to nothing; another endpoint, or the caller is told. */
+/* The attempt failed: sends the request to another endpoint, or refuses it. */
 static void
-go_on(struct xc_exchange *exchange, bool ran, int status, const char *why)
+retry_or_refuse(struct xc_exchange *exchange, bool ran, int status,
+                const char *why)
 {
     const struct xc_attempt *attempt = &exchange->attempt;
     Ln_Log(LN_FAILURE, "attempt.failed",
            "\"id\":\"%s\",\"endpoint\":\"%s\",\"why\":\"%s\",\"ran\":%d,"
            "\"status\":%d,\"sends\":%d,\"ms\":%lld,\"events\":%d,"
            "\"parts\":\"%s\"",
-           exchange->ask.id, attempt->endpoint->entry.id, why, ran,
+           exchange->info.id, attempt->endpoint->entry.id, why, ran,
            attempt->status, exchange->sends,
            (long long)((Ga_Now(exchange->gate) - attempt->sent_at) /
                        Ck_USEC_PER_MSEC),
-           attempt->event_at != 0, name_parts(&exchange->ask));
-    char poison[Qn_WHY_MAX];
+           attempt->first_event_at != 0, format_parts(&exchange->info));
+    char quarantine_why[Qn_WHY_MAX];
     struct qn_quarantine *quarantine = exchange->gate->quarantine;
-    struct pz_request asked =
-        Qn_Asked(exchange->service, exchange->tenant, &exchange->ask);
-    if (!exchange->began && Qn_Refuses(quarantine, &asked, poison)) {
-        Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC, poison);
+    struct pz_request prompt =
+        Qn_MakeRequest(exchange->service, exchange->tenant, &exchange->info);
+    if (!exchange->head_sent &&
+        Qn_IsQuarantined(quarantine, &prompt, quarantine_why)) {
+        Xc_Refuse(exchange, Xc_RefusalStatus(exchange), Qn_RETRY_USEC,
+                  quarantine_why);
         return;
     }
-    if (Xc_MayRepeat(exchange, ran) && !Qn_Doubts(quarantine, &asked)) {
-        Xc_Release(exchange);
+    if (Xc_MayRetry(exchange, ran) && !Qn_ForbidsRetry(quarantine, &prompt)) {
+        Xc_ReleaseAttempt(exchange);
         Xc_Dispatch(exchange);
         return;
     }
     Xc_Refuse(exchange, status, status == 503 ? Re_RETRY_USEC : 0, why);
 }
 
-/* Passes a complete answer on as it is. */
+/* Passes a complete answer to the caller. */
 static void
-pass_on(struct xc_exchange *exchange)
+pass_answer(struct xc_exchange *exchange)
 {
     struct sv_request *request = exchange->request;
     struct xc_attempt *attempt = &exchange->attempt;
     char *fields = attempt->fields;
     struct bf_buffer body = attempt->body;
     int status = attempt->status;
-    bool fine = status < 500;
+    bool served = status < 500;
     attempt->fields = NULL;
     attempt->body = (struct bf_buffer){0};
     Sv_SetUser(request, NULL);
-    Xc_End(exchange, fine ? "served" : "endpoint failed");
-    Sv_Reply(request, status, fields == NULL ? "" : fields, body.at, body.len);
+    Xc_End(exchange, served ? "served" : "endpoint failed");
+    Sv_Reply(request, status, fields == NULL ? "" : fields, body.data,
+             body.len);
     free(fields);
     Bf_Free(&body);
 }
@@ -311,7 +323,7 @@
 end_stream(struct xc_exchange *exchange)
 {
     struct sv_request *request = exchange->request;
-    begin(exchange);
+    begin_answer(exchange);
     Sv_SetUser(request, NULL);
     Xc_End(exchange, "served");
     Sv_End(request);
@@ -324,12 +336,12 @@
     struct fl_endpoint *endpoint = attempt->endpoint;
     int64_t now = Ga_Now(exchange->gate);
     if (attempt->streaming) {
-        bool cut = attempt->gap || attempt->events.failed ||
-                   Es_Left(&attempt->events) > 0;
-        note_version_answer(exchange, cut);
-        He_Note(endpoint, cut ? HE_FAILED : HE_SERVED, now);
-        if (cut) {
-            go_on(exchange, true, 502, "stream cut");
+        bool broken = attempt->events_missing || attempt->parser.failed ||
+                      Es_BufferedLen(&attempt->parser) > 0;
+        count_version_answer(exchange, broken);
+        He_Note(endpoint, broken ? HE_FAILED : HE_SERVED, now);
+        if (broken) {
+            retry_or_refuse(exchange, true, 502, "stream cut");
         }
         else {
             end_stream(exchange);
@@ -338,41 +350,43 @@
     }
     if (attempt->answer.not_run) {
         if (attempt->status != 421) {
-            Bt_Refused(exchange->gate, endpoint);
+            Bt_NoteRefused(exchange->gate, endpoint);
         }
         He_Note(endpoint, attempt->status == 421 ? HE_BROKE : HE_REFUSED, now);
-        go_on(exchange, false, Xc_RefusalStatus(exchange), "endpoint refused");
+        retry_or_refuse(exchange, false, Xc_RefusalStatus(exchange),
+                        "endpoint refused");
         return;
     }
-    note_version_answer(exchange,
-                        attempt->status >= 500 || !genuine(&attempt->answer));
-    if (!genuine(&attempt->answer) || attempt->overflow || exchange->began) {
+    count_version_answer(exchange, attempt->status >= 500 ||
+                                       !is_genuine(&attempt->answer));
+    if (!is_genuine(&attempt->answer) || attempt->overflow ||
+        exchange->head_sent) {
         He_Note(endpoint, HE_FAILED, now);
-        go_on(exchange, true, 502, "not the endpoint's answer");
+        retry_or_refuse(exchange, true, 502, "not the endpoint's answer");
         return;
     }
     if (attempt->status >= 500) {
         He_Note(endpoint, HE_FAILED, now);
-        if (Xc_MayRepeat(exchange, true)) {
-            go_on(exchange, true, 502, "endpoint failed");
+        if (Xc_MayRetry(exchange, true)) {
+            retry_or_refuse(exchange, true, 502, "endpoint failed");
             return;
         }
     }
     else {
         He_Note(endpoint, HE_SERVED, now);
-        Qn_Began(exchange->gate->quarantine, exchange);
+        Qn_NoteAnswer(exchange->gate->quarantine, exchange);
     }
-    pass_on(exchange);
+    pass_answer(exchange);
 }
 
-/* The connection could not be made, or ended too early. */
+/* Notes a connection that failed or broke before the answer's end. */
 static void
-note_broke(struct xc_exchange *exchange)
+note_broken(struct xc_exchange *exchange)
 {
     struct fl_endpoint *endpoint = exchange->attempt.endpoint;
     int64_t now = Ga_Now(exchange->gate);
     He_Note(endpoint, HE_BROKE, now);
-    Wa_Broke(endpoint, exchange->service, now);
+    Wa_NoteBroken(endpoint, exchange->service, now);
 }
 
 static void
@@ -386,21 +400,21 @@
         on_complete(exchange);
         break;
     case CN_NOT_SENT:
-        note_broke(exchange);
-        go_on(exchange, false, Xc_RefusalStatus(exchange),
-              "endpoint not reached");
+        note_broken(exchange);
+        retry_or_refuse(exchange, false, Xc_RefusalStatus(exchange),
+                        "endpoint not reached");
         break;
     case CN_BROKEN:
-        note_broke(exchange);
+        note_broken(exchange);
         Bk_Note(exchange->gate->breaks, exchange);
         if (attempt->head_at == 0) {
             exchange->runs++;
             Xc_CountRun(exchange);
         }
-        if (attempt->event_at == 0) {
-            Qn_Broke(exchange->gate->quarantine, exchange);
+        if (attempt->first_event_at == 0) {
+            Qn_NoteBroken(exchange->gate->quarantine, exchange);
         }
-        go_on(exchange, true, 502, "connection broke");
+        retry_or_refuse(exchange, true, 502, "connection broke");
         break;
     }
 }
--- a/packages/edge/test/feed_codec.h
+++ b/packages/edge/test/feed_codec.h
@@ -8,8 +8,8 @@
 
 #include "edge/store.h"
 
-// Configurations of the test are a version in digits, entries "draining" or
-// anything else.
+// In tests, a configuration is its version in digits, and an endpoint's entry
+// is "draining", "rubbish" (invalid) or any other text (ready).
 inline struct ec_config *
 DecodeConfig(const void *data, size_t len)
 {
@@ -67,14 +67,15 @@
 }
 
 inline bool
-TellMove(const struct ro_move *move, struct ag_told *out)
+EncodeMoveStatus(const struct ro_move *move, struct ag_status_record *out)
 {
     (void)move;
     (void)out;
     return false;
 }
 
-static const struct ag_codec codec = {DecodeConfig,     IsConfig, DecodeOrder,
-                                      DecodeEvacuation, TellMove, DecodeEntry};
+static const struct ag_codec codec = {DecodeConfig,     IsConfig,
+                                      DecodeOrder,      DecodeEvacuation,
+                                      EncodeMoveStatus, DecodeEntry};
 
 #endif
--- a/packages/edge/test/place_replay_test.cc
+++ b/packages/edge/test/place_replay_test.cc
@@ -1,6 +1,6 @@
 /*
- * Hundreds of hosts that place requests at hundreds of engines, each by what
- * it heard of the others some tenths of a second ago.
+ * Simulates hundreds of hosts that place requests at hundreds of engines, each
+ * by load reports that are some tenths of a second old.
  */
 #include <gtest/gtest.h>
 
@@ -14,16 +14,17 @@
 namespace {
 
 constexpr int kSlots = 16;
-// Prompt tokens an engine reads in a second, others' steps between.
-constexpr double kReadRate = 60000;
+// Prompt tokens an engine reads in a second, between other requests' steps.
+constexpr double kPrefillRate = 60000;
 
+// A kind of request.
 struct Kind {
-    int64_t own;
-    int64_t shared;
-    size_t groups;
-    double runs_sec;
-    double aim_sec;
-    double part;
+    int64_t own;       // prompt tokens of the request itself
+    int64_t shared;    // prompt tokens that a group shares
+    size_t groups;     // number of groups
+    double runs_sec;   // from the first token to the last one
+    double target_sec; // latency target of the first token
+    double fraction;   // of all requests
 };
 
 constexpr Kind kKinds[] = {
@@ -34,45 +35,46 @@
 
 struct Engine {
     double read_until = 0;
-    std::vector<double> ends; // of what runs
+    // One entry per request: end, first token, tokens read.
+    std::vector<double> ends;
     std::vector<double> firsts;
     std::vector<int64_t> tokens;
 };
 
-// What a host knows of an engine.
+// A host's knowledge of an engine's load.
 struct View {
     int running = 0;
-    int64_t reading = 0;
+    int64_t prefill_tokens = 0;
 };
 
 class Replay {
   public:
     Replay(size_t hosts, size_t engines, double per_sec, double lag_sec)
         : hosts_(hosts), per_sec_(per_sec), lag_sec_(lag_sec),
-          engines_(engines), seen_(engines), before_(engines),
+          engines_(engines), reported_(engines), before_(engines),
           own_(hosts, std::vector<View>(engines))
     {
     }
 
-    // The part of requests whose first token came within the aim.
+    // Returns the fraction of requests whose first token met the target.
     double
     Run(double seconds)
     {
         std::exponential_distribution<double> gap(per_sec_);
-        double heard = 0;
+        double updated_at = 0;
         size_t all = 0;
-        size_t fine = 0;
+        size_t on_time = 0;
         for (double now = gap(random_); now < seconds; now += gap(random_)) {
-            if (now - heard > lag_sec_) {
-                heard = now;
-                Hear(now);
+            if (now - updated_at > lag_sec_) {
+                updated_at = now;
+                UpdateViews(now);
             }
             size_t kind = Draw();
             double first = Place(kind, now) - now;
             all++;
-            fine += first <= kKinds[kind].aim_sec;
+            on_time += first <= kKinds[kind].target_sec;
         }
-        return (double)fine / (double)all;
+        return (double)on_time / (double)all;
     }
 
   private:
@@ -81,8 +83,8 @@
     {
         double draw = unit_(random_);
         size_t kind = 0;
-        while (draw > kKinds[kind].part) {
-            draw -= kKinds[kind++].part;
+        while (draw > kKinds[kind].fraction) {
+            draw -= kKinds[kind++].fraction;
         }
         return kind;
     }
@@ -93,16 +95,17 @@
         View view;
         for (size_t i = 0; i < engine.ends.size(); i++) {
             view.running += engine.ends[i] > now;
-            view.reading += engine.firsts[i] > now ? engine.tokens[i] : 0;
+            view.prefill_tokens +=
+                engine.firsts[i] > now ? engine.tokens[i] : 0;
         }
         return view;
     }
 
-    // All hear how it stood when they last told each other.
+    // All hosts receive the load that was sampled one interval ago.
     void
-    Hear(double now)
+    UpdateViews(double now)
     {
-        seen_ = before_;
+        reported_ = before_;
         for (size_t i = 0; i < engines_.size(); i++) {
             before_[i] = Look(engines_[i], now);
         }
@@ -120,30 +123,32 @@
         auto &own = own_[random_() % hosts_];
         std::vector<struct pl_candidate> candidates(engines_.size());
         for (size_t i = 0; i < engines_.size(); i++) {
-            uint64_t both[2] = {group_hash, i};
+            uint64_t pair[2] = {group_hash, i};
             struct pl_candidate &candidate = candidates[i];
             candidate.slots = kSlots;
-            candidate.running = seen_[i].running + own[i].running;
-            candidate.reading = seen_[i].reading + own[i].reading;
-            candidate.missing = kind.own + kind.shared;
-            candidate.shared = kind.shared;
-            candidate.draw = Hash_Bytes(both, sizeof(both), 0);
-            candidate.lot = unit_(random_);
-            candidate.near = i % 6 == 0;
+            candidate.running = reported_[i].running + own[i].running;
+            candidate.prefill_tokens =
+                reported_[i].prefill_tokens + own[i].prefill_tokens;
+            candidate.uncached_tokens = kind.own + kind.shared;
+            candidate.uncached_shared = kind.shared;
+            candidate.home_hash = Hash_Bytes(pair, sizeof(pair), 0);
+            candidate.sample_hash = unit_(random_);
+            candidate.same_zone = i % 6 == 0;
         }
         struct pl_limits limits = {true, 1.25, false, false, 1};
-        limits.drawn_part = Pl_DrawnPart(engines_.size(), per_sec_ * lag_sec_);
+        limits.sampled_fraction =
+            Pl_SampledFraction(engines_.size(), per_sec_ * lag_sec_);
         struct pl_choice choice = {0, 0};
         if (Pl_Choose(candidates.data(), candidates.size(), &limits,
                       &choice) != PL_CHOSEN) {
             return now + 1e9;
         }
         own[choice.index].running++;
-        own[choice.index].reading += kind.own;
+        own[choice.index].prefill_tokens += kind.own;
         return Serve(&engines_[choice.index], kind, now);
     }
 
-    // The moment of the first token.
+    // Returns the time of the first token.
     static double
     Serve(Engine *engine, const Kind &kind, double now)
     {
@@ -158,7 +163,7 @@
         if (running.size() >= kSlots) {
             start = running[running.size() - kSlots];
         }
-        double first = start + (double)kind.own / kReadRate;
+        double first = start + (double)kind.own / kPrefillRate;
         engine->read_until = first;
         engine->firsts.push_back(first);
         engine->ends.push_back(first + kind.runs_sec);
@@ -170,16 +175,16 @@
     double per_sec_;
     double lag_sec_;
     std::vector<Engine> engines_;
-    std::vector<View> seen_;
+    std::vector<View> reported_;
     std::vector<View> before_;
     std::vector<std::vector<View>> own_;
     std::mt19937_64 random_{7};
     std::uniform_real_distribution<double> unit_{0, 1};
 };
 
-// Guards against hundreds of hosts that all take the endpoint they heard to be
-// idle: short questions wait there while most endpoints have nothing to do.
-TEST(PlaceReplay, HundredsOfHostsSpreadWhatTheyCannotSeeYet)
+// Guards against hundreds of hosts that all choose the endpoint reported idle:
+// short prompts queue there while most endpoints are idle.
+TEST(PlaceReplay, HundredsOfHostsSpreadRequestsNotYetReported)
 {
     Replay hundreds(295, 250, 1131, 0.6);
     EXPECT_GE(hundreds.Run(12), 0.95);
@@ -187,12 +192,13 @@
     EXPECT_GE(ninety.Run(20), 0.95);
 }
 
-// Guards against few hosts that no longer take the best endpoint they know.
-TEST(PlaceReplay, FewHostsLookAtAllEndpoints)
+// Guards against sampling where it is not needed: with few hosts and requests
+// each request must consider all endpoints.
+TEST(PlaceReplay, FewHostsSampleAllEndpoints)
 {
-    EXPECT_EQ(1, Pl_DrawnPart(9, 80 * 0.1));
-    EXPECT_LT(Pl_DrawnPart(250, 1131 * 0.6), 0.05);
-    EXPECT_GE(Pl_DrawnPart(250, 1e6), 2.0 / 250);
+    EXPECT_EQ(1, Pl_SampledFraction(9, 80 * 0.1));
+    EXPECT_LT(Pl_SampledFraction(250, 1131 * 0.6), 0.05);
+    EXPECT_GE(Pl_SampledFraction(250, 1e6), 2.0 / 250);
 }
 
 } // namespace
--- a/packages/edge/test/quota_test.cc
+++ b/packages/edge/test/quota_test.cc
@@ -22,20 +22,20 @@
     return taken;
 }
 
-struct Seen {
+struct Reported {
     uint64_t total = 0;
 };
 
 void
-Note(void *arg, uint32_t tenant, uint64_t total, uint64_t)
+RecordTotal(void *arg, uint32_t tenant, uint64_t total, uint64_t)
 {
     (void)tenant;
-    static_cast<Seen *>(arg)->total = total;
+    static_cast<Reported *>(arg)->total = total;
 }
 
-// A tenant gets its quota once for each host: what the other hosts have
-// admitted must leave the bucket here as well.
-TEST(Quota, WhatOthersAdmitIsNotAdmittedAgain)
+// Guards against a tenant that gets its quota once for each host. What other
+// hosts have admitted must leave the bucket here as well.
+TEST(Quota, PeerUsageIsChargedHere)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -44,10 +44,11 @@
     Qt_Configure(here, tenants.config);
     Qt_Configure(there, tenants.config);
     EXPECT_DOUBLE_EQ(TakeAll(here, 100), kBurst);
-    Seen seen;
-    Qt_Each(here, Note, &seen);
-    EXPECT_EQ(seen.total, 1000u);
-    Qt_Spent(there, Qt_Hash("acme"), static_cast<double>(seen.total), false);
+    Reported reported;
+    Qt_Each(here, RecordTotal, &reported);
+    EXPECT_EQ(reported.total, 1000u);
+    Qt_AddPeerUsage(there, Qt_Hash("acme"),
+                    static_cast<double>(reported.total), false);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), 0);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_DOUBLE_EQ(TakeAll(there, 100), kRate);
@@ -55,16 +56,16 @@
     Qt_Destroy(there);
 }
 
-// A tenant sends many times its usual, and what the other hosts admit is
-// heard half a second late: in that time it gets its quota twice.
-TEST(Quota, OthersAreTakenToGoOn)
+// Guards against a tenant that gets its quota twice while reports of other
+// hosts are half a second late.
+TEST(Quota, PeerUsageIsPredicted)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
     struct qt_quota *quota = Qt_Create(&clock.clock, true);
     Qt_Configure(quota, tenants.config);
     for (int i = 0; i < 20; i++) {
-        Qt_Spent(quota, Qt_Hash("acme"), kRate / 10, false);
+        Qt_AddPeerUsage(quota, Qt_Hash("acme"), kRate / 10, false);
         clock.Advance(100 * Ck_USEC_PER_MSEC);
     }
     TakeAll(quota, 10);
@@ -73,8 +74,8 @@
     Qt_Destroy(quota);
 }
 
-// All hosts are killed and start again: each with a full bucket would admit
-// the burst anew, on top of what ran just before.
+// Guards against hosts that all restart with a full bucket and admit the burst
+// again on top of what they admitted just before.
 TEST(Quota, ARestartDoesNotGrantTheBurstAgain)
 {
     FakeClock clock;
@@ -85,8 +86,9 @@
     Qt_Destroy(quota);
 }
 
-// Hosts that are cut off from each other admit the whole rate on each side.
-TEST(Quota, AHostThatHearsFewKeepsToItsShare)
+// Guards against hosts on both sides of a network partition that admit the
+// whole rate each.
+TEST(Quota, APartitionedHostUsesItsShareOfTheRate)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -99,10 +101,10 @@
     Qt_Destroy(quota);
 }
 
-// A third of the hosts is cut off from the others, callers go on reaching both
-// sides, and a tenant at its limit gets more than a whole rate: the larger
-// side believed the smaller one dead.
-TEST(Quota, TwoSidesOfACutHandOutOneRate)
+// Guards against a tenant that gets more than its rate while a third of the
+// hosts is partitioned off and both sides serve callers. The larger side must
+// not take the smaller one for dead.
+TEST(Quota, TwoSidesOfAPartitionAdmitOneRate)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -123,9 +125,10 @@
     Qt_Destroy(small);
 }
 
-// A cut heals, and for seconds a tenant within its limit is refused: what the
-// other side handed out of its own share was taken from this side as well.
-TEST(Quota, WhatWasLeftToTheOtherSideIsNotTakenTwice)
+// Guards against refusals of a tenant within its limit for seconds after a
+// partition has ended, when the usage of the other side is charged to the rate
+// that had been reserved for it and to the bucket as well.
+TEST(Quota, ReservedUsageIsNotChargedTwice)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -138,19 +141,19 @@
         taken += TakeAll(quota, 10);
     }
     Qt_SetShare(quota, 1);
-    Qt_Spent(quota, Qt_Hash("acme"), 5 * 0.35 * kRate, true);
+    Qt_AddPeerUsage(quota, Qt_Hash("acme"), 5 * 0.35 * kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_NEAR(TakeAll(quota, 10), kRate, 30);
-    // Beyond its share it does count.
-    Qt_Spent(quota, Qt_Hash("acme"), kRate, true);
+    // Usage beyond the reserve is charged.
+    Qt_AddPeerUsage(quota, Qt_Hash("acme"), kRate, true);
     clock.Advance(Ck_USEC_PER_SEC);
     EXPECT_LT(TakeAll(quota, 10), 30);
     Qt_Destroy(quota);
 }
 
-// A caller that is over its quota comes back at once, again and again: it was
-// not told how long it takes until its request fits.
-TEST(Quota, TheWaitIsWhatTheBucketNeeds)
+// Guards against a wait that is shorter than the time after which the request
+// fits, with which a refused caller retries in vain.
+TEST(Quota, TheWaitIsUntilTheBucketHasRoom)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -165,9 +168,9 @@
     Qt_Destroy(quota);
 }
 
-// A lower limit takes effect with the configuration that brings it; what was
-// admitted before stays admitted.
-TEST(Quota, ALowerLimitHoldsFromThenOn)
+// A lower limit takes effect with the configuration that brings it, and what
+// was admitted before stays admitted.
+TEST(Quota, ALowerLimitAppliesAtOnce)
 {
     FakeClock clock;
     Tenants tenants(kRate, kBurst);
@@ -181,42 +184,42 @@
     Qt_Destroy(quota);
 }
 
-// While all endpoints fail, every request is sent to a second one, and the
-// service gets twice the load it cannot carry.
-TEST(Budget, RepeatsAreAPartOfTheRequests)
+// Guards against a service that gets twice its load because every failed
+// request is sent to a second endpoint while all endpoints fail.
+TEST(Budget, RetriesAreAFractionOfRequests)
 {
     FakeClock clock;
     struct bu_budget *budget =
         Bu_Create(&clock.clock, 0.2, 0, 10 * Ck_USEC_PER_SEC);
-    int repeats = 0;
+    int retries = 0;
     for (int i = 0; i < 1000; i++) {
-        Bu_First(budget, "llm");
-        repeats += Bu_Repeat(budget, "llm");
+        Bu_CountFirst(budget, "llm");
+        retries += Bu_TakeRetry(budget, "llm");
         clock.Advance(5 * Ck_USEC_PER_MSEC);
     }
-    EXPECT_GT(repeats, 50);
-    EXPECT_LE(repeats, 200);
+    EXPECT_GT(retries, 50);
+    EXPECT_LE(retries, 200);
     Bu_Destroy(budget);
 }
 
-// The fixed allowance is one for all hosts: seven hosts that each use the
-// whole of it exceed the bound sevenfold.
+// Guards against seven hosts that each use the whole fixed allowance, which is
+// meant for all hosts together.
 TEST(Budget, TheAllowanceIsDivided)
 {
     FakeClock clock;
     struct bu_budget *budget =
         Bu_Create(&clock.clock, 0, 70, 10 * Ck_USEC_PER_SEC);
-    Bu_SetDaemons(budget, 7);
-    int repeats = 0;
-    while (Bu_CanRepeat(budget, "llm")) {
-        ASSERT_TRUE(Bu_Repeat(budget, "llm"));
-        repeats++;
+    Bu_SetHosts(budget, 7);
+    int retries = 0;
+    while (Bu_CanRetry(budget, "llm")) {
+        ASSERT_TRUE(Bu_TakeRetry(budget, "llm"));
+        retries++;
     }
-    EXPECT_FALSE(Bu_Repeat(budget, "llm"));
-    EXPECT_GT(repeats, 0);
-    EXPECT_LE(repeats, 10);
+    EXPECT_FALSE(Bu_TakeRetry(budget, "llm"));
+    EXPECT_GT(retries, 0);
+    EXPECT_LE(retries, 10);
     clock.Advance(11 * Ck_USEC_PER_SEC);
-    EXPECT_TRUE(Bu_Repeat(budget, "llm"));
+    EXPECT_TRUE(Bu_TakeRetry(budget, "llm"));
     Bu_Destroy(budget);
 }
 
--- a/packages/edge/test/tables_test.cc
+++ b/packages/edge/test/tables_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "edge/config.h"
-#include "edge/events.h"
+#include "edge/event_stream.h"
 #include "edge/mesh.h"
 #include "edge/truetime.h"
 #include "edge/usage.h"
@@ -34,12 +34,12 @@
 Match(const struct ec_config *config, const char *host, const char *target)
 {
     const struct ec_route *route =
-        Ec_Match(config, host, strlen(host), target, strlen(target));
+        Ec_FindRoute(config, host, strlen(host), target, strlen(target));
     return route == nullptr ? "none" : route->prefix;
 }
 
-// A request goes to the service of a shorter prefix, or of another host, and
-// is billed and answered by the wrong one.
+// Guards against a request that is routed by a shorter prefix, or by a route
+// of another host, and so is answered and billed by the wrong service.
 TEST(Config, TheLongestPrefixOfTheHostWins)
 {
     struct ec_config *config = Routes({{"b.example", "/"},
@@ -52,7 +52,7 @@
     EXPECT_EQ(Match(config, "a.example", "/y/"), "none");
     EXPECT_EQ(Match(config, "b.example", "/anything"), "/");
     EXPECT_EQ(Match(config, "c.example", "/x/"), "none");
-    Ec_Release(config);
+    Ec_Unref(config);
 }
 
 struct Event {
@@ -61,48 +61,49 @@
 };
 
 void
-Keep(void *arg, const struct es_event *event)
+AppendEvent(void *arg, const struct es_event *event)
 {
     static_cast<std::vector<Event> *>(arg)->push_back(
         {std::string(event->data, event->len), event->id});
 }
 
-// A caller gets half an event, and then the whole of it from the endpoint
-// that goes on: bytes may be split anywhere.
-TEST(Events, AreWholeHoweverTheBytesCome)
+// Guards against a caller that gets half an event, and then the whole event
+// again from the endpoint that resumes the stream: the bytes of an event may
+// be split anywhere.
+TEST(Events, AreWholeWhereverTheBytesAreSplit)
 {
     const std::string body = "id: 1\ndata: a\n\nx-weight-versions: 3\nid: 2\n"
                              "data: b\n\nid:3\r\ndata: c\r\n\r\nid: 4\nda";
     for (size_t step = 1; step <= body.size(); step++) {
-        struct es_events events = {};
+        struct es_parser parser = {};
         std::vector<Event> seen;
         for (size_t at = 0; at < body.size(); at += step) {
-            Es_Feed(&events, body.data() + at,
-                    std::min(step, body.size() - at), Keep, &seen);
+            Es_Feed(&parser, body.data() + at,
+                    std::min(step, body.size() - at), AppendEvent, &seen);
         }
         ASSERT_EQ(seen.size(), 3u) << "step " << step;
         EXPECT_EQ(seen[0].data, "id: 1\ndata: a\n\n");
         EXPECT_EQ(seen[1].id, 2);
         EXPECT_EQ(seen[2].id, 3);
-        EXPECT_EQ(Es_Left(&events), 8u);
-        Es_Clear(&events);
+        EXPECT_EQ(Es_BufferedLen(&parser), 8u);
+        Es_Clear(&parser);
     }
 }
 
-// The time of day of a host jumps, its requests are counted in a window that
-// is not theirs, and two windows are reported wrongly.
-TEST(TrueTime, OneClockThatJumpsMovesNothing)
+// Guards against a jump of one host's wall clock: its requests would be
+// counted in the wrong window, and two windows would be reported wrongly.
+TEST(TrueTime, AJumpOfOneClockDoesNotMoveTrueTime)
 {
     FakeClock clock;
     struct tt_time *time = Tt_Create(&clock.clock);
     int64_t before = Tt_Now(time);
     for (uint64_t peer = 1; peer <= 4; peer++) {
-        Tt_Peer(time, peer, before + static_cast<int64_t>(peer) * 1000);
+        Tt_AddPeerTime(time, peer, before + static_cast<int64_t>(peer) * 1000);
     }
     clock.wall += 5 * Ck_USEC_PER_SEC;
     EXPECT_NEAR(static_cast<double>(Tt_Now(time)), static_cast<double>(before),
                 10000.0);
-    Tt_Peer(time, 1, before - 60 * Ck_USEC_PER_SEC);
+    Tt_AddPeerTime(time, 1, before - 60 * Ck_USEC_PER_SEC);
     EXPECT_NEAR(static_cast<double>(Tt_Now(time)), static_cast<double>(before),
                 10000.0);
     Tt_Destroy(time);
@@ -120,94 +121,99 @@
     return sum;
 }
 
-// What a killed host had counted is missing from the report, or counted
-// twice when its words come late and out of order.
-TEST(Usage, TheDeadAreCountedOnce)
+// Guards against a killed host whose counts are missing from the report, or
+// are counted twice because its messages arrive late and out of order.
+TEST(Usage, CountsOfADeadHostAreCountedOnce)
 {
     struct us_usage *usage = Us_Create();
-    Us_Began(usage, 100, 1);
-    Us_Peer(usage, 55, 100, 1, 7);
-    Us_Peer(usage, 55, 100, 1, 5);
-    Us_Peer(usage, 55, 100, 2, 3);
+    Us_CountBegun(usage, 100, 1);
+    Us_TakePeerCount(usage, 55, 100, 1, 7);
+    Us_TakePeerCount(usage, 55, 100, 1, 5);
+    Us_TakePeerCount(usage, 55, 100, 2, 3);
     EXPECT_EQ(Total(usage, 100), 11u);
-    Us_Peer(usage, 56, 100, 1, 2);
+    Us_TakePeerCount(usage, 56, 100, 1, 2);
     EXPECT_EQ(Total(usage, 100), 13u);
     EXPECT_EQ(Total(usage, 101), 0u);
-    Us_Began(usage, 106, 1);
+    Us_CountBegun(usage, 106, 1);
     EXPECT_EQ(Total(usage, 106), 1u);
     Us_Destroy(usage);
 }
 
-// A datagram of another version, cut short or made up, must change nothing.
-TEST(Mesh, OnlyWholeWordsAreRead)
+// Guards against datagrams that are truncated or corrupted: truncated ones
+// must be rejected, corrupted ones must not crash the decoder.
+TEST(Mesh, OnlyWholeMessagesAreDecoded)
 {
-    static struct ms_word word = {};
-    strcpy(word.name, "front-1");
-    strcpy(word.ip, "10.0.0.1");
-    word.run = 99;
-    word.load_count = 1;
-    word.loads[0] = {7, 3, 1200};
-    word.rate_count = 1;
-    word.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
-    word.brittle_count = 1;
-    word.brittle[0] = {8, 5};
-    word.hint_count = 1;
-    strcpy(word.hints[0], "10.0.0.2");
+    static struct ms_message message = {};
+    strcpy(message.name, "front-1");
+    strcpy(message.ip, "10.0.0.1");
+    message.run = 99;
+    message.load_count = 1;
+    message.loads[0] = {7, 3, 1200};
+    message.rate_count = 1;
+    message.rates[0] = {4, 12.5, 5000, 3000, 2.5, 70000};
+    message.refusal_limit_count = 1;
+    message.refusal_limits[0] = {8, 5};
+    message.address_count = 1;
+    strcpy(message.addresses[0], "10.0.0.2");
     char bytes[4096];
-    size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t len = Ms_Encode(&message, bytes, sizeof(bytes));
     ASSERT_GT(len, 0u);
-    static struct ms_word read;
+    static struct ms_message read;
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
     EXPECT_EQ(read.run, 99u);
-    EXPECT_EQ(read.loads[0].reading, 1200);
-    EXPECT_DOUBLE_EQ(read.rates[0].sent, 12.5);
-    EXPECT_DOUBLE_EQ(read.rates[0].in_long, 3000);
-    EXPECT_DOUBLE_EQ(read.rates[0].running, 2.5);
-    ASSERT_EQ(read.brittle_count, 1u);
-    EXPECT_EQ(read.brittle[0].service, 8u);
-    EXPECT_EQ(read.brittle[0].most, 5);
-    EXPECT_STREQ(read.hints[0], "10.0.0.2");
+    EXPECT_EQ(read.loads[0].prefill_tokens, 1200);
+    EXPECT_DOUBLE_EQ(read.rates[0].requests_per_sec, 12.5);
+    EXPECT_DOUBLE_EQ(read.rates[0].long_prompt_tokens_per_sec, 3000);
+    EXPECT_DOUBLE_EQ(read.rates[0].concurrency, 2.5);
+    ASSERT_EQ(read.refusal_limit_count, 1u);
+    EXPECT_EQ(read.refusal_limits[0].service, 8u);
+    EXPECT_EQ(read.refusal_limits[0].refusals_per_sec, 5);
+    EXPECT_STREQ(read.addresses[0], "10.0.0.2");
     for (size_t cut = 0; cut < len; cut++) {
         EXPECT_FALSE(Ms_Decode(bytes, cut, &read));
     }
     for (size_t i = 0; i < len; i++) {
-        std::string bent(bytes, len);
-        bent[i] = static_cast<char>(bent[i] ^ 0x55);
-        Ms_Decode(bent.data(), bent.size(), &read);
+        std::string corrupt(bytes, len);
+        corrupt[i] = static_cast<char>(corrupt[i] ^ 0x55);
+        Ms_Decode(corrupt.data(), corrupt.size(), &read);
     }
 }
 
-// Guards against words of which most is the numbers of windows and the hashes
-// of tenants, and against counts that end up with another tenant.
+// Guards against messages that consist mostly of window numbers and tenant
+// hashes, and against counts that are decoded for the wrong tenant.
 TEST(Word, CountsOfThreeWindowsAreShort)
 {
-    static struct ms_word word;
-    static struct ms_word read;
-    memset(&word, 0, sizeof(word));
+    static struct ms_message message;
+    static struct ms_message read;
+    memset(&message, 0, sizeof(message));
     const uint32_t kUnknown = 3000000000u;
     const size_t kTenants = 16;
     static char bytes[16384];
-    word.run = 1;
+    message.run = 1;
     for (uint32_t i = 0; i < kTenants; i++) {
-        word.spent[word.spent_count++] = {4000000000u + i, 1, 1};
+        message.usage[message.usage_count++] = {4000000000u + i, 1, 1};
     }
-    size_t without = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t without = Ms_Encode(&message, bytes, sizeof(bytes));
     for (int64_t window = 353445122; window > 353445119; window--) {
         for (uint32_t i = 0; i < kTenants; i++) {
-            word.counted[word.counted_count++] = {window, 4000000000u + i,
-                                                  100 + i};
+            message.request_counts[message.request_count_rows++] = {
+                window, 4000000000u + i, 100 + i};
         }
     }
-    size_t len = Ms_Encode(&word, bytes, sizeof(bytes));
-    EXPECT_LE(len - without, word.counted_count * 4);
-    word.counted[word.counted_count++] = {353445120, kUnknown, 7};
-    len = Ms_Encode(&word, bytes, sizeof(bytes));
+    size_t len = Ms_Encode(&message, bytes, sizeof(bytes));
+    EXPECT_LE(len - without, message.request_count_rows * 4);
+    message.request_counts[message.request_count_rows++] = {353445120,
+                                                            kUnknown, 7};
+    len = Ms_Encode(&message, bytes, sizeof(bytes));
     ASSERT_TRUE(Ms_Decode(bytes, len, &read));
-    ASSERT_EQ(word.counted_count, read.counted_count);
-    for (size_t i = 0; i < word.counted_count; i++) {
-        EXPECT_EQ(word.counted[i].window, read.counted[i].window);
-        EXPECT_EQ(word.counted[i].tenant, read.counted[i].tenant);
-        EXPECT_EQ(word.counted[i].count, read.counted[i].count);
+    ASSERT_EQ(message.request_count_rows, read.request_count_rows);
+    for (size_t i = 0; i < message.request_count_rows; i++) {
+        EXPECT_EQ(message.request_counts[i].window,
+                  read.request_counts[i].window);
+        EXPECT_EQ(message.request_counts[i].tenant,
+                  read.request_counts[i].tenant);
+        EXPECT_EQ(message.request_counts[i].count,
+                  read.request_counts[i].count);
     }
 }
 
--- a/packages/edge/warming.c
+++ b/packages/edge/warming.c
@@ -7,27 +7,27 @@
 }
 
 static void
-renew_claim(const struct ga_gate *gate, struct fl_endpoint *endpoint,
-            const struct ec_service *service, int64_t now)
+renew_selection(const struct ga_gate *gate, struct fl_endpoint *endpoint,
+                const struct ec_service *service, int64_t now)
 {
     struct wu_hosts hosts;
-    Ms_ListHosts(gate->mesh, &hosts);
-    hosts.view.up_usec = now - gate->started_at;
-    hosts.view.first_start = gate->options.node->first_start;
-    Wu_RenewClaim(&endpoint->warmup, &hosts, service->cold_per_sec,
-                  endpoint->hash, now);
+    Ms_ListSenders(gate->mesh, &hosts);
+    hosts.completeness.up_usec = now - gate->started_at;
+    hosts.completeness.first_start = gate->options.node->first_start;
+    Wu_RenewSelection(&endpoint->warmup, &hosts, service->cold_per_sec,
+                      endpoint->hash, now);
 }
 
 /*
- * An endpoint that was sent nothing for a while is cold when requests come
- * back, whatever its entry said before.
+ * Endpoints of an evacuated data centre get no requests and are cold when the
+ * evacuation ends, whatever their entries said before.
  */
 static bool
-has_returned(const struct fl_endpoint *endpoint,
+was_restored(const struct fl_endpoint *endpoint,
              const struct ec_service *service, int64_t now)
 {
-    return endpoint->returned_at != 0 &&
-           now - endpoint->returned_at < service->cold_usec;
+    return endpoint->zone_restored_at != 0 &&
+           now - endpoint->zone_restored_at < service->cold_usec;
 }
 
 enum wa_state
@@ -35,33 +35,33 @@
          const struct ec_service *service, int64_t now)
 {
     struct wu_warmup *warmup = &endpoint->warmup;
-    bool cold = Wu_IsCold(warmup, now) || has_returned(endpoint, service, now);
-    if (!is_limited(service) || (!cold && !Wu_IsDoubted(warmup, now))) {
+    bool cold = Wu_IsCold(warmup, now) || was_restored(endpoint, service, now);
+    if (!is_limited(service) || (!cold && !Wu_MayBeCold(warmup, now))) {
         return WA_OPEN;
     }
-    if (Wu_ClaimIsOld(warmup, now)) {
-        renew_claim(gate, endpoint, service, now);
+    if (Wu_SelectionIsStale(warmup, now)) {
+        renew_selection(gate, endpoint, service, now);
     }
     if (Wu_MaySend(warmup, now)) {
         return WA_OPEN;
     }
-    return cold ? WA_CLOSED : WA_DOUBTED;
+    return cold ? WA_CLOSED : WA_MAYBE_COLD;
 }
 
 void
-Wa_Sent(const struct ga_gate *gate, struct fl_endpoint *endpoint,
-        const struct ec_service *service, int64_t now)
+Wa_NoteSent(const struct ga_gate *gate, struct fl_endpoint *endpoint,
+            const struct ec_service *service, int64_t now)
 {
     if (is_limited(service)) {
-        struct wu_part part =
-            Wu_Part(service->cold_per_sec, Ms_CountAll(gate->mesh));
-        Wu_Sent(&endpoint->warmup, &part, now);
+        struct wu_pacing pacing =
+            Wu_Pacing(service->cold_per_sec, Ms_CountAll(gate->mesh));
+        Wu_Sent(&endpoint->warmup, &pacing, now);
     }
 }
 
 void
-Wa_Broke(struct fl_endpoint *endpoint, const struct ec_service *service,
-         int64_t now)
+Wa_NoteBroken(struct fl_endpoint *endpoint, const struct ec_service *service,
+              int64_t now)
 {
-    Wu_Doubt(&endpoint->warmup, service->cold_usec, now);
+    Wu_SuspectRestart(&endpoint->warmup, service->cold_usec, now);
 }
