--- a/packages/gate/claims.c
+++ b/packages/gate/claims.c
@@ -6,50 +6,49 @@
 
 #include "gate/claims_wire.h"
 
-/* How long another daemon may take before this one claims by itself. */
-#define Gc_ASK_USEC (1500 * Ck_USEC_PER_MSEC)
-/* The asked one gives up before its asker does. */
-#define Gc_SERVE_USEC (1000 * Ck_USEC_PER_MSEC)
-/* Beyond the caller's deadline an endpoint may still answer for a while. */
+/* If the peer has not replied by then, this daemon appends the claim. */
+#define Gc_PEER_TIMEOUT_USEC (1500 * Ck_USEC_PER_MSEC)
+/* A served claim ends before the requesting daemon stops waiting for it. */
+#define Gc_SERVE_TIMEOUT_USEC (1000 * Ck_USEC_PER_MSEC)
+/* Added to a claim's expiry: endpoints may answer after the deadline. */
 #define Gc_EXPIRE_SLACK_MS 90000
-/* How long a slot stays open after this daemon last had to keep it. */
-#define Gc_KEEP_USEC (10 * Ck_USEC_PER_SEC)
+/* How long a slot stays open after its last use or assignment. */
+#define Gc_CLOSE_DELAY_USEC (10 * Ck_USEC_PER_SEC)
 
 struct gc_claims {
     struct gc_options options;
     struct kp_keeper *keeper;
-    int64_t kept_at[Cl_SLOTS]; /* when a slot was last kept or used here */
+    int64_t last_used[Cl_SLOTS]; /* last use, or time while assigned */
     uint64_t next_attempt;
     TAILQ_HEAD(wait_list, gc_wait) waits;
-    size_t notes; /* results and releases on their way to other daemons */
+    size_t pending_updates; /* sent and not yet acknowledged */
 };
 
-/* A claim whose verdict is awaited. */
+/* A claim whose verdict is pending. */
 struct gc_wait {
     TAILQ_ENTRY(gc_wait) link;
     struct gc_claims *claims;
     struct cl_claim claim;
     int64_t deadline;
-    gc_done_fn done; /* NULL: given up; a claim won late is given back */
+    gc_done_fn done; /* NULL: cancelled; a claim still won is released */
     void *arg;
-    bool unheard; /* another daemon may have appended it */
+    bool maybe_appended; /* a peer may have appended it without a reply */
 };
 
-/* A result or a release on its way to another daemon. */
-struct note {
+/* A result or a release that is sent to the daemon of its slot. */
+struct update {
     struct gc_claims *claims;
     char *payload;
     size_t len;
 };
 
-/* A question of another daemon being served. */
-struct served {
+/* A claim that is made for another daemon. */
+struct served_claim {
     struct cl_claim claim;
     gc_answer_fn answer;
     void *arg;
 };
 
-/* Creates the claims of this daemon. */
 enum st_status
 Gc_Create(const struct gc_options *options, struct gc_claims **out)
 {
@@ -64,8 +63,8 @@
         .clock = options->gate->clock,
         .self = options->self,
         .budget = options->budget,
-        .dead = options->ops->dead,
-        .dead_arg = options->arg,
+        .owner_ended = options->ops->has_ended,
+        .owner_ended_arg = options->arg,
     };
     enum st_status status = Kp_Create(&keeper, &claims->keeper);
     if (status != ST_OK) {
@@ -76,7 +75,7 @@
     return ST_OK;
 }
 
-/* Stops; verdicts that are still awaited do not come any more. */
+/* Frees the claims; pending claims end without a call of "done". */
 void
 Gc_Destroy(struct gc_claims *claims)
 {
@@ -96,11 +95,11 @@
 }
 
 /*
- * Follows the slots this daemon should keep, so that it is ready when the
- * first claim comes, and closes those that others should keep: every daemon
- * starts alone and opens all of them, and each open one asks the log twice a
- * second.  One that was kept a moment ago stays open for a while, since
- * members that come and go would have it loaded again and again.
+ * Opens the slots assigned to this daemon, so that they are loaded before the
+ * first claim, and closes those assigned to other daemons.  A daemon that
+ * starts knows no peers yet and opens all slots; each open slot polls the log
+ * twice a second.  A slot is closed only after a delay, because membership
+ * changes would otherwise reload it again and again.
  */
 void
 Gc_Tick(struct gc_claims *claims)
@@ -108,57 +107,61 @@
     const struct gc_options *options = &claims->options;
     int64_t now = Ck_Now(options->gate->clock);
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
-        bool mine = options->ops->keeper(options->arg, slot) == NULL;
+        bool assigned =
+            options->ops->assigned_node(options->arg, slot) == NULL;
         bool open = Kp_IsOpen(claims->keeper, slot);
-        if (mine) {
-            claims->kept_at[slot] = now;
+        if (assigned) {
+            claims->last_used[slot] = now;
         }
-        if (mine && !open) {
+        if (assigned && !open) {
             Kp_Open(claims->keeper, slot);
         }
-        else if (open && now - claims->kept_at[slot] >= Gc_KEEP_USEC) {
+        else if (open &&
+                 now - claims->last_used[slot] >= Gc_CLOSE_DELAY_USEC) {
             Kp_Close(claims->keeper, slot);
         }
     }
     Kp_Tick(claims->keeper);
 }
 
-/* True when nothing is on its way to the log or to another daemon. */
+/* True when no append to the log and no update to a peer is pending. */
 bool
 Gc_Idle(const struct gc_claims *claims)
 {
-    return Kp_Pending(claims->keeper) == 0 && claims->notes == 0;
+    return Kp_Pending(claims->keeper) == 0 && claims->pending_updates == 0;
 }
 
-/* How many slots this daemon should keep. */
+/* The number of slots assigned to this daemon. */
 int
-Gc_SlotsKept(const struct gc_claims *claims)
+Gc_AssignedSlots(const struct gc_claims *claims)
 {
-    int kept = 0;
+    int count = 0;
     for (int slot = 0; slot < Cl_SLOTS; slot++) {
-        if (claims->options.ops->keeper(claims->options.arg, slot) == NULL) {
-            kept++;
+        if (claims->options.ops->assigned_node(claims->options.arg, slot) ==
+            NULL) {
+            count++;
         }
     }
-    return kept;
+    return count;
 }
 
 static void release(struct gc_claims *claims, const struct cl_key *key,
                     const struct cl_attempt *attempt);
 
 static void
-wait_end(struct gc_wait *wait, const struct kp_answer *answer)
+finish_wait(struct gc_wait *wait, const struct kp_answer *answer)
 {
     struct gc_claims *claims = wait->claims;
     gc_done_fn done = wait->done;
     void *arg = wait->arg;
     TAILQ_REMOVE(&claims->waits, wait, link);
     bool won = answer->verdict == KP_WON;
-    if ((done == NULL && won) || (wait->unheard && !won)) {
+    if ((done == NULL && won) || (wait->maybe_appended && !won)) {
         /*
-         * Nobody waits for it any more, or it may have been won at a daemon
-         * whose word was lost: the key is free again.  This changes nothing
-         * unless this attempt holds the key, and it is never dispatched.
+         * The claim was cancelled, or a peer whose reply was lost may have
+         * won it.  The request of this attempt is never dispatched, so the
+         * key is released.  A release has no effect unless this attempt
+         * holds the key.
          */
         release(claims, &wait->claim.key, &wait->claim.attempt);
     }
@@ -169,24 +172,24 @@
 }
 
 static void
-wait_fail(struct gc_wait *wait, const char *reason)
+fail_wait(struct gc_wait *wait, const char *reason)
 {
     struct kp_answer answer = {.verdict = KP_NOT_RUN, .reason = reason};
-    wait_end(wait, &answer);
+    finish_wait(wait, &answer);
 }
 
 static void
-keeper_answered(void *arg, const struct kp_answer *answer)
+local_claim_done(void *arg, const struct kp_answer *answer)
 {
-    wait_end(arg, answer);
+    finish_wait(arg, answer);
 }
 
 static enum st_status
-claim_here(struct gc_claims *claims, const struct cl_claim *claim,
-           int64_t deadline, kp_claim_fn done, void *arg)
+claim_locally(struct gc_claims *claims, const struct cl_claim *claim,
+              int64_t deadline, kp_claim_fn done, void *arg)
 {
     int slot = Cl_Slot(&claim->key);
-    claims->kept_at[slot] = Ck_Now(claims->options.gate->clock);
+    claims->last_used[slot] = Ck_Now(claims->options.gate->clock);
     if (!Kp_IsOpen(claims->keeper, slot)) {
         enum st_status status = Kp_Open(claims->keeper, slot);
         if (status != ST_OK) {
@@ -197,40 +200,40 @@
 }
 
 static void
-peer_answered(void *arg, enum st_status status, const char *payload,
-              size_t len)
+peer_claim_done(void *arg, enum st_status status, const char *payload,
+                size_t len)
 {
     struct gc_wait *wait = arg;
-    struct cw_answer answer;
-    if (status == ST_OK && Cw_ReadAnswer(payload, len, &answer) == ST_OK) {
-        wait_end(wait, &answer.answer);
-        Cw_FreeAnswer(&answer);
+    struct cw_reply reply;
+    if (status == ST_OK && Cw_ReadReply(payload, len, &reply) == ST_OK) {
+        finish_wait(wait, &reply.answer);
+        Cw_FreeReply(&reply);
         return;
     }
     /*
-     * The other daemon may be gone, or may have appended the claim already.
-     * The same attempt is claimed from here.  If the other record comes
-     * first this one is told that the key is in progress, by this very
-     * attempt: wait_end() then gives the key back.
+     * The peer may have failed, or may have appended the claim before its
+     * reply was lost.  The same attempt is claimed locally.  If the peer's
+     * record comes first in the log, the local claim ends "in progress"
+     * although this attempt holds the key; finish_wait() then releases it.
      */
-    wait->unheard = true;
-    if (claim_here(wait->claims, &wait->claim, wait->deadline, keeper_answered,
-                   wait) != ST_OK) {
-        wait_fail(wait, "no daemon could settle the claim");
+    wait->maybe_appended = true;
+    if (claim_locally(wait->claims, &wait->claim, wait->deadline,
+                      local_claim_done, wait) != ST_OK) {
+        fail_wait(wait, "no daemon could settle the claim");
     }
 }
 
 static enum st_status
-claim_there(struct gc_wait *wait, const char *node)
+claim_remotely(struct gc_wait *wait, const char *node)
 {
     const struct gc_options *options = &wait->claims->options;
-    char *payload = Cw_ClaimAsk(&wait->claim);
+    char *payload = Cw_ClaimRequest(&wait->claim);
     if (payload == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
     enum st_status status =
-        options->ops->ask(options->arg, node, payload, strlen(payload),
-                          Gc_ASK_USEC, peer_answered, wait);
+        options->ops->send(options->arg, node, payload, strlen(payload),
+                           Gc_PEER_TIMEOUT_USEC, peer_claim_done, wait);
     free(payload);
     return status;
 }
@@ -252,8 +255,9 @@
 }
 
 /*
- * Claims a key; "done" comes exactly once, later, unless it is cancelled.
- * "deadline" is on this daemon's clock.
+ * Claims a key.  On success "done" is called exactly once, after this function
+ * has returned, unless the claim is cancelled.  "deadline" is on the clock of
+ * this daemon.
  */
 enum st_status
 Gc_Claim(struct gc_claims *claims, struct gc_key *key, int64_t deadline,
@@ -269,14 +273,15 @@
     wait->arg = arg;
     fill_claim(claims, key, deadline, &wait->claim);
     const struct gc_options *options = &claims->options;
-    const char *node = options->ops->keeper(options->arg, Cl_Slot(&key->key));
+    const char *node =
+        options->ops->assigned_node(options->arg, Cl_Slot(&key->key));
     enum st_status status = ST_UNAVAILABLE;
     if (node != NULL) {
-        status = claim_there(wait, node);
+        status = claim_remotely(wait, node);
     }
     if (status != ST_OK) {
-        status =
-            claim_here(claims, &wait->claim, deadline, keeper_answered, wait);
+        status = claim_locally(claims, &wait->claim, deadline,
+                               local_claim_done, wait);
     }
     if (status != ST_OK) {
         free(wait);
@@ -287,7 +292,7 @@
     return ST_OK;
 }
 
-/* Nobody waits any more; if the claim is won all the same it is released. */
+/* Cancels a pending claim; it is released if it is won later. */
 void
 Gc_Cancel(struct gc_wait *wait)
 {
@@ -295,64 +300,67 @@
 }
 
 static void
-here_done(void *arg, bool written)
+append_done(void *arg, bool written)
 {
     (void)arg;
     (void)written;
 }
 
 static enum st_status
-apply_here(struct gc_claims *claims, const struct cw_ask *ask)
+apply_locally(struct gc_claims *claims, const struct cw_request *request)
 {
-    int slot = Cl_Slot(&ask->key);
+    int slot = Cl_Slot(&request->key);
     if (!Kp_IsOpen(claims->keeper, slot)) {
         Kp_Open(claims->keeper, slot);
     }
-    if (ask->kind == CW_RESULT) {
-        return Kp_Result(claims->keeper, &ask->key, &ask->attempt,
-                         &ask->answer, here_done, NULL);
+    if (request->kind == CW_RESULT) {
+        return Kp_Result(claims->keeper, &request->key, &request->attempt,
+                         &request->answer, append_done, NULL);
     }
-    return Kp_Release(claims->keeper, &ask->key, &ask->attempt, here_done,
-                      NULL);
+    return Kp_Release(claims->keeper, &request->key, &request->attempt,
+                      append_done, NULL);
 }
 
 static void
-note_done(void *arg, enum st_status status, const char *payload, size_t len)
+update_done(void *arg, enum st_status status, const char *payload, size_t len)
 {
-    struct note *note = arg;
-    struct cw_ask ask;
-    note->claims->notes--;
-    /* Unheard: written from here.  Written twice does no harm. */
+    struct update *update = arg;
+    struct cw_request request;
+    update->claims->pending_updates--;
+    /* Without a reply the update is appended locally; it is idempotent. */
     if (status != ST_OK &&
-        Cw_ReadAsk(note->payload, note->len, &ask) == ST_OK) {
-        apply_here(note->claims, &ask);
-        Cw_FreeAsk(&ask);
+        Cw_ReadRequest(update->payload, update->len, &request) == ST_OK) {
+        apply_locally(update->claims, &request);
+        Cw_FreeRequest(&request);
     }
-    free(note->payload);
-    free(note);
+    free(update->payload);
+    free(update);
 }
 
-/* Sends a result or a release to the keeper of its slot; takes "payload". */
+/*
+ * Sends a result or a release to the daemon that its slot is assigned to.
+ * Takes ownership of "payload".
+ */
 static void
-send_note(struct gc_claims *claims, const struct cl_key *key, char *payload)
+send_update(struct gc_claims *claims, const struct cl_key *key, char *payload)
 {
     const struct gc_options *options = &claims->options;
-    struct note *note = calloc(1, sizeof(*note));
-    if (payload == NULL || note == NULL) {
-        /* The claim's expiry settles it as unknown. */
+    struct update *update = calloc(1, sizeof(*update));
+    if (payload == NULL || update == NULL) {
+        /* The claim expires later, with an unknown outcome. */
         free(payload);
-        free(note);
+        free(update);
         return;
     }
-    note->claims = claims;
-    note->payload = payload;
-    note->len = strlen(payload);
-    claims->notes++;
-    const char *node = options->ops->keeper(options->arg, Cl_Slot(key));
-    if (node == NULL ||
-        options->ops->ask(options->arg, node, payload, note->len, Gc_ASK_USEC,
-                          note_done, note) != ST_OK) {
-        note_done(note, ST_UNAVAILABLE, NULL, 0);
+    update->claims = claims;
+    update->payload = payload;
+    update->len = strlen(payload);
+    claims->pending_updates++;
+    const char *node = options->ops->assigned_node(options->arg, Cl_Slot(key));
+    if (node == NULL || options->ops->send(options->arg, node, payload,
+                                           update->len, Gc_PEER_TIMEOUT_USEC,
+                                           update_done, update) != ST_OK) {
+        update_done(update, ST_UNAVAILABLE, NULL, 0);
     }
 }
 
@@ -370,19 +378,20 @@
 release(struct gc_claims *claims, const struct cl_key *key,
         const struct cl_attempt *attempt)
 {
-    send_note(claims, key, Cw_ReleaseAsk(key, attempt));
+    send_update(claims, key, Cw_ReleaseRequest(key, attempt));
 }
 
-/* Records the answer of a claim that was won, for repeats of the request. */
+/* Records the answer to a claimed request, for retries under its key. */
 void
 Gc_Result(struct gc_claims *claims, const struct gc_key *key,
           const struct cl_answer *answer)
 {
     struct cl_attempt attempt = attempt_of(claims, key);
-    send_note(claims, &key->key, Cw_ResultAsk(&key->key, &attempt, answer));
+    send_update(claims, &key->key,
+                Cw_ResultRequest(&key->key, &attempt, answer));
 }
 
-/* Records that the outcome of a claim that was won cannot be known. */
+/* Records that the outcome of a claimed request is unknown. */
 void
 Gc_Unknown(struct gc_claims *claims, const struct gc_key *key)
 {
@@ -390,7 +399,7 @@
     Gc_Result(claims, key, &answer);
 }
 
-/* Gives a claim that was won back: nothing was sent to any endpoint. */
+/* Releases a claim that was won; only if no endpoint was sent the request. */
 void
 Gc_Release(struct gc_claims *claims, const struct gc_key *key)
 {
@@ -399,10 +408,11 @@
 }
 
 static void
-serve_claim_done(void *arg, const struct kp_answer *answer)
+peer_claim_settled(void *arg, const struct kp_answer *answer)
 {
-    struct served *served = arg;
-    char *text = Cw_Answer(answer, &served->claim.key, &served->claim.attempt);
+    struct served_claim *served = arg;
+    char *text =
+        Cw_ClaimReply(answer, &served->claim.key, &served->claim.attempt);
     served->answer(served->arg, text != NULL ? text : "",
                    text != NULL ? strlen(text) : 0);
     free(text);
@@ -410,44 +420,48 @@
 }
 
 static enum st_status
-serve_claim(struct gc_claims *claims, const struct cw_ask *ask,
+serve_claim(struct gc_claims *claims, const struct cw_request *request,
             gc_answer_fn answer, void *arg)
 {
-    struct served *served = calloc(1, sizeof(*served));
+    struct served_claim *served = calloc(1, sizeof(*served));
     if (served == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for a claim");
     }
-    served->claim = ask->claim;
+    served->claim = request->claim;
     served->answer = answer;
     served->arg = arg;
-    int64_t deadline = Ck_Now(claims->options.gate->clock) + Gc_SERVE_USEC;
-    enum st_status status =
-        claim_here(claims, &ask->claim, deadline, serve_claim_done, served);
+    int64_t deadline =
+        Ck_Now(claims->options.gate->clock) + Gc_SERVE_TIMEOUT_USEC;
+    enum st_status status = claim_locally(claims, &request->claim, deadline,
+                                          peer_claim_settled, served);
     if (status != ST_OK) {
         free(served);
     }
     return status;
 }
 
-/* Serves another daemon's question as the keeper of its slot. */
+/*
+ * Serves a request of another daemon about a claim.  On ST_OK "answer" is
+ * called once: at once for a result or a release, later for a claim.
+ */
 enum st_status
 Gc_Serve(struct gc_claims *claims, const char *payload, size_t len,
          gc_answer_fn answer, void *arg)
 {
-    struct cw_ask ask;
-    enum st_status status = Cw_ReadAsk(payload, len, &ask);
+    struct cw_request request;
+    enum st_status status = Cw_ReadRequest(payload, len, &request);
     if (status != ST_OK) {
         return status;
     }
-    if (ask.kind == CW_CLAIM) {
-        status = serve_claim(claims, &ask, answer, arg);
+    if (request.kind == CW_CLAIM) {
+        status = serve_claim(claims, &request, answer, arg);
     }
     else {
-        status = apply_here(claims, &ask);
+        status = apply_locally(claims, &request);
         if (status == ST_OK) {
             answer(arg, "", 0);
         }
     }
-    Cw_FreeAsk(&ask);
+    Cw_FreeRequest(&request);
     return status;
 }
--- a/packages/gate/claims_wire.h
+++ b/packages/gate/claims_wire.h
@@ -1,6 +1,6 @@
 /*
- * What daemons say to each other about claims, as JSON: the bodies are those
- * of the log's records.
+ * Messages between daemons about claims, in JSON.  Their bodies have the form
+ * of the log records.
  */
 #ifndef GATE_CLAIMS_WIRE_H
 #define GATE_CLAIMS_WIRE_H
@@ -15,34 +15,37 @@
     CW_RELEASE,
 };
 
-struct cw_ask {
+/* A decoded request. */
+struct cw_request {
     enum cw_kind kind;
     struct cl_claim claim;     /* CW_CLAIM */
-    struct cl_key key;         /* the others */
-    struct cl_attempt attempt; /* the others */
+    struct cl_key key;         /* CW_RESULT, CW_RELEASE */
+    struct cl_attempt attempt; /* CW_RESULT, CW_RELEASE */
     struct cl_answer answer;   /* CW_RESULT */
-    void *bytes;               /* body of the answer; freed by Cw_FreeAsk() */
+    void *decoded_body; /* body of the answer; freed by Cw_FreeRequest() */
 };
 
-/* An answer as it is read from the wire. */
-struct cw_answer {
+/* A decoded reply to a claim. */
+struct cw_reply {
     struct kp_answer answer;
-    struct cl_answer kept;
-    void *bytes;
-    json_t *root; /* holds the texts */
+    struct cl_answer stored;
+    void *decoded_body;
+    json_t *root; /* owns the strings of the reply */
 };
 
-char *Cw_ClaimAsk(const struct cl_claim *claim);
-char *Cw_ResultAsk(const struct cl_key *key, const struct cl_attempt *attempt,
-                   const struct cl_answer *answer);
-char *Cw_ReleaseAsk(const struct cl_key *key,
+char *Cw_ClaimRequest(const struct cl_claim *claim);
+char *Cw_ResultRequest(const struct cl_key *key,
+                       const struct cl_attempt *attempt,
+                       const struct cl_answer *answer);
+char *Cw_ReleaseRequest(const struct cl_key *key,
+                        const struct cl_attempt *attempt);
+enum st_status Cw_ReadRequest(const char *payload, size_t len,
+                              struct cw_request *out);
+void Cw_FreeRequest(struct cw_request *request);
+char *Cw_ClaimReply(const struct kp_answer *answer, const struct cl_key *key,
                     const struct cl_attempt *attempt);
-enum st_status Cw_ReadAsk(const char *payload, size_t len, struct cw_ask *out);
-void Cw_FreeAsk(struct cw_ask *ask);
-char *Cw_Answer(const struct kp_answer *answer, const struct cl_key *key,
-                const struct cl_attempt *attempt);
-enum st_status Cw_ReadAnswer(const char *payload, size_t len,
-                             struct cw_answer *out);
-void Cw_FreeAnswer(struct cw_answer *answer);
+enum st_status Cw_ReadReply(const char *payload, size_t len,
+                            struct cw_reply *out);
+void Cw_FreeReply(struct cw_reply *reply);
 
 #endif
--- a/packages/gate/control.c
+++ b/packages/gate/control.c
@@ -7,7 +7,7 @@
 struct ct_control {
     struct ct_options options;
     struct wr_writer *writer;
-    struct le_book *leases;
+    struct le_table *leases;
     struct sn_replica *replica;
 };
 
@@ -16,7 +16,7 @@
 {
     struct ct_control *control = arg;
     Le_Reset(control->leases);
-    control->options.part.reset(control->options.part.arg);
+    control->options.component.reset(control->options.component.arg);
 }
 
 static void
@@ -24,7 +24,7 @@
 {
     struct ct_control *control = arg;
     Le_Apply(control->leases, record);
-    control->options.part.apply(control->options.part.arg, record);
+    control->options.component.apply(control->options.component.arg, record);
 }
 
 static json_t *
@@ -33,7 +33,7 @@
     struct ct_control *control = arg;
     json_t *list = json_array();
     Le_Save(control->leases, list);
-    control->options.part.save(control->options.part.arg, list);
+    control->options.component.save(control->options.component.arg, list);
     return list;
 }
 
@@ -42,7 +42,7 @@
 {
     struct ct_control *control = arg;
     Le_Load(control->leases, entry);
-    control->options.part.load(control->options.part.arg, entry);
+    control->options.component.load(control->options.component.arg, entry);
 }
 
 static const struct sn_ops replica_ops = {
@@ -52,7 +52,7 @@
     .load = load,
 };
 
-/* Starts to follow the stream. */
+/* Starts to read the stream. */
 enum st_status
 Ct_Create(const struct ct_options *options, struct ct_control **out)
 {
@@ -96,7 +96,6 @@
     return ST_OK;
 }
 
-/* Stops following. */
 void
 Ct_Destroy(struct ct_control *control)
 {
@@ -115,25 +114,25 @@
     free(control);
 }
 
-/* Does what is due: reads, leases, appends. */
+/* Polls the stream, renews leases and sends queued appends, as due. */
 void
 Ct_Tick(struct ct_control *control)
 {
-    int64_t asked = 0;
+    int64_t requested_at = 0;
     Sn_Tick(control->replica);
-    bool ready = Sn_AtTail(control->replica, &asked);
-    Le_Tick(control->leases, ready, asked);
+    bool ready = Sn_AtTail(control->replica, &requested_at);
+    Le_Tick(control->leases, ready, requested_at);
     Wr_Tick(control->writer);
 }
 
-/* Whether this daemon is the one that writes the stream's snapshots. */
+/* Sets whether this daemon writes the snapshots of the stream. */
 void
-Ct_SetWriting(struct ct_control *control, bool writing)
+Ct_SetSnapshotWriter(struct ct_control *control, bool writing)
 {
-    Sn_SetWriting(control->replica, writing);
+    Sn_EnableSnapshots(control->replica, writing);
 }
 
-/* Appends a record of a job; "body" is taken over, also on failure. */
+/* Appends a record; the reference to "body" is taken, also on failure. */
 enum st_status
 Ct_Append(struct ct_control *control, const char *kind, json_t *body,
           int64_t deadline, wr_done_fn done, void *arg)
@@ -141,19 +140,18 @@
     enum st_status status =
         Wr_Put(control->writer, BG_LEASE, kind, body, deadline, done, arg);
     if (status == ST_OK) {
-        Sn_Kick(control->replica);
+        Sn_ReadNow(control->replica);
     }
     return status;
 }
 
-/* The leases as the log says. */
-struct le_book *
+struct le_table *
 Ct_Leases(struct ct_control *control)
 {
     return control->leases;
 }
 
-/* True once the state is known. */
+/* True once the stream has been read to its end. */
 bool
 Ct_Ready(const struct ct_control *control)
 {
--- a/packages/gate/gate.c
+++ b/packages/gate/gate.c
@@ -16,9 +16,9 @@
 }
 
 /*
- * Puts a configuration in force and takes a reference of its own; requests
- * keep the one they began with.  One that is not newer than the one in force
- * is passed over: a daemon never goes back.
+ * Puts a configuration in force and takes a reference to it; requests keep the
+ * configuration they began with.  A configuration that is not newer than the
+ * one in force is ignored, so that a daemon never returns to an older one.
  */
 void
 Gt_SetConfig(struct gt_gate *gate, struct cf_config *config,
@@ -35,9 +35,9 @@
     In_Configure(gate->intake, config);
     Ev_Log(&GT_CONFIG_IN_FORCE,
            "offset=%llu by=%s age_ms=%lld word_ms=%lld unread_ms=%lld",
-           (unsigned long long)config->offset, origin->by,
-           in_ms(origin->age_usec), in_ms(origin->word_usec),
-           in_ms(origin->unread_usec));
+           (unsigned long long)config->offset, origin->source,
+           in_ms(origin->age_usec), in_ms(origin->since_announced_usec),
+           in_ms(origin->since_log_read_usec));
 }
 
 /* Adds one to a counter with at most one label. */
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -6,28 +6,29 @@
 
 #include "gate/endpoints.h"
 
-#define Lw_ROUND (200 * Ck_USEC_PER_MSEC)
-#define Lw_PERIOD (1 * Ck_USEC_PER_SEC)
-#define Lw_TIMEOUT (1 * Ck_USEC_PER_SEC)
-#define Lw_SILENT_AFTER 3
+#define Lw_ROUND_USEC (200 * Ck_USEC_PER_MSEC)
+#define Lw_PERIOD_USEC (1 * Ck_USEC_PER_SEC)
+#define Lw_TIMEOUT_USEC (1 * Ck_USEC_PER_SEC)
+#define Lw_UNREACHABLE_FAILURES 3
 /*
- * Samples that all watchers of a data centre pass on in a second.  More
- * endpoints are told of less often each: every sample costs every daemon of
- * the data centre the same few hundred bytes.
+ * Samples that all daemons of a data centre together gossip in a second.  With
+ * more endpoints each is gossiped less often, because every sample costs every
+ * daemon of the data centre a few hundred bytes.
  */
-#define Lw_SPREAD_PER_SEC 20
-/* Rounds after which a poll of a vanished endpoint is forgotten. */
-#define Lw_FORGET_ROUNDS 10
+#define Lw_GOSSIP_PER_SEC 20
+/* Rounds without assignment after which the poll of an endpoint is removed. */
+#define Lw_UNASSIGNED_ROUNDS 10
 
+/* The periodic poll of one endpoint. */
 struct poll {
     TAILQ_ENTRY(poll) link;
     struct lw_watch *watch;
     char service[Cf_NAME_MAX];
     char endpoint[Ch_NAME_MAX];
     struct jc_call *call;
-    int64_t due;
-    int failures;
-    int unseen;
+    int64_t due_at;
+    int failures;          /* in a row */
+    int rounds_unassigned; /* rounds since the endpoint was last assigned */
 };
 
 TAILQ_HEAD(poll_list, poll);
@@ -38,7 +39,7 @@
     void *arg;
     struct lp_timer *timer;
     struct poll_list polls;
-    int64_t nearby; /* endpoints of this data centre in the last round */
+    int64_t local_endpoints; /* in this data centre, as of the last round */
 };
 
 static struct poll *
@@ -64,14 +65,14 @@
     poll->watch = watch;
     strlcpy(poll->service, service, sizeof(poll->service));
     strlcpy(poll->endpoint, endpoint, sizeof(poll->endpoint));
-    /* Spread over the period, so that samples do not come in bursts. */
-    poll->due = Ck_Now(watch->gate->clock) +
-                Rn_Below(&watch->gate->random, (uint32_t)Lw_PERIOD);
+    /* A random offset in the period avoids bursts of polls. */
+    poll->due_at = Ck_Now(watch->gate->clock) +
+                   Rn_Below(&watch->gate->random, (uint32_t)Lw_PERIOD_USEC);
     TAILQ_INSERT_TAIL(&watch->polls, poll, link);
     return poll;
 }
 
-/* Frees a poll that is in no list any more. */
+/* Frees a poll, which must be out of the list. */
 static void
 poll_free(struct poll *poll)
 {
@@ -82,12 +83,12 @@
 }
 
 static void
-take_failure(struct poll *poll)
+count_failure(struct poll *poll)
 {
     struct lw_watch *watch = poll->watch;
     poll->failures++;
-    if (poll->failures == Lw_SILENT_AFTER) {
-        watch->ops->silent(watch->arg, poll->service, poll->endpoint);
+    if (poll->failures == Lw_UNREACHABLE_FAILURES) {
+        watch->ops->unreachable(watch->arg, poll->service, poll->endpoint);
     }
 }
 
@@ -98,10 +99,11 @@
 }
 
 static int64_t
-spread(const struct lw_watch *watch)
+gossip_interval(const struct lw_watch *watch)
 {
-    int64_t usec = watch->nearby * Ck_USEC_PER_SEC / Lw_SPREAD_PER_SEC;
-    return usec > Lw_PERIOD ? usec : Lw_PERIOD;
+    int64_t usec =
+        watch->local_endpoints * Ck_USEC_PER_SEC / Lw_GOSSIP_PER_SEC;
+    return usec > Lw_PERIOD_USEC ? usec : Lw_PERIOD_USEC;
 }
 
 static void
@@ -113,7 +115,7 @@
     poll->call = NULL;
     if (answer->status != ST_OK || answer->code != 200 ||
         !json_is_integer(json_object_get(body, "running"))) {
-        take_failure(poll);
+        count_failure(poll);
         return;
     }
     poll->failures = 0;
@@ -133,13 +135,13 @@
             },
         .leaving = state != NULL && strcmp(state, "leaving") == 0,
         .left_usec = number(body, "left_ms") * Ck_USEC_PER_MSEC,
-        .tells_cold = json_is_integer(json_object_get(body, "cold_ms")),
-        .cold_usec = number(body, "cold_ms") * Ck_USEC_PER_MSEC,
-        .refusals_borne =
+        .has_cold = json_is_integer(json_object_get(body, "cold_ms")),
+        .cold_left_usec = number(body, "cold_ms") * Ck_USEC_PER_MSEC,
+        .refusal_limit =
             json_is_integer(json_object_get(body, "refusals_borne"))
                 ? number(body, "refusals_borne")
                 : -1,
-        .spread_usec = spread(watch),
+        .gossip_interval_usec = gossip_interval(watch),
     };
     strlcpy(report.version, version != NULL ? version : "",
             sizeof(report.version));
@@ -147,22 +149,23 @@
 }
 
 static void
-poll_ask(struct poll *poll, const struct ch_info *info)
+start_poll(struct poll *poll, const struct ch_info *info)
 {
     struct lw_watch *watch = poll->watch;
     struct jc_target target = {.port = info->port};
     strlcpy(target.address, info->address, sizeof(target.address));
-    poll->due += Lw_PERIOD;
+    poll->due_at += Lw_PERIOD_USEC;
     if (Jc_Start(watch->gate->loop, &target, "GET", "/v1/load", NULL,
-                 Lw_TIMEOUT, poll_done, poll, &poll->call) != ST_OK) {
+                 Lw_TIMEOUT_USEC, poll_done, poll, &poll->call) != ST_OK) {
         poll->call = NULL;
     }
 }
 
 static void
-visit(struct lw_watch *watch, const char *service, const struct ch_info *info)
+poll_if_assigned(struct lw_watch *watch, const char *service,
+                 const struct ch_info *info)
 {
-    if (!watch->ops->mine(watch->arg, info)) {
+    if (!watch->ops->is_assigned(watch->arg, info)) {
         return;
     }
     struct poll *poll = find_poll(watch, service, info->id);
@@ -172,20 +175,20 @@
     if (poll == NULL) {
         return;
     }
-    poll->unseen = 0;
-    if (poll->call == NULL && Ck_Now(watch->gate->clock) >= poll->due) {
-        poll_ask(poll, info);
+    poll->rounds_unassigned = 0;
+    if (poll->call == NULL && Ck_Now(watch->gate->clock) >= poll->due_at) {
+        start_poll(poll, info);
     }
 }
 
 static void
-forget_unseen(struct lw_watch *watch)
+remove_unassigned(struct lw_watch *watch)
 {
     struct poll *poll;
     struct poll *next;
     TAILQ_FOREACH_SAFE (poll, &watch->polls, link, next) {
-        poll->unseen++;
-        if (poll->unseen > Lw_FORGET_ROUNDS) {
+        poll->rounds_unassigned++;
+        if (poll->rounds_unassigned > Lw_UNASSIGNED_ROUNDS) {
             TAILQ_REMOVE(&watch->polls, poll, link);
             poll_free(poll);
         }
@@ -193,12 +196,12 @@
 }
 
 static void
-round_due(void *arg)
+on_round(void *arg)
 {
     struct lw_watch *watch = arg;
     const struct cf_config *config = watch->gate->config;
     const char *here = watch->gate->options->data_centre;
-    int64_t nearby = 0;
+    int64_t local_endpoints = 0;
     for (size_t i = 0; config != NULL && i < config->service_count; i++) {
         const struct cf_service *service = &config->services[i];
         struct ch_table *table =
@@ -209,16 +212,16 @@
         struct ch_endpoint *endpoint = Ch_First(table);
         for (; endpoint != NULL; endpoint = Ch_Next(endpoint)) {
             const struct ch_info *info = Ch_Info(endpoint);
-            nearby += strcmp(info->data_centre, here) == 0 ? 1 : 0;
-            visit(watch, service->name, info);
+            local_endpoints += strcmp(info->data_centre, here) == 0 ? 1 : 0;
+            poll_if_assigned(watch, service->name, info);
         }
     }
-    watch->nearby = nearby;
-    forget_unseen(watch);
-    Lp_TimerSet(watch->timer, Lw_ROUND);
+    watch->local_endpoints = local_endpoints;
+    remove_unassigned(watch);
+    Lp_TimerSet(watch->timer, Lw_ROUND_USEC);
 }
 
-/* Starts to watch. */
+/* Starts polling; "ops" and "arg" must outlive the watch. */
 enum st_status
 Lw_Create(struct gt_gate *gate, const struct lw_ops *ops, void *arg,
           struct lw_watch **out)
@@ -231,7 +234,7 @@
     watch->ops = ops;
     watch->arg = arg;
     TAILQ_INIT(&watch->polls);
-    watch->timer = Lp_TimerCreate(gate->loop, round_due, watch);
+    watch->timer = Lp_TimerCreate(gate->loop, on_round, watch);
     if (watch->timer == NULL) {
         free(watch);
         return St_Fail(ST_NO_MEMORY, "no timer");
@@ -241,7 +244,7 @@
     return ST_OK;
 }
 
-/* Stops watching; call it before the loop is destroyed. */
+/* Stops polling; must be called before the loop is destroyed. */
 void
 Lw_Destroy(struct lw_watch *watch)
 {
--- a/packages/gate/moves_holder.c
+++ b/packages/gate/moves_holder.c
@@ -1,8 +1,9 @@
 /*
- * The work of a move's holder: it gathers the routers' evidence, decides,
- * and writes each decision to the log under its lease.  A new holder goes on
- * from the last record; what it does not know of the evidence it gathers
- * anew, and the routers' distrust holds meanwhile.
+ * The lease holder of a version move merges the reports of the routers,
+ * decides on the next step, and writes each decision to the log with the
+ * fencing token of its lease.  A new holder continues from the last record in
+ * the log, but collects new evidence.  A version on which a router's circuit
+ * breaker has tripped gets no requests meanwhile.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,12 +13,12 @@
 #include "gate/events.h"
 #include "gate/moves_internal.h"
 
-#define Mo_FALSE_ALARMS 0.01
+#define Mo_FALSE_ALARM_RATE 0.01
 #define Mo_APPEND_USEC (5 * Ck_USEC_PER_SEC)
-/* Reports come some seconds after their block has ended. */
-#define Mo_CLOSE_EVERY Mv_BLOCK_USEC
+/* Reports arrive some seconds after their block has ended. */
+#define Mo_CLOSE_USEC Mv_BLOCK_USEC
 
-/* Gives up what only a holder has. */
+/* Frees the state that only the lease holder has. */
 void
 Mo_HolderStop(struct mo_service *service)
 {
@@ -32,12 +33,12 @@
 start_holding(struct mo_moves *moves, struct mo_service *service)
 {
     int64_t wall = Ck_Wall(moves->gate->clock);
-    service->evidence = Mv_EvidenceCreate(Mo_FALSE_ALARMS);
+    service->evidence = Mv_EvidenceCreate(Mo_FALSE_ALARM_RATE);
     if (service->evidence == NULL) {
         return false;
     }
     service->holding = true;
-    service->block_closed = Ck_Now(moves->gate->clock);
+    service->block_closed_at = Ck_Now(moves->gate->clock);
     if (service->recorded) {
         service->working = service->record.move;
         return true;
@@ -55,28 +56,29 @@
 }
 
 static bool
-same_state(const struct mo_service *service)
+is_recorded(const struct mo_service *service)
 {
-    const struct mv_move *now = &service->working;
-    const struct mv_move *then = &service->record.move;
-    return service->recorded && now->phase == then->phase &&
-           now->share == then->share && now->started == then->started &&
-           strcmp(now->plan.to, then->plan.to) == 0 &&
-           strcmp(now->plan.from, then->plan.from) == 0 &&
-           now->plan.deadline == then->plan.deadline &&
-           now->plan.withdrawn == then->plan.withdrawn;
+    const struct mv_move *working = &service->working;
+    const struct mv_move *recorded = &service->record.move;
+    return service->recorded && working->phase == recorded->phase &&
+           working->share == recorded->share &&
+           working->started == recorded->started &&
+           strcmp(working->plan.to, recorded->plan.to) == 0 &&
+           strcmp(working->plan.from, recorded->plan.from) == 0 &&
+           working->plan.deadline == recorded->plan.deadline &&
+           working->plan.withdrawn == recorded->plan.withdrawn;
 }
 
 /*
- * Writes the state as it is now.  Until it is read back nothing further is
- * decided: the routers act on what the log says, and evidence gathered under
- * the last state must not be taken for evidence under the next.
+ * Appends the working state to the log.  No further decision is made until it
+ * has been read back: the routers act on the state in the log, and reports
+ * made under one state must not count as evidence for the next.
  */
 static void
 write_state(struct mo_moves *moves, struct mo_service *service)
 {
     struct ls_permit permit;
-    if (service->appending || same_state(service) ||
+    if (service->appending || is_recorded(service) ||
         !Le_MayAct(Ct_Leases(moves->control), service->job, &permit)) {
         return;
     }
@@ -84,21 +86,23 @@
         .fence = permit.fence,
         .move = service->working,
     };
-    Mv_Sentence(&service->working, record.sentence, sizeof(record.sentence));
+    Mv_Describe(&service->working, record.sentence, sizeof(record.sentence));
     int64_t deadline = Ck_Now(moves->gate->clock) + Mo_APPEND_USEC;
-    service->appending = Ct_Append(moves->control, Mw_KIND, Mw_Body(&record),
-                                   deadline, record_written, service) == ST_OK;
+    service->appending =
+        Ct_Append(moves->control, Mw_KIND, Mw_WriteRecord(&record), deadline,
+                  record_written, service) == ST_OK;
 }
 
 static void
-look(struct mo_moves *moves, struct mo_service *service, struct mv_view *view)
+collect_input(struct mo_moves *moves, struct mo_service *service,
+              struct mv_tick_input *input)
 {
     struct ch_table *table = Ep_Table(moves->gate->endpoints, service->name);
     const char *routers[Mo_ROUTERS_MAX];
     struct ch_capacity capacity = {0};
     int new_slots = 0;
     int old_slots = 0;
-    memset(view, 0, sizeof(*view));
+    memset(input, 0, sizeof(*input));
     if (table == NULL) {
         return;
     }
@@ -111,24 +115,24 @@
         }
         if (strcmp(info->version, service->working.plan.to) == 0) {
             new_slots += slots;
-            view->new_endpoints++;
+            input->new_endpoints++;
         }
         else if (strcmp(info->version, service->working.plan.from) == 0) {
             old_slots += slots;
         }
     }
     Ch_Capacity(table, Ck_Now(moves->gate->clock), &capacity);
-    view->new_capacity =
+    input->new_capacity =
         old_slots > new_slots ? (double)new_slots / old_slots : 1;
-    view->distrusted = !Ch_Trusted(table, service->working.plan.to);
-    /* Every router carries about as much as this one. */
-    view->per_sec =
+    input->any_tripped = !Ch_Trusted(table, service->working.plan.to);
+    /* The load is spread evenly, so each router has about the same. */
+    input->per_sec =
         capacity.per_sec *
         (double)moves->ops->routers(moves->arg, routers, Mo_ROUTERS_MAX);
-    if (view->per_sec > service->peak_per_sec) {
-        service->peak_per_sec = view->per_sec;
+    if (input->per_sec > service->peak_per_sec) {
+        service->peak_per_sec = input->per_sec;
     }
-    view->peak_per_sec = service->peak_per_sec;
+    input->peak_per_sec = service->peak_per_sec;
 }
 
 static void
@@ -136,25 +140,25 @@
 {
     int64_t now = Ck_Now(moves->gate->clock);
     int64_t wall = Ck_Wall(moves->gate->clock);
-    struct mv_view view;
-    if (now - service->block_closed >= Mo_CLOSE_EVERY) {
-        service->block_closed = now;
+    struct mv_tick_input input;
+    if (now - service->block_closed_at >= Mo_CLOSE_USEC) {
+        service->block_closed_at = now;
         Mv_CloseBlock(service->evidence);
     }
-    if (same_state(service)) {
+    if (is_recorded(service)) {
         Mv_Revise(&service->working, &service->plan, wall);
-        look(moves, service, &view);
-        Mv_Tick(&service->working, service->evidence, &view, wall);
+        collect_input(moves, service, &input);
+        Mv_Tick(&service->working, service->evidence, &input, wall);
     }
     write_state(moves, service);
 }
 
-/* Takes the job, works on it, or leaves it. */
+/* Acquires or releases the lease, and advances the move while held. */
 void
 Mo_HolderTick(struct mo_moves *moves, struct mo_service *service)
 {
-    struct le_book *leases = Ct_Leases(moves->control);
-    bool wanted = Mo_Active(service) &&
+    struct le_table *leases = Ct_Leases(moves->control);
+    bool wanted = Mo_NeedsHolder(service) &&
                   moves->ops->should_hold(moves->arg, service->job);
     if (!wanted && !service->holding && !Le_Holds(leases, service->job)) {
         return;
@@ -171,9 +175,9 @@
     decide(moves, service);
 }
 
-/* A router's report has come. */
+/* Handles a report of a router; ignored unless this daemon is the holder. */
 void
-Mo_Report(struct mo_moves *moves, const char *text, size_t len)
+Mo_HandleReport(struct mo_moves *moves, const char *text, size_t len)
 {
     struct mw_report *report = calloc(1, sizeof(*report));
     if (report == NULL) {
--- a/packages/gate/peer_poison.h
+++ b/packages/gate/peer_poison.h
@@ -1,19 +1,22 @@
-/* What daemons say of parts that end engines, as facts in msgpack. */
+/* Encoding of the quarantine's rows as gossip values, in msgpack. */
 #ifndef GATE_PEER_POISON_H
 #define GATE_PEER_POISON_H
 
 #include "gate/quarantine.h"
 
 #define Pp_PREFIX "poison/"
-#define Pp_ENDED Pp_PREFIX "ended"
-#define Pp_BEGUN Pp_PREFIX "begun"
-#define Pp_STOPPED Pp_PREFIX "stopped"
+#define Pp_CRASHED Pp_PREFIX "ended"
+#define Pp_CLEARED Pp_PREFIX "begun"
+#define Pp_QUARANTINED Pp_PREFIX "stopped"
 
-/* The rows of one key; 0 when there are none, or they do not fit. */
-size_t Pp_Write(const char *key, const struct gq_word *word, char *out,
+/*
+ * Encodes the rows that belong to a key.  Returns the length, or 0 when there
+ * are no such rows or they do not fit.
+ */
+size_t Pp_Write(const char *key, const struct gq_rows *rows, char *out,
                 size_t size);
-/* Reads the rows of a key into an empty word. */
+/* Decodes the rows of a key; the other lists of "out" are left empty. */
 bool Pp_Read(const char *key, const void *value, size_t len,
-             struct gq_word *out);
+             struct gq_rows *out);
 
 #endif
--- a/packages/gate/quarantine.h
+++ b/packages/gate/quarantine.h
@@ -1,6 +1,7 @@
 /*
- * Parts of prompts that end engines (see policy/poison.h).  The parts of a
- * prompt are its messages, or its head, and the whole of it.
+ * Quarantine of prompt parts that crash engines (see policy/poison.h).  The
+ * parts of a prompt are each of its messages, or its beginning, and the whole
+ * prompt.  A request that contains a quarantined part is refused.
  */
 #ifndef GATE_QUARANTINE_H
 #define GATE_QUARANTINE_H
@@ -14,53 +15,56 @@
 
 struct gq_quarantine;
 
-/* A caller who comes back sooner is refused again. */
-#define Gq_RETRY_SEC ((int)(Pz_STOP_LASTS_USEC / Ck_USEC_PER_SEC))
+/* A caller that retries sooner is refused again. */
+#define Gq_RETRY_SEC ((int)(Pz_QUARANTINE_TTL_USEC / Ck_USEC_PER_SEC))
 
-/* What this daemon tells the others, as far as it fits a fact. */
+/* Rows that a daemon publishes; each list must fit one gossip value. */
 #define Gq_CRASHES_MAX 5
 #define Gq_CLEARS_MAX 8
-#define Gq_STOPS_MAX 7
+#define Gq_QUARANTINES_MAX 7
 
-struct gq_word {
+/* The rows that one daemon publishes. */
+struct gq_rows {
     size_t crash_count;
-    struct pz_crash crashes[Gq_CRASHES_MAX];
+    struct pz_crash crashes[Gq_CRASHES_MAX]; /* newest first */
     size_t clear_count;
+    /* Parts of requests that got a token. */
     struct pz_clear clears[Gq_CLEARS_MAX];
-    size_t stop_count;
-    struct pz_stop stops[Gq_STOPS_MAX];
+    size_t quarantine_count;
+    struct pz_quarantine quarantines[Gq_QUARANTINES_MAX];
 };
 
-typedef void (*gq_tell_fn)(void *arg, const struct gq_word *word);
+typedef void (*gq_publish_fn)(void *arg, const struct gq_rows *rows);
 
-enum st_status Gq_Create(struct gt_gate *gate, gq_tell_fn tell, void *arg,
-                         struct gq_quarantine **out);
+enum st_status Gq_Create(struct gt_gate *gate, gq_publish_fn publish,
+                         void *arg, struct gq_quarantine **out);
 void Gq_Destroy(struct gq_quarantine *quarantine);
 void Gq_Tick(struct gq_quarantine *quarantine);
 
-/* The first token of a request came. */
-void Gq_Began(struct gq_quarantine *quarantine,
-              const struct rq_request *request);
-/* Its connection to an engine broke before that; times of the steady clock. */
+/* Records that the first token of a request has arrived. */
+void Gq_RecordFirstToken(struct gq_quarantine *quarantine,
+                         const struct rq_request *request);
+/* A connection to an engine that broke before the first token. */
 struct gq_break {
     const char *endpoint;
-    bool begun; /* the answer had begun */
-    int64_t sent_at;
+    bool head_received; /* the response headers had arrived */
+    int64_t sent_at;    /* on the monotonic clock */
 };
 
-void Gq_Broke(struct gq_quarantine *quarantine,
-              const struct rq_request *request, const struct gq_break *broke);
-/* An engine answers, or refuses connections. */
-void Gq_Lives(struct gq_quarantine *quarantine, const char *endpoint);
-void Gq_Dead(struct gq_quarantine *quarantine, const char *endpoint);
-/* Whether a request is not to be sent; "part" is why. */
-bool Gq_Refuses(struct gq_quarantine *quarantine,
-                const struct rq_request *request, uint32_t *part);
-/* Whether it is to be sent to no further engine. */
-bool Gq_Doubts(const struct gq_quarantine *quarantine,
-               const struct rq_request *request);
-/* Another daemon's word. */
-void Gq_Hear(struct gq_quarantine *quarantine, const struct gq_word *word);
+void Gq_RecordBreak(struct gq_quarantine *quarantine,
+                    const struct rq_request *request,
+                    const struct gq_break *broke);
+/* Records that an engine has answered, or cannot be connected to. */
+void Gq_RecordAlive(struct gq_quarantine *quarantine, const char *endpoint);
+void Gq_RecordDead(struct gq_quarantine *quarantine, const char *endpoint);
+/* Whether a request contains a quarantined part, which is stored in "part". */
+bool Gq_IsQuarantined(struct gq_quarantine *quarantine,
+                      const struct rq_request *request, uint32_t *part);
+/* Whether the request must not be sent to another engine. */
+bool Gq_DeniesRetry(const struct gq_quarantine *quarantine,
+                    const struct rq_request *request);
+/* Merges the rows that another daemon has published. */
+void Gq_Import(struct gq_quarantine *quarantine, const struct gq_rows *rows);
 
 #ifdef __cplusplus
 }
--- a/packages/gate/relay_plain.c
+++ b/packages/gate/relay_plain.c
@@ -1,9 +1,9 @@
 /*
  * Relays a request to an endpoint of a plain service.
  *
- * A call that must not run twice is sent once.  It is sent again only while
- * no byte of it can have left; when its answer is lost the caller is told
- * that the outcome is unknown.
+ * A request that must not run twice is sent once.  It is sent again only if no
+ * byte of it can have been sent before.  When its answer is lost the caller is
+ * told that the outcome is unknown.
  */
 #include <bsd/string.h>
 #include <stdio.h>
@@ -22,8 +22,8 @@
 #define Rl_URL_MAX 4096
 #define Rl_ANSWER_MAX ((size_t)4 << 20)
 #define Rl_RETRY_SOON_SEC 1
-/* How long an answer is still waited for when the caller no longer does. */
-#define Rl_LINGER (60 * Ck_USEC_PER_SEC)
+/* How long to wait for an answer after the caller has gone. */
+#define Rl_LINGER_USEC (60 * Ck_USEC_PER_SEC)
 
 struct rl_plain {
     struct hc_call *call;
@@ -33,15 +33,15 @@
     struct rq_attempts attempts;
     struct rh_tries tries;
     char type[Rl_TYPE_MAX];
-    bool matched; /* the answer carries this attempt's id */
+    bool id_matches; /* the answer has the id of this attempt */
     /*
-     * A byte of an earlier attempt may have left, so that an endpoint may
-     * have run it.  Without this a last attempt that found nobody would have
-     * the whole request called "not run".
+     * An earlier attempt may have been sent, so that an endpoint may have run
+     * it.  Without this flag, a last attempt that did not connect would make
+     * the whole request "not run".
      */
-    bool left_before;
-    bool lingering;
-    int64_t answered; /* time to the headers of the answer */
+    bool maybe_sent;
+    bool lingering;       /* waits for the answer only to record it */
+    int64_t headers_usec; /* time to the headers of the answer */
 };
 
 static void
@@ -49,7 +49,8 @@
 {
     struct rl_plain *relay = request->plain;
     if (relay->flight.endpoint != NULL) {
-        Rq_NoteVersion(request, &relay->flight, outcome, relay->answered);
+        Rq_RecordOutcome(request, &relay->flight, outcome,
+                         relay->headers_usec);
         Ch_End(relay->table, &relay->flight, outcome,
                Ck_Now(request->gate->clock));
         relay->flight.endpoint = NULL;
@@ -61,18 +62,18 @@
 {
     struct rq_request *request = arg;
     struct rl_plain *relay = request->plain;
-    Rh_Came(request->gate->reach, &relay->tries);
+    Rh_Connected(request->gate->reach, &relay->tries);
     const char *type = Hc_Header(call, "content-type");
     strlcpy(relay->type, type != NULL ? type : "application/octet-stream",
             sizeof(relay->type));
     const char *id = Hc_Header(call, "x-request-id");
-    relay->matched = id != NULL && strcmp(id, relay->attempt) == 0;
+    relay->id_matches = id != NULL && strcmp(id, relay->attempt) == 0;
     int64_t now = Ck_Now(request->gate->clock);
-    relay->answered = now - relay->flight.started;
+    relay->headers_usec = now - relay->flight.started;
     Ch_FirstToken(relay->table, &relay->flight, now);
 }
 
-/* Keeps the answer, so that a repeat under the same key gets it too. */
+/* Records the answer for retries of the request under the same key. */
 static void
 record_result(struct rq_request *request, int code, const char *body,
               size_t len)
@@ -109,7 +110,7 @@
     Rq_Finish(request, AN_RAN);
 }
 
-/* The endpoint may have run a call that must not run twice. */
+/* Refuses a request that must not run twice but may have run. */
 static void
 outcome_unknown(struct rq_request *request)
 {
@@ -126,11 +127,11 @@
               request->id);
 }
 
-/* True when an endpoint may have run any attempt. */
+/* Whether an endpoint may have run any attempt. */
 static bool
 may_have_run(const struct rl_plain *relay)
 {
-    return relay->left_before ||
+    return relay->maybe_sent ||
            (relay->call != NULL && Hc_Stage(relay->call) != HC_CONNECTING);
 }
 
@@ -148,35 +149,35 @@
         return;
     }
     bool complete = result->stage == HC_COMPLETE;
-    if (complete && relay->matched && result->code < 500) {
+    if (complete && relay->id_matches && result->code < 500) {
         end_flight(request, CH_GOOD);
-        Rq_Succeeded(request);
+        Rq_RecordSuccess(request);
         answer_caller(request, call, result->code);
         return;
     }
-    bool left = result->stage != HC_CONNECTING;
-    end_flight(request, left ? CH_FAILED : CH_UNREACHED);
-    if (complete && !relay->matched) {
+    bool maybe_sent = result->stage != HC_CONNECTING;
+    end_flight(request, maybe_sent ? CH_FAILED : CH_UNREACHED);
+    if (complete && !relay->id_matches) {
         /*
-         * The endpoint mixed up two answers.  This one belongs to somebody
-         * else and must not reach the caller.
+         * The endpoint mixed up two answers: this one belongs to another
+         * request and must not reach the caller.
          */
         Ev_Log(&GT_CROSSED, "request=%s service=%s", request->id,
                request->service->name);
         Gt_Count(request->gate, "cg_crossed_answers_total", NULL, NULL);
     }
-    relay->left_before = relay->left_before || left;
-    enum rt_stage stage = left ? RT_SENT : RT_NOT_SENT;
-    Rq_NoteFailed(&relay->attempts, &relay->flight, stage);
+    relay->maybe_sent = relay->maybe_sent || maybe_sent;
+    enum rt_stage stage = maybe_sent ? RT_SENT : RT_NOT_SENT;
+    Rq_RecordFailure(&relay->attempts, &relay->flight, stage);
     if (Rq_MayRetry(request, stage, &relay->attempts)) {
         attempt(request);
         return;
     }
-    if (complete && relay->matched) {
+    if (complete && relay->id_matches) {
         answer_caller(request, call, result->code);
         return;
     }
-    if (left && !request->repeatable) {
+    if (maybe_sent && !request->idempotent) {
         outcome_unknown(request);
         return;
     }
@@ -220,20 +221,24 @@
         .body_len = body_len,
         .collect_max = Rl_ANSWER_MAX,
     };
-    Rh_Fill(&relay->tries, &call);
+    Rh_FillCall(&relay->tries, &call);
     return Hc_Start(request->gate->loop, &call, &call_ops, request,
                     &relay->call);
 }
 
-/* No place is waited for: an endpoint that failed the request has to do. */
+/*
+ * Chooses the endpoint of the next attempt.  When all endpoints that have not
+ * failed the request are busy, those that failed it are allowed again, since a
+ * plain request does not wait for capacity.
+ */
 static enum st_status
-choose(struct rq_request *request, struct ch_request *ask)
+choose(struct rq_request *request, struct ch_request *criteria)
 {
     struct rl_plain *relay = request->plain;
     enum st_status status =
-        Rq_Choose(request, relay->table, ask, &relay->flight);
+        Rq_Choose(request, relay->table, criteria, &relay->flight);
     if (status == ST_OVERLOAD && request->tried_count > 0) {
-        status = Rq_ChooseAny(request, relay->table, ask, &relay->flight);
+        status = Rq_ChooseAny(request, relay->table, criteria, &relay->flight);
     }
     return status;
 }
@@ -244,22 +249,23 @@
     struct gt_gate *gate = request->gate;
     struct rl_plain *relay = request->plain;
     int64_t now = Ck_Now(gate->clock);
-    struct ch_request ask = {
+    struct ch_request criteria = {
         .budget = request->deadline - now,
-        .again = relay->attempts.all > 0,
+        .is_retry = relay->attempts.total > 0,
         .failed = Rq_HasFailed(&relay->attempts),
     };
     relay->table = Ep_Table(gate->endpoints, request->service->name);
-    if (choose(request, &ask) != ST_OK) {
+    if (choose(request, &criteria) != ST_OK) {
         Rq_Refuse(request, may_have_run(relay) ? AN_UNKNOWN : AN_UNAVAILABLE,
                   Rl_RETRY_SOON_SEC, "no endpoint of %s %s; come back later",
-                  request->service->name, Rq_WhyNone(request, relay->table));
+                  request->service->name,
+                  Rq_WhyUnavailable(request, relay->table));
         return;
     }
-    relay->attempts.all++;
-    relay->matched = false;
+    relay->attempts.total++;
+    relay->id_matches = false;
     snprintf(relay->attempt, sizeof(relay->attempt), "%s.%d", request->id,
-             relay->attempts.all);
+             relay->attempts.total);
     Rh_Begin(gate->reach, &relay->tries, Ch_Info(relay->flight.endpoint));
     if (send_call(request) != ST_OK) {
         end_flight(request, CH_CANCELLED);
@@ -268,7 +274,7 @@
     }
 }
 
-/* Sends the request to an endpoint; ends it sooner or later. */
+/* Starts relaying a request; the relay ends the request. */
 void
 Rl_PlainStart(struct rq_request *request)
 {
@@ -282,40 +288,41 @@
 }
 
 /*
- * Nobody waits any more.  What may not run twice is waited for a while
- * longer, so that its result is kept for a repeat under the same key.
+ * Handles a caller that has gone.  A request that has claimed a key and may
+ * have run waits Rl_LINGER_USEC for its answer, which is recorded for a retry
+ * under the same key.
  */
 void
 Rl_PlainCallerGone(struct rq_request *request)
 {
     struct rl_plain *relay = request->plain;
-    bool left = may_have_run(relay);
-    if (left && request->claimed) {
+    bool maybe_sent = may_have_run(relay);
+    if (maybe_sent && request->claimed) {
         relay->lingering = true;
-        Lp_TimerSet(request->timer, Rl_LINGER);
+        Lp_TimerSet(request->timer, Rl_LINGER_USEC);
         return;
     }
     end_flight(request, CH_CANCELLED);
-    if (!left && request->claimed) {
+    if (!maybe_sent && request->claimed) {
         Gc_Release(request->gate->claims, &request->key);
         request->claimed = false;
     }
-    Rq_Finish(request, left ? AN_OUTCOME_UNKNOWN : AN_NOT_RUN);
+    Rq_Finish(request, maybe_sent ? AN_OUTCOME_UNKNOWN : AN_NOT_RUN);
 }
 
-/* The caller's time is up: it gets its final answer at once. */
+/* Answers a caller whose deadline has passed. */
 void
 Rl_PlainDeadline(struct rq_request *request)
 {
     struct rl_plain *relay = request->plain;
-    bool left = may_have_run(relay);
-    if (!left) {
+    bool maybe_sent = may_have_run(relay);
+    if (!maybe_sent) {
         end_flight(request, CH_FAILED);
         Rq_Refuse(request, AN_DEADLINE, Rl_RETRY_SOON_SEC,
                   "no endpoint could be reached in time; come back later");
         return;
     }
-    if (request->repeatable) {
+    if (request->idempotent) {
         end_flight(request, CH_FAILED);
         Rq_Refuse(request, AN_UNKNOWN, Rl_RETRY_SOON_SEC,
                   "the endpoint has not answered in time; this request may "
@@ -333,10 +340,10 @@
     Hs_SetUser(request->http, NULL);
     request->http = NULL;
     relay->lingering = true;
-    Lp_TimerSet(request->timer, Rl_LINGER);
+    Lp_TimerSet(request->timer, Rl_LINGER_USEC);
 }
 
-/* Frees the relay; its call is given up. */
+/* Cancels the call and frees the relay. */
 void
 Rl_PlainFree(struct rl_plain *relay)
 {
--- a/packages/gate/request.c
+++ b/packages/gate/request.c
@@ -17,12 +17,12 @@
 
 #define Rq_KEY_MAX 255
 #define Rq_DEADLINE_MAX_MS 3600000
-#define Rq_DEFAULT_DEADLINE (60 * Ck_USEC_PER_SEC)
+#define Rq_DEFAULT_DEADLINE_USEC (60 * Ck_USEC_PER_SEC)
 #define Rq_LABELS_MAX 200
 #define Rq_RETRY_SOON_SEC 1
 #define Rq_STATES_MAX 256
 #define Rq_STATE_MAX (2 * Ch_NAME_MAX + 64)
-#define Rq_MORE ",..."
+#define Rq_ELLIPSIS ",..."
 
 static void
 make_id(struct rq_request *request)
@@ -34,7 +34,7 @@
 }
 
 static void
-forget_tried(struct rq_request *request)
+clear_tried(struct rq_request *request)
 {
     for (size_t i = 0; i < request->tried_count; i++) {
         free((char *)request->tried[i]);
@@ -46,7 +46,7 @@
 request_free(struct rq_request *request)
 {
     TAILQ_REMOVE(&request->gate->requests, request, link);
-    In_Leave(request->gate->intake, request);
+    In_Remove(request->gate->intake, request);
     if (request->http != NULL) {
         Hs_SetUser(request->http, NULL);
     }
@@ -57,7 +57,7 @@
     Rl_PlainFree(request->plain);
     En_PromptFree(&request->prompt);
     Lp_TimerDestroy(request->timer);
-    forget_tried(request);
+    clear_tried(request);
     if (request->config != NULL) {
         Cf_Destroy(request->config);
     }
@@ -65,8 +65,8 @@
 }
 
 /*
- * Gives the key back when it was claimed but nothing has been sent: the
- * caller may then repeat the request under the same key.
+ * Releases a claimed key, so that the caller can repeat the request under it.
+ * Must only be called when no endpoint has run the request.
  */
 static void
 release_claim(struct rq_request *request)
@@ -87,14 +87,14 @@
              request->patient ? "patient" : "urgent");
     Mt_Observe(
         Mt_Get(gate->metrics, MT_HISTOGRAM, "cg_request_seconds", labels),
-        Ck_Now(gate->clock) - request->arrived);
+        Ck_Now(gate->clock) - request->arrived_at);
     Gt_Count(gate, "cg_requests_total", "outcome", outcome);
 }
 
 /*
- * Ends a request with a refusal and frees it.  A kind whose outcome is
- * "not-run" must only be used while nothing has been sent to an endpoint, or
- * when it is known that the endpoint ran nothing.
+ * Ends a request with a refusal and frees it.  A kind with the outcome
+ * "not-run" is allowed only if nothing has been sent to an endpoint, or if the
+ * endpoint is known not to have run the request.
  */
 void
 Rq_Refuse(struct rq_request *request, enum an_kind kind, int retry_after_sec,
@@ -118,7 +118,7 @@
     request_free(request);
 }
 
-/* Ends a request whose answer has been given, or whose caller has gone. */
+/* Ends a request that was answered, or whose caller has gone. */
 void
 Rq_Finish(struct rq_request *request, enum an_outcome outcome)
 {
@@ -126,31 +126,32 @@
     request_free(request);
 }
 
-/* Appends an item to a list; one that is full ends in dots. */
+/* Appends an item to a list; a list without room ends in Rq_ELLIPSIS. */
 static void
 append(char *list, size_t size, const char *item)
 {
     size_t len = strlen(list);
-    size_t more = strlen(Rq_MORE);
-    if (len >= more && strcmp(list + len - more, Rq_MORE) == 0) {
+    size_t ellipsis_len = strlen(Rq_ELLIPSIS);
+    if (len >= ellipsis_len &&
+        strcmp(list + len - ellipsis_len, Rq_ELLIPSIS) == 0) {
         return;
     }
-    if (len + strlen(item) + 1 + more >= size) {
-        strlcat(list, Rq_MORE, size);
+    if (len + strlen(item) + 1 + ellipsis_len >= size) {
+        strlcat(list, Rq_ELLIPSIS, size);
         return;
     }
     snprintf(list + len, size - len, "%s%s", len > 0 ? "," : "", item);
 }
 
-/* Keeps where a dispatch goes, for the log. */
+/* Records the endpoint of a dispatch, for the log. */
 void
-Rq_NoteSentTo(struct rq_request *request, const char *endpoint)
+Rq_RecordDispatch(struct rq_request *request, const char *endpoint)
 {
     append(request->sent_to, sizeof(request->sent_to), endpoint);
 }
 
 static void
-remember_tried(struct rq_request *request, const char *endpoint)
+add_tried(struct rq_request *request, const char *endpoint)
 {
     if (request->tried_count < Rq_TRIED_MAX) {
         request->tried[request->tried_count] = strdup(endpoint);
@@ -158,32 +159,36 @@
     }
 }
 
-/* Not where an operator wants nothing new, nor outside of its regions. */
+/*
+ * Whether the endpoint is in an allowed region of the service and customer,
+ * and outside of evacuated data centres.
+ */
 static bool
 may_run_at(const void *arg, const struct ch_info *info)
 {
     const struct rq_request *request = arg;
     return !Cf_IsEvacuated(request->gate->config, info->data_centre) &&
-           Cf_IsIn(&request->service->regions, info->region) &&
-           Cf_IsIn(&request->customer->regions, info->region);
+           Cf_AllowsRegion(&request->service->regions, info->region) &&
+           Cf_AllowsRegion(&request->customer->regions, info->region);
 }
 
-/* Sets where the request may run. */
+/* Restricts the choice to the endpoints that the request may run at. */
 void
-Rq_Constrain(const struct rq_request *request, struct ch_request *ask)
+Rq_Constrain(const struct rq_request *request, struct ch_request *criteria)
 {
-    ask->allowed = may_run_at;
-    ask->allowed_arg = request;
+    criteria->allowed = may_run_at;
+    criteria->allowed_arg = request;
 }
 
-/* Says why no endpoint was chosen, and logs where none may be. */
+/* Returns why no endpoint was chosen; logs it if none is allowed. */
 const char *
-Rq_WhyNone(const struct rq_request *request, const struct ch_table *table)
+Rq_WhyUnavailable(const struct rq_request *request,
+                  const struct ch_table *table)
 {
-    struct ch_request ask = {0};
-    Rq_Constrain(request, &ask);
+    struct ch_request criteria = {0};
+    Rq_Constrain(request, &criteria);
     if (table == NULL || Ch_First(table) == NULL ||
-        Ch_AnyAllowed(table, &ask)) {
+        Ch_AnyAllowed(table, &criteria)) {
         return "is free";
     }
     Ev_Log(&GT_NOWHERE, "request=%s service=%s customer=%s", request->id,
@@ -193,17 +198,18 @@
 
 static enum st_status
 choose(struct rq_request *request, struct ch_table *table,
-       struct ch_request *ask, struct ch_flight *flight)
+       struct ch_request *criteria, struct ch_flight *flight)
 {
     struct gt_gate *gate = request->gate;
     if (table == NULL) {
         flight->endpoint = NULL;
         return St_Fail(ST_UNAVAILABLE, "the service has no endpoint yet");
     }
-    Rq_Constrain(request, ask);
-    ask->tried = request->tried;
-    ask->tried_count = request->tried_count;
-    return Ch_Choose(table, ask, Ck_Now(gate->clock), &gate->random, flight);
+    Rq_Constrain(request, criteria);
+    criteria->tried = request->tried;
+    criteria->tried_count = request->tried_count;
+    return Ch_Choose(table, criteria, Ck_Now(gate->clock), &gate->random,
+                     flight);
 }
 
 static void
@@ -212,28 +218,28 @@
 {
     struct gt_gate *gate = request->gate;
     Ch_Start(table, flight, Ck_Now(gate->clock));
-    Rt_Cover(Ep_Budget(gate->endpoints, request->service->name),
-             Ch_AllInFlight(table));
-    remember_tried(request, Ch_Info(flight->endpoint)->id);
-    Rq_NoteSentTo(request, Ch_Info(flight->endpoint)->id);
+    Rt_RaiseCapacity(Ep_RetryBudget(gate->endpoints, request->service->name),
+                     Ch_AllInFlight(table));
+    add_tried(request, Ch_Info(flight->endpoint)->id);
+    Rq_RecordDispatch(request, Ch_Info(flight->endpoint)->id);
 }
 
 /*
- * Chooses an endpoint for the next attempt and starts the flight on it.  An
- * endpoint that failed this request is taken again only when no other is
- * left: with few replicas a second try beats a refusal.  ST_OVERLOAD: others
- * are left, but have no place free at the moment.
+ * Chooses an endpoint for the next attempt and starts a flight on it.  An
+ * endpoint that was tried is chosen again only when no other is left: with few
+ * replicas a second try is better than a refusal.  Returns ST_OVERLOAD when
+ * others are left but are busy.
  */
 enum st_status
 Rq_Choose(struct rq_request *request, struct ch_table *table,
-          struct ch_request *ask, struct ch_flight *flight)
+          struct ch_request *criteria, struct ch_flight *flight)
 {
-    enum st_status status = choose(request, table, ask, flight);
+    enum st_status status = choose(request, table, criteria, flight);
     if (status == ST_OVERLOAD) {
         return status;
     }
     if (status != ST_OK && request->tried_count > 0) {
-        return Rq_ChooseAny(request, table, ask, flight);
+        return Rq_ChooseAny(request, table, criteria, flight);
     }
     if (status == ST_OK) {
         start_flight(request, table, flight);
@@ -241,31 +247,31 @@
     return status;
 }
 
-/* The same, but those that failed this request may be taken as well. */
+/* Like Rq_Choose(), but allows the endpoints that were tried as well. */
 enum st_status
 Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
-             struct ch_request *ask, struct ch_flight *flight)
+             struct ch_request *criteria, struct ch_flight *flight)
 {
-    forget_tried(request);
-    enum st_status status = choose(request, table, ask, flight);
+    clear_tried(request);
+    enum st_status status = choose(request, table, criteria, flight);
     if (status == ST_OK) {
         start_flight(request, table, flight);
     }
     return status;
 }
 
-/* The dispatches that an endpoint may have run. */
+/* The number of dispatches that an endpoint may have run. */
 int
-Rq_Sent(const struct rq_attempts *attempts)
+Rq_SentCount(const struct rq_attempts *attempts)
 {
-    return attempts->all - attempts->unreached;
+    return attempts->total - attempts->not_sent;
 }
 
 /* Whether an endpoint has failed the request. */
 bool
 Rq_HasFailed(const struct rq_attempts *attempts)
 {
-    return attempts->failed_on_trial || attempts->failed > 0;
+    return attempts->trial_failed || attempts->failed > 0;
 }
 
 static bool
@@ -284,12 +290,12 @@
 }
 
 /*
- * Tells how the endpoints stand that the request was not sent to, or those
- * that it was: id:version:state:in flight/limit.
+ * Formats the state of the endpoints that the request was sent to, or of the
+ * others, as id:version:state:in flight/limit.
  */
 static void
-tell_states(const struct rq_request *request, const struct ch_table *table,
-            bool sent_to, char out[Rq_STATES_MAX])
+format_states(const struct rq_request *request, const struct ch_table *table,
+              bool sent_to, char out[Rq_STATES_MAX])
 {
     int64_t now = Ck_Now(request->gate->clock);
     const struct ch_endpoint *endpoint =
@@ -310,19 +316,19 @@
 }
 
 /*
- * Enters that an attempt has failed.  What a version on trial fails first says
- * nothing of the endpoints that the request is owed, and is not counted.
+ * Records a failed attempt.  The first failure is not counted if the version
+ * was on trial, so that it does not use up the attempts at the version in use.
  */
 void
-Rq_NoteFailed(struct rq_attempts *attempts, const struct ch_flight *flight,
-              enum rt_stage stage)
+Rq_RecordFailure(struct rq_attempts *attempts, const struct ch_flight *flight,
+                 enum rt_stage stage)
 {
     if (stage == RT_NOT_SENT) {
-        attempts->unreached++;
+        attempts->not_sent++;
     }
     else if (flight->on_trial && attempts->failed == 0 &&
-             !attempts->failed_on_trial) {
-        attempts->failed_on_trial = true;
+             !attempts->trial_failed) {
+        attempts->trial_failed = true;
     }
     else {
         attempts->failed++;
@@ -330,16 +336,16 @@
 }
 
 static void
-note_retry_refused(const struct rq_request *request,
-                   const struct rt_attempt *attempt, int sent,
-                   const char *reason, double tokens)
+log_retry_refused(const struct rq_request *request,
+                  const struct rt_attempt *attempt, int sent,
+                  const char *reason, double tokens)
 {
     const struct ch_table *table =
         Ep_Table(request->gate->endpoints, request->service->name);
-    char asked[Rq_STATES_MAX];
-    char others[Rq_STATES_MAX];
-    tell_states(request, table, true, asked);
-    tell_states(request, table, false, others);
+    char tried_states[Rq_STATES_MAX];
+    char other_states[Rq_STATES_MAX];
+    format_states(request, table, true, tried_states);
+    format_states(request, table, false, other_states);
     static const char *const stages[] = {"not-sent", "refused", "sent",
                                          "answered"};
     const char *last = request->tried_count > 0
@@ -350,17 +356,17 @@
            "failed=%d unreached=%d left_ms=%lld retries_left=%.1f sent_to=%s "
            "asked=%s others=%s",
            request->id, request->service->name, last, stages[attempt->stage],
-           reason, sent, attempt->attempts, attempt->unreached,
-           (long long)(attempt->left / Ck_USEC_PER_MSEC), tokens,
-           request->sent_to, asked, others);
+           reason, sent, attempt->attempts, attempt->connect_failures,
+           (long long)(attempt->time_left / Ck_USEC_PER_MSEC), tokens,
+           request->sent_to, tried_states, other_states);
     Gt_Count(request->gate, "cg_retries_refused_total", NULL, NULL);
     Gt_Count(request->gate, "cg_retries_refused_by_reason_total", "reason",
              reason);
 }
 
 /*
- * Whether a failed attempt may be followed by another; takes from the
- * service's budget when it may and the attempt reached somebody.
+ * Whether a failed attempt may be followed by another.  If so, and the attempt
+ * had connected, it takes from the service's retry budget.
  */
 bool
 Rq_MayRetry(struct rq_request *request, enum rt_stage stage,
@@ -368,42 +374,42 @@
 {
     struct gt_gate *gate = request->gate;
     struct rt_budget *budget =
-        Ep_Budget(gate->endpoints, request->service->name);
+        Ep_RetryBudget(gate->endpoints, request->service->name);
     struct rt_attempt attempt = {
         .stage = stage,
-        .idempotent = request->repeatable,
-        .keyed = request->keyed,
+        .idempotent = request->idempotent,
+        .keyed = request->has_key,
         .attempts = attempts->failed,
-        .unreached = attempts->unreached,
-        .left = request->deadline - Ck_Now(gate->clock),
+        .connect_failures = attempts->not_sent,
+        .time_left = request->deadline - Ck_Now(gate->clock),
     };
     if (request->http == NULL || budget == NULL) {
-        note_retry_refused(request, &attempt, Rq_Sent(attempts),
-                           budget == NULL ? "no-service" : "caller-gone", 0);
+        log_retry_refused(request, &attempt, Rq_SentCount(attempts),
+                          budget == NULL ? "no-service" : "caller-gone", 0);
         return false;
     }
-    enum rt_reason why = Rt_Why(budget, &attempt);
+    enum rt_reason why = Rt_DenyReason(budget, &attempt);
     if (Rt_Decide(budget, &attempt) != RT_RETRY) {
-        note_retry_refused(request, &attempt, Rq_Sent(attempts),
-                           Rt_ReasonName(why), budget->tokens);
+        log_retry_refused(request, &attempt, Rq_SentCount(attempts),
+                          Rt_ReasonName(why), budget->tokens);
         return false;
     }
     Gt_Count(gate, "cg_retries_total", NULL, NULL);
     return true;
 }
 
-/* An endpoint has answered well: it pays for a part of a later retry. */
+/* Adds to the service's retry budget for a request that succeeded. */
 void
-Rq_Succeeded(struct rq_request *request)
+Rq_RecordSuccess(struct rq_request *request)
 {
     struct rt_budget *budget =
-        Ep_Budget(request->gate->endpoints, request->service->name);
+        Ep_RetryBudget(request->gate->endpoints, request->service->name);
     if (budget != NULL) {
         Rt_Success(budget);
     }
 }
 
-/* The route of a request, as evidence is kept by: few and stable names. */
+/* The route by which outcomes are counted; the names are few and stable. */
 static const char *
 route_name(const struct rq_request *request)
 {
@@ -414,12 +420,13 @@
 }
 
 /*
- * Tells a version move what an attempt showed.  An attempt that was given up
- * or refused for load says nothing about the version.
+ * Reports the outcome of an attempt to the version moves.  An attempt that was
+ * cancelled or refused for load is left out, as it says nothing about the
+ * version.
  */
 void
-Rq_NoteVersion(struct rq_request *request, const struct ch_flight *flight,
-               enum ch_outcome outcome, int64_t first_token_usec)
+Rq_RecordOutcome(struct rq_request *request, const struct ch_flight *flight,
+                 enum ch_outcome outcome, int64_t first_token_usec)
 {
     if (outcome != CH_GOOD && outcome != CH_FAILED &&
         outcome != CH_UNREACHED) {
@@ -435,12 +442,12 @@
         .first_token_usec = first_token_usec,
         .target_usec = request->service->first_token_usec,
     };
-    Mo_Note(request->gate->moves, &note);
+    Mo_RecordOutcome(request->gate->moves, &note);
 }
 
-/* True when no request is under way. */
+/* Whether no request is in progress. */
 bool
-Rq_Idle(const struct gt_gate *gate)
+Rq_IsIdle(const struct gt_gate *gate)
 {
     return TAILQ_EMPTY(&gate->requests);
 }
@@ -474,7 +481,7 @@
     const char *text = Hs_Header(request->http, "cornelgate-deadline-ms");
     int64_t limit = request->service->deadline_usec;
     if (limit <= 0) {
-        limit = Rq_DEFAULT_DEADLINE;
+        limit = Rq_DEFAULT_DEADLINE_USEC;
     }
     if (text != NULL) {
         const char *problem = NULL;
@@ -486,7 +493,7 @@
                            problem, Rq_DEADLINE_MAX_MS);
         }
     }
-    request->deadline = request->arrived + limit;
+    request->deadline = request->arrived_at + limit;
     Lp_TimerSet(request->timer, limit);
     return ST_OK;
 }
@@ -506,8 +513,8 @@
 }
 
 /*
- * The digest binds the key to the whole request, so that the same key with
- * another body or path is found out.
+ * Binds the idempotency key to the body and path, so that its reuse for
+ * another request is detected.
  */
 static void
 digest_body(struct rq_request *request)
@@ -536,7 +543,7 @@
         return St_Fail(ST_INVALID, "idempotency-key must have 1 to %d bytes",
                        Rq_KEY_MAX);
     }
-    request->keyed = true;
+    request->has_key = true;
     strlcpy(request->key.key.customer, request->customer->name,
             sizeof(request->key.key.customer));
     Hash_Digest(key, len, request->key.key.digest);
@@ -557,7 +564,7 @@
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 }
 
-/* Finds the service; on failure the request has been refused. */
+/* Finds the service; returns false after refusing the request. */
 static bool
 route(struct rq_request *request)
 {
@@ -571,7 +578,7 @@
                       "no service has this path; see the configuration");
             return false;
         }
-        request->repeatable =
+        request->idempotent =
             request->service->idempotent || is_safe_method(method);
         return true;
     }
@@ -583,7 +590,7 @@
                   strcmp(method, "POST") != 0 ? "use POST" : St_Message());
         return false;
     }
-    request->repeatable = true;
+    request->idempotent = true;
     request->service = Cf_ServiceByName(config, request->prompt.model);
     if (request->service == NULL || request->service->kind != CF_ENGINE) {
         Rq_Refuse(request, AN_NOT_FOUND, 0,
@@ -593,12 +600,12 @@
     return true;
 }
 
-/* Whether it has been refused for a part of its prompt that ends engines. */
+/* Refuses a request whose prompt has a quarantined part; true if it has. */
 static bool
-is_stopped(struct rq_request *request)
+refuse_if_quarantined(struct rq_request *request)
 {
     uint32_t part;
-    if (!Gq_Refuses(request->gate->quarantine, request, &part)) {
+    if (!Gq_IsQuarantined(request->gate->quarantine, request, &part)) {
         return false;
     }
     Rq_Refuse(request, AN_UNAVAILABLE, Gq_RETRY_SEC,
@@ -606,7 +613,7 @@
     return true;
 }
 
-/* Finds the customer; on failure the request has been refused. */
+/* Finds the customer; returns false after refusing the request. */
 static bool
 authenticate(struct rq_request *request)
 {
@@ -640,18 +647,18 @@
 }
 
 static void
-answer_kept(struct rq_request *request, const struct cl_answer *kept)
+answer_stored(struct rq_request *request, const struct cl_answer *stored)
 {
     struct web_header headers[] = {
         {"cornelgate-request-id", request->id},
         {"cornelgate-outcome", An_OutcomeName(AN_RAN)},
         {"cornelgate-repeated", "1"},
-        {"cornelgate-body-digest", kept->digest},
+        {"cornelgate-body-digest", stored->digest},
     };
     Hs_SetUser(request->http, NULL);
-    /* A body too large to keep is named by its digest only. */
-    Hs_Reply(request->http, kept->code, kept->type, headers,
-             kept->truncated ? 4 : 3, kept->body, kept->len);
+    /* A body too large to store is sent as its digest only. */
+    Hs_Reply(request->http, stored->code, stored->type, headers,
+             stored->truncated ? 4 : 3, stored->body, stored->len);
     request->http = NULL;
     Rq_Finish(request, AN_RAN);
 }
@@ -679,7 +686,7 @@
             refuse_unknown(request);
             return;
         }
-        answer_kept(request, answer->answer);
+        answer_stored(request, answer->answer);
         return;
     case KP_REUSED:
         Rq_Refuse(request, AN_KEY_REUSED, 0,
@@ -716,11 +723,11 @@
     }
 }
 
-/* The request's turn has come: claim its key, or send it. */
+/* Starts a request that was admitted: claims its key first, or relays it. */
 void
 Rq_Dispatch(struct rq_request *request)
 {
-    if (!request->repeatable && request->keyed) {
+    if (!request->idempotent && request->has_key) {
         start_claim(request);
         return;
     }
@@ -736,7 +743,7 @@
     }
     request->gate = gate;
     request->http = http;
-    request->arrived = Ck_Now(gate->clock);
+    request->arrived_at = Ck_Now(gate->clock);
     if (gate->config != NULL) {
         request->config = Cf_Ref(gate->config);
     }
@@ -747,7 +754,7 @@
     return request;
 }
 
-/* Takes a complete request of a caller; it is answered now or later. */
+/* Takes a complete request of a caller; the answer may come later. */
 void
 Rq_Accept(struct gt_gate *gate, struct hs_request *http)
 {
@@ -775,12 +782,12 @@
         Rq_Refuse(request, AN_INVALID, 0, "%s", St_Message());
         return;
     }
-    if (!is_stopped(request)) {
+    if (!refuse_if_quarantined(request)) {
         In_Submit(gate->intake, request);
     }
 }
 
-/* The caller closed its connection before the answer ended. */
+/* Handles a caller that closed its connection before the answer ended. */
 void
 Rq_CallerGone(struct gt_gate *gate, struct hs_request *http)
 {
--- a/packages/gate/request.h
+++ b/packages/gate/request.h
@@ -1,8 +1,8 @@
 /*
- * One caller's request from its arrival to its one answer.
+ * A caller's request, from its arrival to its answer.
  *
- *   Rq_Accept -> authenticate, route -> limits and queue -> claim (when it
- *   must not run twice) -> relay -> Rq_Finish
+ *   Rq_Accept -> authenticate, route -> limits and queue -> claim of the
+ *   idempotency key (if it must not run twice) -> relay -> Rq_Finish
  */
 #ifndef GATE_REQUEST_H
 #define GATE_REQUEST_H
@@ -30,7 +30,7 @@
     RQ_ARRIVED,
     RQ_QUEUED,
     RQ_CLAIMING,
-    RQ_RUNNING, /* an endpoint has or may have it */
+    RQ_RUNNING, /* the relay may have sent it to an endpoint */
 };
 
 struct rq_request {
@@ -42,17 +42,17 @@
     const struct cf_service *service;
     char id[Rq_ID_MAX];
     enum rq_phase phase;
-    int64_t arrived;
+    int64_t arrived_at;
     int64_t deadline;
     bool patient;
-    bool repeatable; /* running it twice does no harm */
-    bool keyed;
+    bool idempotent; /* running it twice does no harm */
+    bool has_key;
     struct gc_key key;
     struct gc_wait *claim;
     bool admitted; /* counts against the customer's limits */
-    bool queued;   /* "item" stands in a queue */
+    bool queued;   /* "item" is in a queue */
     struct qu_item item;
-    bool claimed; /* the claim was won and not given back */
+    bool claimed; /* the claim was won and is neither settled nor released */
     struct lp_timer *timer;
     const char *tried[Rq_TRIED_MAX]; /* endpoints, owned copies */
     size_t tried_count;
@@ -62,12 +62,12 @@
     struct rl_plain *plain;
 };
 
-/* The dispatches of a request so far. */
+/* Counts of a request's dispatches. */
 struct rq_attempts {
-    int all;
-    int unreached;        /* those of which no byte can have left */
-    bool failed_on_trial; /* the first that failed was at such a version */
-    int failed;           /* the others that were sent and failed */
+    int total;
+    int not_sent;      /* did not connect, so that no byte was sent */
+    bool trial_failed; /* the first failure was at a version on trial */
+    int failed;        /* sent and failed, without the first on trial */
 };
 
 void Rq_Accept(struct gt_gate *gate, struct hs_request *http);
@@ -78,30 +78,34 @@
     __attribute__((format(printf, 4, 5)));
 void Rq_Finish(struct rq_request *request, enum an_outcome outcome);
 enum st_status Rq_Choose(struct rq_request *request, struct ch_table *table,
-                         struct ch_request *ask, struct ch_flight *flight);
-void Rq_Constrain(const struct rq_request *request, struct ch_request *ask);
-const char *Rq_WhyNone(const struct rq_request *request,
-                       const struct ch_table *table);
+                         struct ch_request *criteria,
+                         struct ch_flight *flight);
+void Rq_Constrain(const struct rq_request *request,
+                  struct ch_request *criteria);
+const char *Rq_WhyUnavailable(const struct rq_request *request,
+                              const struct ch_table *table);
 enum st_status Rq_ChooseAny(struct rq_request *request, struct ch_table *table,
-                            struct ch_request *ask, struct ch_flight *flight);
-void Rq_NoteSentTo(struct rq_request *request, const char *endpoint);
-int Rq_Sent(const struct rq_attempts *attempts);
+                            struct ch_request *criteria,
+                            struct ch_flight *flight);
+void Rq_RecordDispatch(struct rq_request *request, const char *endpoint);
+int Rq_SentCount(const struct rq_attempts *attempts);
 bool Rq_HasFailed(const struct rq_attempts *attempts);
-void Rq_NoteFailed(struct rq_attempts *attempts,
-                   const struct ch_flight *flight, enum rt_stage stage);
+void Rq_RecordFailure(struct rq_attempts *attempts,
+                      const struct ch_flight *flight, enum rt_stage stage);
 bool Rq_MayRetry(struct rq_request *request, enum rt_stage stage,
                  const struct rq_attempts *attempts);
-void Rq_Succeeded(struct rq_request *request);
-void Rq_NoteVersion(struct rq_request *request, const struct ch_flight *flight,
-                    enum ch_outcome outcome, int64_t first_token_usec);
-bool Rq_Idle(const struct gt_gate *gate);
+void Rq_RecordSuccess(struct rq_request *request);
+void Rq_RecordOutcome(struct rq_request *request,
+                      const struct ch_flight *flight, enum ch_outcome outcome,
+                      int64_t first_token_usec);
+bool Rq_IsIdle(const struct gt_gate *gate);
 
-/* The relays; each ends the request by Rq_Refuse() or Rq_Finish(). */
+/* The relays; each ends the request with Rq_Refuse() or Rq_Finish(). */
 void Rl_EngineStart(struct rq_request *request);
 void Rl_EngineCallerGone(struct rq_request *request);
 void Rl_EngineDeadline(struct rq_request *request);
-/* A part of its prompt is stopped; it goes no further unless it has begun. */
-void Rl_EngineStopped(struct rq_request *request, uint32_t part);
+/* Refuses a request with a quarantined prompt part unless it has tokens. */
+void Rl_EngineQuarantined(struct rq_request *request, uint32_t part);
 void Rl_EngineDrained(struct rq_request *request);
 void Rl_EngineFree(struct rl_engine *relay);
 void Rl_EndpointLeaving(void *arg, const char *service, const char *endpoint,
--- a/packages/member/fact.c
+++ b/packages/member/fact.c
@@ -1,4 +1,4 @@
-/* Taking facts in, publishing them and handing them out for spreading. */
+/* Stores, publishes and expires facts and selects them for gossip. */
 #include "member/fact.h"
 
 #include <bsd/string.h>
@@ -8,13 +8,13 @@
 #include "member/fact_internal.h"
 
 #define Fc_FACTS_MAX 16384
-#define Fc_SPREAD 6
-#define Fc_FORGET_MIN_USEC (60 * Ck_USEC_PER_SEC)
-#define Fc_SETTLED_USEC (2 * Ck_USEC_PER_SEC)
+#define Fc_TRANSMISSIONS 6 /* of a new fact, until Fc_SetSpread() */
+#define Fc_TOMBSTONE_MIN_USEC (60 * Ck_USEC_PER_SEC)
+#define Fc_SETTLED_USEC (2 * Ck_USEC_PER_SEC) /* recent if younger */
 
 RB_GENERATE(fc_tree, fc_entry, node, fc_compare);
 
-/* Orders facts by owner, then key. */
+/* Orders facts by the hash of owner and key, then by owner, then by key. */
 int
 fc_compare(const struct fc_entry *a, const struct fc_entry *b)
 {
@@ -44,7 +44,7 @@
     for (int scope = 0; scope < Fc_SCOPES; scope++) {
         TAILQ_INIT(&facts->queues[scope]);
         TAILQ_INIT(&facts->sent[scope]);
-        facts->spread[scope] = Fc_SPREAD;
+        facts->spread[scope] = Fc_TRANSMISSIONS;
     }
     *out = facts;
     return ST_OK;
@@ -53,10 +53,10 @@
 static void
 unqueue(struct fc_table *facts, struct fc_entry *entry)
 {
-    Fc_TakeBegin(facts);
-    if (entry->left > 0) {
+    Fc_BeginDatagram(facts);
+    if (entry->sends_left > 0) {
         TAILQ_REMOVE(&facts->queues[entry->scope], entry, queued);
-        entry->left = 0;
+        entry->sends_left = 0;
     }
 }
 
@@ -77,7 +77,7 @@
     if (facts == NULL) {
         return;
     }
-    Fc_TakeBegin(facts);
+    Fc_BeginDatagram(facts);
     struct fc_entry *entry;
     while ((entry = RB_MIN(fc_tree, &facts->entries)) != NULL) {
         drop(facts, entry);
@@ -91,8 +91,8 @@
 }
 
 /*
- * Calls "changed" for facts whose key begins with the prefix, this node's
- * own included, from now on.
+ * Calls "changed" for every later update of a fact whose key begins with the
+ * prefix, including those that this node publishes.
  */
 enum st_status
 Fc_Watch(struct fc_table *facts, const char *key_prefix, fc_changed_fn changed,
@@ -110,7 +110,7 @@
 }
 
 static void
-tell(struct fc_table *facts, const struct fc_entry *entry)
+notify(struct fc_table *facts, const struct fc_entry *entry)
 {
     struct fc_fact fact;
     fc_view(facts, entry, &fact);
@@ -129,10 +129,10 @@
 enqueue(struct fc_table *facts, struct fc_entry *entry, int left)
 {
     unqueue(facts, entry);
-    if (facts->quiet) {
+    if (facts->no_spread) {
         return;
     }
-    entry->left = left;
+    entry->sends_left = left;
     if (left > 0) {
         TAILQ_INSERT_HEAD(&facts->queues[entry->scope], entry, queued);
     }
@@ -157,7 +157,7 @@
     return entry;
 }
 
-/* Puts a version and its value in place of the former. */
+/* Stores a new version and value and queues the fact for gossip. */
 static bool
 replace(struct fc_table *facts, struct fc_entry *entry,
         const struct fc_fact *fact)
@@ -176,17 +176,22 @@
     entry->version = fact->version;
     entry->scope = fact->scope;
     entry->expired = false;
-    entry->taken_usec = Ck_Now(facts->clock);
+    entry->updated_usec = Ck_Now(facts->clock);
     entry->expires_usec =
-        fact->ttl_usec != 0 ? entry->taken_usec + fact->ttl_usec : 0;
-    int64_t kept = fact->ttl_usec > Fc_FORGET_MIN_USEC ? fact->ttl_usec
-                                                       : Fc_FORGET_MIN_USEC;
-    entry->forget_usec = entry->expires_usec + kept;
+        fact->ttl_usec != 0 ? entry->updated_usec + fact->ttl_usec : 0;
+    int64_t kept = fact->ttl_usec > Fc_TOMBSTONE_MIN_USEC
+                       ? fact->ttl_usec
+                       : Fc_TOMBSTONE_MIN_USEC;
+    entry->purge_usec = entry->expires_usec + kept;
     enqueue(facts, entry, facts->spread[entry->scope]);
     return true;
 }
 
-/* Of equal versions the greater value wins, on every node alike. */
+/*
+ * Compares the values of equal versions: the longer value is greater, and
+ * bytes decide between equal lengths.  All nodes use this order and so
+ * converge.
+ */
 static int
 compare_values(const struct fc_entry *entry, const struct fc_fact *fact)
 {
@@ -197,7 +202,7 @@
 }
 
 static bool
-is_news(const struct fc_entry *entry, const struct fc_fact *fact)
+supersedes(const struct fc_entry *entry, const struct fc_fact *fact)
 {
     if (fact->version != entry->version) {
         return fact->version > entry->version;
@@ -206,7 +211,7 @@
 }
 
 static enum st_status
-check_post(const struct fc_post *post)
+check_post(const struct fc_publication *post)
 {
     if (post->key[0] == '\0' || strlen(post->key) >= Fc_KEY_MAX) {
         return St_Fail(ST_INVALID, "a fact's key has 1 to %d bytes",
@@ -227,12 +232,12 @@
 }
 
 /*
- * Publishes a fact.  ST_INVALID for a key or value out of bounds,
- * ST_CONFLICT when a version as late is known, ST_OVERLOAD when the table is
- * full.
+ * Publishes a fact.  Returns ST_INVALID for a key or value out of bounds,
+ * ST_CONFLICT when the same or a later version is already stored, and
+ * ST_OVERLOAD when the table is full.
  */
 enum st_status
-Fc_Publish(struct fc_table *facts, const struct fc_post *post)
+Fc_Publish(struct fc_table *facts, const struct fc_publication *post)
 {
     enum st_status status = check_post(post);
     if (status != ST_OK) {
@@ -240,24 +245,25 @@
     }
     const char *owner = post->owned ? facts->node : "";
     struct fc_entry *entry = fc_find(facts, owner, post->key);
-    uint64_t known = entry != NULL ? entry->version : 0;
+    uint64_t current = entry != NULL ? entry->version : 0;
     struct fc_fact fact = {
         .owner = owner,
         .key = post->key,
-        .version = post->version != 0 ? post->version : known + 1,
+        .version = post->version != 0 ? post->version : current + 1,
         .scope = post->scope,
         .ttl_usec = post->ttl_usec,
         .value = post->value,
         .len = post->len,
     };
-    if (entry != NULL && fact.version == known && !entry->expired &&
+    if (entry != NULL && fact.version == current && !entry->expired &&
         compare_values(entry, &fact) == 0) {
         return ST_OK;
     }
-    if (entry != NULL && !is_news(entry, &fact)) {
-        return St_Fail(ST_CONFLICT,
-                       "fact %s is known at version %llu; publish a later one",
-                       post->key, (unsigned long long)known);
+    if (entry != NULL && !supersedes(entry, &fact)) {
+        return St_Fail(
+            ST_CONFLICT,
+            "fact %s is stored at version %llu; publish a later one",
+            post->key, (unsigned long long)current);
     }
     if (entry == NULL) {
         entry = add_entry(facts, owner, post->key);
@@ -272,42 +278,46 @@
         return St_Fail(ST_NO_MEMORY, "no memory for fact %s", post->key);
     }
     entry->published = true;
-    tell(facts, entry);
+    notify(facts, entry);
     return ST_OK;
 }
 
 /*
- * A peer that still spreads an old version is told the new one; while a new
- * version is on its way that happens anyhow.
+ * Queues the current version once when a peer has sent an older one.  While
+ * the current version is recent, ordinary gossip still carries it.
  */
 static void
-heard_older(struct fc_table *facts, struct fc_entry *entry)
+on_older_version(struct fc_table *facts, struct fc_entry *entry)
 {
-    int64_t age = Ck_Now(facts->clock) - entry->taken_usec;
-    if (entry->left == 0 && !entry->expired && age > Fc_SETTLED_USEC) {
+    int64_t age = Ck_Now(facts->clock) - entry->updated_usec;
+    if (entry->sends_left == 0 && !entry->expired && age > Fc_SETTLED_USEC) {
         enqueue(facts, entry, 1);
     }
 }
 
-/* A copy heard counts as a copy sent: what all know is not repeated. */
+/*
+ * Counts a received copy as one of the transmissions of this node, so that
+ * nodes stop repeating a fact that their peers already have.
+ */
 static void
-heard_again(struct fc_table *facts, struct fc_entry *entry)
+on_duplicate(struct fc_table *facts, struct fc_entry *entry)
 {
-    if (entry->left == 1) {
+    if (entry->sends_left == 1) {
         unqueue(facts, entry);
     }
-    else if (entry->left > 1) {
-        entry->left--;
+    else if (entry->sends_left > 1) {
+        entry->sends_left--;
     }
 }
 
 /*
- * A fact of this very node with a version it never gave comes from its
- * former life.  What it publishes now must override that.
+ * Overrides a fact that this node published before it restarted.  Peers still
+ * hold it at a higher version than the restarted node uses, so the current
+ * value is published again under a version above theirs.
  */
 static bool
-outbid(struct fc_table *facts, struct fc_entry *entry,
-       const struct fc_fact *fact)
+override_stale(struct fc_table *facts, struct fc_entry *entry,
+               const struct fc_fact *fact)
 {
     bool own = strcmp(entry->owner, facts->node) == 0;
     if (!own || !entry->published || entry->expired) {
@@ -326,7 +336,7 @@
            fact->ttl_usec >= 0 && fact->scope <= FC_DATA_CENTRE;
 }
 
-/* Merges a fact heard from a peer; true when it was news. */
+/* Merges a fact received from a peer.  Returns true when the fact changed. */
 bool
 Fc_Apply(struct fc_table *facts, const struct fc_fact *fact)
 {
@@ -340,42 +350,43 @@
             return false;
         }
     }
-    else if (!is_news(entry, fact)) {
+    else if (!supersedes(entry, fact)) {
         if (fact->version < entry->version) {
-            heard_older(facts, entry);
+            on_older_version(facts, entry);
         }
         else {
-            heard_again(facts, entry);
+            on_duplicate(facts, entry);
         }
         return false;
     }
-    if (outbid(facts, entry, fact)) {
+    if (override_stale(facts, entry, fact)) {
         return false;
     }
     if (!replace(facts, entry, fact)) {
         drop(facts, entry);
         return false;
     }
-    tell(facts, entry);
+    notify(facts, entry);
     return true;
 }
 
 /*
- * Merges a fact without spreading it further: what a new node takes with its
- * first full state is news to that node alone.
+ * Merges a fact without queueing it for gossip.  A starting node uses this for
+ * the first full state that it receives, which its peers already have.
  */
 bool
-Fc_Learn(struct fc_table *facts, const struct fc_fact *fact)
+Fc_ApplyLocally(struct fc_table *facts, const struct fc_fact *fact)
 {
-    facts->quiet = true;
-    bool news = Fc_Apply(facts, fact);
-    facts->quiet = false;
-    return news;
+    facts->no_spread = true;
+    bool updated = Fc_Apply(facts, fact);
+    facts->no_spread = false;
+    return updated;
 }
 
 /*
- * Ends facts whose time is over.  The version is kept a while longer: a copy
- * that a slow peer still holds must not bring the fact back.
+ * Expires facts at the end of their time to live.  The version is kept as a
+ * tombstone for a while longer, so that a copy still held by a slow peer does
+ * not restore the fact.
  */
 void
 Fc_Expire(struct fc_table *facts)
@@ -394,15 +405,16 @@
             entry->value = NULL;
             entry->len = 0;
         }
-        if (now >= entry->forget_usec) {
+        if (now >= entry->purge_usec) {
             drop(facts, entry);
         }
     }
 }
 
 /*
- * Sets how often a node sends on a new fact of a scope; 0 where there is
- * nobody to send it to, else it would wait in the queue for ever.
+ * Sets how many times this node transmits a new fact of a scope.  It must be 0
+ * when the scope has no other node; otherwise the fact would stay queued for
+ * ever.
  */
 void
 Fc_SetSpread(struct fc_table *facts, enum fc_scope scope, int count)
@@ -410,9 +422,9 @@
     facts->spread[scope] = count;
 }
 
-/* Begins a datagram: every queued fact may be taken once. */
+/* Begins a datagram: every queued fact may be selected once. */
 void
-Fc_TakeBegin(struct fc_table *facts)
+Fc_BeginDatagram(struct fc_table *facts)
 {
     for (int scope = 0; scope < Fc_SCOPES; scope++) {
         TAILQ_CONCAT(&facts->queues[scope], &facts->sent[scope], queued);
@@ -420,13 +432,13 @@
 }
 
 /*
- * Takes the next fact for a datagram with "room" bytes left; false when none
- * fits.  "narrowest" is the narrowest scope that the receiver shares.  Wider
- * scopes go first: their facts are few, and it is them that nobody may miss.
+ * Selects the next fact for a datagram with "room" bytes left; false when none
+ * fits.  "narrowest" is the narrowest scope that includes the receiver.  Wider
+ * scopes go first: they have few facts, and every node needs them.
  */
 bool
-Fc_Take(struct fc_table *facts, enum fc_scope narrowest, size_t room,
-        fc_size_fn size, struct fc_fact *out)
+Fc_NextUpdate(struct fc_table *facts, enum fc_scope narrowest, size_t room,
+              fc_size_fn size, struct fc_fact *out)
 {
     for (int scope = FC_CLUSTER; scope <= (int)narrowest; scope++) {
         struct fc_entry *entry = TAILQ_FIRST(&facts->queues[scope]);
@@ -438,8 +450,8 @@
             continue;
         }
         TAILQ_REMOVE(&facts->queues[scope], entry, queued);
-        entry->left--;
-        if (entry->left > 0) {
+        entry->sends_left--;
+        if (entry->sends_left > 0) {
             TAILQ_INSERT_TAIL(&facts->sent[scope], entry, queued);
         }
         return true;
--- a/packages/member/link.c
+++ b/packages/member/link.c
@@ -1,4 +1,7 @@
-/* The links of a node, requests and their handlers, time limits. */
+/*
+ * Creation of the links of a node, request handlers, timeouts and idle
+ * connections.
+ */
 #include "member/link.h"
 
 #include <bsd/string.h>
@@ -8,16 +11,14 @@
 #include "member/link_internal.h"
 
 #define Lk_IDLE_USEC (60 * Ck_USEC_PER_SEC)
-#define Lk_HELLO_USEC (5 * Ck_USEC_PER_SEC)
+#define Lk_HELLO_TIMEOUT_USEC (5 * Ck_USEC_PER_SEC)
 #define Lk_CALL_SWEEP_USEC (50 * Ck_USEC_PER_MSEC)
 #define Lk_IDLE_SWEEP_USEC Ck_USEC_PER_SEC
 
 static void on_timer(void *arg);
-static void free_dead(struct lk_links *links);
+static void free_closed(struct lk_links *links);
 
-/*
- * Creates the links and listens.  They must be destroyed before the loop.
- */
+/* Creates the links and listens.  They must be destroyed before the loop. */
 enum st_status
 Lk_Create(struct lp_loop *loop, const struct lk_options *options,
           struct lk_links **out)
@@ -37,7 +38,7 @@
     strlcpy(links->node, options->node, sizeof(links->node));
     Wr_DeriveKey(options->cluster_key, "frame", links->key);
     TAILQ_INIT(&links->connections);
-    TAILQ_INIT(&links->dead);
+    TAILQ_INIT(&links->closed);
     TAILQ_INIT(&links->calls);
     TAILQ_INIT(&links->requests);
     SLIST_INIT(&links->handlers);
@@ -55,8 +56,8 @@
 }
 
 /*
- * Closes all connections.  Calls under way end without a word, and requests
- * not yet answered must not be answered any more.
+ * Closes all connections.  Calls in flight end without a result, and
+ * Lk_Reply() must not be called for pending requests any more.
  */
 void
 Lk_Destroy(struct lk_links *links)
@@ -75,7 +76,7 @@
                         next_connection) {
         lk_close(connection);
     }
-    free_dead(links);
+    free_closed(links);
     struct lk_request *request;
     struct lk_request *next_request;
     TAILQ_FOREACH_SAFE (request, &links->requests, link, next_request) {
@@ -92,7 +93,6 @@
     free(links);
 }
 
-/* The port listened on. */
 uint16_t
 Lk_Port(const struct lk_links *links)
 {
@@ -106,17 +106,20 @@
     return &links->counters;
 }
 
-/* How many connections stand, in both directions. */
+/* Returns the number of open connections, in both directions. */
 size_t
 Lk_Connections(const struct lk_links *links)
 {
     return links->connection_count;
 }
 
-/* Sets the handler of a type of request; ST_CONFLICT when it has one. */
+/*
+ * Sets the handler of a request type.  Returns ST_CONFLICT when the type has
+ * one.
+ */
 enum st_status
-Lk_Handle(struct lk_links *links, const char *type, lk_handler_fn fn,
-          void *arg)
+Lk_SetHandler(struct lk_links *links, const char *type, lk_handler_fn fn,
+              void *arg)
 {
     struct lk_handler *handler;
     SLIST_FOREACH (handler, &links->handlers, link) {
@@ -140,19 +143,25 @@
     return ST_OK;
 }
 
-/* Sets the timer: often while calls have time limits, else for idleness. */
+/*
+ * Sets the timer: to the shorter interval while calls have deadlines or closed
+ * connections wait to be freed, else to the interval of the idle check.
+ */
 void
 lk_arm(struct lk_links *links)
 {
     int64_t delay = 0;
-    if (!TAILQ_EMPTY(&links->calls) || !TAILQ_EMPTY(&links->dead)) {
+    if (!TAILQ_EMPTY(&links->calls) || !TAILQ_EMPTY(&links->closed)) {
         delay = Lk_CALL_SWEEP_USEC;
     }
     else if (!TAILQ_EMPTY(&links->connections)) {
         delay = Lk_IDLE_SWEEP_USEC;
     }
     int64_t due = Ck_Now(links->clock) + delay;
-    /* Never later than set: frequent calls must not put it off for ever. */
+    /*
+     * Never postpone a timer that is set: with frequent calls it would never
+     * fire.
+     */
     if (delay != 0 && (links->timer_usec == 0 || due < links->timer_usec)) {
         links->timer_usec = due;
         Lp_TimerSet(links->timer, delay);
@@ -171,9 +180,9 @@
     return NULL;
 }
 
-/* Hands a request to its handler. */
+/* Passes a request to the handler of its type. */
 void
-lk_take_request(struct lk_connection *connection, const struct wr_frame *frame)
+lk_on_request(struct lk_connection *connection, const struct wr_frame *frame)
 {
     struct lk_links *links = connection->links;
     struct lk_request *request = calloc(1, sizeof(*request) + frame->len);
@@ -190,7 +199,7 @@
         memcpy(request->payload, frame->payload, frame->len);
     }
     TAILQ_INSERT_TAIL(&links->requests, request, link);
-    connection->open++;
+    connection->in_flight++;
     struct lk_handler *handler = find_handler(links, frame->name);
     if (handler == NULL) {
         Lk_Reply(request, ST_NOT_FOUND, NULL, 0);
@@ -199,7 +208,7 @@
     handler->fn(handler->arg, request);
 }
 
-/* The payload of a request, valid until it is answered. */
+/* Returns the payload of a request, valid until Lk_Reply(). */
 const void *
 Lk_Payload(const struct lk_request *request, size_t *len)
 {
@@ -207,7 +216,7 @@
     return request->payload;
 }
 
-/* The id of the node that sent a request. */
+/* Returns the id of the node that sent a request. */
 const char *
 Lk_From(const struct lk_request *request)
 {
@@ -216,8 +225,9 @@
 
 /*
  * Answers a request and frees it.  The answer is dropped when the connection
- * is gone or has too much to send: the caller then sees a lost connection or
- * a time limit, both of which say that the request may have had its effect.
+ * is closed or its send queue is full.  The caller then gets ST_UNAVAILABLE or
+ * ST_TIMEOUT with "maybe_sent" set, so that it knows that the request may have
+ * had its effect.
  */
 void
 Lk_Reply(struct lk_request *request, enum st_status status,
@@ -231,7 +241,7 @@
                                  .status = status,
                                  .payload = payload,
                                  .len = len};
-        connection->open--;
+        connection->in_flight--;
         if (lk_queue(connection, &frame, NULL) == ST_OK) {
             Lp_WatchWritable(connection->watch);
         }
@@ -239,7 +249,7 @@
     free(request);
 }
 
-/* Ends the calls of a connection that is gone, and orphans its requests. */
+/* Ends the calls of a closed connection, and detaches its pending requests. */
 void
 lk_connection_lost(struct lk_connection *connection)
 {
@@ -253,18 +263,18 @@
     struct lk_call *call;
     while ((call = lk_call_on(connection)) != NULL) {
         struct lk_result result = {.status = ST_UNAVAILABLE,
-                                   .may_have_left = call->may_have_left};
+                                   .maybe_sent = call->maybe_sent};
         lk_finish(call, &result);
     }
 }
 
 static void
-end_late_calls(struct lk_links *links, int64_t now)
+expire_calls(struct lk_links *links, int64_t now)
 {
     struct lk_call *call;
-    while ((call = lk_late_call(links, now)) != NULL) {
+    while ((call = lk_expired_call(links, now)) != NULL) {
         struct lk_result result = {.status = ST_TIMEOUT,
-                                   .may_have_left = call->may_have_left};
+                                   .maybe_sent = call->maybe_sent};
         lk_finish(call, &result);
     }
 }
@@ -273,9 +283,9 @@
 is_idle(const struct lk_connection *connection, int64_t now)
 {
     if (!connection->ready) {
-        return now - connection->made_usec > Lk_HELLO_USEC;
+        return now - connection->created_usec > Lk_HELLO_TIMEOUT_USEC;
     }
-    return connection->open == 0 && TAILQ_EMPTY(&connection->frames) &&
+    return connection->in_flight == 0 && TAILQ_EMPTY(&connection->frames) &&
            now - connection->used_usec > connection->links->idle_usec;
 }
 
@@ -291,7 +301,10 @@
     return NULL;
 }
 
-/* One that is closed may end calls, and these may change the list. */
+/*
+ * Searches again after each close: closing a connection may end calls, whose
+ * callbacks may change the list.
+ */
 static void
 close_idle(struct lk_links *links, int64_t now)
 {
@@ -301,17 +314,20 @@
     }
 }
 
-/* Frees closed connections, now that none of their handlers runs. */
+/*
+ * Frees closed connections.  The timer calls this, when none of their event
+ * handlers is running.
+ */
 static void
-free_dead(struct lk_links *links)
+free_closed(struct lk_links *links)
 {
     struct lk_connection *connection;
     struct lk_connection *next;
-    TAILQ_FOREACH_SAFE (connection, &links->dead, link, next) {
+    TAILQ_FOREACH_SAFE (connection, &links->closed, link, next) {
         free(connection->in);
         free(connection);
     }
-    TAILQ_INIT(&links->dead);
+    TAILQ_INIT(&links->closed);
 }
 
 static void
@@ -320,8 +336,8 @@
     struct lk_links *links = arg;
     int64_t now = Ck_Now(links->clock);
     links->timer_usec = 0;
-    free_dead(links);
-    end_late_calls(links, now);
+    free_closed(links);
+    expire_calls(links, now);
     close_idle(links, now);
     lk_arm(links);
 }
--- a/packages/member/wire_frame.c
+++ b/packages/member/wire_frame.c
@@ -1,26 +1,28 @@
 /*
- * Frames: a length of four bytes, the body in msgpack, the code.  The body
- * is [kind, id, name, status, payload].
+ * Frames: a 4-byte big-endian length, the body in msgpack, and the MAC. The
+ * body is [kind, id, name, status, payload].
  */
 #include <openssl/crypto.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "base/hash.h"
-#include "base/packscan.h"
+#include "base/msgpack_check.h"
 #include "member/wire.h"
 
-#define Wr_FRAME 5 /* elements */
+#define Wr_FRAME_ITEMS 5
 #define Wr_SEQUENCE_BYTES 8
 
-/* Packs the body of a frame; returns its length, 0 when it does not fit. */
+/*
+ * Packs the body of a frame.  Returns its length, or 0 when it does not fit.
+ */
 size_t
 Wr_PackFrame(const struct wr_frame *frame, uint8_t *out, size_t max)
 {
     struct wr_buffer buffer = {.data = out, .max = max};
     msgpack_packer packer;
     Wr_PackerInit(&packer, &buffer);
-    msgpack_pack_array(&packer, Wr_FRAME);
+    msgpack_pack_array(&packer, Wr_FRAME_ITEMS);
     msgpack_pack_uint8(&packer, frame->kind);
     msgpack_pack_uint64(&packer, frame->id);
     msgpack_pack_str_with_body(&packer, frame->name, strlen(frame->name));
@@ -33,48 +35,48 @@
 read_frame(const msgpack_object *object, struct wr_frame *out)
 {
     if (object->type != MSGPACK_OBJECT_ARRAY ||
-        object->via.array.size < Wr_FRAME) {
+        object->via.array.size < Wr_FRAME_ITEMS) {
         return false;
     }
-    const msgpack_object *part = object->via.array.ptr;
-    if (part[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[0].via.u64 > WR_HELLO ||
-        part[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[3].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-        part[3].via.u64 > ST_INTERNAL || part[4].type != MSGPACK_OBJECT_BIN) {
+    const msgpack_object *item = object->via.array.ptr;
+    if (item[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[0].via.u64 > WR_HELLO ||
+        item[1].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[3].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
+        item[3].via.u64 > ST_INTERNAL || item[4].type != MSGPACK_OBJECT_BIN) {
         return false;
     }
-    out->kind = (enum wr_kind)part[0].via.u64;
-    out->id = part[1].via.u64;
-    out->status = (enum st_status)part[3].via.u64;
-    out->payload = part[4].via.bin.ptr;
-    out->len = part[4].via.bin.size;
-    return Wr_ReadString(&part[2], out->name, sizeof(out->name));
+    out->kind = (enum wr_kind)item[0].via.u64;
+    out->id = item[1].via.u64;
+    out->status = (enum st_status)item[3].via.u64;
+    out->payload = item[4].via.bin.ptr;
+    out->len = item[4].via.bin.size;
+    return Wr_ReadString(&item[2], out->name, sizeof(out->name));
 }
 
-/* Reads the body of a frame whose code was checked already. */
+/* Decodes the body of a frame whose MAC has been verified. */
 enum st_status
 Wr_UnpackFrame(const uint8_t *body, size_t len, struct wr_frame *out)
 {
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     size_t offset = 0;
-    bool good = Mp_CountsFit(body, len) &&
+    bool good = Mp_LengthsFit(body, len) &&
                 msgpack_unpack_next(&unpacked, (const char *)body, len,
                                     &offset) == MSGPACK_UNPACK_SUCCESS &&
                 offset == len && read_frame(&unpacked.data, out);
     msgpack_unpacked_destroy(&unpacked);
     if (!good) {
         return St_Fail(ST_INVALID, "malformed frame; check that the daemons' "
-                                   "versions go together");
+                                   "versions are compatible");
     }
     return ST_OK;
 }
 
 /*
- * The code of a frame.  It covers the random numbers that both sides chose
- * for this connection and the number of the frame, so that a frame recorded
- * on another connection, or earlier on this one, does not pass.
+ * Computes the MAC of a frame.  It covers the nonces that both sides chose for
+ * this connection and the sequence number of the frame, so that a frame
+ * recorded on another connection, or earlier on this one, is rejected.
  */
 enum st_status
 Wr_FrameMac(const char *key, const uint8_t *from_nonce,
--- a/packages/policy/choose_baseline.c
+++ b/packages/policy/choose_baseline.c
@@ -1,5 +1,5 @@
 /*
- * The usual ways to choose, to measure against.
+ * Common balancing policies, as baselines for measurements.
  */
 #include "policy/choose.h"
 #include "policy/choose_internal.h"
@@ -7,7 +7,7 @@
 static size_t
 least_in_flight(struct ch_table *table, const struct ch_request *request,
                 const struct ch_candidate *candidates, size_t count,
-                struct rn_random *random, bool *affine)
+                struct rn_random *random, bool *by_affinity)
 {
     size_t best = 0;
     size_t ties = 1;
@@ -28,15 +28,15 @@
 static size_t
 round_robin(struct ch_table *table, const struct ch_request *request,
             const struct ch_candidate *candidates, size_t count,
-            struct rn_random *random, bool *affine)
+            struct rn_random *random, bool *by_affinity)
 {
-    return (size_t)(table->turn++ % count);
+    return (size_t)(table->round_robin_next++ % count);
 }
 
 static size_t
 at_random(struct ch_table *table, const struct ch_request *request,
           const struct ch_candidate *candidates, size_t count,
-          struct rn_random *random, bool *affine)
+          struct rn_random *random, bool *by_affinity)
 {
     return Rn_Below(random, (uint32_t)count);
 }
@@ -45,21 +45,19 @@
 static const struct ch_ops round_ops = {"round-robin", round_robin};
 static const struct ch_ops random_ops = {"random", at_random};
 
-/* The endpoint with the fewest requests of this router. */
+/* The endpoint with the fewest requests of this router in flight. */
 const struct ch_ops *
 Ch_LeastInFlight(void)
 {
     return &least_ops;
 }
 
-/* Each endpoint in turn. */
 const struct ch_ops *
 Ch_RoundRobin(void)
 {
     return &round_ops;
 }
 
-/* Any endpoint. */
 const struct ch_ops *
 Ch_Random(void)
 {
--- a/packages/policy/test/brittle_test.cc
+++ b/packages/policy/test/brittle_test.cc
@@ -14,211 +14,217 @@
 const int64_t kMs = Ck_USEC_PER_MSEC;
 const int64_t kNow = 1000 * Ck_USEC_PER_SEC;
 
-// A host that sends a request in some seconds forgets between two of them.
-TEST(Brittle, WhatAnAnswerSaidIsKeptInMind)
+// Guards against an endpoint report that expires at a host with seconds
+// between two requests.
+TEST(Brittle, EndpointReportExpiresAfter30Seconds)
 {
-    br_room room = {};
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow));
-    Br_Told(&room, 5, kNow);
-    EXPECT_TRUE(Br_IsBrittle(&room, kNow + 29999 * kMs));
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 30000 * kMs));
+    struct br_state state = {};
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow));
+    Br_NoteEndpointReport(&state, 5, kNow);
+    EXPECT_TRUE(Br_IsBrittle(&state, kNow + 29999 * kMs));
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 30000 * kMs));
 }
 
-TEST(Brittle, WhatAnotherHostSaidIsOverSomeSecondsAfterItsLastWord)
+TEST(Brittle, PeerReportExpiresAfter3Seconds)
 {
-    br_room room = {};
-    Br_Heard(&room, 5, kNow);
-    EXPECT_FALSE(Br_IsTold(&room, kNow));
-    EXPECT_TRUE(Br_IsBrittle(&room, kNow + 2999 * kMs));
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 3000 * kMs));
+    struct br_state state = {};
+    Br_NotePeerReport(&state, 5, kNow);
+    EXPECT_FALSE(Br_ShouldReport(&state, kNow));
+    EXPECT_TRUE(Br_IsBrittle(&state, kNow + 2999 * kMs));
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 3000 * kMs));
 }
 
-// Hosts that tell each other what they were told keep it alive for ever.
-TEST(Brittle, OnlyWhatAnAnswerSaidLatelyIsToldOn)
+// Guards against hosts that pass on reports of other hosts: the reports would
+// never expire.
+TEST(Brittle, OnlyARecentEndpointReportIsPassedOn)
 {
-    br_room room = {};
-    Br_Told(&room, 5, kNow);
-    Br_Heard(&room, 5, kNow + 2999 * kMs);
-    EXPECT_TRUE(Br_IsTold(&room, kNow + 2999 * kMs));
-    EXPECT_FALSE(Br_IsTold(&room, kNow + 3000 * kMs));
+    struct br_state state = {};
+    Br_NoteEndpointReport(&state, 5, kNow);
+    Br_NotePeerReport(&state, 5, kNow + 2999 * kMs);
+    EXPECT_TRUE(Br_ShouldReport(&state, kNow + 2999 * kMs));
+    EXPECT_FALSE(Br_ShouldReport(&state, kNow + 3000 * kMs));
 }
 
-// An answer under way, or of an endpoint that never said it, ends it for all.
+// Guards against a limit that is withdrawn for all endpoints by the answer to
+// an earlier request, or by an endpoint that never reported the limit.
 TEST(Brittle, IsOverWithAnAnswerOfTheSameEndpointToALaterRequest)
 {
-    br_room room = {};
-    Br_Told(&room, 5, kNow);
-    EXPECT_FALSE(Br_IsOver(&room, kNow + 1));
-    room.said = true;
-    EXPECT_FALSE(Br_IsOver(&room, kNow));
-    EXPECT_TRUE(Br_IsOver(&room, kNow + 1));
-    Br_End(&room);
-    EXPECT_FALSE(Br_IsBrittle(&room, kNow + 1));
+    struct br_state state = {};
+    Br_NoteEndpointReport(&state, 5, kNow);
+    EXPECT_FALSE(Br_IsWithdrawn(&state, kNow + 1));
+    state.self_reported = true;
+    EXPECT_FALSE(Br_IsWithdrawn(&state, kNow));
+    EXPECT_TRUE(Br_IsWithdrawn(&state, kNow + 1));
+    Br_Clear(&state);
+    EXPECT_FALSE(Br_IsBrittle(&state, kNow + 1));
 }
 
-// All hosts together turn an endpoint over, each with one request a second.
-TEST(Brittle, AllPartsTogetherStayBelowTheBound)
+// Guards against an endpoint that fails because each of many hosts sends it
+// one request a second.
+TEST(Brittle, UnconfirmedRequestsOfAllHostsStayWithinTheLimit)
 {
-    for (int most = 1; most <= 40; most++) {
+    for (int refusal_limit = 1; refusal_limit <= 40; refusal_limit++) {
         for (size_t hosts : {1, 2, 7, 60, 420}) {
-            br_part part = Br_Part(most, hosts, 9);
-            EXPECT_GE(part.hosts, 1u);
-            EXPECT_LE(part.hosts * (size_t)part.each + part.halves -
-                          part.hosts,
-                      (size_t)most)
-                << most << " by " << hosts;
+            struct br_quota quota = Br_Quota(refusal_limit, hosts, 9);
+            EXPECT_GE(quota.full_hosts, 1u);
+            EXPECT_LE(quota.full_hosts * (size_t)quota.max_unconfirmed +
+                          quota.half_hosts - quota.full_hosts,
+                      (size_t)refusal_limit)
+                << refusal_limit << " by " << hosts;
         }
     }
 }
 
-// A host that was turned away comes back within the second that counts.
-TEST(Brittle, StaysAwayForASecondAfterARefusal)
+// Guards against a host that sends again within the second over which the
+// endpoint counts refusals.
+TEST(Brittle, SendsNothingForASecondAfterARefusal)
 {
-    br_room room = {};
-    br_part part = {1, 1, 1, 1};
-    EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow));
-    Br_Refused(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow + 1000 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow + 1100 * kMs));
+    struct br_state state = {};
+    struct br_quota quota = {1, 1, 1, 1};
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow));
+    Br_Refused(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + 1000 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow + 1100 * kMs));
 }
 
-TEST(Brittle, OneRequestAtATimeIsNotKnownToBeTaken)
+TEST(Brittle, OneRequestAtATimeIsUnconfirmed)
 {
-    br_room room = {};
-    br_part part = {2, 1, 2, 1};
-    Br_Sent(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 1, 8, kNow + 49 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow + 50 * kMs));
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 2, 1};
+    Br_Sent(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 1, 8, kNow + 49 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow + 50 * kMs));
 }
 
-TEST(Brittle, OthersUseOnlyTheirBestAndOnlyHalfOfIt)
+TEST(Brittle, NextRanksUseOnlyHalfOfTheirBestEndpoint)
 {
-    br_room room = {};
-    br_part part = {2, 1, 3, 2};
-    room.rank = 2;
-    EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow));
-    room.best = true;
-    EXPECT_TRUE(Br_MaySend(&room, &part, 3, 8, kNow));
-    EXPECT_FALSE(Br_MaySend(&room, &part, 4, 8, kNow));
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 3, 2};
+    state.rank = 2;
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow));
+    state.best = true;
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 3, 8, kNow));
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 4, 8, kNow));
 }
 
-TEST(Brittle, ThoseBeyondUseAnIdleOneNowAndThen)
+TEST(Brittle, LowRanksUseANearlyIdleEndpointAtIntervals)
 {
-    br_room room = {};
-    br_part part = {2, 1, 3, 2};
-    room.rank = 3;
-    room.best = true;
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow));
-    EXPECT_FALSE(Br_MaySend(&room, &part, 2, 8, kNow));
-    Br_Sent(&room, kNow);
-    EXPECT_FALSE(Br_MaySend(&room, &part, 1, 8, kNow + 999 * kMs));
-    EXPECT_TRUE(Br_MaySend(&room, &part, 1, 8, kNow + 1000 * kMs));
+    struct br_state state = {};
+    struct br_quota quota = {2, 1, 3, 2};
+    state.rank = 3;
+    state.best = true;
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow));
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 2, 8, kNow));
+    Br_Sent(&state, kNow);
+    EXPECT_FALSE(Br_MaySend(&state, &quota, 1, 8, kNow + 999 * kMs));
+    EXPECT_TRUE(Br_MaySend(&state, &quota, 1, 8, kNow + 1000 * kMs));
 }
 
-// All hosts beyond, which have sent nothing yet, take their turn at once.
-TEST(Brittle, ThoseBeyondTakeTheirFirstTurnsOneAfterTheOther)
+// Guards against hosts of low rank that all take their first turn at once, as
+// none of them has sent anything yet.
+TEST(Brittle, LowRanksTakeTheirFirstTurnsOneAfterTheOther)
 {
-    br_part part = {2, 1, 3, 2};
+    struct br_quota quota = {2, 1, 3, 2};
     for (size_t rank = 3; rank <= 4; rank++) {
-        br_room room = {};
-        room.rank = rank;
-        room.best = true;
-        Br_Told(&room, 5, kNow);
+        struct br_state state = {};
+        state.rank = rank;
+        state.best = true;
+        Br_NoteEndpointReport(&state, 5, kNow);
         int64_t turn = (rank % 2 == 0 ? 500 : 1000) * kMs;
-        EXPECT_FALSE(Br_MaySend(&room, &part, 0, 8, kNow + turn - 1));
-        EXPECT_TRUE(Br_MaySend(&room, &part, 0, 8, kNow + turn));
+        EXPECT_FALSE(Br_MaySend(&state, &quota, 0, 8, kNow + turn - 1));
+        EXPECT_TRUE(Br_MaySend(&state, &quota, 0, 8, kNow + turn));
     }
 }
 
 /*
- * Hosts that know each other's requests late, before endpoints that let none
- * wait and fall over when they turn too many away in a second.
+ * Simulates hosts that learn of each other's requests late, and endpoints
+ * without a queue that fail when they refuse too many requests in a second.
  */
-enum Way {
-    kAsEver,  // queues as before, left alone for a tenth of a second
-    kClosed,  // no queue, left alone for a second
-    kClaimed, // the same, by the first few hosts only
+enum Policy {
+    kUnlimited, // each host sends up to three times the slots
+    kBackOff,   // each host fills the slots, and backs off after a refusal
+    kRanked,    // the same, but the slots are divided by rank
 };
 
 // How hosts learn that endpoints are brittle.
 enum Learning {
-    kKnown,     // all know from the beginning
-    kForgetful, // by answers, and forget after 3 s without one
-    kAnswers,   // by answers
-    kPeers,     // by answers, and those who had one tell the others
+    kKnown,        // all hosts know it from the beginning
+    kAnswersShort, // from answers; expires after 3 s without one
+    kAnswers,      // from answers
+    kPeers,        // from answers, and from reports of other hosts
 };
 
 struct Scene {
     size_t hosts;
     size_t endpoints;
     int slots;
-    int most;
-    double load; // of all slots
-    int64_t lag; // until other hosts' requests are known
-    int64_t work;
+    int refusal_limit;
+    double load;  // offered load as a share of all slots
+    int64_t lag;  // until peers' requests are known, us
+    int64_t work; // mean time of a request, us
 };
 
-struct Played {
-    int falls = 0;
-    int asked = 0;
+struct Result {
+    int failures = 0;
+    int requests = 0;
     int served = 0;
 };
 
 class Model {
   public:
-    Model(const Scene &scene, Way way, Learning learning, unsigned seed)
-        : scene_(scene), way_(way), learning_(learning), random_(seed),
+    Model(const Scene &scene, Policy policy, Learning learning, unsigned seed)
+        : scene_(scene), policy_(policy), learning_(learning), random_(seed),
           endpoints_(scene.endpoints),
-          rooms_(scene.hosts, std::vector<br_room>(scene.endpoints)),
+          states_(scene.hosts, std::vector<struct br_state>(scene.endpoints)),
           own_(scene.hosts, std::vector<int>(scene.endpoints)),
-          told_(scene.endpoints),
-          part_(Br_Part(scene.most, scene.hosts, scene.endpoints)),
-          begins_(learning == kKnown ? kNow : kNow + kSettled)
+          reported_(scene.endpoints),
+          quota_(Br_Quota(scene.refusal_limit, scene.hosts, scene.endpoints)),
+          begins_(learning == kKnown ? kNow : kNow + kBrittleAfter)
     {
-        if (way == kClosed) {
-            part_ = {scene.hosts, 1000, scene.hosts, 1};
+        if (policy == kBackOff) {
+            quota_ = {scene.hosts, 1000, scene.hosts, 1};
         }
         for (size_t host = 0; host < scene.hosts; host++) {
             Rank(host);
             if (learning == kKnown) {
-                Answered(host);
+                RecordAnswer(host);
             }
         }
     }
 
-    Played
+    Result
     Run()
     {
         double rate = scene_.load * (double)scene_.endpoints * scene_.slots /
                       (double)scene_.work;
         std::poisson_distribution<int> arrivals(rate * (double)kStep);
-        for (now_ = kNow; now_ < begins_ + kLasts; now_ += kStep) {
+        for (now_ = kNow; now_ < begins_ + kDuration; now_ += kStep) {
             Finish();
-            TellPeers();
+            ReportToPeers();
             for (int n = arrivals(random_); n > 0; n--) {
                 Request(random_() % scene_.hosts);
             }
-            Remember();
+            RecordHistory();
         }
-        return played_;
+        return result_;
     }
 
   private:
     static const int64_t kStep = 2 * Ck_USEC_PER_MSEC;
-    static const int64_t kLasts = 10 * Ck_USEC_PER_SEC;
-    // As ever until then, where hosts have to learn.
-    static const int64_t kSettled = 2 * Ck_USEC_PER_SEC;
-    static const int64_t kGetAround = 3 * Ck_USEC_PER_SEC;
-    static const int64_t kWordGap = 100 * Ck_USEC_PER_MSEC;
+    static const int64_t kDuration = 10 * Ck_USEC_PER_SEC;
+    // If hosts have to learn of the limit, endpoints report it from then on.
+    static const int64_t kBrittleAfter = 2 * Ck_USEC_PER_SEC;
+    static const int64_t kLearningTime = 3 * Ck_USEC_PER_SEC;
+    static const int64_t kPeerReportGap = 100 * Ck_USEC_PER_MSEC;
 
-    struct Run1 {
+    struct Running {
         size_t host;
         int64_t ends;
     };
     struct Endpoint {
-        std::vector<Run1> runs;
+        std::vector<Running> runs;
         std::deque<int64_t> refused;
-        std::deque<int> told; // running at each step, the newest last
+        std::deque<int> history; // running at each step, the newest last
         int64_t down_until = 0;
     };
 
@@ -229,17 +235,17 @@
         hosts.own = host * 7919 + 1;
         for (size_t i = 0; i < scene_.hosts; i++) {
             if (i != host) {
-                hosts.others[hosts.count++] = i * 7919 + 1;
+                hosts.peers[hosts.count++] = i * 7919 + 1;
             }
         }
         size_t best = 0;
         for (size_t e = 0; e < scene_.endpoints; e++) {
-            rooms_[host][e].rank = Wu_Rank(&hosts, e * 104729 + 3);
-            if (rooms_[host][e].rank < rooms_[host][best].rank) {
+            states_[host][e].rank = Wu_Rank(&hosts, e * 104729 + 3);
+            if (states_[host][e].rank < states_[host][best].rank) {
                 best = e;
             }
         }
-        rooms_[host][best].best = true;
+        states_[host][best].best = true;
     }
 
     void
@@ -261,102 +267,103 @@
     }
 
     void
-    Remember()
+    RecordHistory()
     {
         for (size_t e = 0; e < endpoints_.size(); e++) {
             Endpoint &endpoint = endpoints_[e];
-            endpoint.told.push_back((int)endpoint.runs.size());
-            if ((int64_t)endpoint.told.size() > scene_.lag / kStep) {
-                endpoint.told.pop_front();
+            endpoint.history.push_back((int)endpoint.runs.size());
+            if ((int64_t)endpoint.history.size() > scene_.lag / kStep) {
+                endpoint.history.pop_front();
             }
-            told_[e] = endpoint.told.front();
+            reported_[e] = endpoint.history.front();
         }
     }
 
-    // What the host takes to be running there.
+    // The requests that the host assumes to be running there.
     int
-    Known(size_t host, size_t e) const
+    EstimatedRunning(size_t host, size_t e) const
     {
-        int told = told_.data()[e];
+        int reported = reported_.data()[e];
         int own = own_.data()[host].data()[e];
-        return told > own ? told : own;
+        return reported > own ? reported : own;
     }
 
     bool
-    Knows(const br_room *room) const
+    IsKnownBrittle(const struct br_state *state) const
     {
         if (learning_ == kKnown) {
             return true;
         }
-        return Br_IsBrittle(room, now_) &&
-               (learning_ != kForgetful || Br_IsTold(room, now_));
+        return Br_IsBrittle(state, now_) &&
+               (learning_ != kAnswersShort || Br_ShouldReport(state, now_));
     }
 
-    // An answer says so; it holds for all endpoints.
+    // An answer reports the refusal limit; it holds for all endpoints.
     void
-    Answered(size_t host)
+    RecordAnswer(size_t host)
     {
         if (now_ < begins_) {
             return;
         }
-        for (br_room &room : rooms_[host]) {
-            Br_Told(&room, scene_.most, now_);
+        for (struct br_state &state : states_[host]) {
+            Br_NoteEndpointReport(&state, scene_.refusal_limit, now_);
         }
-        first_told_ = std::min(first_told_, now_);
+        first_report_ = std::min(first_report_, now_);
     }
 
     void
-    TellPeers()
+    ReportToPeers()
     {
-        bool due = (now_ - kNow) % kWordGap == 0;
-        if (learning_ != kPeers || !due || now_ - scene_.lag < first_told_) {
+        bool due = (now_ - kNow) % kPeerReportGap == 0;
+        if (learning_ != kPeers || !due || now_ - scene_.lag < first_report_) {
             return;
         }
-        for (auto &rooms : rooms_) {
-            for (br_room &room : rooms) {
-                Br_Heard(&room, scene_.most, now_);
+        for (auto &states : states_) {
+            for (struct br_state &state : states) {
+                Br_NotePeerReport(&state, scene_.refusal_limit, now_);
             }
         }
     }
 
-    // Until the word should have got around endpoints let some wait, and
-    // stand whatever they turn away.
+    // Whether endpoints have no queue and fail at the refusal limit.  Before
+    // that, while the hosts learn of the limit, they have a queue and survive
+    // any number of refusals.
     bool
-    Tight() const
+    IsBrittle() const
     {
-        return learning_ == kKnown || now_ >= begins_ + kGetAround;
+        return learning_ == kKnown || now_ >= begins_ + kLearningTime;
     }
 
     bool
     MaySend(size_t host, size_t e)
     {
-        const int fill = 3;
-        int known = Known(host, e);
-        const br_room *room = &rooms_.data()[host].data()[e];
-        if (way_ == kAsEver || !Knows(room)) {
-            return known < fill * scene_.slots;
+        const int queue_factor = 3;
+        int running = EstimatedRunning(host, e);
+        const struct br_state *state = &states_.data()[host].data()[e];
+        if (policy_ == kUnlimited || !IsKnownBrittle(state)) {
+            return running < queue_factor * scene_.slots;
         }
-        return Br_MaySend(room, &part_, known, scene_.slots, now_);
+        return Br_MaySend(state, &quota_, running, scene_.slots, now_);
     }
 
     void
     Request(size_t host)
     {
-        played_.asked++;
+        result_.requests++;
         const size_t count = scene_.endpoints;
         const Endpoint *endpoints = endpoints_.data();
-        const br_room *rooms = rooms_[host].data();
+        const struct br_state *states = states_[host].data();
         size_t best = count;
         for (size_t e = 0; e < count; e++) {
             if (endpoints[e].down_until > now_ || !MaySend(host, e)) {
                 continue;
             }
-            bool shunned = rooms[e].closed_until > now_;
-            bool best_shunned =
-                best < count && rooms[best].closed_until > now_;
-            if (best == count || (best_shunned && !shunned) ||
-                (best_shunned == shunned &&
-                 Known(host, e) < Known(host, best))) {
+            bool backed_off = states[e].backoff_until > now_;
+            bool best_backed_off =
+                best < count && states[best].backoff_until > now_;
+            if (best == count || (best_backed_off && !backed_off) ||
+                (best_backed_off == backed_off &&
+                 EstimatedRunning(host, e) < EstimatedRunning(host, best))) {
                 best = e;
             }
         }
@@ -369,63 +376,65 @@
     Send(size_t host, size_t e)
     {
         Endpoint &endpoint = endpoints_[e];
-        Br_Sent(&rooms_[host][e], now_);
-        Answered(host);
-        if ((int)endpoint.runs.size() < (Tight() ? 1 : 3) * scene_.slots) {
+        Br_Sent(&states_[host][e], now_);
+        RecordAnswer(host);
+        if ((int)endpoint.runs.size() < (IsBrittle() ? 1 : 3) * scene_.slots) {
             std::exponential_distribution<double> work(1.0 /
                                                        (double)scene_.work);
             endpoint.runs.push_back({host, now_ + (int64_t)work(random_)});
             own_[host][e]++;
-            played_.served++;
+            result_.served++;
             return;
         }
-        Br_Refused(&rooms_[host][e], now_);
+        Br_Refused(&states_[host][e], now_);
         endpoint.refused.push_back(now_);
         while (endpoint.refused.front() <= now_ - Ck_USEC_PER_SEC) {
             endpoint.refused.pop_front();
         }
-        if (Tight() && (int)endpoint.refused.size() > scene_.most) {
-            played_.falls++;
+        if (IsBrittle() &&
+            (int)endpoint.refused.size() > scene_.refusal_limit) {
+            result_.failures++;
             endpoint.refused.clear();
             endpoint.down_until = now_ + 3 * Ck_USEC_PER_SEC;
         }
     }
 
     Scene scene_;
-    Way way_;
+    Policy policy_;
     Learning learning_;
-    int64_t first_told_ = INT64_MAX / 2;
+    int64_t first_report_ = INT64_MAX / 2;
     std::mt19937 random_;
     std::vector<Endpoint> endpoints_;
-    std::vector<std::vector<br_room>> rooms_;
+    std::vector<std::vector<struct br_state>> states_;
     std::vector<std::vector<int>> own_;
-    std::vector<int> told_; // running at each endpoint, as hosts are told
-    br_part part_;
-    int64_t begins_; // when endpoints begin to say so
+    std::vector<int> reported_; // running at each endpoint, after the lag
+    struct br_quota quota_;
+    int64_t begins_; // when endpoints begin to report the limit
     int64_t now_ = kNow;
-    Played played_;
+    Result result_;
 };
 
 struct Sum {
-    int worst = 0; // falls in one time
-    double served = 0;
+    int worst = 0;     // most failures in one run
+    double served = 0; // mean share of the requests
 };
 
 Sum
-Play(const Scene &scene, Way way, Learning learning = kKnown)
+RunScene(const Scene &scene, Policy policy, Learning learning = kKnown)
 {
     const unsigned seeds = 3;
     Sum sum;
     for (unsigned seed = 1; seed <= seeds; seed++) {
-        Played played = Model(scene, way, learning, seed).Run();
-        sum.worst = std::max(sum.worst, played.falls);
-        sum.served += (double)played.served / played.asked / seeds;
+        Result result = Model(scene, policy, learning, seed).Run();
+        sum.worst = std::max(sum.worst, result.failures);
+        sum.served += (double)result.served / result.requests / seeds;
     }
     return sum;
 }
 
-// Few refusals borne, and many hosts for each endpoint.
-TEST(BrittleModel, EndpointsStandBeforeManyHosts)
+// Guards against endpoints that fail when their refusal limit is low and many
+// hosts send to each of them.
+TEST(BrittleModel, EndpointsSurviveManyHosts)
 {
     const Scene scenes[] = {
         {300, 63, 32, 2, 1.9, 400 * kMs, 30 * kMs},
@@ -434,16 +443,16 @@
         {60, 36, 32, 3, 1.2, 400 * kMs, 600 * kMs},
     };
     for (const Scene &scene : scenes) {
-        Sum claimed = Play(scene, kClaimed);
-        std::cout << "falls " << claimed.worst << ", served " << claimed.served
-                  << "\n";
-        EXPECT_LE(claimed.worst, 2 + (int)scene.endpoints / 10);
+        Sum ranked = RunScene(scene, kRanked);
+        std::cout << "failures " << ranked.worst << ", served "
+                  << ranked.served << "\n";
+        EXPECT_LE(ranked.worst, 2 + (int)scene.endpoints / 10);
     }
 }
 
-// Hosts that send little do not know, or forget, and fill endpoints that let
-// none wait.
-TEST(BrittleModel, EndpointsStandBeforeHostsThatSendLittle)
+// Guards against hosts that send few requests, do not learn of the limit or
+// let it expire, and overfill endpoints without a queue.
+TEST(BrittleModel, EndpointsSurviveHostsThatSendLittle)
 {
     const Scene scenes[] = {
         {300, 10, 6, 3, 1.2, 400 * kMs, 600 * kMs},
@@ -452,20 +461,21 @@
         {60, 5, 6, 2, 1.2, 400 * kMs, 600 * kMs},
     };
     for (const Scene &scene : scenes) {
-        Sum known = Play(scene, kClaimed, kKnown);
-        Sum forgetful = Play(scene, kClaimed, kForgetful);
-        Sum answers = Play(scene, kClaimed, kAnswers);
-        Sum peers = Play(scene, kClaimed, kPeers);
-        std::cout << "falls " << known.worst << " / " << forgetful.worst
+        Sum known = RunScene(scene, kRanked, kKnown);
+        Sum answers_short = RunScene(scene, kRanked, kAnswersShort);
+        Sum answers = RunScene(scene, kRanked, kAnswers);
+        Sum peers = RunScene(scene, kRanked, kPeers);
+        std::cout << "failures " << known.worst << " / " << answers_short.worst
                   << " / " << answers.worst << " / " << peers.worst
-                  << ", served " << known.served << " / " << forgetful.served
-                  << " / " << answers.served << " / " << peers.served << "\n";
+                  << ", served " << known.served << " / "
+                  << answers_short.served << " / " << answers.served << " / "
+                  << peers.served << "\n";
         EXPECT_LE(peers.worst, 2 + (int)scene.endpoints / 10);
     }
 }
 
-// Endpoints that may let none wait fall over one after the other.
-TEST(BrittleModel, EndpointsStandWhateverTheLoad)
+// Guards against endpoints without a queue that fail one after the other.
+TEST(BrittleModel, EndpointsSurviveAnyLoad)
 {
     const char *more = getenv("BRITTLE_SCENES");
     int scenes = more == nullptr ? 12 : atoi(more);
@@ -476,23 +486,23 @@
         scene.hosts = sizes[random() % 5];
         scene.endpoints = 4 + random() % (scene.hosts > 24 ? 60 : 15);
         scene.slots = random() % 2 ? 6 : 32;
-        scene.most = 2 + (int)(random() % 20);
+        scene.refusal_limit = 2 + (int)(random() % 20);
         scene.load = 0.5 + (double)(random() % 20) / 10;
         scene.lag = (scene.hosts > 24 ? 400 : 100) * kMs;
         scene.work = (random() % 2 ? 30 : 600) * kMs;
-        Sum ever = Play(scene, kAsEver);
-        Sum closed = Play(scene, kClosed);
-        Sum claimed = Play(scene, kClaimed);
-        Sum learned = Play(scene, kClaimed, kPeers);
+        Sum unlimited = RunScene(scene, kUnlimited);
+        Sum backed_off = RunScene(scene, kBackOff);
+        Sum ranked = RunScene(scene, kRanked);
+        Sum learned = RunScene(scene, kRanked, kPeers);
         std::cout << scene.hosts << " hosts, " << scene.endpoints
-                  << " endpoints of " << scene.slots << ", bears "
-                  << scene.most << ", load " << scene.load << ", work "
-                  << scene.work / kMs << " ms: falls " << ever.worst << " / "
-                  << closed.worst << " / " << claimed.worst << " / "
-                  << learned.worst << ", served " << ever.served << " / "
-                  << closed.served << " / " << claimed.served << " / "
-                  << learned.served << "\n";
-        EXPECT_LE(claimed.worst, 2 + (int)scene.endpoints / 10);
+                  << " endpoints of " << scene.slots << ", refusal limit "
+                  << scene.refusal_limit << ", load " << scene.load
+                  << ", work " << scene.work / kMs << " ms: failures "
+                  << unlimited.worst << " / " << backed_off.worst << " / "
+                  << ranked.worst << " / " << learned.worst << ", served "
+                  << unlimited.served << " / " << backed_off.served << " / "
+                  << ranked.served << " / " << learned.served << "\n";
+        EXPECT_LE(ranked.worst, 2 + (int)scene.endpoints / 10);
         EXPECT_LE(learned.worst, 2 + (int)scene.endpoints / 10);
     }
 }
--- a/packages/state/budget.h
+++ b/packages/state/budget.h
@@ -1,7 +1,7 @@
 /*
- * Token buckets that keep this daemon's appends within its share of what the
- * log takes, one for each purpose.  A more important purpose whose bucket is
- * empty takes from the least important one that has tokens left.
+ * Token buckets, one for each purpose, that limit this daemon's rate of
+ * appends to the log.  If the bucket of a purpose is empty, the append takes a
+ * token from the least important purpose that has one left.
  */
 #ifndef STATE_BUDGET_H
 #define STATE_BUDGET_H
@@ -19,7 +19,7 @@
     BG_CONFIG,
     BG_LEASE,
     BG_CLAIM,
-    BG_EVIDENCE,
+    BG_SNAPSHOT,
     BG_PURPOSES,
 };
 
@@ -27,8 +27,8 @@
 
 struct bg_budget *Bg_Create(const struct ck_clock *clock);
 void Bg_Destroy(struct bg_budget *budget);
-void Bg_Set(struct bg_budget *budget, enum bg_purpose purpose, double per_sec,
-            double burst);
+void Bg_SetRate(struct bg_budget *budget, enum bg_purpose purpose,
+                double per_sec, double burst);
 bool Bg_Take(struct bg_budget *budget, enum bg_purpose purpose);
 
 #ifdef __cplusplus
--- a/packages/state/leases.c
+++ b/packages/state/leases.c
@@ -24,7 +24,7 @@
 RB_GENERATE_INTERNAL(le_tree, le_job, node, compare,
                      static __attribute__((unused)))
 
-struct le_book {
+struct le_table {
     struct le_tree jobs;
     const struct ck_clock *clock;
     struct rc_writer self;
@@ -32,82 +32,82 @@
     struct ls_terms terms;
 };
 
-/* Makes a book without jobs; it must outlive its writer. */
+/* Creates an empty set of leases; it must outlive its writer. */
 enum st_status
-Le_Create(const struct le_options *options, struct le_book **out)
+Le_Create(const struct le_options *options, struct le_table **out)
 {
-    struct le_book *book = calloc(1, sizeof(*book));
-    if (book == NULL) {
+    struct le_table *table = calloc(1, sizeof(*table));
+    if (table == NULL) {
         return St_Fail(ST_NO_MEMORY, "no memory for leases");
     }
-    RB_INIT(&book->jobs);
-    book->clock = options->clock;
-    book->self = options->self;
-    book->writer = options->writer;
-    book->terms.term_usec =
+    RB_INIT(&table->jobs);
+    table->clock = options->clock;
+    table->self = options->self;
+    table->writer = options->writer;
+    table->terms.term_usec =
         options->term_usec > 0 ? options->term_usec : Le_TERM_USEC;
-    book->terms.margin_usec =
+    table->terms.margin_usec =
         options->margin_usec > 0 ? options->margin_usec : Le_MARGIN_USEC;
-    *out = book;
+    *out = table;
     return ST_OK;
 }
 
-/* Frees a book; its writer must be destroyed before. */
+/* Frees the leases; their writer must be destroyed before. */
 void
-Le_Destroy(struct le_book *book)
+Le_Destroy(struct le_table *table)
 {
-    if (book == NULL) {
+    if (table == NULL) {
         return;
     }
     struct le_job *job;
     struct le_job *next;
-    RB_FOREACH_SAFE (job, le_tree, &book->jobs, next) {
-        RB_REMOVE(le_tree, &book->jobs, job);
+    RB_FOREACH_SAFE (job, le_tree, &table->jobs, next) {
+        RB_REMOVE(le_tree, &table->jobs, job);
         free(job);
     }
-    free(book);
+    free(table);
 }
 
 static struct le_job *
-find(const struct le_book *book, const char *name)
+find(const struct le_table *table, const char *name)
 {
     struct le_job probe;
     strlcpy(probe.name, name, sizeof(probe.name));
-    /* RB_FIND() does not change the tree but takes no const one. */
-    return RB_FIND(le_tree, (struct le_tree *)&book->jobs, &probe);
+    /* RB_FIND() does not modify the tree but takes no const pointer. */
+    return RB_FIND(le_tree, (struct le_tree *)&table->jobs, &probe);
 }
 
 static struct le_job *
-find_or_add(struct le_book *book, const char *name)
+find_or_add(struct le_table *table, const char *name)
 {
-    struct le_job *job = find(book, name);
+    struct le_job *job = find(table, name);
     if (job != NULL) {
         return job;
     }
     job = calloc(1, sizeof(*job));
     if (job == NULL) {
-        abort(); /* a book without this job would judge unlike others */
+        abort(); /* replicas would diverge without this job */
     }
     strlcpy(job->name, name, sizeof(job->name));
-    Ls_Init(&job->agent, &book->self, &book->terms);
-    RB_INSERT(le_tree, &book->jobs, job);
+    Ls_Init(&job->agent, &table->self, &table->terms);
+    RB_INSERT(le_tree, &table->jobs, job);
     return job;
 }
 
 /*
- * Says whether this host should hold a job.  "order_usec" is the longest
- * life of an order at endpoints that compare no fencing numbers, 0 where all
- * compare them; every host must give the same.
+ * Sets whether this host should hold a job's lease.  "order_usec" is how long
+ * an order stays valid at endpoints that do not check fencing numbers, 0 if
+ * all endpoints check them; every host must pass the same value.
  */
 enum st_status
-Le_Want(struct le_book *book, const char *name, bool wanted,
+Le_Want(struct le_table *table, const char *name, bool wanted,
         int64_t order_usec)
 {
     if (name[0] == '\0' || strlen(name) >= Ls_JOB_MAX) {
         return St_Fail(ST_INVALID, "job name of %zu bytes; use 1 to %d",
                        strlen(name), Ls_JOB_MAX - 1);
     }
-    struct le_job *job = find_or_add(book, name);
+    struct le_job *job = find_or_add(table, name);
     job->agent.terms.order_usec = order_usec;
     Ls_Want(&job->agent, wanted);
     return ST_OK;
@@ -123,64 +123,70 @@
 }
 
 static void
-append(struct le_book *book, struct le_job *job, enum ls_op op, int64_t now)
+append(struct le_table *table, struct le_job *job, enum ls_op op, int64_t now)
 {
     struct ls_change change = {.op = op, .base = job->agent.lease.last};
     strlcpy(change.job, job->name, sizeof(change.job));
-    Ls_Sent(&job->agent, op, now);
-    if (Wr_Put(book->writer, BG_LEASE, Ls_KIND, Ls_Body(&change),
-               now + book->terms.term_usec, change_written, job) != ST_OK) {
+    Ls_BeforeSend(&job->agent, op, now);
+    if (Wr_Put(table->writer, BG_LEASE, Ls_KIND, Ls_Body(&change),
+               now + table->terms.term_usec, change_written, job) != ST_OK) {
         Ls_NotWritten(&job->agent);
     }
 }
 
 /*
- * Appends what is due.  "ready" and "tail_asked" are Sn_AtTail() of the
- * control stream's replica: without a known state nothing is taken.
+ * Appends the lease records that are due.  "ready" and "tail_read_at" are the
+ * results of Sn_AtTail() for the control stream's replica: no lease is taken
+ * while the replica's state is not known.
  */
 void
-Le_Tick(struct le_book *book, bool ready, int64_t tail_asked)
+Le_Tick(struct le_table *table, bool ready, int64_t tail_read_at)
 {
     if (!ready) {
         return;
     }
-    int64_t now = Ck_Now(book->clock);
+    int64_t now = Ck_Now(table->clock);
     struct le_job *job;
-    RB_FOREACH (job, le_tree, &book->jobs) {
-        enum ls_op op = Ls_Due(&job->agent, now, tail_asked);
+    RB_FOREACH (job, le_tree, &table->jobs) {
+        enum ls_op op = Ls_Due(&job->agent, now, tail_read_at);
         if (op != LS_NOTHING) {
-            append(book, job, op, now);
+            append(table, job, op, now);
         }
     }
 }
 
-/* Forgets what the log said; what this host wants and has sent stays. */
+/*
+ * Clears the leases; which leases this host wants and its records in flight
+ * stay.
+ */
 void
-Le_Reset(struct le_book *book)
+Le_Reset(struct le_table *table)
 {
     struct ls_lease none = {.last = 0};
     struct le_job *job;
-    RB_FOREACH (job, le_tree, &book->jobs) {
-        Ls_Loaded(&job->agent, &none, Ck_Now(book->clock));
+    RB_FOREACH (job, le_tree, &table->jobs) {
+        Ls_Loaded(&job->agent, &none, Ck_Now(table->clock));
     }
 }
 
 /* Applies the next record of the stream. */
 void
-Le_Apply(struct le_book *book, const struct rc_record *record)
+Le_Apply(struct le_table *table, const struct rc_record *record)
 {
     struct ls_change change;
-    if (!Rc_Is(record, Ls_KIND) || !Ls_Read(record->body, &change)) {
+    if (!Rc_IsKind(record, Ls_KIND) || !Ls_Read(record->body, &change)) {
         return;
     }
-    struct le_job *job = find_or_add(book, change.job);
+    struct le_job *job = find_or_add(table, change.job);
     Ls_Applied(&job->agent, &record->writer, record->offset, &change,
-               Ck_Now(book->clock));
+               Ck_Now(table->clock));
 }
 
-/* Adds the entry of one job; entries of other modules are skipped. */
+/*
+ * Loads the snapshot entry of one job; entries of other modules are ignored.
+ */
 void
-Le_Load(struct le_book *book, const json_t *entry)
+Le_Load(struct le_table *table, const json_t *entry)
 {
     const char *name = Rc_Text(entry, "lease");
     if (name[0] == '\0') {
@@ -192,14 +198,14 @@
         .fence = (uint64_t)Rc_Number(entry, "fence"),
     };
     strlcpy(lease.holder.node, Rc_Text(entry, "n"), sizeof(lease.holder.node));
-    Ls_Loaded(&find_or_add(book, name)->agent, &lease, Ck_Now(book->clock));
+    Ls_Loaded(&find_or_add(table, name)->agent, &lease, Ck_Now(table->clock));
 }
 
-/* Appends the entries of all jobs to a snapshot's list. */
+/* Appends the snapshot entries of all jobs to a list. */
 void
-Le_Save(const struct le_book *book, json_t *list)
+Le_Save(const struct le_table *table, json_t *list)
 {
-    struct le_tree *jobs = (struct le_tree *)&book->jobs;
+    struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
     RB_FOREACH (job, le_tree, jobs) {
         const struct ls_lease *lease = &job->agent.lease;
@@ -215,27 +221,31 @@
     }
 }
 
-/* As Ls_MayAct(), with the clock read now.  Call it right before an order. */
+/*
+ * Calls Ls_MayAct() with the current time.  Must be called right before each
+ * order is sent.
+ */
 bool
-Le_MayAct(const struct le_book *book, const char *name, struct ls_permit *out)
+Le_MayAct(const struct le_table *table, const char *name,
+          struct ls_permit *out)
 {
-    const struct le_job *job = find(book, name);
-    return job != NULL && Ls_MayAct(&job->agent, Ck_Now(book->clock), out);
+    const struct le_job *job = find(table, name);
+    return job != NULL && Ls_MayAct(&job->agent, Ck_Now(table->clock), out);
 }
 
-/* Whether the log says that this host holds the job. */
+/* Whether this host holds the job's lease according to the log. */
 bool
-Le_Holds(const struct le_book *book, const char *name)
+Le_Holds(const struct le_table *table, const char *name)
 {
-    const struct le_job *job = find(book, name);
+    const struct le_job *job = find(table, name);
     return job != NULL && Ls_Holds(&job->agent);
 }
 
-/* What the log says about a job; false when nothing. */
+/* Gets a job's lease; returns false if the log has no record of it. */
 bool
-Le_Get(const struct le_book *book, const char *name, struct ls_lease *out)
+Le_Get(const struct le_table *table, const char *name, struct ls_lease *out)
 {
-    const struct le_job *job = find(book, name);
+    const struct le_job *job = find(table, name);
     if (job == NULL || job->agent.lease.last == 0) {
         return false;
     }
@@ -243,11 +253,11 @@
     return true;
 }
 
-/* Number of jobs this host holds. */
+/* Number of leases that this host holds. */
 size_t
-Le_Held(const struct le_book *book)
+Le_Held(const struct le_table *table)
 {
-    struct le_tree *jobs = (struct le_tree *)&book->jobs;
+    struct le_tree *jobs = (struct le_tree *)&table->jobs;
     struct le_job *job;
     size_t count = 0;
     RB_FOREACH (job, le_tree, jobs) {
--- a/packages/state/test/leases_test.cc
+++ b/packages/state/test/leases_test.cc
@@ -16,10 +16,13 @@
 const int64_t kTerm = 3 * Ck_USEC_PER_SEC;
 const int64_t kOrder = 3 * Ck_USEC_PER_SEC / 2;
 
-/* What the endpoints saw: the newest fence, and when orders end. */
+/*
+ * The newest fencing number that an endpoint received, and when the last order
+ * expires.
+ */
 struct Endpoint {
     uint64_t fence = 0;
-    int64_t ends = 0;
+    int64_t order_ends = 0;
     std::string by;
     int orders = 0;
     int changes = 0;
@@ -31,7 +34,7 @@
     struct bg_budget *budget;
     struct wr_writer *writer = nullptr;
     struct sn_replica *replica = nullptr;
-    struct le_book *book = nullptr;
+    struct le_table *table = nullptr;
     std::string name;
 
     Host(FakeLog &l, FakeClock &c, const char *n)
@@ -46,7 +49,7 @@
         write.clock = &c.clock;
         write.budget = budget;
         for (int i = 0; i < BG_PURPOSES; i++) {
-            Bg_Set(budget, (enum bg_purpose)i, 1000, 1000);
+            Bg_SetRate(budget, (enum bg_purpose)i, 1000, 1000);
         }
         EXPECT_EQ(ST_OK, Wr_Create(&write, &writer));
         struct le_options options = {};
@@ -55,7 +58,7 @@
         options.writer = writer;
         options.term_usec = kTerm;
         options.margin_usec = kTerm / 10;
-        EXPECT_EQ(ST_OK, Le_Create(&options, &book));
+        EXPECT_EQ(ST_OK, Le_Create(&options, &table));
         struct sn_options replicate = {};
         replicate.log = &l.log;
         replicate.stream = "control";
@@ -66,15 +69,15 @@
         replicate.ops = &kOps;
         replicate.arg = this;
         EXPECT_EQ(ST_OK, Sn_Create(&replicate, &replica));
-        Sn_SetWriting(replica, true);
-        EXPECT_EQ(ST_OK, Le_Want(book, "fenced", true, 0));
-        EXPECT_EQ(ST_OK, Le_Want(book, "plain", true, kOrder));
+        Sn_EnableSnapshots(replica, true);
+        EXPECT_EQ(ST_OK, Le_Want(table, "fenced", true, 0));
+        EXPECT_EQ(ST_OK, Le_Want(table, "plain", true, kOrder));
     }
 
     ~Host()
     {
         Wr_Destroy(writer);
-        Le_Destroy(book);
+        Le_Destroy(table);
         Sn_Destroy(replica);
         Bg_Destroy(budget);
     }
@@ -82,9 +85,9 @@
     void
     Tick()
     {
-        int64_t asked = 0;
-        bool ready = Sn_AtTail(replica, &asked);
-        Le_Tick(book, ready, asked);
+        int64_t sent_at = 0;
+        bool ready = Sn_AtTail(replica, &sent_at);
+        Le_Tick(table, ready, sent_at);
         Wr_Tick(writer);
         Sn_Tick(replica);
     }
@@ -92,27 +95,27 @@
     static void
     Reset(void *arg)
     {
-        Le_Reset(static_cast<Host *>(arg)->book);
+        Le_Reset(static_cast<Host *>(arg)->table);
     }
 
     static void
     Apply(void *arg, const struct rc_record *record)
     {
-        Le_Apply(static_cast<Host *>(arg)->book, record);
+        Le_Apply(static_cast<Host *>(arg)->table, record);
     }
 
     static json_t *
     Save(void *arg)
     {
         json_t *list = json_array();
-        Le_Save(static_cast<Host *>(arg)->book, list);
+        Le_Save(static_cast<Host *>(arg)->table, list);
         return list;
     }
 
     static void
     Load(void *arg, const json_t *entry)
     {
-        Le_Load(static_cast<Host *>(arg)->book, entry);
+        Le_Load(static_cast<Host *>(arg)->table, entry);
     }
 
     static const struct sn_ops kOps;
@@ -120,33 +123,34 @@
 
 const struct sn_ops Host::kOps = {Reset, Apply, Save, Load, nullptr};
 
-/* Orders when it may; fails when an older holder acts after a newer one, or
- * while an order of an older one still lives. */
+/*
+ * Sends an order if the host may; fails if an older holder acts after a newer
+ * one, or while an order of an older holder has not expired.
+ */
 void
-Order(Host &host, const char *job, Endpoint &endpoint)
+SendOrder(Host &host, const char *job, Endpoint &endpoint)
 {
     struct ls_permit permit;
-    if (!Le_MayAct(host.book, job, &permit)) {
+    if (!Le_MayAct(host.table, job, &permit)) {
         return;
     }
     ASSERT_GE(permit.fence, endpoint.fence) << job;
     if (permit.fence > endpoint.fence) {
-        ASSERT_LE(endpoint.ends, host.clock.boot) << job;
+        ASSERT_LE(endpoint.order_ends, host.clock.boot) << job;
         endpoint.changes++;
     }
     endpoint.fence = permit.fence;
-    endpoint.ends = host.clock.boot + permit.life_usec;
+    endpoint.order_ends = host.clock.boot + permit.life_usec;
     endpoint.orders++;
 }
 
 /*
- * A host orders a version although another one took its job: it was paused,
- * cut off from the log or restarted, answers were lost, the log was down for
- * longer than the term, its state was built again from a snapshot.  Whatever
- * comes, orders follow the order of fencing numbers, and the job is held
- * again once the trouble is over.
+ * A host must not send orders after another host took its lease.  The test
+ * pauses and restarts hosts, loses answers, takes the log down for longer than
+ * the term and reloads state from snapshots.  Fencing numbers of orders must
+ * never decrease, and every lease must be held again once the faults end.
  */
-TEST(Leases, OrdersFollowTheFencesWhateverFails)
+TEST(Leases, FencingNumbersOfOrdersNeverDecrease)
 {
     Endpoint total;
     for (uint64_t seed = 1; seed <= 400; seed++) {
@@ -182,8 +186,8 @@
             }
             if (i != paused) {
                 hosts[i]->Tick();
-                Order(*hosts[i], "fenced", endpoints["fenced"]);
-                Order(*hosts[i], "plain", endpoints["plain"]);
+                SendOrder(*hosts[i], "fenced", endpoints["fenced"]);
+                SendOrder(*hosts[i], "plain", endpoints["plain"]);
             }
             ASSERT_FALSE(HasFatalFailure()) << "seed " << seed;
             log.Run((int)Rn_Below(&log.random, 6));
@@ -205,8 +209,8 @@
     EXPECT_GT(total.changes, 1000);
 }
 
-/* A planned stop hands every job over without waiting for a term. */
-TEST(Leases, AHostThatLeavesHandsItsJobsOver)
+/* A planned stop hands over every lease without waiting for a term. */
+TEST(Leases, AStoppingHostHandsOverItsLeases)
 {
     FakeLog log;
     FakeClock clock;
@@ -216,25 +220,25 @@
             host.Tick();
             log.Run();
             clock.Advance(20 * Ck_USEC_PER_MSEC);
-            Sn_Kick(host.replica);
+            Sn_ReadNow(host.replica);
             log.Run();
         }
     };
     settle(a);
-    EXPECT_EQ(2u, Le_Held(a.book));
+    EXPECT_EQ(2u, Le_Held(a.table));
     Host b(log, clock, "b");
     settle(b);
-    EXPECT_EQ(0u, Le_Held(b.book));
-    Le_Want(a.book, "fenced", false, 0);
+    EXPECT_EQ(0u, Le_Held(b.table));
+    Le_Want(a.table, "fenced", false, 0);
     settle(a);
     settle(b);
     struct ls_permit permit;
     struct ls_lease lease;
-    EXPECT_FALSE(Le_MayAct(a.book, "fenced", &permit));
-    EXPECT_TRUE(Le_MayAct(b.book, "fenced", &permit));
-    EXPECT_TRUE(Le_Get(a.book, "plain", &lease));
+    EXPECT_FALSE(Le_MayAct(a.table, "fenced", &permit));
+    EXPECT_TRUE(Le_MayAct(b.table, "fenced", &permit));
+    EXPECT_TRUE(Le_Get(a.table, "plain", &lease));
     EXPECT_STREQ("a", lease.holder.node);
-    EXPECT_EQ(ST_INVALID, Le_Want(a.book, "", true, 0));
+    EXPECT_EQ(ST_INVALID, Le_Want(a.table, "", true, 0));
 }
 
 } // namespace
