--- a/packages/base/buffer.h
+++ b/packages/base/buffer.h
@@ -13,7 +13,7 @@
 struct bf_buffer {
     char *data;
     size_t len;
-    size_t capacity; /* allocated */
+    size_t capacity; /* bytes allocated */
 };
 
 /* Appends data; if an allocation fails, returns false and changes nothing. */
--- a/packages/config/parsed_section.c
+++ b/packages/config/parsed_section.c
@@ -110,7 +110,7 @@
     const char *name;
     bool in_platform;
     size_t entry_size;
-    size_t items_offset; /* in struct cf_parsed_section */
+    size_t items_offset; /* offset in struct cf_parsed_section */
     size_t count_offset;
     entry_fn read;
 };
@@ -403,7 +403,7 @@
     return ST_OK;
 }
 
-/* NULL is allowed. */
+/* "parsed" may be NULL. */
 void
 Cf_ParsedSectionDestroy(struct cf_parsed_section *parsed)
 {
--- a/packages/config/questionnaire.c
+++ b/packages/config/questionnaire.c
@@ -257,7 +257,7 @@
     return status;
 }
 
-/* NULL is allowed. */
+/* "answers" may be NULL. */
 void
 Qn_Destroy(struct qn_answers *answers)
 {
--- a/packages/config/questionnaire.h
+++ b/packages/config/questionnaire.h
@@ -119,7 +119,7 @@
 /* A section generated from the answers. */
 struct qn_document {
     char section[Cf_SECTION_MAX];
-    char *body; /* JSON */
+    char *body; /* JSON text */
 };
 
 struct qn_documents {
--- a/packages/config/sections.c
+++ b/packages/config/sections.c
@@ -47,7 +47,7 @@
     state->config = NULL;
 }
 
-/* NULL is allowed. */
+/* "state" may be NULL. */
 void
 Sc_Destroy(struct sc_state *state)
 {
--- a/packages/config/sections_state.h
+++ b/packages/config/sections_state.h
@@ -8,7 +8,7 @@
 #include "config/sections.h"
 
 struct sc_entry {
-    TAILQ_ENTRY(sc_entry) link; /* sorted by name */
+    TAILQ_ENTRY(sc_entry) link; /* list sorted by name */
     char name[Cf_SECTION_MAX];
     uint64_t offset;
     char *body;
@@ -22,8 +22,8 @@
     struct sc_entries entries;
     size_t count;
     struct cf_config *config;
-    struct sc_verdict verdicts[Sc_VERDICTS_MAX]; /* a ring */
-    size_t verdict_count; /* including overwritten ones */
+    struct sc_verdict verdicts[Sc_VERDICTS_MAX]; /* ring buffer */
+    size_t verdict_count; /* includes overwritten verdicts */
 };
 
 /* The effect that a record would have. */
--- a/packages/edge/broken.c
+++ b/packages/edge/broken.c
@@ -10,7 +10,7 @@
 
 struct broken {
     STAILQ_ENTRY(broken) link;
-    struct fl_endpoint *endpoint; /* a reference */
+    struct fl_endpoint *endpoint; /* counted reference */
     char route[Ec_NAME_MAX];
     bool slow;
     int64_t at;
--- a/packages/edge/event_stream.h
+++ b/packages/edge/event_stream.h
@@ -25,7 +25,7 @@
     const char *data; /* including the empty line that ends the event */
     size_t len;
     int64_t id;             /* -1: none */
-    const char *first_line; /* not terminated */
+    const char *first_line; /* not NUL-terminated */
     size_t first_len;
 };
 
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -53,7 +53,7 @@
     bool silence_handled; /* the attempt's silence timeout was handled */
     bool link_tested;     /* the attempt had the endpoint's link tested */
     int endpoint_waits; /* waits in a row for an endpoint to resume a stream */
-    int sends;          /* attempts */
+    int sends;          /* attempts sent */
     int delivered;      /* attempts of which bytes may have arrived */
     int runs;           /* endpoints that ran or may have run the request */
     uint32_t tried[Xc_TRIED_MAX]; /* hashes of the endpoints sent to */
--- a/packages/edge/feed_internal.h
+++ b/packages/edge/feed_internal.h
@@ -50,7 +50,7 @@
     bool reading;          /* a call to the store is in progress */
     int64_t failing_since; /* 0: the store answers */
     int64_t all_failed_at; /* last failure while no daemon reached the store */
-    int failures;          /* consecutive */
+    int failures;          /* consecutive failed calls, capped */
     int64_t refreshed_at;  /* last read because a peer had a newer one */
     char list_after[Ec_NAME_MAX];
     struct record_tree records;
--- a/packages/edge/fleet.h
+++ b/packages/edge/fleet.h
@@ -115,7 +115,6 @@
  */
 bool Fl_SameEntry(const struct fl_entry *before, const struct fl_entry *now);
 
-/* Updates. */
 void Fl_Apply(struct fl_fleet *fleet, const struct fl_entry *entry);
 void Fl_Remove(struct fl_fleet *fleet, const char *id);
 /*
@@ -131,7 +130,6 @@
 bool Fl_Evacuate(struct fl_fleet *fleet, const char *zone, bool begin);
 void Fl_ClearPeerLoads(struct fl_fleet *fleet);
 
-/* Queries. */
 const struct fl_list *Fl_All(const struct fl_fleet *fleet);
 struct fl_endpoint *Fl_ByHash(const struct fl_fleet *fleet, uint32_t hash);
 struct fl_endpoint *Fl_Find(const struct fl_fleet *fleet, const char *id);
--- a/packages/edge/header_codec.h
+++ b/packages/edge/header_codec.h
@@ -70,7 +70,7 @@
     bool (*reserved)(struct h1_text name);
     /* Writes the fields of "send"; returns the length. */
     size_t (*encode_send)(const struct hd_send *send, char *out, size_t size);
-    /* Field names. */
+    /* Names of header fields. */
     const char *retry_after; /* delay in seconds */
     const char *request_id;  /* id of the caller's request */
     const char *last_event;  /* id to resume after; lower case */
--- a/packages/edge/leader.h
+++ b/packages/edge/leader.h
@@ -64,7 +64,7 @@
 struct lr_options {
     const struct ck_clock *clock;
     struct ag_store *store;
-    const char *name; /* of this daemon */
+    const char *name; /* name of this daemon */
     uint64_t run;     /* identifies this process */
     int64_t lease_usec;
     /*
--- a/packages/edge/leader_internal.h
+++ b/packages/edge/leader_internal.h
@@ -18,7 +18,7 @@
     int64_t lease_until;
     int64_t sent_at; /* when the append or read in progress was sent */
     int64_t retry_at;
-    bool stopped; /* released for good */
+    bool stopped; /* released; not acquired again */
     bool at_end;  /* the last read reached the log's end */
     bool in_flight;
     bool append_unknown; /* an append may or may not have taken effect */
--- a/packages/edge/mesh.h
+++ b/packages/edge/mesh.h
@@ -95,7 +95,7 @@
     /* Whether "usage" and "loads" are sums over the sender's data centre. */
     bool summary;
     uint64_t run;    /* of the process; differs after each restart */
-    int64_t up_usec; /* since that start */
+    int64_t up_usec; /* time since the process started */
     int link_mbps;   /* of the sender's host; 0: unknown */
     bool ready;
     bool stopping;
@@ -210,7 +210,7 @@
  */
 size_t Ms_CountReachable(const struct ms_mesh *mesh);
 bool Ms_IsReachable(const struct ms_mesh *mesh, const struct ms_peer *peer);
-size_t Ms_CountAlive(const struct ms_mesh *mesh); /* this one included */
+size_t Ms_CountAlive(const struct ms_mesh *mesh); /* includes this daemon */
 size_t Ms_CountRunning(const struct ms_mesh *mesh);
 /*
  * Daemons that may be admitting requests: those that sent messages lately and,
--- a/packages/edge/paths.c
+++ b/packages/edge/paths.c
@@ -21,7 +21,7 @@
 struct attempt {
     LIST_ENTRY(attempt) link;
     struct pt_paths *paths;
-    struct fl_endpoint *endpoint; /* a reference */
+    struct fl_endpoint *endpoint; /* counted reference */
     enum li_order order;
     size_t direct;        /* index of the direct path in the plan */
     uint32_t peer;        /* address of the relaying peer; 0: none */
--- a/packages/edge/plan.h
+++ b/packages/edge/plan.h
@@ -20,7 +20,7 @@
 struct pn_zone {
     char zone[Ec_NAME_MAX];
     double price;  /* of an on-demand endpoint per second */
-    int on_demand; /* usable now */
+    int on_demand; /* usable on-demand endpoints */
     int spot;
     /* last confirmed order; includes usable and starting endpoints */
     int on_demand_ordered;
--- a/packages/edge/rollout.h
+++ b/packages/edge/rollout.h
@@ -41,7 +41,7 @@
 /* An operator's order. */
 struct ro_order {
     char service[Ec_NAME_MAX];
-    char target[Ec_NAME_MAX]; /* version */
+    char target[Ec_NAME_MAX]; /* version to move to */
     int64_t duration_usec;
     int64_t number; /* increases with each order */
 };
@@ -124,7 +124,6 @@
 void Ro_Destroy(struct ro_table *table);
 uint32_t Ro_Hash(const char *name);
 
-/* Updates. */
 void Ro_Order(struct ro_table *table, const struct ro_order *order);
 uint32_t Ro_RowKey(const char *route, bool slow);
 bool Ro_IsSlowKey(uint32_t key);
@@ -159,7 +158,6 @@
 void Ro_Advance(struct ro_table *table, struct ro_move *move,
                 const struct ro_endpoint_counts *counts);
 
-/* Queries. */
 struct ro_move *Ro_Find(struct ro_table *table, const char *service);
 /* NULL past the last move */
 struct ro_move *Ro_At(struct ro_table *table, size_t index);
--- a/packages/edge/store.h
+++ b/packages/edge/store.h
@@ -34,7 +34,7 @@
     AG_OK,
     AG_CONFLICT,    /* the topic does not end at the expected offset */
     AG_EXPIRED,     /* the requested records were dropped */
-    AG_UNAVAILABLE, /* no effect */
+    AG_UNAVAILABLE, /* the call had no effect */
     AG_UNKNOWN,     /* may have taken effect, or still will */
 };
 
--- a/packages/edge/usage.c
+++ b/packages/edge/usage.c
@@ -13,7 +13,7 @@
 
 struct daemon {
     SLIST_ENTRY(daemon) link;
-    uint64_t id; /* 0: this one */
+    uint64_t id; /* 0: this daemon */
     struct tally tallies[Us_WINDOWS];
 };
 
--- a/packages/edge/zones.c
+++ b/packages/edge/zones.c
@@ -15,7 +15,7 @@
 };
 
 struct reporter {
-    uint64_t run;    /* 0: none */
+    uint64_t run;    /* 0: unused entry */
     int64_t up_usec; /* age of the process in its last summary */
     int64_t last_summary_at;
     struct usage_rows received; /* from its last summary */
--- a/packages/gate/intake.h
+++ b/packages/gate/intake.h
@@ -24,7 +24,6 @@
                          struct in_intake **out);
 void In_Destroy(struct in_intake *intake);
 
-/* Commands. */
 void In_Configure(struct in_intake *intake, const struct cf_config *config);
 void In_SetMember(struct in_intake *intake, const char *node, bool present);
 void In_ReceiveDemands(struct in_intake *intake, const char *node,
@@ -35,7 +34,6 @@
 void In_Remove(struct in_intake *intake, struct rq_request *request);
 void In_DispatchQueued(struct in_intake *intake);
 
-/* Queries. */
 size_t In_DaemonCount(const struct in_intake *intake);
 bool In_IsJoining(const struct in_intake *intake);
 int64_t In_PublishInterval(const struct in_intake *intake);
--- a/packages/gate/loadwatch.c
+++ b/packages/gate/loadwatch.c
@@ -27,7 +27,7 @@
     char endpoint[Ch_NAME_MAX];
     struct jc_call *call;
     int64_t due_at;
-    int failures;          /* in a row */
+    int failures;          /* consecutive failed calls */
     int rounds_unassigned; /* rounds since the endpoint was last assigned */
 };
 
--- a/packages/gate/moves.c
+++ b/packages/gate/moves.c
@@ -107,8 +107,6 @@
     return service->plan.withdrawn && move->phase == MV_DONE;
 }
 
-/* ---- replicated state in the control stream ---- */
-
 static void
 reset(void *arg)
 {
@@ -200,8 +198,6 @@
     return component;
 }
 
-/* ---- plans from the configuration ---- */
-
 static void
 update_plan(struct mo_moves *moves, const struct cf_service *configured)
 {
--- a/packages/gate/moves.h
+++ b/packages/gate/moves.h
@@ -23,7 +23,7 @@
 struct mo_outcome {
     const char *service;
     const char *version;
-    const char *endpoint; /* its id */
+    const char *endpoint; /* endpoint id */
     const char *route;
     bool patient;
     bool failed;
@@ -49,13 +49,11 @@
 struct ct_component Mo_Component(struct mo_moves *moves);
 void Mo_SetControl(struct mo_moves *moves, struct ct_control *control);
 
-/* Commands. */
 void Mo_Tick(struct mo_moves *moves);
 void Mo_RecordOutcome(struct mo_moves *moves,
                       const struct mo_outcome *outcome);
 void Mo_HandleReport(struct mo_moves *moves, const char *text, size_t len);
 
-/* Queries. */
 bool Mo_IsStateUnread(const struct mo_moves *moves);
 json_t *Mo_Status(const struct mo_moves *moves);
 
--- a/packages/gate/peers.h
+++ b/packages/gate/peers.h
@@ -54,7 +54,6 @@
                          void *arg, struct pe_peers **out);
 void Pe_Destroy(struct pe_peers *peers);
 
-/* Commands. */
 void Pe_Seed(struct pe_peers *peers, const struct hl_host *hosts,
              size_t count);
 void Pe_Leave(struct pe_peers *peers);
@@ -78,7 +77,6 @@
                             int64_t timeout_usec, gc_reply_fn reply,
                             void *arg);
 
-/* Queries. */
 uint16_t Pe_Port(const struct pe_peers *peers);
 const char *Pe_Responsible(struct pe_peers *peers, const char *key);
 size_t Pe_Routers(const struct pe_peers *peers, const char **out, size_t max);
--- a/packages/gate/reach.c
+++ b/packages/gate/reach.c
@@ -36,7 +36,7 @@
     char endpoint[Ch_NAME_MAX];
     struct li_link path;
     struct di_dial *probe;
-    int64_t used_at; /* last planned connection */
+    int64_t used_at; /* when a connection was last planned */
 };
 
 TAILQ_HEAD(link_list, link);
--- a/packages/gate/reach.h
+++ b/packages/gate/reach.h
@@ -25,10 +25,10 @@
  */
 struct rh_tries {
     char endpoint[Ch_NAME_MAX];
-    size_t count; /* of steps */
-    size_t step;  /* the current one */
+    size_t count; /* number of steps */
+    size_t step;  /* index of the current step */
     struct {
-        bool through;         /* through a peer */
+        bool through;         /* connect through a peer */
         int64_t connect_usec; /* time limit; 0: the client's default */
     } steps[Rh_STEPS_MAX];
     enum li_outcome direct_outcome;
--- a/packages/gate/relay_engine.h
+++ b/packages/gate/relay_engine.h
@@ -35,10 +35,10 @@
     size_t text_len;
     size_t text_size;
     struct en_usage usage;
-    int recomputed_tokens; /* of all attempts */
+    int recomputed_tokens; /* sum over all attempts */
     int64_t last_token_at;
     int64_t first_token_usec; /* time to this attempt's first token */
-    int64_t first_token_at;   /* of this attempt */
+    int64_t first_token_at;   /* time of this attempt's first token */
     int64_t leaves_at;        /* when the engine is reclaimed; 0: it stays */
     enum sm_plan plan;        /* what plan_timer carries out */
     struct lp_timer *plan_timer;
--- a/packages/member/fact.h
+++ b/packages/member/fact.h
@@ -84,7 +84,6 @@
                          struct fc_table **out);
 void Fc_Destroy(struct fc_table *facts);
 
-/* Commands. */
 enum st_status Fc_Publish(struct fc_table *facts,
                           const struct fc_publication *post);
 enum st_status Fc_Watch(struct fc_table *facts, const char *key_prefix,
@@ -97,7 +96,6 @@
 bool Fc_NextUpdate(struct fc_table *facts, enum fc_scope narrowest,
                    size_t room, fc_size_fn size, struct fc_fact *out);
 
-/* Queries. */
 bool Fc_Get(const struct fc_table *facts, const char *owner, const char *key,
             struct fc_fact *out);
 void Fc_Each(const struct fc_table *facts, const char *key_prefix,
--- a/packages/member/link_internal.h
+++ b/packages/member/link_internal.h
@@ -8,8 +8,8 @@
 
 #define Lk_CONNECTIONS_MAX 2048
 #define Lk_HELLO_MAX 256 /* bytes; largest frame accepted before the hello */
-#define Lk_QUEUED_FRAMES_MAX 1024              /* per connection */
-#define Lk_QUEUED_BYTES_MAX (4 * Wr_FRAME_MAX) /* per connection */
+#define Lk_QUEUED_FRAMES_MAX 1024              /* frames per connection */
+#define Lk_QUEUED_BYTES_MAX (4 * Wr_FRAME_MAX) /* bytes per connection */
 
 struct lk_frame {
     TAILQ_ENTRY(lk_frame) link;
--- a/packages/member/node.h
+++ b/packages/member/node.h
@@ -68,7 +68,6 @@
                          struct nd_node **out);
 void Nd_Destroy(struct nd_node *node);
 
-/* Commands. */
 void Nd_SetSeeds(struct nd_node *node, const struct mb_endpoint *seeds,
                  size_t count);
 void Nd_Leave(struct nd_node *node);
@@ -79,7 +78,6 @@
                        int64_t timeout_usec, lk_done_fn done, void *arg,
                        struct lk_call **out);
 
-/* Queries. */
 const char *Nd_Id(const struct nd_node *node);
 uint64_t Nd_Incarnation(const struct nd_node *node);
 uint16_t Nd_Port(const struct nd_node *node);
--- a/packages/member/node_internal.h
+++ b/packages/member/node_internal.h
@@ -33,7 +33,7 @@
     int fd;
     struct lp_watch *watch;
     struct lp_timer *timer;
-    uint64_t counter; /* of datagrams sent */
+    uint64_t counter; /* number of datagrams sent */
     struct nd_senders senders;
     size_t sender_count;
     struct nd_counters counters;
--- a/packages/member/node_sync.c
+++ b/packages/member/node_sync.c
@@ -17,7 +17,7 @@
 #define Nd_BUCKETS 64 /* of members; one bit each in a uint64_t */
 #define Nd_SYNC_TIMEOUT_USEC (5 * Ck_USEC_PER_SEC)
 #define Nd_SYNC_RETRY_USEC Ck_USEC_PER_SEC
-#define Nd_STAMPS_MAX 1024 /* in a bucket */
+#define Nd_STAMPS_MAX 1024 /* stamps in a bucket */
 #define Nd_FAR_OF_TEN 1    /* of ten exchanges, with other regions */
 #define Nd_REGION_OF_TEN 2
 #define Nd_DIGEST "sync/digest"
--- a/packages/member/table.h
+++ b/packages/member/table.h
@@ -31,7 +31,7 @@
 #define Mb_ID_MAX 48        /* bytes with NUL */
 #define Mb_NAME_MAX 48      /* bytes with NUL */
 #define Mb_ADDRESS_MAX 46   /* bytes with NUL */
-#define Mb_UPDATES_MAX 16   /* in one message */
+#define Mb_UPDATES_MAX 16   /* updates in one message */
 #define Mb_UPDATE_BYTES 700 /* limit for the encoded updates of a message */
 
 enum mb_state {
@@ -69,7 +69,7 @@
 struct mb_message {
     enum mb_type type;
     char from[Mb_ID_MAX];
-    uint64_t incarnation; /* of the sender */
+    uint64_t incarnation; /* incarnation of the sender */
     uint32_t sequence;
     char subject[Mb_ID_MAX]; /* target of a ping or ping-req; empty: any */
     size_t update_count;
@@ -114,7 +114,6 @@
                          struct mb_table **out);
 void Mb_Destroy(struct mb_table *table);
 
-/* Commands. */
 void Mb_SetSeeds(struct mb_table *table, const struct mb_endpoint *seeds,
                  size_t count);
 void Mb_Tick(struct mb_table *table);
@@ -127,7 +126,6 @@
 void Mb_SetReachable(struct mb_table *table, const char *data_centre,
                      bool reachable);
 
-/* Queries. */
 const struct mb_record *Mb_Self(const struct mb_table *table);
 const struct mb_record *Mb_Find(const struct mb_table *table, const char *id);
 const struct mb_record *Mb_First(const struct mb_table *table);
--- a/packages/member/table_internal.h
+++ b/packages/member/table_internal.h
@@ -23,7 +23,7 @@
     bool unreachable;
     int64_t since_usec; /* when it became unreachable */
     int failures;       /* consecutive failed bridge probes */
-    int64_t wait_usec;  /* between bridge probes */
+    int64_t wait_usec;  /* delay between bridge probes */
     int64_t next_usec;
 };
 
@@ -58,7 +58,7 @@
     bool indirect; /* indirect probes were requested */
     int64_t indirect_usec;
     int64_t deadline_usec;
-    char requester[Mb_ID_MAX]; /* MB_FOR_OTHER */
+    char requester[Mb_ID_MAX]; /* set for MB_FOR_OTHER */
     uint32_t requester_sequence;
 };
 
--- a/packages/member/wire.h
+++ b/packages/member/wire.h
@@ -22,7 +22,7 @@
 #define Wr_VERSION 1
 #define Wr_DATAGRAM_MAX 1400 /* bytes */
 #define Wr_MAC_BYTES 16
-#define Wr_FACTS_MAX 96 /* in one datagram */
+#define Wr_FACTS_MAX 96 /* facts in one datagram */
 #define Wr_KEY_MAX 33   /* a derived key: 32 hex digits and the NUL */
 #define Wr_FRAME_MAX (1024 * 1024) /* bytes of the body */
 #define Wr_FRAME_HEAD_BYTES 4
@@ -61,7 +61,7 @@
     enum wr_kind kind;
     uint64_t id;
     char name[Mb_ID_MAX];  /* request type, or node id in a hello */
-    enum st_status status; /* of an answer */
+    enum st_status status; /* status of an answer */
     const void *payload;   /* the nonce in a hello */
     size_t len;
 };
--- a/packages/platform/hostlist.h
+++ b/packages/platform/hostlist.h
@@ -36,7 +36,7 @@
     char service[Hl_NAME_MAX];
     char version[Hl_NAME_MAX];
     char host_class[Hl_NAME_MAX];
-    double price;     /* per hour */
+    double price;     /* price per hour */
     bool reclaimable; /* a spot host, which the platform may reclaim */
     int slots;
     int64_t warmup_left_usec; /* warm-up time that remains after its start */
--- a/packages/policy/admit.h
+++ b/packages/policy/admit.h
@@ -44,7 +44,6 @@
 struct am_limits *Am_Create(const char *self);
 void Am_Destroy(struct am_limits *limits);
 
-/* Commands. */
 enum st_status Am_SetCustomer(struct am_limits *limits, const char *customer,
                               double per_sec, int max_in_flight);
 void Am_DropCustomer(struct am_limits *limits, const char *customer);
@@ -62,7 +61,6 @@
                         int64_t now, int64_t *retry_after);
 void Am_Release(struct am_limits *limits, const char *customer, int64_t now);
 
-/* Queries. */
 int64_t Am_PublishInterval(const struct am_limits *limits);
 size_t Am_DaemonCount(const struct am_limits *limits);
 bool Am_IsJoining(struct am_limits *limits, int64_t now);
--- a/packages/policy/choose.h
+++ b/packages/policy/choose.h
@@ -43,7 +43,7 @@
     char region[Ch_NAME_MAX];
     char version[Ch_NAME_MAX];
     char host_class[Ch_NAME_MAX];
-    double price; /* per hour */
+    double price; /* price per hour */
     int slots;    /* requests run at once; 0 counts as 1 */
     bool reclaimable;
 };
@@ -71,7 +71,7 @@
 struct ch_request {
     uint64_t prefix;     /* hash of the prompt's head; 0: none */
     int prompt_tokens;   /* 0 for a plain service */
-    int expected_tokens; /* of the answer */
+    int expected_tokens; /* length of the answer */
     int64_t budget;      /* time left for the first token; 0: no limit */
     bool is_retry;       /* a retry: it was sent before */
     bool failed;         /* an attempt at it failed at an endpoint */
@@ -182,7 +182,6 @@
 void Ch_End(struct ch_table *table, struct ch_flight *flight,
             enum ch_outcome outcome, int64_t now);
 
-/* Queries. */
 enum st_status Ch_Choose(struct ch_table *table,
                          const struct ch_request *request, int64_t now,
                          struct rn_random *random, struct ch_flight *out);
--- a/packages/policy/fleet.h
+++ b/packages/policy/fleet.h
@@ -22,7 +22,7 @@
 #define Ft_NAME_MAX 64
 #define Ft_QUARTERS_PER_DAY 96
 
-/* ---- the load to plan for ---- */
+/* Forecast: predicts the load from its level, its trend and earlier days. */
 
 struct ft_forecast {
     double level;
@@ -38,7 +38,7 @@
 double Ft_Predict(const struct ft_forecast *forecast, int64_t ahead,
                   int64_t wall);
 
-/* ---- the plan ---- */
+/* Plan: decides which hosts to buy, drain and release to carry the load. */
 
 struct ft_offer {
     char data_centre[Ft_NAME_MAX];
@@ -119,7 +119,10 @@
 bool Ft_MayTry(const struct ft_refusals *refusals,
                const struct ft_offer *offer, int64_t now);
 
-/* ---- buying ---- */
+/*
+ * Intents: each purchase of a host is recorded in the log before the cloud is
+ * called, and its outcome is settled afterwards.
+ */
 
 enum ft_intent_state {
     FT_UNRECORDED, /* not yet in the log */
--- a/packages/policy/move.c
+++ b/packages/policy/move.c
@@ -16,7 +16,8 @@
 #include "base/clock.h"
 #include "base/hash.h"
 
-#define DEFAULT_SPAN_USEC (3600 * Ck_USEC_PER_SEC) /* without a deadline */
+/* Duration of a move without a deadline. */
+#define DEFAULT_SPAN_USEC (3600 * Ck_USEC_PER_SEC)
 #define DEFAULT_FIRST_SHARE 0.02
 /*
  * Minimum durations of a phase or step: the time from the start of the move
--- a/packages/policy/move.h
+++ b/packages/policy/move.h
@@ -44,7 +44,10 @@
 int Mv_Bucket(int64_t usec);
 int64_t Mv_BucketStart(int bucket);
 
-/* ---- circuit breaker of one router ---- */
+/*
+ * Circuit breaker: compares one router's latest outcomes of both versions and
+ * trips if the new version is faulty.
+ */
 
 enum mv_outcome {
     MV_GOOD,
@@ -92,7 +95,10 @@
 bool Mv_TripNoteCounts(struct mv_trip *trip, uint32_t good, uint32_t bad,
                        double old_bad);
 
-/* ---- statistics of all routers ---- */
+/*
+ * Evidence: merges the counts of all routers and tests, block by block,
+ * whether the new version fails more often or is slower than the old one.
+ */
 
 struct mv_evidence;
 
@@ -122,7 +128,10 @@
 void Mv_Finding(const struct mv_evidence *evidence, struct mv_finding *out);
 void Mv_Totals(const struct mv_evidence *evidence, struct mv_totals *out);
 
-/* ---- the move ---- */
+/*
+ * State machine of a move: raises the new version's share of the traffic phase
+ * by phase, or rolls the move back.
+ */
 
 enum mv_phase {
     MV_PLANNED,     /* the new version has no endpoint yet */
@@ -165,7 +174,7 @@
     bool peak_seen; /* the new version has served near the day's peak rate */
     char reason[160];
     struct mv_finding finding; /* at the last change of state by a tick */
-    struct mv_totals totals;   /* the same */
+    struct mv_totals totals;   /* at that change too */
 };
 
 enum st_status Mv_Begin(struct mv_move *move, const struct mv_plan *plan,
--- a/packages/policy/move_internal.h
+++ b/packages/policy/move_internal.h
@@ -18,7 +18,7 @@
     double log_e_value[Mv_EFFECTS]; /* one for each assumed effect size */
     double old_count;               /* decayed counts of the old version */
     double old_bad;
-    uint64_t count[MV_SIDES]; /* tested so far */
+    uint64_t count[MV_SIDES]; /* requests tested so far */
     uint64_t bad[MV_SIDES];
 };
 
--- a/packages/policy/move_judge.c
+++ b/packages/policy/move_judge.c
@@ -24,8 +24,8 @@
 /* Smaller increases of the failure rate and the late rate are ignored. */
 #define FAILURE_TOLERANCE 0.002
 #define LATE_TOLERANCE 0.01
-#define HISTORY_DECAY 0.97 /* per block */
-#define RECENT_DECAY 0.8   /* per block */
+#define HISTORY_DECAY 0.97 /* factor per block */
+#define RECENT_DECAY 0.8   /* factor per block */
 #define LATE_QUANTILE 0.9  /* of the old version's first-token times */
 /* Effective sample size of a block for latency; see sample_late(). */
 #define BLOCK_SAMPLE_MAX 50.0 /* requests */
--- a/packages/policy/move_trip.c
+++ b/packages/policy/move_trip.c
@@ -41,8 +41,8 @@
 /* One endpoint of the new version. */
 struct endpoint_tally {
     uint64_t endpoint;
-    int outcomes; /* in the window */
-    int failed;   /* in the suffix */
+    int outcomes; /* outcomes in the window */
+    int failed;   /* bad outcomes in the suffix */
     bool healthy; /* one of its last two outcomes was good */
 };
 
--- a/packages/policy/queue.h
+++ b/packages/policy/queue.h
@@ -64,7 +64,6 @@
 struct qu_queue *Qu_Create(const struct qu_settings *settings);
 void Qu_Destroy(struct qu_queue *queue);
 
-/* Commands. */
 enum st_status Qu_SetWeight(struct qu_queue *queue, const char *customer,
                             double weight);
 enum st_status Qu_Push(struct qu_queue *queue, const char *customer,
@@ -74,7 +73,6 @@
 struct qu_item *Qu_PopExpired(struct qu_queue *queue, int64_t now);
 void Qu_Remove(struct qu_queue *queue, struct qu_item *item);
 
-/* Queries. */
 int Qu_Length(const struct qu_queue *queue);
 size_t Qu_Bytes(const struct qu_queue *queue);
 int64_t Qu_PredictWait(const struct qu_queue *queue, const char *customer,
--- a/packages/policy/test/fleet_model.h
+++ b/packages/policy/test/fleet_model.h
@@ -15,7 +15,7 @@
 #endif
 
 struct fleet_result {
-    double cost;      /* per day */
+    double cost;      /* price of the hosts per day */
     double uncovered; /* fraction of the requests above the capacity */
     double on_demand; /* fraction of the host hours */
     int cut_off;      /* hosts released with requests in flight */
--- a/packages/policy/test/move_model.c
+++ b/packages/policy/test/move_model.c
@@ -13,7 +13,7 @@
 #define LOAD_PERIOD_USEC (1800 * USEC_PER_SEC)
 #define ROUTES 4
 #define CLASSES 2
-#define ENGINES 2 /* per version */
+#define ENGINES 2 /* engines per version */
 #define STALL_MIN_USEC (200 * 1000)
 #define STALL_MAX_USEC (2 * USEC_PER_SEC)
 
@@ -22,7 +22,7 @@
     struct rn_random random;
     struct mv_evidence *evidence;
     struct mv_trip *trips;
-    struct mv_cell (*cells)[ROUTES * CLASSES]; /* per router */
+    struct mv_cell (*cells)[ROUTES * CLASSES]; /* counts of each router */
     int64_t now;
     int64_t stalled_until[MV_SIDES][ENGINES];
     struct move_outcome *out;
--- a/packages/policy/test/unknown_model.h
+++ b/packages/policy/test/unknown_model.h
@@ -33,8 +33,8 @@
     int64_t arrival_gap;  /* mean time between two requests */
     int64_t first_token;  /* mean time to the first token */
     int64_t whole_answer; /* mean time to the last token */
-    int slots;            /* of an engine */
-    double share;         /* of the new version */
+    int slots;            /* requests that an engine runs at once */
+    double share;         /* traffic share of the new version */
 };
 
 struct um_counts {
--- a/packages/state/claim.h
+++ b/packages/state/claim.h
@@ -82,7 +82,7 @@
 
 struct cl_options {
     int64_t window_ms;  /* how long a key is kept; 0: 24 hours */
-    size_t max_entries; /* 0: 20000 */
+    size_t max_entries; /* number of keys kept; 0: 20000 */
     size_t max_bodies;  /* total bytes of kept bodies; 0: 4 MiB */
 };
 
--- a/packages/state/leases.h
+++ b/packages/state/leases.h
@@ -21,8 +21,8 @@
     const struct ck_clock *clock;
     struct rc_writer self;    /* the same as that of the writer */
     struct wr_writer *writer; /* writer of the control stream */
-    int64_t term_usec;        /* 0: 15 s */
-    int64_t margin_usec;      /* 0: 1 s */
+    int64_t term_usec;        /* length of a lease; 0: 15 s */
+    int64_t margin_usec;      /* safety margin; 0: 1 s */
 };
 
 struct le_table;
--- a/tools/member_bench.c
+++ b/tools/member_bench.c
@@ -59,9 +59,9 @@
     enum phase phase;
     int64_t phase_usec;
     int64_t last_usec;
-    double due_changes; /* not yet published */
+    double due_changes; /* changes not yet published */
     int next_endpoint;
-    int64_t *published_usec; /* by endpoint */
+    int64_t *published_usec; /* time of each endpoint's last publication */
     double published;
     double published_before;
     struct totals before;
