--- a/packages/config/sections_state.h
+++ b/packages/config/sections_state.h
@@ -1,4 +1,4 @@
-/* The state of the sections.  Private to evaluate.c and sections*.c. */
+/* The state of the sections.  Private to sections*.c. */
 #ifndef CONFIG_SECTIONS_STATE_H
 #define CONFIG_SECTIONS_STATE_H
 
--- a/packages/model/placing_internal.h
+++ b/packages/model/placing_internal.h
@@ -1,4 +1,4 @@
-/* Declarations shared by placing.c and placing_judge.c. */
+/* Declarations shared by placing.c and placing_score.c. */
 #ifndef MODEL_PLACING_INTERNAL_H
 #define MODEL_PLACING_INTERNAL_H
 
